--- a/logread/ended.go
+++ b/logread/ended.go
@@ -8,55 +8,59 @@
 	"time"
 )
 
-// msgEnded is the message of the line that a gateway writes when a request has ended.
+// msgEnded is the message that gateways log when a request has ended.
 const msgEnded = "Request ended."
 
-// heldFor is the time at a gateway from which a refusal counts as one after waiting.
+// heldFor is the time at the gateway from which a refusal counts as one after waiting.
 const heldFor = 100 * time.Millisecond
 
-// Cause is what became of a request, in a word that tables can show.
+// Cause classifies the outcome of a request. Its text is what tables show.
 type Cause string
 
-// Causes of requests that were answered. Refusals and failures are made of the gateway's reason.
+// Causes of requests that were answered or left by their callers. Those of refusals and failures
+// contain the gateway's reason.
 const (
 	InTime Cause = "in time"
-	// LatePause: a pause between two events was too long.
+	// LatePause: the pause between two events was too long.
 	LatePause Cause = "late: pause"
-	// LateWaited: it waited at the gateway for most of the time to its first event.
+	// LateWaited: waiting at the gateway took most of the time to the first event.
 	LateWaited Cause = "late: waited"
-	// LateCameBack: its caller had sent it before, and most of the time had gone by.
+	// LateCameBack: most of the time passed between the caller's first send of the request and its arrival
+	// at this gateway.
 	LateCameBack Cause = "late: came back"
-	// LateEarlier: attempts before the last one took most of the time.
+	// LateEarlier: attempts before the last one took most of the time to the first event.
 	LateEarlier Cause = "late: earlier attempts"
-	// LateUpstream: the upstream took most of the time.
+	// LateUpstream: the upstream took most of the time to the first event.
 	LateUpstream Cause = "late: upstream"
-	// UpstreamFailed: the upstream's own answer is a failure.
+	// UpstreamFailed: the upstream answered with a server error.
 	UpstreamFailed Cause = "failed: upstream's answer"
-	// CallerLeft: its caller closed the connection before the answer.
+	// CallerLeft: the caller closed the connection before the answer.
 	CallerLeft Cause = "caller left"
 )
 
-// Reasons of a gateway that aren't refusals: the request was sent, or its caller is to blame.
+// Reasons of the gateway other than refusals. With failureReasons the request was sent to an upstream;
+// callerErrorReasons are the caller's fault.
 var (
 	failures = []string{"in-doubt", "timeout", "stream-broken-off", "last-trial"}
 	improper = []string{"no-route", "unknown-key", "bad-request", "header-too-large", "body-too-large"}
 )
 
-// Ended is the end of a request at a gateway.
+// Ended is the outcome of a request at a gateway, as its line reports it.
 type Ended struct {
 	At               time.Time
 	Request, Service string
 	Status           int
-	// Reason is the gateway's for not passing on an answer, Why the inputs of a refusal, Err what went wrong.
+	// Reason is the gateway's reason for passing no answer on, Why the inputs of a refusal, and Err the
+	// error.
 	Reason, Why, Err string
-	// Took is the time at the gateway, Waited that in which it had no place, and Age the time before
-	// since its caller had sent it first.
+	// Took is the time at the gateway, Waited the part of it spent waiting for a slot, and Age the time
+	// from the caller's first send of the request to its arrival.
 	Took, Waited, Age time.Duration
-	// FirstEvent is the time until a stream's first event, LongestPause the longest one between two.
+	// FirstEvent is the time to a stream's first event, LongestPause the longest one between two events.
 	FirstEvent, LongestPause time.Duration
 	late                     string
 	attempts                 []attempt
-	// LeftOut is how many lines of its kind are missing before this one.
+	// LeftOut is the number of lines of this kind that the gateway left out before this one.
 	LeftOut int64
 }
 
@@ -66,7 +70,7 @@
 	took     time.Duration
 }
 
-// ParseEnded reads the line of a request that has ended; ok says that it is one.
+// ParseEnded parses the line of a request that has ended. It returns false for other lines.
 func ParseEnded(l *Line) (e Ended, ok bool) {
 	if l.Msg != msgEnded {
 		return e, false
@@ -80,20 +84,21 @@
 	}, true
 }
 
-// parseAttempts reads UPSTREAM:OUTCOME:STATUS:MILLISECONDS, separated by commas.
+// parseAttempts parses a list of UPSTREAM:OUTCOME:STATUS:MILLISECONDS, separated by commas. It skips
+// malformed items.
 func parseAttempts(text string) (list []attempt) {
 	for part := range strings.SplitSeq(text, ",") {
-		cells := strings.Split(part, ":")
-		ms, err := strconv.ParseInt(cells[len(cells)-1], 10, 64)
+		fields := strings.Split(part, ":")
+		ms, err := strconv.ParseInt(fields[len(fields)-1], 10, 64)
 		if err != nil {
 			continue
 		}
-		list = append(list, attempt{upstream: cells[0], took: time.Duration(ms) * time.Millisecond})
+		list = append(list, attempt{upstream: fields[0], took: time.Duration(ms) * time.Millisecond})
 	}
 	return list
 }
 
-// earlier is how long the attempts before the last one took.
+// earlierAttemptsTook returns the duration of the attempts before the last one.
 func (e *Ended) earlier() (sum time.Duration) {
 	for _, a := range e.attempts[:max(len(e.attempts)-1, 0)] {
 		sum += a.took
@@ -101,7 +106,7 @@
 	return sum
 }
 
-// Cause is what became of the request.
+// Cause classifies the outcome.
 func (e *Ended) Cause() Cause {
 	switch {
 	case e.Reason != "":
@@ -116,7 +121,7 @@
 	return InTime
 }
 
-// notAnswered is the cause where no answer of an upstream was passed on.
+// unansweredCause returns the cause of a request for which no upstream's answer was passed on.
 func (e *Ended) notAnswered() Cause {
 	switch {
 	case e.Reason == "caller-gone":
@@ -131,22 +136,22 @@
 	return Cause("refused: " + e.Reason)
 }
 
-// lateFirst is what took most of the time to a first event that was late.
+// lateFirstEventCause returns what took most of the time to a late first event.
 func (e *Ended) lateFirst() Cause {
 	earlier := e.earlier()
-	cause, most := LateUpstream, e.FirstEvent-e.Waited-earlier
+	cause, longest := LateUpstream, e.FirstEvent-e.Waited-earlier
 	for _, part := range []struct {
 		cause Cause
 		took  time.Duration
 	}{{LateWaited, e.Waited}, {LateEarlier, earlier}, {LateCameBack, e.Age}} {
-		if part.took > most {
-			cause, most = part.cause, part.took
+		if part.took > longest {
+			cause, longest = part.cause, part.took
 		}
 	}
 	return cause
 }
 
-// Sentence says in one sentence what became of the request and why.
+// Sentence describes the outcome and its cause in one sentence.
 func (e *Ended) Sentence() string {
 	switch cause := e.Cause(); cause {
 	case InTime:
@@ -154,13 +159,13 @@
 	case LatePause:
 		return fmt.Sprintf("Late by a pause of %v between two events.", e.LongestPause)
 	case LateWaited:
-		return fmt.Sprintf("Late by its first event, after %v; for %v of these it waited at the gateway for a place.", e.FirstEvent, e.Waited)
+		return fmt.Sprintf("Late by its first event, after %v; it waited %v of that at the gateway for a slot.", e.FirstEvent, e.Waited)
 	case LateCameBack:
 		return fmt.Sprintf("Late by its first event: its caller had sent it first %v before it came to this gateway.", e.Age)
 	case LateEarlier:
-		return fmt.Sprintf("Late by its first event, after %v; earlier attempts took %v of these.", e.FirstEvent, e.earlier())
+		return fmt.Sprintf("Late by its first event, after %v; earlier attempts took %v of that.", e.FirstEvent, e.earlier())
 	case LateUpstream:
-		return fmt.Sprintf("Late by its first event, after %v; the upstream %s took most of these.", e.FirstEvent, e.lastUpstream())
+		return fmt.Sprintf("Late by its first event, after %v; the upstream %s took most of that.", e.FirstEvent, e.lastUpstream())
 	case UpstreamFailed:
 		return fmt.Sprintf("The upstream %s answered with %d.", e.lastUpstream(), e.Status)
 	default:
--- a/logread/line.go
+++ b/logread/line.go
@@ -1,4 +1,4 @@
-// Package logread reads the lines that the processes log, and says what became of a request and why.
+// Package logread reads the log lines of the processes and tells the outcome and cause of requests.
 package logread
 
 import (
@@ -12,25 +12,24 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// ErrRead is returned when a log can't be read to its end.
+// ErrRead is returned if a log can't be read to its end.
 var ErrRead = merry.Sentinel("log can't be read")
 
-// longestLine bounds a line, in bytes: a state dump in one is some kilobytes.
+// maxLineBytes limits the length of a line. Lines with a state dump have some kilobytes.
 const longestLine = 1 << 20
 
-// Line is one line of a log.
+// Line is a line of a log.
 type Line struct {
 	At time.Time
-	// Source names the log that it stands in, Text is the line as it stands there.
+	// Source names the log, Text is the unparsed line.
 	Source, Text string
-	// Msg is its message.
-	Msg    string
-	fields []field
+	Msg          string
+	fields       []field
 }
 
 type field struct{ key, value string }
 
-// Get is the value of a key; empty if the line doesn't have it.
+// Get returns the value of a key, or "" if the line doesn't have it.
 func (l *Line) Get(key string) string {
 	for _, f := range l.fields {
 		if f.key == key {
@@ -40,10 +39,10 @@
 	return ""
 }
 
-// Millis is the value of a key that is in milliseconds; 0 if the line doesn't have it.
+// Millis returns the value of a key in milliseconds, or 0 if it is absent or not a whole number.
 func (l *Line) Millis(key string) time.Duration { return time.Duration(l.Int(key)) * time.Millisecond }
 
-// Int is the value of a key that is a number; 0 if the line doesn't have it.
+// Int returns the value of a numeric key, or 0 if it is absent or not a whole number.
 func (l *Line) Int(key string) int64 {
 	n, err := strconv.ParseInt(l.Get(key), 10, 64)
 	if err != nil {
@@ -52,8 +51,9 @@
 	return n
 }
 
-// Read calls f for each line of a log, in its order. What isn't a line of a process, such as the
-// output of a crash, is counted and left out; what a collector has put before a line does no harm.
+// Read calls f for each line of a log, in order. Text that a log collector put before a line is
+// ignored. Lines that no process logged, such as the output of a crash, are counted in skipped, without
+// empty ones. Read returns ErrRead if reading fails or a line is too long.
 func Read(source string, r io.Reader, f func(Line)) (skipped int, err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, longestLine)
@@ -70,7 +70,7 @@
 	return skipped, nil
 }
 
-// parse reads one line; ok says that it is one of a process, with a time and a message.
+// parse parses a line. It returns false if the line is malformed or lacks a time or message.
 func parse(source, text string) (l Line, ok bool) {
 	l = Line{Source: source, Text: text}
 	d := logfmt.NewDecoder(strings.NewReader(text))
--- a/logread/logread_test.go
+++ b/logread/logread_test.go
@@ -27,7 +27,7 @@
 	return e
 }
 
-// A log holds other things than a process's lines: what a collector puts before each, a crash's output, empty lines.
+// A log may have text of a collector before each line, output of a crash, and empty lines.
 func TestOnlyLinesOfProcessesAreRead(t *testing.T) {
 	lines, skipped := read(t, "   1.2 gw-1 "+head+"msg=Started. id=gw-1\n\npanic: runtime error\n\tgoroutine 1 [running]:\n"+head+
 		"msg=\"half a line\n"+head+`msg="Replica was late." late_ms=265 text="a b=\"c\""`)
@@ -50,8 +50,7 @@
 	assert.ErrorContains(t, err, "big.log")
 }
 
-// Whoever is on call asks why a request was late, refused or failed: one sentence says it, and requests
-// of one cause count together.
+// Every kind of outcome must have the cause and sentence that tell an operator what took the time.
 func TestCauseOfARequest(t *testing.T) {
 	for _, c := range []struct {
 		line     string
@@ -65,7 +64,7 @@
 		},
 		{
 			"status=200 reason= took_ms=1881 attempts=u-1:answered:200:1007 first_event_ms=1095 waited_ms=873 late=first-event",
-			logread.LateWaited, "Late by its first event, after 1.095s; for 873ms of these it waited at the gateway for a place.",
+			logread.LateWaited, "Late by its first event, after 1.095s; it waited 873ms of that at the gateway for a slot.",
 		},
 		{
 			"status=200 reason= took_ms=1881 attempts=u-1:answered:200:1007 first_event_ms=967 waited_ms=706 age_ms=1564 late=first-event",
@@ -73,11 +72,11 @@
 		},
 		{
 			"status=200 reason= took_ms=2000 attempts=u-1:in-doubt:0:700,u-2:answered:200:800 first_event_ms=950 late=first-event",
-			logread.LateEarlier, "Late by its first event, after 950ms; earlier attempts took 700ms of these.",
+			logread.LateEarlier, "Late by its first event, after 950ms; earlier attempts took 700ms of that.",
 		},
 		{
 			"status=200 reason= took_ms=2000 attempts=u-1:answered:200:2000 first_event_ms=800 waited_ms=10 late=first-event",
-			logread.LateUpstream, "Late by its first event, after 800ms; the upstream u-1 took most of these.",
+			logread.LateUpstream, "Late by its first event, after 800ms; the upstream u-1 took most of that.",
 		},
 		{"status=500 reason= took_ms=40 attempts=u-1:answered:500:40", logread.UpstreamFailed, "The upstream u-1 answered with 500."},
 		{
@@ -120,7 +119,7 @@
 	assert.DeepEqual(t, s.Total().ByNumber(), []logread.Cause{"refused: draining", logread.InTime})
 }
 
-// Whatever stands in a log, reading it ends, each line of it is either read or counted, and each end of a request has a cause.
+// Each line of any text must be either read or counted, and each ended request have a cause.
 func TestAnyTextIsReadOrCounted(t *testing.T) {
 	part := rapid.SampledFrom([]string{
 		head, `msg="Request ended." `, "status=200 ", "status=x ", "reason=upstreams-busy ", "attempts=a:b ", "attempts=:::,, ", "late=first-event ",
--- a/logread/losses.go
+++ b/logread/losses.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// Losses counts requests by what became of them, for each window of time.
+// Losses counts requests by cause in windows of time.
 type Losses struct {
 	window  time.Duration
 	windows map[time.Time]*Window
 }
 
-// Window is what became of the requests that ended in some time.
+// Window has the counts of the requests that ended in a window of time.
 type Window struct {
 	From time.Time `json:"from"`
-	// Ended is how many lines there are of such requests, LeftOut how many were not written.
+	// Ended is the number of lines of ended requests, LeftOut the number of such lines left out of the
+	// log.
 	Ended   int           `json:"ended"`
 	LeftOut int64         `json:"left_out"`
 	Causes  map[Cause]int `json:"causes"`
 }
 
-// NewLosses counts by windows of some length.
+// NewLosses returns a counter with windows of the given length.
 func NewLosses(window time.Duration) *Losses {
 	return &Losses{window: window, windows: map[time.Time]*Window{}}
 }
@@ -40,12 +41,12 @@
 	w.Causes[e.Cause()]++
 }
 
-// Windows are those in which requests have ended, in order of time.
+// Windows returns the windows in which requests ended, in order of time.
 func (s *Losses) Windows() []*Window {
 	return slices.SortedFunc(maps.Values(s.windows), func(a, b *Window) int { return a.From.Compare(b.From) })
 }
 
-// Total is what became of all requests.
+// Total returns the counts over all windows. Its From is that of the first one.
 func (s *Losses) Total() *Window {
 	sum := &Window{Causes: map[Cause]int{}}
 	for _, w := range s.Windows() {
@@ -61,7 +62,7 @@
 	return sum
 }
 
-// ByNumber are the causes of a window, the most frequent first.
+// ByNumber returns the causes in a window, the most frequent first.
 func (w *Window) ByNumber() []Cause {
 	return slices.SortedFunc(maps.Keys(w.Causes), func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(w.Causes[b], w.Causes[a]), cmp.Compare(a, b))
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -15,8 +15,8 @@
 
 func (r *fixedRequest) Identity() *Request { return (*Request)(r) }
 
-// What a request pays: while nothing is suspected, while others are, and while one like it is,
-// with bodies of 1 kB and 4 MB.
+// BenchmarkTrial measures the overhead per request while no request is suspected, while others are,
+// and while one with the same hint is.
 func BenchmarkTrial(b *testing.B) {
 	for _, size := range []int{1 << 10, 4 << 20} {
 		r := &fixedRequest{Team: "a", Method: "POST", Host: "h", URI: "/x", Body: []byte(strings.Repeat("x", size))}
@@ -44,8 +44,8 @@
 	}
 }
 
-// A replica hears of all that ran at a group of 192 ranks that is lost, with and without a request
-// in quarantine. It has a tenth of a core, on which its heartbeats wait meanwhile.
+// BenchmarkLearnMassCrash measures how long a replica takes to learn of all requests that ran at a
+// group that is lost, with and without requests in quarantine. Heartbeats wait meanwhile.
 func BenchmarkFlood(b *testing.B) {
 	from := NewTable(DefaultSettings())
 	var list []*wire.Suspicion
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,17 +1,21 @@
-// Package quarantine tells requests that end each upstream that runs them from those that
-// merely ran beside one, and decides which are no longer sent to any.
+// Package quarantine detects poison requests: requests that crash every upstream that runs them.
+// It tells them from requests that merely ran on an upstream when it crashed, and decides which
+// requests are no longer sent to any upstream.
 //
-// It holds no sockets, goroutines or clocks. Entries and control replicas keep a Table each
-// and tell each other what they have seen; what is decided for longer than any process lives
-// is kept by a Machine on the replicated log.
+// A crash here is any end of an upstream process, that is of one incarnation of an upstream,
+// while it was running requests.
+//
+// Table and Machine are pure: they use no sockets, goroutines or clocks. Entries, gateways and
+// control replicas each keep a Table and exchange what they observe. Machine keeps quarantines on
+// the replicated log, so that they outlive a restart of all processes.
 package quarantine
 
 import "github.com/ansel1/merry/v2"
 
 // Errors of this layer.
 var (
-	// ErrKey is returned for a text that is no key.
-	ErrKey = merry.Sentinel("no key of a request: 32 hexadecimal digits are expected")
-	// ErrMessage is returned for a message of a peer that can't be taken.
-	ErrMessage = merry.Sentinel("suspicion can't be taken")
+	// ErrKey is returned for text that is not a request key.
+	ErrKey = merry.Sentinel("invalid request key: 32 hexadecimal digits are needed")
+	// ErrMessage is returned for a message of a peer that is malformed or exceeds a limit.
+	ErrMessage = merry.Sentinel("invalid suspicion")
 )
--- a/quarantine/memory.go
+++ b/quarantine/eviction.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// record returns a request's record, and makes one if there is none.
+// recordFor returns the record of a request. If there is none it creates one, which may evict
+// others.
 func (t *Table) record(now time.Time, s Subject) *record {
 	r := t.records[s.Key]
 	if r != nil {
@@ -20,8 +21,8 @@
 	return r
 }
 
-// makeRoom drops what a team's next record has no room beside: a part of what the bounds allow at
-// once, since a look at all records for each of thousands would take a replica its processor.
+// evictIfFull makes room for one more record of a team. It evicts many records at once, because each
+// eviction scans the whole table.
 func (t *Table) makeRoom(now time.Time, team string) {
 	if t.teams[team] < t.settings.MostOfTeam && len(t.records) < t.settings.Most {
 		return
@@ -35,10 +36,11 @@
 	}
 }
 
-// roomParts is the part of a team's records that are dropped at once.
+// evictionDivisor divides MostOfTeam into the number of records that are evicted at once.
 const roomParts = 16
 
-// Forget drops what is held no longer.
+// Forget drops the records of requests that are not suspected, have no copy in flight and were not
+// cleared within ClearedFor.
 func (t *Table) Forget(now time.Time) {
 	for _, r := range t.records {
 		if t.standing(now, r) == Free && !t.isCleared(now, r) && r.running == 0 {
@@ -47,7 +49,8 @@
 	}
 }
 
-// isCleared says whether a request was cleared lately, which is to be told then.
+// clearedRecently reports whether a request was cleared within ClearedFor, while peers are told of
+// it.
 func (t *Table) isCleared(now time.Time, r *record) bool {
 	return !r.clearedAt.IsZero() && now.Sub(r.clearedAt) <= t.settings.ClearedFor
 }
@@ -64,19 +67,19 @@
 }
 
 func (t *Table) largestTeam() string {
-	most := ""
+	largest := ""
 	for name, n := range t.teams {
-		if n > t.teams[most] || n == t.teams[most] && name < most {
-			most = name
+		if n > t.teams[largest] || n == t.teams[largest] && name < largest {
+			largest = name
 		}
 	}
-	return most
+	return largest
 }
 
-// dropWeakest drops some of a team's records: what is held against least goes first, the oldest of
-// these before the others. So a team that sends many requests that end upstreams pushes out its own
-// only.
-func (t *Table) dropWeakest(now time.Time, team string, some int) {
+// evictWeakest evicts up to n records of a team, those with the least held against them first and
+// the oldest first among equals. Evicting by team keeps a team that sends many poison requests from
+// displacing the records of other teams.
+func (t *Table) dropWeakest(now time.Time, team string, n int) {
 	var list []*record
 	for _, r := range t.records {
 		if r.Team == team {
@@ -84,11 +87,12 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *record) int { return t.compare(now, a, b) })
-	for _, r := range list[:min(some, len(list))] {
+	for _, r := range list[:min(n, len(list))] {
 		t.drop(r)
 	}
 }
 
+// compareForEviction orders records by standing, number of crashes, and time of the last crash.
 func (t *Table) compare(now time.Time, a, b *record) int {
 	return cmp.Or(
 		cmp.Compare(t.standing(now, a), t.standing(now, b)),
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -8,16 +8,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keySize is the length of a key, in bytes.
+// keySize is the length of a Key in bytes.
 const keySize = 16
 
-// Key names a request by its content, so that it is known again at any entry.
+// Key identifies a request by its content, so that any entry or gateway recognizes it when it is
+// sent again.
 type Key [keySize]byte
 
-// String returns the key as logs and operators write it.
+// String returns the key in hexadecimal, as in logs.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// ParseKey reads a key as String writes it.
+// ParseKey parses a key in the form that String returns. It returns ErrKey for other text.
 func ParseKey(text string) (Key, error) {
 	var k Key
 	data, err := hex.DecodeString(text)
@@ -28,20 +29,20 @@
 	return k, nil
 }
 
-// Hint is a cheap hash of a request without its body's content. Requests with the same key
-// have the same hint; most others don't, so that their bodies need not be hashed.
+// Hint is a cheap hash of a request that leaves out the content of the body. Requests with equal
+// keys have equal hints, so a body has to be hashed only if the request's hint is known.
 type Hint uint64
 
-// Request is what makes a request the same as an earlier one. Its ID, its deadline and its
-// other headers don't: they differ each time that a caller sends it.
+// Request holds the parts of a request that identify it when it is sent again. The request ID, the
+// deadline and other headers are left out, because they differ between sends.
 type Request struct {
-	// Team is the caller's team, whichever of its keys it showed; empty for anonymous ones.
+	// Team is the caller's team, whichever of its keys was presented; empty for anonymous callers.
 	Team              string
 	Method, Host, URI string
 	Body              []byte
 }
 
-// Hint hashes all but the body's content.
+// Hint hashes everything but the content of the body.
 func (r *Request) Hint() Hint {
 	h := xxhash.New()
 	var size [8]byte
@@ -55,8 +56,8 @@
 	return Hint(h.Sum64())
 }
 
-// Key hashes the whole request. The hash is a cryptographic one: with another, a caller could
-// make a request that passes for somebody else's, and have that refused.
+// Key hashes the whole request. The hash is cryptographic: otherwise a caller could craft a request
+// that collides with another team's and have that one quarantined.
 func (r *Request) Key() Key {
 	h := sha256.New()
 	var size [8]byte
@@ -71,7 +72,7 @@
 	return k
 }
 
-// Subject is the request as others are told of it; it hashes the body.
+// Subject returns the description of the request that peers exchange. It hashes the body.
 func (r *Request) Subject(route string) Subject {
 	return Subject{Key: r.Key(), Hint: r.Hint(), Team: r.Team, Route: route}
 }
--- a/quarantine/machine.go
+++ b/quarantine/machine.go
@@ -7,31 +7,31 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Bounds of what the log keeps.
+// Limits of the state kept on the replicated log.
 const (
 	mostLogged       = 512
 	mostLoggedOfTeam = 64
 	mostLifted       = 256
 )
 
-// Machine holds the requests in quarantine as a state machine on the replicated log. What an
-// entry and a replica hold in memory is gone when all processes are killed, and a request that
-// had ended three upstreams would end three more.
+// Machine is the replicated state machine of quarantines. Tables exist in memory only: without the
+// log, a poison request could crash as many upstreams again after a restart of all processes.
 //
-// Invariant: the end of a request's quarantine only grows until it is lifted, so that a command
-// proposed twice, or by two leaders, changes nothing the second time.
+// Invariant: the end of a request's quarantine only moves to a later time until the quarantine is
+// lifted, so a command that is proposed twice, or by two leaders, changes nothing the second time.
 type Machine struct {
 	logged []*wire.LoggedQuarantine
 	lifted []*wire.LiftedQuarantine
 }
 
-// Result is the answer to a command.
+// Result is the outcome of a command.
 type Result struct {
-	// Changed says that the command changed what is in quarantine.
+	// Changed reports whether the command put a request in quarantine, prolonged a quarantine or
+	// lifted one.
 	Changed bool
 }
 
-// Apply carries out a committed command.
+// Apply applies a committed command.
 func (m *Machine) Apply(c *wire.QuarantineCommand) Result {
 	if c.Put != nil {
 		return Result{Changed: m.put(c.Put)}
@@ -39,40 +39,41 @@
 	return Result{Changed: m.lift(c.Lift, c.AtMs)}
 }
 
-// put keeps a quarantine, unless the one that is kept is as long, or it rests on what was before a
-// lift: a replica that was cut off meanwhile may still ask for it.
+// put stores a quarantine. It ignores one that ends no later than the stored one, and one whose
+// last crash precedes the last lift: a replica that was partitioned during the lift may still
+// propose it.
 func (m *Machine) put(q *wire.LoggedQuarantine) bool {
 	if q.EndedMs < m.LiftedAt(q.Request.GetKey()) {
 		return false
 	}
-	at := m.index(q.Request.GetKey())
-	if at >= 0 && m.logged[at].UntilMs >= q.UntilMs {
+	i := m.index(q.Request.GetKey())
+	if i >= 0 && m.logged[i].UntilMs >= q.UntilMs {
 		return false
 	}
-	if at >= 0 {
-		m.logged = slices.Delete(m.logged, at, at+1)
+	if i >= 0 {
+		m.logged = slices.Delete(m.logged, i, i+1)
 	}
 	m.makeRoom(q.Request.GetTeam())
 	m.logged = append(m.logged, q)
 	return true
 }
 
-// makeRoom drops the team's oldest quarantine if it has many, or else the oldest of all if the
-// log has.
+// evictOldest drops the team's oldest quarantine if the team has reached its limit, or else the
+// oldest of all if the log has.
 func (m *Machine) makeRoom(team string) {
-	of := 0
+	ofTeam := 0
 	oldest := -1
 	for i, q := range m.logged {
 		if q.Request.GetTeam() != team {
 			continue
 		}
-		of++
+		ofTeam++
 		if oldest < 0 {
 			oldest = i
 		}
 	}
 	switch {
-	case of >= mostLoggedOfTeam:
+	case ofTeam >= mostLoggedOfTeam:
 		m.logged = slices.Delete(m.logged, oldest, oldest+1)
 	case len(m.logged) >= mostLogged:
 		m.logged = slices.Delete(m.logged, 0, 1)
@@ -80,11 +81,11 @@
 }
 
 func (m *Machine) lift(key []byte, atMS uint64) bool {
-	at := m.index(key)
-	if at < 0 {
+	i := m.index(key)
+	if i < 0 {
 		return false
 	}
-	m.logged = slices.Delete(m.logged, at, at+1)
+	m.logged = slices.Delete(m.logged, i, i+1)
 	m.lifted = append(m.lifted, &wire.LiftedQuarantine{Key: key, AtMs: atMS})
 	if len(m.lifted) > mostLifted {
 		m.lifted = m.lifted[1:]
@@ -96,15 +97,16 @@
 	return slices.IndexFunc(m.logged, func(q *wire.LoggedQuarantine) bool { return slices.Equal(q.Request.GetKey(), key) })
 }
 
-// Get returns a request's quarantine, or nil.
+// Get returns the quarantine of a request, or nil.
 func (m *Machine) Get(key []byte) *wire.LoggedQuarantine {
-	if at := m.index(key); at >= 0 {
-		return m.logged[at]
+	if i := m.index(key); i >= 0 {
+		return m.logged[i]
 	}
 	return nil
 }
 
-// LiftedAt is when a request's quarantine was lifted last, in Unix milliseconds; 0 if it wasn't.
+// LiftedAt returns when the request's quarantine was last lifted, in Unix milliseconds, or 0 if no
+// lift is known.
 func (m *Machine) LiftedAt(key []byte) uint64 {
 	for _, l := range slices.Backward(m.lifted) {
 		if slices.Equal(l.Key, key) {
@@ -114,7 +116,7 @@
 	return 0
 }
 
-// Told returns the quarantines as they are told, by a time of day.
+// Told returns all quarantines as messages, with times relative to now.
 func (m *Machine) Told(now time.Time) []*wire.Suspicion {
 	list := make([]*wire.Suspicion, len(m.logged))
 	for i, q := range m.logged {
@@ -123,7 +125,7 @@
 	return list
 }
 
-// Decided makes the message of a command that has changed something.
+// Decided returns the message that announces a command that changed the state.
 func Decided(now time.Time, c *wire.QuarantineCommand) *wire.Suspicion {
 	if c.Put != nil {
 		return tellLogged(now, c.Put)
@@ -131,7 +133,8 @@
 	return &wire.Suspicion{Key: c.Lift, Cleared: true, ClearedAgeMs: inMillis(now.Sub(time.UnixMilli(int64(c.AtMs))))}
 }
 
-// tellLogged makes the message of a quarantine on the log.
+// suspicionFromLog returns the message for a quarantine on the log. The log keeps the time of the
+// last crash only, which stands for those of all runs.
 func tellLogged(now time.Time, q *wire.LoggedQuarantine) *wire.Suspicion {
 	r := q.Request
 	age := inMillis(now.Sub(time.UnixMilli(int64(q.EndedMs))))
@@ -145,7 +148,7 @@
 	return m
 }
 
-// Logged makes what is kept on the log of a request in quarantine.
+// Logged returns the form in which a quarantine is kept on the log, with absolute times.
 func Logged(now time.Time, s *wire.Suspicion) *wire.LoggedQuarantine {
 	r := &wire.Suspicion{Key: s.Key, Hint: s.Hint, Team: s.Team, Route: s.Route, Terms: s.Terms}
 	for _, run := range s.Runs {
@@ -158,16 +161,17 @@
 	}
 }
 
-// Covers says whether the log has a quarantine that is as long as a Table's.
+// Covers reports whether the log has a quarantine of the request that ends as late as the one in s,
+// within untilTolerance.
 func (m *Machine) Covers(now time.Time, s *wire.Suspicion) bool {
 	q := m.Get(s.Key)
 	return q != nil && !now.Add(millis(s.QuarantineMs)-termSlack).After(time.UnixMilli(int64(q.UntilMs)))
 }
 
-// Empty says whether nothing was ever put in quarantine, as far as is known.
+// Empty reports whether the state has neither quarantines nor lifts.
 func (m *Machine) Empty() bool { return len(m.logged) == 0 && len(m.lifted) == 0 }
 
-// Snapshot returns the state.
+// Snapshot returns the state, or nil if it is empty.
 func (m *Machine) Snapshot() *wire.QuarantineSnapshot {
 	if m.Empty() {
 		return nil
@@ -175,7 +179,7 @@
 	return &wire.QuarantineSnapshot{Logged: slices.Clone(m.logged), Lifted: slices.Clone(m.lifted)}
 }
 
-// Restore replaces the state by a snapshot's.
+// Restore replaces the state with that of a snapshot.
 func (m *Machine) Restore(s *wire.QuarantineSnapshot) {
 	m.logged, m.lifted = slices.Clone(s.GetLogged()), slices.Clone(s.GetLifted())
 }
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -11,49 +11,51 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Bounds of a message. Names are those of configurations and registrations.
+// Limits of a message.
 const (
 	mostRuns = 8
+	// maxNameBytes limits the names of teams, routes and upstreams.
 	mostName = 256
-	// mostTerms is above the terms after which a quarantine no longer grows.
+	// maxTerms is above the number of quarantines from which on their duration no longer grows.
 	mostTerms = 64
-	// MostTold bounds the suspicions in one message.
+	// MostTold is the maximum number of suspicions in one message.
 	MostTold = 128
 )
 
-// Check refuses a message of a peer that a Table must not take.
+// Check returns ErrMessage if a peer's message is malformed or exceeds a limit. Table.Learn must be
+// given only messages that passed it.
 func Check(m *wire.Suspicion) error {
 	switch {
 	case m == nil:
-		return merry.Prepend(ErrMessage, "none")
+		return merry.Prepend(ErrMessage, "message is nil")
 	case len(m.Key) != keySize:
-		return merry.Prependf(ErrMessage, "key of %d bytes", len(m.Key))
+		return merry.Prependf(ErrMessage, "key has %d bytes", len(m.Key))
 	case len(m.Runs) > mostRuns:
-		return merry.Prependf(ErrMessage, "%d runs", len(m.Runs))
+		return merry.Prependf(ErrMessage, "%d runs are too many", len(m.Runs))
 	case len(m.Team) > mostName || len(m.Route) > mostName:
-		return merry.Prepend(ErrMessage, "a name is too long")
+		return merry.Prepend(ErrMessage, "team or route name is too long")
 	case m.Terms > mostTerms:
-		return merry.Prependf(ErrMessage, "%d terms", m.Terms)
+		return merry.Prependf(ErrMessage, "%d terms are too many", m.Terms)
 	case !m.Cleared && len(m.Runs) == 0:
-		return merry.Prepend(ErrMessage, "no upstream has ended")
+		return merry.Prepend(ErrMessage, "a suspicion that isn't cleared needs a run")
 	}
 	for _, run := range m.Runs {
 		if run.GetUpstream() == "" || len(run.Upstream) > mostName {
-			return merry.Prepend(ErrMessage, "an upstream's name is empty or too long")
+			return merry.Prepend(ErrMessage, "upstream name is empty or too long")
 		}
 	}
 	return nil
 }
 
-// Told is a part of what a Table tells.
+// Told is a batch of changes to report to a peer.
 type Told struct {
 	Suspicions []*wire.Suspicion
-	// Version is the table's up to which it is told.
+	// Version is the table version up to which the peer has been told everything after this batch.
 	Version uint64
 }
 
-// Since returns what has changed after a version and is to be acted on: requests on their last
-// trial or in quarantine, and those that were cleared.
+// Since returns the changes after a version that peers act on: requests on their last trial or in
+// quarantine, and the clearing of requests that had got that far.
 func (t *Table) Since(now time.Time, version uint64) Told {
 	return t.told(now, func(r *record) uint64 {
 		if t.standing(now, r) < LastTrial && !(r.spread && t.isCleared(now, r)) {
@@ -63,12 +65,12 @@
 	}, version)
 }
 
-// Own returns what was seen here after a version.
+// Own returns the changes after a version that this process observed itself.
 func (t *Table) Own(now time.Time, version uint64) Told {
 	return t.told(now, func(r *record) uint64 { return r.own }, version)
 }
 
-// All returns all requests against which something is held.
+// All returns all suspected requests, sorted by key.
 func (t *Table) All(now time.Time) []*wire.Suspicion {
 	var list []*wire.Suspicion
 	for _, r := range t.records {
@@ -80,29 +82,30 @@
 	return list
 }
 
-// told returns the records whose number is above a version, the lowest first and MostTold at most.
-func (t *Table) told(now time.Time, number func(*record) uint64, version uint64) Told {
+// changesAfter returns the records for which versionOf exceeds version, in ascending order of it
+// and at most MostTold of them.
+func (t *Table) told(now time.Time, versionOf func(*record) uint64, version uint64) Told {
 	if version == t.version {
 		return Told{Version: version}
 	}
 	var list []*record
 	for _, r := range t.records {
-		if number(r) > version {
+		if versionOf(r) > version {
 			list = append(list, r)
 		}
 	}
-	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(number(a), number(b)) })
-	out := Told{Version: t.version}
+	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(versionOf(a), versionOf(b)) })
+	batch := Told{Version: t.version}
 	if len(list) > MostTold {
 		list = list[:MostTold]
-		out.Version = number(list[MostTold-1])
+		batch.Version = versionOf(list[MostTold-1])
 	}
 	for _, r := range list {
 		if m := t.message(now, r); Check(m) == nil {
-			out.Suspicions = append(out.Suspicions, m)
+			batch.Suspicions = append(batch.Suspicions, m)
 		}
 	}
-	return out
+	return batch
 }
 
 func (t *Table) message(now time.Time, r *record) *wire.Suspicion {
@@ -133,7 +136,7 @@
 	return list
 }
 
-// Age is the time since the last end that a message tells of.
+// Age returns the time since the latest crash in a message, or the longest Duration if it has none.
 func Age(m *wire.Suspicion) time.Duration {
 	age := time.Duration(math.MaxInt64)
 	for _, run := range m.Runs {
@@ -142,7 +145,7 @@
 	return age
 }
 
-// Upstreams names those that ended, by a message.
+// Upstreams returns the IDs of the crashed upstreams in a message.
 func Upstreams(m *wire.Suspicion) []string {
 	list := make([]string, len(m.Runs))
 	for i, run := range m.Runs {
@@ -153,7 +156,7 @@
 
 func millis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// inMillis is d in the messages' unit, within what the field holds.
+// toMillis converts d to milliseconds, clamped to the range of a message's field.
 func inMillis(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), math.MaxUint32))
 }
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -14,34 +14,35 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// nodeLines bounds a node's lines, a second. All that ran at an upstream that ended have one: a
-// dozen.
+// maxLinesPerSecond limits a node's log lines. Every request that was running on a crashed upstream
+// logs one.
 const nodeLines = 24
 
-// Node is what an entry knows of requests that may end the upstreams that run them: what it has
-// seen itself, and what the control replicas tell of other entries. It is safe for use by several
-// goroutines; a nil one knows nothing.
+// Node is what an entry or gateway knows of requests that may crash upstreams: what it observed
+// itself, and what control replicas report from others. It is safe for concurrent use. A Trial with
+// a nil Node suspects no request.
 //
-// A request that ends each upstream takes with it all that runs there, and in a group all that
-// runs at any rank; its caller sends it again, to any entry, where it is a new request. One such
-// request kept a group from answering for minutes.
+// A poison request cuts off all other requests on the upstream, and in a group those on all ranks.
+// Its caller then sends it again, possibly to another entry that has not seen it yet; unless entries
+// share what they observe, one such request can keep a group down.
 type Node struct {
 	id    string
 	log   log.Logger
 	now   func() time.Time
 	dial  directory.Dial
 	lines *kernel.LineBudget
-	// known is how many requests are remembered: with none, as nearly always, a request pays one
-	// read of it.
+	// recordCount is the number of remembered requests. While it is 0, which is the usual case, a
+	// request costs one atomic load.
 	known atomic.Int64
 
 	mu    sync.Mutex
 	table *Table
-	// tellers are those that tell the replicas what was seen here, by replica.
+	// reporters report to the control replicas, by address.
 	tellers map[string]*teller
 }
 
-// NewNode makes the node of an entry.
+// NewNode returns the node of the entry or gateway with this ID. It uses dial to reach control
+// replicas.
 func NewNode(id string, l log.Logger, now func() time.Time, dial directory.Dial) *Node {
 	return &Node{
 		id: id, log: l, now: now, dial: dial, lines: kernel.NewLineBudget(nodeLines, now),
@@ -49,20 +50,20 @@
 	}
 }
 
-// End is that an upstream ended while it ran a request.
+// End describes the crash of an upstream while it ran a request.
 type End struct {
 	Subject
-	// RequestID is the caller's, for logs.
+	// RequestID is the caller's ID of the request, for logs.
 	RequestID string
-	// Upstream names the incarnation that ended, Address where it was.
+	// Upstream is the ID of the incarnation that crashed, Address where it was reached.
 	Upstream, Address string
-	// Ran is how long the request had run there, Ago the time since it was cut off.
+	// Ran is how long the request had been running there, Ago the time since it was cut off.
 	Ran, Ago time.Duration
-	// Sign is by what the end was told.
+	// Sign tells how the crash was detected, for logs.
 	Sign string
 }
 
-// Ended takes an end, and returns what is held against the request now.
+// Ended records a crash that was observed here, and returns the verdict on the request after it.
 func (n *Node) Ended(e End) (v Verdict) {
 	n.change(func(now time.Time, t *Table) bool {
 		ended := now.Add(-e.Ago)
@@ -74,30 +75,33 @@
 	return v
 }
 
-// Hear takes what a replica tells.
+// Hear merges the suspicions in a message and logs the requests whose standing changes. The name of
+// the sender is only logged.
 func (n *Node) Hear(from string, list []*wire.Suspicion) {
 	if len(list) == 0 {
 		return
 	}
 	for _, c := range n.learn(from, list) {
-		n.tell("Request's standing is heard.", "replica", from, "key", c.key, "route", c.told.Route, "team", c.told.Team,
+		n.tell("Request standing changed.", "replica", from, "key", c.key, "route", c.told.Route, "team", c.told.Team,
 			"standing", c.verdict.Standing, "ends", c.verdict.Ends, "upstreams", strings.Join(c.verdict.Upstreams, ","),
 			"left_ms", c.verdict.Left.Milliseconds())
 	}
 }
 
-// heard is a request whose standing has changed by what others told.
+// standingChange is a request whose standing was changed by a peer's message.
 type heard struct {
 	key     Key
 	told    *wire.Suspicion
 	verdict Verdict
 }
 
+// merge merges suspicions into the table and returns the resulting changes of standing. Invalid
+// suspicions are logged and skipped.
 func (n *Node) learn(from string, list []*wire.Suspicion) (changes []heard) {
 	n.change(func(now time.Time, t *Table) bool {
 		for _, m := range list {
 			if err := Check(m); err != nil {
-				n.tell("Suspicion can't be taken.", "replica", from, "err", err)
+				n.tell("Invalid suspicion skipped.", "replica", from, "err", err)
 				continue
 			}
 			k := Key(m.Key)
@@ -112,7 +116,7 @@
 	return changes
 }
 
-// forgetNowAndThen drops what is held no longer, until the context ends.
+// forgetPeriodically drops obsolete records every forgetInterval until ctx is done.
 func (n *Node) forgetNowAndThen(ctx context.Context) {
 	tick := time.NewTicker(forgetInterval)
 	defer tick.Stop()
@@ -129,27 +133,27 @@
 	}
 }
 
-// Count is how many requests are suspected, and how many of these are in quarantine.
+// Count returns how many requests are suspected, and how many of these are in quarantine.
 func (n *Node) Count() (suspected, quarantined int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Count(n.now())
 }
 
-// Dump lists what is held against requests, for operators.
+// Dump returns the suspected requests for operators.
 func (n *Node) Dump() any {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return Show(n.table.All(n.now()))
 }
 
-// change calls a function that changes the table, and has the replicas told if it says so.
-func (n *Node) change(f func(now time.Time, t *Table) (tell bool)) {
+// updateTable calls f with the table. If f returns true, the reporters are notified.
+func (n *Node) change(f func(now time.Time, t *Table) (notify bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	tell := f(n.now(), n.table)
+	notify := f(n.now(), n.table)
 	n.known.Store(int64(n.table.Len()))
-	if !tell {
+	if !notify {
 		return
 	}
 	for _, t := range n.tellers {
@@ -157,6 +161,7 @@
 	}
 }
 
+// logInfo logs a line unless the line budget is exhausted.
 func (n *Node) tell(msg string, kv ...any) {
 	ok, leftOut := n.lines.Take()
 	if !ok {
--- a/quarantine/property_test.go
+++ b/quarantine/property_test.go
@@ -13,54 +13,53 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Entries see ends and answers of one request and tell each other, late, twice, in another order,
-// or not at all for a while; some start anew. Once all words have come to all, they hold the same
-// ends against it, and after a whole answer none that was before.
+// Tables exchange crashes and answers of one request late, repeatedly and out of order. Once all have
+// exchanged everything, they must hold the same crashes, and none from before the last answer.
 func TestTablesAgreeOnceAllIsHeard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := make([]*Table, 3)
 		for i := range tables {
 			tables[i] = NewTable(DefaultSettings())
 		}
-		bad := subject("a", "bad")
-		now, ups := start, 0
-		var words []*wire.Suspicion
+		poison := subject("a", "bad")
+		now, crashes := start, 0
+		var messages []*wire.Suspicion
 		var sentAt []time.Time
 		lastAnswer := time.Time{}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "later")) * time.Millisecond)
-			tb := tables[rapid.IntRange(0, 2).Draw(t, "table")]
+			table := tables[rapid.IntRange(0, 2).Draw(t, "table")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				if tb.Answered(now, bad.Key) {
+				if table.Answered(now, poison.Key) {
 					lastAnswer = now
 				}
 			case 1, 2, 3:
-				if len(words) == 0 {
+				if len(messages) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(words)-1).Draw(t, "word")
-				tb.Learn(now, older(words[i], now.Sub(sentAt[i])))
+				i := rapid.IntRange(0, len(messages)-1).Draw(t, "word")
+				table.Learn(now, older(messages[i], now.Sub(sentAt[i])))
 			case 4, 5:
-				for _, m := range tb.Own(now, 0).Suspicions {
-					words, sentAt = append(words, m), append(sentAt, now)
+				for _, m := range table.Own(now, 0).Suspicions {
+					messages, sentAt = append(messages, m), append(sentAt, now)
 				}
 			default:
-				ups++
-				tb.Ended(now, bad, run(fmt.Sprint("up-", ups%6), now))
+				crashes++
+				table.Ended(now, poison, run(fmt.Sprint("up-", crashes%6), now))
 			}
 		}
 		for range 2 * len(tables) {
 			exchange(now, tables)
 		}
-		first := tables[0].Judge(now, bad.Key)
-		for _, tb := range tables {
-			v := tb.Judge(now, bad.Key)
+		first := tables[0].Judge(now, poison.Key)
+		for _, table := range tables {
+			v := table.Judge(now, poison.Key)
 			assert.Equal(t, v.Standing == Quarantined, first.Standing == Quarantined)
 			assert.DeepEqual(t, sorted(v.Upstreams), sorted(first.Upstreams))
-			if r := tb.records[bad.Key]; r != nil {
+			if r := table.records[poison.Key]; r != nil {
 				for _, run := range r.runs {
-					assert.Assert(t, run.Ended.After(lastAnswer), "an end of before the answer is held")
+					assert.Assert(t, run.Ended.After(lastAnswer), "a crash from before the answer is held")
 				}
 			}
 		}
@@ -73,7 +72,7 @@
 	return list
 }
 
-// older is a word that was on its way for a time.
+// delayed returns a message as it is after some time in transit.
 func older(m *wire.Suspicion, by time.Duration) *wire.Suspicion {
 	m = proto.CloneOf(m)
 	for _, run := range m.Runs {
@@ -84,7 +83,7 @@
 	return m
 }
 
-// exchange has all tables tell each other all that they hold.
+// exchange has all tables learn everything that the others hold.
 func exchange(now time.Time, tables []*Table) {
 	for _, from := range tables {
 		var list []*wire.Suspicion
@@ -101,12 +100,12 @@
 	}
 }
 
-// A peer that is wrong, or not ours, tells anything. A Table that takes it keeps its bounds, and
-// tells on nothing that others would refuse.
+// Any message that passes Check must leave a table within its limits, and lead to no message that
+// Check refuses.
 func FuzzTableTakesAnyWord(f *testing.F) {
-	tb := NewTable(DefaultSettings())
-	endThree(tb, subject("a", "bad"), start)
-	for _, m := range tb.All(start) {
+	table := NewTable(DefaultSettings())
+	endThree(table, subject("a", "bad"), start)
+	for _, m := range table.All(start) {
 		seed, err := proto.Marshal(m)
 		assert.NilError(f, err)
 		f.Add(seed)
@@ -117,17 +116,17 @@
 		if proto.Unmarshal(data, m) != nil || Check(m) != nil {
 			return
 		}
-		tb := NewTable(DefaultSettings())
-		tb.Learn(start, m)
-		tb.Learn(after(time.Second), m)
-		v := tb.Ended(after(2*time.Second), Subject{Key: Key(m.Key)}, run("up-x", after(2*time.Second)))
+		table := NewTable(DefaultSettings())
+		table.Learn(start, m)
+		table.Learn(after(time.Second), m)
+		v := table.Ended(after(2*time.Second), Subject{Key: Key(m.Key)}, run("up-x", after(2*time.Second)))
 		assert.Assert(t, v.Standing != Free && len(v.Upstreams) <= mostRuns)
 		assert.Assert(t, v.Left <= 50*24*time.Hour)
-		for _, out := range tb.Since(after(2*time.Second), 0).Suspicions {
+		for _, out := range table.Since(after(2*time.Second), 0).Suspicions {
 			assert.NilError(t, Check(out))
 		}
-		mc := &Machine{}
-		mc.Apply(&wire.QuarantineCommand{Put: Logged(start, m), AtMs: 1})
-		mc.Told(after(time.Minute))
+		machine := &Machine{}
+		machine.Apply(&wire.QuarantineCommand{Put: Logged(start, m), AtMs: 1})
+		machine.Told(after(time.Minute))
 	})
 }
--- a/quarantine/tell.go
+++ b/quarantine/reporter.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// tellGather is how long what is to be told gathers: all that ran at an upstream which
-	// ended is known within milliseconds.
+	// reportDelay is the time for which suspicions are batched: all requests that ran at a crashed
+	// upstream are known within milliseconds.
 	tellGather = 5 * time.Millisecond
-	// tellTimeout bounds one call, tellRetry is the pause after one that failed, and tellTries
-	// how often it is made. After that the replica is told once it is heard again.
+	// reportTimeout limits one call, reportRetryDelay is the pause after a failed one, and
+	// reportAttempts is the number of calls until the reporter waits for the next change or TellAgain.
 	tellTimeout = time.Second
 	tellRetry   = 150 * time.Millisecond
 	tellTries   = 4
-	// forgetInterval is how often what is held no longer is dropped.
+	// forgetInterval is how often obsolete records are dropped.
 	forgetInterval = 10 * time.Second
 )
 
-// teller tells one replica what was seen here. The node's lock guards it.
+// reporter reports to one replica what this node observed. Node.mu guards its version.
 type teller struct {
 	changed chan struct{}
-	// version is the table's up to which the replica was told.
+	// version is the table version up to which the replica has been told.
 	version uint64
 }
 
@@ -36,15 +36,16 @@
 	}
 }
 
-// Run tells the replicas of a list, which may change, what is seen here, until the context ends.
-// All are told: each knows it for itself then, and the loss of some, or of their leader, keeps word
-// from no other entry.
+// Run reports what is observed here to the control replicas until ctx is done. The list that replicas
+// returns may change. All replicas are told directly, so that the loss of some of them, or of their
+// leader, keeps no suspicion from other entries.
 func (n *Node) Run(ctx context.Context, replicas func() []string) {
 	go n.forgetNowAndThen(ctx)
 	directory.FollowList(ctx, replicas, n.tellReplica)
 }
 
-// TellAgain has a replica told all: it may have started anew, and remember nothing.
+// TellAgain has everything reported to a replica again, because it may have restarted with an empty
+// table.
 func (n *Node) TellAgain(replica string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -54,6 +55,7 @@
 	}
 }
 
+// reportTo reports to one replica until ctx is done.
 func (n *Node) tellReplica(ctx context.Context, addr string) {
 	t := &teller{changed: make(chan struct{}, 1)}
 	t.wake()
@@ -82,34 +84,37 @@
 	}
 }
 
-// tellAll tells a replica all that it isn't told yet; it says whether that was done.
+// reportPending sends a replica everything that it hasn't been told yet. It returns false if a call
+// failed.
 func (n *Node) tellAll(ctx context.Context, addr string, t *teller) bool {
 	for ctx.Err() == nil {
-		told, from := n.untold(t)
-		if len(told.Suspicions) == 0 {
+		batch, from := n.untold(t)
+		if len(batch.Suspicions) == 0 {
 			return true
 		}
-		if err := n.tellOnce(ctx, addr, told.Suspicions); err != nil {
-			n.tell("Replica can't be told of suspicions.", "replica", addr, "suspicions", len(told.Suspicions), "err", err)
+		if err := n.tellOnce(ctx, addr, batch.Suspicions); err != nil {
+			n.tell("Reporting suspicions to a replica failed.", "replica", addr, "suspicions", len(batch.Suspicions), "err", err)
 			return false
 		}
-		n.told(t, from, told.Version)
+		n.told(t, from, batch.Version)
 	}
 	return true
 }
 
-// untold is what a replica isn't told yet, and the version from which on.
-func (n *Node) untold(t *teller) (told Told, from uint64) {
+// pending returns the next batch that a replica hasn't been told yet, and the version after which it
+// begins.
+func (n *Node) untold(t *teller) (batch Told, from uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	told, from = n.table.Own(n.now(), t.version), t.version
-	if len(told.Suspicions) == 0 {
-		t.version = told.Version
+	batch, from = n.table.Own(n.now(), t.version), t.version
+	if len(batch.Suspicions) == 0 {
+		t.version = batch.Version
 	}
-	return told, from
+	return batch, from
 }
 
-// told notes that a replica was told, unless it is to be told all again since.
+// markReported notes that a replica was told up to version, unless TellAgain has reset the reporter
+// since pending returned from.
 func (n *Node) told(t *teller, from, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,6 +123,8 @@
 	}
 }
 
+// send sends suspicions to a replica. It clears the requests whose quarantine an operator has lifted,
+// as the reply tells.
 func (n *Node) tellOnce(ctx context.Context, addr string, list []*wire.Suspicion) error {
 	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
 	defer cancel()
@@ -126,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	kernel.Debug(n.log, "Replica is told of suspicions.", "replica", addr, "suspicions", len(list), "lifted", len(reply.Lifted))
+	kernel.Debug(n.log, "Suspicions reported to a replica.", "replica", addr, "suspicions", len(list), "lifted", len(reply.Lifted))
 	var lifted []*wire.Suspicion
 	for _, key := range reply.Lifted {
 		lifted = append(lifted, &wire.Suspicion{Key: key, Cleared: true})
@@ -135,7 +142,7 @@
 	return nil
 }
 
-// pause waits for a time, or until the context ends.
+// pause waits for d or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/quarantine/show.go
+++ b/quarantine/show.go
@@ -6,24 +6,24 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Shown is a request under which upstreams ended, as operators see it.
+// Shown is a suspected request as operators see it.
 type Shown struct {
-	// Key names the request by its content, as log lines do.
+	// Key identifies the request by its content, as in log lines.
 	Key   string `json:"key"`
 	Team  string `json:"team,omitempty"`
 	Route string `json:"route"`
-	// Upstreams ended while they ran it.
+	// Upstreams are the IDs of the upstreams that crashed while running it.
 	Upstreams []string `json:"upstreams"`
-	// AgeMS is the time since the last of these ends.
+	// AgeMS is the time since the last of these crashes.
 	AgeMS int64 `json:"age_ms"`
-	// Quarantined says that it is sent to no upstream, for LeftMS yet.
+	// Quarantined reports whether it is in quarantine; LeftMS is the remaining time of that.
 	Quarantined bool   `json:"quarantined"`
 	LeftMS      uint32 `json:"left_ms,omitempty"`
-	// Terms is how often it was put in quarantine.
+	// Terms is how many times it was put in quarantine.
 	Terms uint32 `json:"terms,omitempty"`
 }
 
-// Show returns what messages tell as operators see it.
+// Show returns suspicions as operators see them.
 func Show(list []*wire.Suspicion) []Shown {
 	shown := []Shown{}
 	for _, m := range list {
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -11,9 +11,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// sim is a system of entries, control replicas and upstreams in virtual time. Entries and replicas
-// hold real tables and hear each other late, or not at all for a while; requests that end upstreams
-// come beside others.
+// sim simulates entries, control replicas and upstreams in virtual time. Entries and replicas have
+// real tables, whose messages are delayed or lost; poison requests are sent beside harmless ones.
 type sim struct {
 	rnd  *rand.Rand
 	now  time.Time
@@ -22,28 +21,29 @@
 	entries  []*simEntry
 	replicas []*Table
 	machine  Machine
-	// leaderless is until when nothing gets on the log.
+	// leaderlessUntil is the time until which nothing is committed to the log.
 	leaderless time.Time
 	ups        []*simUpstream
 	named      int
 	events     []simEvent
 
 	harmless simCount
-	// outcome is what became of the bad ones.
+	// outcomes has the sends and crashes of each poison request.
 	outcome map[Key]*simBad
 }
 
 type simOptions struct {
 	entries, upstreams, bad int
-	// rate is how many other requests come a second.
+	// rate is the number of harmless requests per second.
 	rate float64
-	// crashes is how many upstreams end by themselves, a second.
+	// crashes is the number of unrelated upstream crashes per second.
 	crashes float64
-	// massCrash has half of the upstreams end at once each four to ten seconds.
+	// massCrash crashes half of the upstreams at once, every four to ten seconds.
 	massCrash bool
-	// faults has entries, replicas, the leader and all processes lost now and then.
+	// faults restarts and partitions entries, restarts replicas and stops the leader, singly or all at
+	// once, at random.
 	faults bool
-	// fixed is how many different harmless requests there are; 0 has each one different.
+	// distinct is the number of distinct harmless requests; with 0 each one is unique.
 	fixed int
 	span  time.Duration
 }
@@ -52,7 +52,7 @@
 	sent, served, setAside int
 }
 
-// simBad is what became of one request that ends upstreams.
+// poisonOutcome has the sends and crashes of one poison request.
 type simBad struct {
 	ends  []time.Time
 	sends []time.Time
@@ -62,7 +62,8 @@
 	table *Table
 	told  uint64
 	heard []uint64
-	// apartUntil is until when it hears no replica, and inTouchFrom since when it is in touch.
+	// partitionedUntil is the end of the entry's latest partition from all replicas, connectedSince the
+	// time from which it has had time to learn what they know.
 	apartUntil, inTouchFrom time.Time
 }
 
@@ -75,7 +76,7 @@
 type simRequest struct {
 	Subject
 	bad bool
-	// attempts of this sending, and sendings that the caller has left.
+	// attempts is the number of attempts of this send, left the number of further sends by the caller.
 	attempts, left int
 	entry          int
 }
@@ -114,7 +115,7 @@
 	return s
 }
 
-// massCrash ends half of the upstreams at once, and again some seconds later.
+// massCrash schedules the crash of half of the upstreams, and then the next one.
 func (s *sim) massCrash() {
 	s.after(time.Duration(4000+s.rnd.IntN(6000))*time.Millisecond, func() {
 		for _, i := range s.rnd.Perm(len(s.ups))[:len(s.ups)/2] {
@@ -139,7 +140,7 @@
 
 func (s *sim) chance(perSecond float64) bool { return s.rnd.Float64() < perSecond*simTick.Seconds() }
 
-// run plays the whole span.
+// run simulates the whole time span.
 func (s *sim) run() {
 	for end := s.now.Add(s.opts.span); s.now.Before(end); s.now = s.now.Add(simTick) {
 		s.step()
@@ -168,7 +169,7 @@
 	s.spread()
 }
 
-// fault loses parts of the system.
+// injectFaults restarts, partitions or stops parts of the system at random.
 func (s *sim) fault() {
 	for i, e := range s.entries {
 		switch {
@@ -205,7 +206,7 @@
 	}
 }
 
-// spread has entries and replicas hear of each other, and puts quarantines on the log.
+// propagate exchanges suspicions between entries and replicas, and puts quarantines on the log.
 func (s *sim) spread() {
 	for _, e := range s.entries {
 		if s.now.Before(e.apartUntil) {
@@ -214,7 +215,7 @@
 		told := e.table.Own(s.now, e.told)
 		for _, m := range told.Suspicions {
 			if Check(m) != nil {
-				panic("a message that can't be taken")
+				panic("a message that Check refuses")
 			}
 			for i := range s.replicas {
 				s.after(time.Duration(5+s.rnd.IntN(30))*time.Millisecond, func() { s.replicas[i].Learn(s.now, m) })
@@ -260,7 +261,7 @@
 	s.send(&simRequest{Subject: subject(fmt.Sprint("t", body%10), fmt.Sprint(body)), left: 1, entry: s.rnd.IntN(len(s.entries))})
 }
 
-// send is one attempt of a request.
+// send makes one attempt of a request.
 func (s *sim) send(r *simRequest) {
 	e := s.entries[r.entry]
 	v := e.table.Judge(s.now, r.Key)
@@ -286,9 +287,9 @@
 		})
 		return
 	}
-	life := u.id
+	incarnation := u.id
 	s.after(time.Duration(20+s.rnd.IntN(1500))*time.Millisecond, func() {
-		if _, runs := u.running[r]; runs && u.id == life {
+		if _, runs := u.running[r]; runs && u.id == incarnation {
 			delete(u.running, r)
 			s.harmless.served++
 			s.entries[r.entry].table.Done(r.Key)
@@ -297,7 +298,7 @@
 	})
 }
 
-// pick chooses an upstream that is up; nil if there is none.
+// pick returns a random running upstream, or nil if there is none.
 func (s *sim) pick() *simUpstream {
 	var up []*simUpstream
 	for _, u := range s.ups {
@@ -322,29 +323,29 @@
 	}
 }
 
-// end ends an upstream with all that runs there; it is back a while later.
+// crash stops an upstream with all that runs there, and schedules its restart.
 func (s *sim) end(u *simUpstream) {
 	if !u.up {
 		return
 	}
 	u.up = false
-	cut := u.running
+	interrupted := u.running
 	u.running = map[*simRequest]time.Time{}
-	life := u.id
-	for _, r := range inOrder(cut) {
+	incarnation := u.id
+	for _, r := range inOrder(interrupted) {
 		if r.bad {
 			b := s.outcome[r.Key]
 			b.ends = append(b.ends, s.now)
 		}
 		e := s.entries[r.entry]
 		e.table.Done(r.Key)
-		e.table.Ended(s.now, r.Subject, Run{Upstream: life, Began: cut[r], Ended: s.now})
+		e.table.Ended(s.now, r.Subject, Run{Upstream: incarnation, Began: interrupted[r], Ended: s.now})
 		s.after(5*time.Millisecond, func() { s.again(r) })
 	}
 	s.after(simBack, func() { s.begin(u) })
 }
 
-// inOrder makes a run depend on its seed only.
+// sortedByKey returns the requests in a defined order, so that a run depends on its seed only.
 func inOrder(set map[*simRequest]time.Time) []*simRequest {
 	list := make([]*simRequest, 0, len(set))
 	for r := range set {
@@ -360,7 +361,7 @@
 	return list
 }
 
-// again makes a second attempt, or leaves it to the caller.
+// retry makes a second attempt, or leaves it to the caller.
 func (s *sim) again(r *simRequest) {
 	if r.attempts < 2 && s.entries[r.entry].table.Judge(s.now, r.Key).Standing < LastTrial {
 		s.send(r)
@@ -369,7 +370,7 @@
 	s.comeBack(r)
 }
 
-// comeBack has the caller send the request once more, if it has a try left.
+// resend has the caller send the request again, if it has a send left.
 func (s *sim) comeBack(r *simRequest) {
 	if r.left == 0 {
 		return
@@ -378,7 +379,7 @@
 	s.after(time.Duration(200+s.rnd.IntN(500))*time.Millisecond, func() { s.send(next) })
 }
 
-// lateSends counts sends by entries in touch, later than the contact window after the third end.
+// lateSends counts sends by connected entries later than simContact after the third crash.
 func (b *simBad) lateSends() (n int) {
 	if len(b.ends) < 3 {
 		return 0
@@ -391,7 +392,7 @@
 	return n
 }
 
-// harmlessOnLog is how many requests are in quarantine that end no upstream.
+// harmlessOnLog returns how many quarantines on the log are of harmless requests.
 func (s *sim) harmlessOnLog() (n int) {
 	for _, q := range s.machine.logged {
 		if s.outcome[Key(q.Request.Key)] == nil {
@@ -401,11 +402,9 @@
 	return n
 }
 
-// One to three requests that end upstreams come beside 100 others a second, to entries that are
-// killed, cut off and started again, before replicas that lose their leader, their memory, or all
-// at once. Each ends few upstreams, and once three have ended under it, and the entries have had the
-// time in which they hear of each other, it is sent three more times at the most, on every seed. Of
-// the others hardly any is taken for one.
+// Poison requests are sent among harmless ones while entries and replicas are restarted and
+// partitioned. On every seed, connected entries send a poison request at most three times once
+// simContact has passed since its third crash; at most one in a thousand harmless requests is refused.
 func TestRequestsThatEndUpstreamsAreToldFromOthers(t *testing.T) {
 	for bad := 1; bad <= 3; bad++ {
 		total, ends, worst, harmless := simCount{}, 0, 0, 0
@@ -416,19 +415,17 @@
 			harmless += s.harmlessOnLog()
 			for _, b := range s.outcome {
 				ends, worst = ends+len(b.ends), max(worst, len(b.ends))
-				assert.Assert(t, b.lateSends() <= 3, "seed %d: sent %d times later than the contact window after the third end", seed, b.lateSends())
+				assert.Assert(t, b.lateSends() <= 3, "seed %d: sent %d times later than simContact after the third crash", seed, b.lateSends())
 			}
 		}
-		t.Logf("%d bad, %d seeds: %.2f ends a request, %d at most; others: %d sent, %d put in quarantine, %d refused for it, %.3f served",
+		t.Logf("%d poison, %d seeds: %.2f crashes per request, %d at most; harmless: %d sent, %d put in quarantine, %d refused, %.3f served",
 			bad, seeds(), float64(ends)/float64(bad*seeds()), worst, total.sent, harmless, total.setAside, float64(total.served)/float64(total.sent))
-		assert.Assert(t, total.setAside*1000 <= total.sent, "%d of %d others were set aside", total.setAside, total.sent)
+		assert.Assert(t, total.setAside*1000 <= total.sent, "%d of %d harmless requests were refused", total.setAside, total.sent)
 	}
 }
 
-// Half of the upstreams are lost at once, each four to ten seconds, as when a failure domain crashes, and
-// the system's own processes are killed one by one and together; no request is the cause. None is
-// set aside: neither those that each come once and again after an end, nor a few that come all the
-// time and ran at several of the upstreams.
+// Half of the upstreams crash at once, repeatedly, and no request is the cause. No request may be
+// refused, whether it is unique or one of a few that run at several of the upstreams.
 func TestLossOfManyUpstreamsSetsNothingAside(t *testing.T) {
 	for _, fixed := range []int{0, 5} {
 		total := playHarmless(t, simOptions{massCrash: true, fixed: fixed})
@@ -436,17 +433,16 @@
 	}
 }
 
-// Upstreams end by themselves all the time besides, one each two seconds: what comes all the time
-// sees three ends in a row now and then, which nothing tells from a request that is their cause.
-// The next answer clears it; hardly any is refused until then.
+// Upstreams also crash singly all the time, so a popular harmless request can see three crashes in a
+// row. At most one in a thousand requests may be refused.
 func TestUpstreamsThatEndAllTheTimeSetLittleAside(t *testing.T) {
 	for _, fixed := range []int{0, 5} {
 		total := playHarmless(t, simOptions{crashes: 0.5, massCrash: true, fixed: fixed})
-		assert.Assert(t, total.setAside*1000 <= total.sent, "%d of %d were set aside", total.setAside, total.sent)
+		assert.Assert(t, total.setAside*1000 <= total.sent, "%d of %d were refused", total.setAside, total.sent)
 	}
 }
 
-// playHarmless plays days without a request that ends upstreams.
+// runHarmless runs simulations without poison requests, and returns the sum of their counts.
 func playHarmless(t *testing.T, o simOptions) (total simCount) {
 	o.entries, o.upstreams, o.rate, o.faults, o.span = 7, 16, 100, true, 40*time.Second
 	for seed := range seeds() {
@@ -454,7 +450,7 @@
 		s.run()
 		total.add(s.harmless)
 	}
-	t.Logf("%d seeds, %d different requests: %d sent, %d set aside, %.3f served", seeds(), o.fixed, total.sent, total.setAside, float64(total.served)/float64(total.sent))
+	t.Logf("%d seeds, %d distinct requests: %d sent, %d refused, %.3f served", seeds(), o.fixed, total.sent, total.setAside, float64(total.served)/float64(total.sent))
 	return total
 }
 
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -7,30 +7,31 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Settings bound what a Table holds against a request and for how long.
+// Settings are the thresholds and limits of a Table.
 type Settings struct {
-	// Ends is how many upstreams end under a request before it is put in quarantine. What ran
-	// beside the one that ends upstreams has an end each, too, and its callers come again: some
-	// meet it twice.
+	// Ends is the number of upstream crashes that puts a request in quarantine. It should exceed two:
+	// a harmless request that runs beside a poison one may be sent again and meet it twice.
 	Ends int
-	// Apart is how long after an end another run must have begun to follow it. Ends are heard of
-	// some tens of milliseconds later at other entries.
+	// Apart is how long after a crash another run must have begun to count as following it. It also is
+	// the distance within which crashes count as simultaneous. Other entries learn of a crash some tens
+	// of milliseconds late.
 	Apart time.Duration
-	// AtOnce is how many upstreams that end at the same moment are more than copies of one
-	// request are likely to end.
+	// AtOnce is the number of upstreams that crash simultaneously from which on the crashes are taken
+	// for an outage, not for the effect of copies of one request.
 	AtOnce int
-	// Memory is how long an end is held against a request that isn't in quarantine.
+	// Memory is how long crashes are held against a request that has not been in quarantine.
 	Memory time.Duration
-	// Term is how long the first quarantine lasts. Each further one lasts twice as long as the
-	// one before, up to MostTerm.
+	// Term is the duration of the first quarantine. Each further one is twice as long as the one
+	// before, up to MostTerm. MostTerm is also how long a request that was in quarantine stays
+	// suspected afterwards.
 	Term, MostTerm time.Duration
-	// ClearedFor is how long it is told that a request was cleared.
+	// ClearedFor is how long peers are told that a request was cleared.
 	ClearedFor time.Duration
-	// Most bounds the requests that are remembered, MostOfTeam those of one team.
+	// Most is the maximum number of remembered requests, MostOfTeam the maximum per team.
 	Most, MostOfTeam int
 }
 
-// DefaultSettings are those of entries and replicas.
+// DefaultSettings returns the settings that all processes use.
 func DefaultSettings() Settings {
 	return Settings{
 		Ends: 3, Apart: 100 * time.Millisecond, AtOnce: 4, Memory: 15 * time.Minute, Term: 15 * time.Minute, MostTerm: 24 * time.Hour,
@@ -38,7 +39,7 @@
 	}
 }
 
-// term is how long the n-th quarantine of a request lasts.
+// quarantineDuration returns the duration of a request's n-th quarantine.
 func (s *Settings) term(n int) time.Duration {
 	d := s.Term
 	for i := 1; i < n && d < s.MostTerm; i++ {
@@ -47,23 +48,24 @@
 	return min(d, s.MostTerm)
 }
 
-// Subject is a request as a Table knows it.
+// Subject describes a request to a Table.
 type Subject struct {
 	Key         Key
 	Hint        Hint
 	Team, Route string
 }
 
-// Standing is what a Table holds of a request.
+// Standing tells how strongly a request is suspected to crash upstreams.
 type Standing int
 
 const (
-	// Free: nothing is held against it.
+	// Free: the request is not suspected.
 	Free Standing = iota
-	// Suspect: upstreams ended under it. It may be tried again inside a caller's request.
+	// Suspect: upstreams crashed while running it. It may be sent to another upstream within the same
+	// caller's request.
 	Suspect
-	// LastTrial: one more end puts it in quarantine. It runs at one place at a time, and a
-	// caller's request sends it to one upstream only.
+	// LastTrial: one more crash may put it in quarantine. At most one copy of it runs from each
+	// process, and a caller's request sends it to one upstream only.
 	LastTrial
 	// Quarantined: it is sent to no upstream.
 	Quarantined
@@ -71,73 +73,74 @@
 
 var standingNames = [...]string{"free", "suspect", "last-trial", "quarantined"}
 
-// String returns the standing as logs show it.
+// String returns the standing as it appears in logs.
 func (s Standing) String() string { return standingNames[s] }
 
-// Verdict is what may be done with a request.
+// Verdict is a request's standing and the reasons for it.
 type Verdict struct {
 	Standing Standing
-	// Ends is how many upstreams ended under it, and Upstreams their IDs.
+	// Ends is the number of upstreams that crashed while running it, Upstreams their IDs.
 	Ends      int
 	Upstreams []string
-	// Left is what is left of its quarantine, and Age the time since the last end.
+	// Left is the remaining time of its quarantine, Age the time since the last crash.
 	Left, Age time.Duration
 }
 
-// Run is a run of a request under which an upstream ended.
+// Run is a run of a request during which its upstream crashed.
 type Run struct {
-	// Upstream names the incarnation that ended.
+	// Upstream is the ID of the incarnation that crashed.
 	Upstream     string
 	Began, Ended time.Time
 }
 
-// record is what is known of one request.
+// record is what a Table knows of one request.
 type record struct {
 	Subject
-	// runs are those under which an upstream ended. Each incarnation counts once, however many
+	// runs are those during which an upstream crashed. Each incarnation counts once, however many
 	// copies ran there.
 	runs    []Run
 	lastEnd time.Time
-	// until is the end of its quarantine, terms how many it had.
+	// until is the end of its latest quarantine, terms the number of its quarantines.
 	until time.Time
 	terms int
-	// running counts the copies that run from here.
+	// inFlight is the number of copies that run from this process.
 	running int
-	// spread says that it was told to those that act on it.
+	// announced is set once the request is on its last trial or in quarantine, which peers are told.
+	// They are then also told when it is cleared.
 	spread bool
-	// clearedAt is when it was answered whole, or its quarantine lifted, last. Ends before that
-	// aren't held against it, however late they are heard of.
+	// clearedAt is when the request was last answered completely, or its quarantine lifted. Crashes up
+	// to that time aren't held against it, however late they are reported.
 	clearedAt time.Time
-	// version and own are the Table's versions at which the record changed, at all and by what
-	// was seen here. own is 0 if nothing was.
+	// version is the table version of the latest change, ownVersion that of the latest change that
+	// this process observed itself, or 0 if there was none.
 	version, own uint64
 }
 
-// Table is what one process knows of requests under which upstreams ended. It is not safe for
-// use by several goroutines.
+// Table is what one process knows of requests that were running when upstreams crashed. It is not
+// safe for concurrent use.
 //
-// Invariant: what a Table holds against a request only grows, by ends of different upstreams,
-// until the request is cleared or forgotten. So the order in which tables hear of each other's
-// ends doesn't matter.
+// Invariant: the crashes held against a request only grow in number, each of a different upstream,
+// until the request is cleared or expires, or the crashes are attributed to another request. So the
+// order in which tables learn of each other's crashes doesn't matter.
 type Table struct {
 	settings Settings
 	records  map[Key]*record
-	// hints and teams count records; everQuarantined are those that were put in quarantine.
+	// hints and teams count records. everQuarantined holds the records with terms above 0.
 	hints           map[Hint]int
 	teams           map[string]int
 	everQuarantined map[Key]*record
 	version         uint64
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable(s Settings) *Table {
 	return &Table{settings: s, records: map[Key]*record{}, hints: map[Hint]int{}, teams: map[string]int{}, everQuarantined: map[Key]*record{}}
 }
 
-// Len is how many requests are remembered.
+// Len returns the number of remembered requests.
 func (t *Table) Len() int { return len(t.records) }
 
-// Count is how many requests something is held against, and how many of these are in quarantine.
+// Count returns how many requests are suspected, and how many of these are in quarantine.
 func (t *Table) Count(now time.Time) (suspected, quarantined int) {
 	for _, r := range t.records {
 		switch t.standing(now, r) {
@@ -152,10 +155,10 @@
 	return suspected, quarantined
 }
 
-// MayKnow says whether a request with this hint may be remembered.
+// MayKnow reports whether a request with this hint may be remembered. False is definite.
 func (t *Table) MayKnow(h Hint) bool { return t.hints[h] > 0 }
 
-// Version grows with each change.
+// Version returns a number that grows with each change of the table.
 func (t *Table) Version() uint64 { return t.version }
 
 func (t *Table) standing(now time.Time, r *record) Standing {
@@ -165,13 +168,13 @@
 	case len(r.runs) == 0 || t.over(now, r):
 		return Free
 	case r.terms > 0 || len(r.runs) >= t.settings.Ends-1:
-		// After a quarantine that has lapsed it is tried once more.
+		// A request whose quarantine has lapsed is tried one more time.
 		return LastTrial
 	}
 	return Suspect
 }
 
-// over says whether the ends under a request are too long ago to be held against it.
+// isExpired reports whether the crashes are too long ago to be held against the request.
 func (t *Table) over(now time.Time, r *record) bool {
 	if r.terms > 0 {
 		return now.Sub(r.until) > t.settings.MostTerm
@@ -179,7 +182,7 @@
 	return now.Sub(r.lastEnd) > t.settings.Memory
 }
 
-// Judge says what may be done with a request.
+// Judge returns the verdict on a request.
 func (t *Table) Judge(now time.Time, k Key) Verdict {
 	r := t.records[k]
 	if r == nil {
@@ -194,9 +197,9 @@
 	return v
 }
 
-// Begin notes that a request is about to run. It says no if it is in quarantine, or on its last
-// trial while a copy runs: copies that ran side by side would end an upstream each before the
-// first end is known. Done must follow if it says yes to one that is remembered.
+// Begin registers a copy of a request that is about to run. It returns false if the request is in
+// quarantine, or on its last trial while another copy runs: copies that ran side by side could each
+// crash an upstream before the first crash is known. Done must follow if it returns true.
 func (t *Table) Begin(now time.Time, k Key) bool {
 	r := t.records[k]
 	if r == nil {
@@ -210,14 +213,16 @@
 	return true
 }
 
-// Done ends what Begin began. A record that was made meanwhile knows of no copy.
+// Done unregisters a copy that Begin registered. A record that was created meanwhile doesn't count
+// the copy.
 func (t *Table) Done(k Key) {
 	if r := t.records[k]; r != nil && r.running > 0 {
 		r.running--
 	}
 }
 
-// Ended takes a run here under which an upstream ended. The verdict is that after it.
+// Ended records a run from this process during which an upstream crashed, and returns the verdict
+// after it.
 func (t *Table) Ended(now time.Time, s Subject, run Run) Verdict {
 	r := t.record(now, s)
 	if t.hold(now, r, []Run{run}) {
@@ -227,8 +232,8 @@
 	return t.Judge(now, s.Key)
 }
 
-// Answered takes that an upstream answered a request whole: it isn't one that ends each upstream
-// that runs it. It says whether something was held against it.
+// Answered records that an upstream answered a request completely: it doesn't crash every upstream
+// that runs it. The request is cleared. Answered reports whether anything was held against it.
 func (t *Table) Answered(now time.Time, k Key) bool {
 	r := t.records[k]
 	if r == nil || len(r.runs) == 0 {
@@ -239,8 +244,8 @@
 	return true
 }
 
-// Learn takes what another process tells, a message that Check has let through. It says whether
-// that changed anything.
+// Learn merges a message of another process, which must have passed Check, and reports whether that
+// changed anything.
 func (t *Table) Learn(now time.Time, m *wire.Suspicion) bool {
 	k := Key(m.Key)
 	cleared := m.Cleared && t.learnCleared(k, now.Add(-millis(m.ClearedAgeMs)))
@@ -250,7 +255,7 @@
 	r := t.record(now, Subject{Key: k, Hint: Hint(m.Hint), Team: m.Team, Route: m.Route})
 	runs := runsOf(now, m)
 	changed := t.hold(now, r, runs)
-	// What was decided on ends that aren't held against the request any more doesn't count.
+	// A quarantine that rests on crashes from before the last clearing doesn't count.
 	if !r.clearedSince(runs) && t.decided(now, r, m) {
 		changed = true
 	}
@@ -260,7 +265,8 @@
 	return changed || cleared
 }
 
-// decided takes what another process has decided of a request, and says whether that changed anything.
+// mergeQuarantine adopts another process's quarantine of a request if it is the later one, and
+// reports whether that changed anything.
 func (t *Table) decided(now time.Time, r *record, m *wire.Suspicion) (changed bool) {
 	if terms := int(m.Terms); terms > r.terms {
 		r.terms, r.until, changed = terms, earlier(now, r.lastEnd.Add(t.settings.term(terms))), true
@@ -271,11 +277,12 @@
 	return changed
 }
 
-// clearedSince says whether the request was cleared after one of these runs.
+// clearedSince reports whether the request was cleared after any of these runs had ended.
 func (r *record) clearedSince(runs []Run) bool {
 	return slices.ContainsFunc(runs, func(run Run) bool { return !run.Ended.After(r.clearedAt) })
 }
 
+// learnCleared clears a request unless a clearing as late is known already.
 func (t *Table) learnCleared(k Key, at time.Time) bool {
 	r := t.records[k]
 	if r == nil || !at.After(r.clearedAt) {
@@ -285,8 +292,8 @@
 	return true
 }
 
-// termSlack is the difference between two words of one quarantine's end that doesn't matter:
-// each is relative to the time at which it was told.
+// untilTolerance is the difference between two reported ends of one quarantine that is ignored.
+// Messages carry times relative to when they are sent, so their transit shifts the ends.
 const termSlack = 10 * time.Second
 
 func earlier(a, b time.Time) time.Time {
@@ -296,7 +303,7 @@
 	return b
 }
 
-// changed judges a record that more is held against.
+// reassess decides on quarantine after more is held against a request.
 func (t *Table) changed(now time.Time, r *record) {
 	if t.isDue(now, r) {
 		r.terms++
@@ -313,12 +320,12 @@
 	}
 }
 
-// isDue says whether a request is to be put in quarantine: enough upstreams have ended under it,
-// and not all at once; or one more after its last quarantine.
+// isQuarantineDue reports whether a request is to be put in quarantine: enough upstreams crashed
+// while running it, and not all simultaneously; or one more crashed after its last quarantine.
 //
-// When many upstreams are lost at the same moment, copies of a harmless request that many callers
-// send run at several of them. One that ends what runs it does so again, in a run that began after
-// an end; until then it is on its last trial, and an answer clears it.
+// When many upstreams fail at once, copies of a popular harmless request may run at several of them.
+// A poison request crashes upstreams again in runs that begin after a crash; until then it stays on
+// its last trial, and an answer clears it.
 func (t *Table) isDue(now time.Time, r *record) bool {
 	if now.Before(r.until) || r.lastEnd.Before(r.until) || t.over(now, r) {
 		return false
@@ -329,23 +336,24 @@
 	return len(r.runs) >= t.settings.Ends && t.countEnds(r) >= t.settings.Ends && r.series(t.settings.Apart) > 1
 }
 
-// countEnds counts the ends that are held against a request, those of a moment at which many
-// upstreams ended as one.
+// countCrashes counts the crashes held against a request. Those of one outage, in which many
+// upstreams crashed simultaneously, count as one.
 func (t *Table) countEnds(r *record) (n int) {
-	var many time.Time
+	var outage time.Time
 	for _, run := range r.byEnd() {
 		if t.endedAround(run.Ended) >= t.settings.AtOnce {
-			if !many.IsZero() && run.Ended.Sub(many) <= 2*t.settings.Apart {
+			if !outage.IsZero() && run.Ended.Sub(outage) <= 2*t.settings.Apart {
 				continue
 			}
-			many = run.Ended
+			outage = run.Ended
 		}
 		n++
 	}
 	return n
 }
 
-// endedAround is how many upstreams ended within a while of a time, under any request.
+// upstreamsCrashedNear returns how many upstreams crashed within Apart of a time while running any of
+// the remembered requests.
 func (t *Table) endedAround(at time.Time) int {
 	ended := map[string]bool{}
 	for _, r := range t.records {
@@ -358,12 +366,13 @@
 	return len(ended)
 }
 
-// byEnd returns its runs in the order of their ends.
+// runsByEnd returns the runs in the order in which they ended.
 func (r *record) byEnd() []Run {
 	return slices.SortedFunc(slices.Values(r.runs), func(a, b Run) int { return a.Ended.Compare(b.Ended) })
 }
 
-// series is how many of the runs followed one another.
+// countSequential returns how many runs followed one another, each begun more than apart after the
+// one before had ended.
 func (r *record) series(apart time.Duration) (n int) {
 	var last time.Time
 	for _, run := range r.byEnd() {
@@ -382,22 +391,25 @@
 	return list
 }
 
-// ranAt says whether an upstream ended under it.
+// crashedDuring reports whether the upstream crashed while running the request.
 func (r *record) ranAt(upstream string) bool {
 	return slices.ContainsFunc(r.runs, func(run Run) bool { return run.Upstream == upstream })
 }
 
-// hold adds runs to a record; false if it knew them all.
+// addRuns adds runs to a record and reports whether any of them was added. It skips crashes from
+// before the last clearing, of upstreams that are counted already, and those that are attributed to
+// another request. The first run added to an expired record replaces its former runs and
+// quarantines.
 func (t *Table) hold(now time.Time, r *record, runs []Run) (changed bool) {
-	stale := len(r.runs) > 0 && t.over(now, r)
+	expired := len(r.runs) > 0 && t.over(now, r)
 	for _, run := range runs {
 		if !run.Ended.After(r.clearedAt) || r.ranAt(run.Upstream) || t.explained(now, r, run.Upstream) {
 			continue
 		}
-		if stale {
+		if expired {
 			r.spread, r.runs, r.until, r.terms = false, nil, time.Time{}, 0
 			delete(t.everQuarantined, r.Key)
-			stale = false
+			expired = false
 		}
 		r.runs = append(r.runs, run)
 		if len(r.runs) > mostRuns {
@@ -411,7 +423,8 @@
 	return changed
 }
 
-// explained says whether a request in quarantine ended an upstream.
+// isAttributed reports whether another request, which is in quarantine, was running when the upstream
+// crashed.
 func (t *Table) explained(now time.Time, r *record, upstream string) bool {
 	for _, other := range t.everQuarantined {
 		if other != r && t.standing(now, other) == Quarantined && other.ranAt(upstream) {
@@ -421,10 +434,11 @@
 	return false
 }
 
-// explain takes the ends of a request that is put in quarantine off those that ran beside it:
-// they did not end these upstreams, and their callers come again.
+// attributeCrashes removes the crashes of a request that is put in quarantine from other requests,
+// which only ran beside it and are likely to be sent again. Requests that were in quarantine
+// themselves keep theirs.
 func (t *Table) explain(cause *record) {
-	var explained []*record
+	var changed []*record
 	for _, r := range t.records {
 		if r == cause || r.terms > 0 {
 			continue
@@ -432,17 +446,17 @@
 		before := len(r.runs)
 		r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return cause.ranAt(run.Upstream) })
 		if len(r.runs) < before {
-			explained = append(explained, r)
+			changed = append(changed, r)
 		}
 	}
-	// In one order, so that a run of the table can be repeated.
-	slices.SortFunc(explained, func(a, b *record) int { return slices.Compare(a.Key[:], b.Key[:]) })
-	for _, r := range explained {
+	// In a defined order, so that versions are assigned reproducibly.
+	slices.SortFunc(changed, func(a, b *record) int { return slices.Compare(a.Key[:], b.Key[:]) })
+	for _, r := range changed {
 		t.touch(r)
 	}
 }
 
-// clear takes that nothing before a time is to be held against a request.
+// clearRecord discards what is held against a request up to a time.
 func (t *Table) clear(r *record, at time.Time) {
 	r.clearedAt, r.until, r.terms = at, time.Time{}, 0
 	delete(t.everQuarantined, r.Key)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// after is a time of a test.
+// after returns the time d after start.
 func after(d time.Duration) time.Time { return start.Add(d) }
 
 func subject(team, body string) Subject {
@@ -20,12 +20,12 @@
 	return Subject{Key: r.Key(), Hint: r.Hint(), Team: team, Route: "r"}
 }
 
-// run is a short run of a test.
+// run returns a run of 10 ms that ended with the crash of its upstream.
 func run(upstream string, ended time.Time) Run {
 	return Run{Upstream: upstream, Began: ended.Add(-10 * time.Millisecond), Ended: ended}
 }
 
-// endThree has three upstreams end under a request, one after the other.
+// crashThree has three upstreams crash one after the other while running a request.
 func endThree(tb *Table, s Subject, last time.Time) {
 	for i := range 3 {
 		at := last.Add(time.Duration(i-2) * time.Second)
@@ -33,8 +33,7 @@
 	}
 }
 
-// A caller shows another key of its team, sends another ID or deadline: the request is the same.
-// Another team, path or body makes it another one, wherever the bytes are cut.
+// The key depends on team, method, host, URI and body, and on where each of them ends.
 func TestRequestIsNamedByItsContent(t *testing.T) {
 	base := Request{Team: "a", Method: "POST", Host: "h", URI: "/x", Body: []byte("body")}
 	same := base
@@ -57,185 +56,183 @@
 	assert.ErrorIs(t, err, ErrKey)
 }
 
-// A request ends one upstream after the other. It may be tried again inside a caller's request
-// once, then runs alone and once a request, and after the third end not at all. Many copies at
-// one upstream are one end.
+// A request is suspected after one crash, on its last trial after two and in quarantine after three.
+// Several copies at one upstream count as one crash.
 func TestThirdEndPutsARequestInQuarantine(t *testing.T) {
 	tb := NewTable(DefaultSettings())
-	bad := subject("a", "bad")
-	assert.Equal(t, tb.Judge(start, bad.Key).Standing, Free)
+	poison := subject("a", "bad")
+	assert.Equal(t, tb.Judge(start, poison.Key).Standing, Free)
 	for range 5 {
-		assert.Equal(t, tb.Ended(start, bad, run("up-1", start)).Standing, Suspect)
+		assert.Equal(t, tb.Ended(start, poison, run("up-1", start)).Standing, Suspect)
 	}
-	assert.Equal(t, tb.Ended(after(time.Second), bad, run("up-2", after(time.Second))).Standing, LastTrial)
-	v := tb.Ended(after(2*time.Second), bad, run("up-3", after(2*time.Second)))
+	assert.Equal(t, tb.Ended(after(time.Second), poison, run("up-2", after(time.Second))).Standing, LastTrial)
+	v := tb.Ended(after(2*time.Second), poison, run("up-3", after(2*time.Second)))
 	assert.Equal(t, v.Standing, Quarantined)
 	assert.Equal(t, v.Ends, 3)
 	assert.Equal(t, v.Left, DefaultSettings().Term)
-	assert.Assert(t, !tb.Begin(after(3*time.Second), bad.Key))
+	assert.Assert(t, !tb.Begin(after(3*time.Second), poison.Key))
 }
 
-// A harmless request comes again and again while upstreams end by themselves: each whole answer
-// says that it isn't the cause.
+// A harmless request that keeps being sent while upstreams crash isn't put in quarantine if it is
+// answered in between.
 func TestAnswerClearsARequest(t *testing.T) {
 	tb := NewTable(DefaultSettings())
-	fine := subject("a", "fine")
+	harmless := subject("a", "fine")
 	for n := range 30 {
 		now := after(time.Duration(n) * time.Second)
-		assert.Assert(t, tb.Ended(now, fine, run(fmt.Sprint("up-", 2*n), now)).Standing < Quarantined)
-		assert.Assert(t, tb.Ended(now, fine, run(fmt.Sprint("up-", 2*n+1), now)).Standing < Quarantined)
-		assert.Assert(t, tb.Answered(now, fine.Key))
-		assert.Equal(t, tb.Judge(now, fine.Key).Standing, Free)
+		assert.Assert(t, tb.Ended(now, harmless, run(fmt.Sprint("up-", 2*n), now)).Standing < Quarantined)
+		assert.Assert(t, tb.Ended(now, harmless, run(fmt.Sprint("up-", 2*n+1), now)).Standing < Quarantined)
+		assert.Assert(t, tb.Answered(now, harmless.Key))
+		assert.Equal(t, tb.Judge(now, harmless.Key).Standing, Free)
 	}
-	assert.Assert(t, !tb.Answered(after(time.Hour), fine.Key), "nothing is held against it")
+	assert.Assert(t, !tb.Answered(after(time.Hour), harmless.Key), "nothing is held against it")
 }
 
-// Many upstreams are lost at once while copies of one harmless request run at several of them: that
-// is one end. The request is on its last trial then, and an answer clears it; ends under runs that
-// began later put it in quarantine.
+// Copies of a harmless request run at several upstreams that crash simultaneously. That puts it on its
+// last trial only, and an answer clears it; crashes of runs that begin later put it in quarantine.
 func TestEndsAtOnceAreNoSeries(t *testing.T) {
 	tb := NewTable(DefaultSettings())
-	hot := subject("a", "hot")
+	popular := subject("a", "hot")
 	for i := range 6 {
-		// Heard of at different moments, and run for different times.
+		// The crashes are 10 ms apart, after runs of different lengths.
 		ended := after(time.Duration(10*i) * time.Millisecond)
-		v := tb.Ended(ended, hot, Run{Upstream: fmt.Sprint("up-", i), Began: ended.Add(-time.Duration(20*i) * time.Millisecond), Ended: ended})
+		v := tb.Ended(ended, popular, Run{Upstream: fmt.Sprint("up-", i), Began: ended.Add(-time.Duration(20*i) * time.Millisecond), Ended: ended})
 		assert.Assert(t, v.Standing < Quarantined)
 	}
-	assert.Equal(t, tb.Judge(after(time.Second), hot.Key).Standing, LastTrial)
+	assert.Equal(t, tb.Judge(after(time.Second), popular.Key).Standing, LastTrial)
 	answered := NewTable(DefaultSettings())
 	for _, m := range tb.Own(start, 0).Suspicions {
 		answered.Learn(after(time.Second), m)
 	}
-	assert.Assert(t, answered.Answered(after(time.Second), hot.Key))
-	assert.Equal(t, answered.Judge(after(time.Second), hot.Key).Standing, Free)
+	assert.Assert(t, answered.Answered(after(time.Second), popular.Key))
+	assert.Equal(t, answered.Judge(after(time.Second), popular.Key).Standing, Free)
 	late := after(2 * time.Second)
-	assert.Equal(t, tb.Ended(late, hot, run("up-8", late)).Standing, LastTrial)
+	assert.Equal(t, tb.Ended(late, popular, run("up-8", late)).Standing, LastTrial)
 	later := after(3 * time.Second)
-	assert.Equal(t, tb.Ended(later, hot, run("up-9", later)).Standing, Quarantined)
+	assert.Equal(t, tb.Ended(later, popular, run("up-9", later)).Standing, Quarantined)
 }
 
-// Several copies of a request that has ended two upstreams come at once. One runs; were they let
-// in side by side, each would end an upstream before the first end is known.
+// Concurrent copies of a request on its last trial would each crash an upstream before the first
+// crash is known.
 func TestLastTrialRunsAlone(t *testing.T) {
 	tb := NewTable(DefaultSettings())
-	bad := subject("a", "bad")
-	tb.Ended(start, bad, run("up-1", start))
-	assert.Assert(t, tb.Begin(start, bad.Key))
-	assert.Assert(t, tb.Begin(start, bad.Key))
-	tb.Done(bad.Key)
-	tb.Done(bad.Key)
-	tb.Ended(start, bad, run("up-2", start))
-	assert.Assert(t, tb.Begin(start, bad.Key))
-	assert.Assert(t, !tb.Begin(start, bad.Key))
-	tb.Done(bad.Key)
-	assert.Assert(t, tb.Begin(start, bad.Key))
+	poison := subject("a", "bad")
+	tb.Ended(start, poison, run("up-1", start))
+	assert.Assert(t, tb.Begin(start, poison.Key))
+	assert.Assert(t, tb.Begin(start, poison.Key))
+	tb.Done(poison.Key)
+	tb.Done(poison.Key)
+	tb.Ended(start, poison, run("up-2", start))
+	assert.Assert(t, tb.Begin(start, poison.Key))
+	assert.Assert(t, !tb.Begin(start, poison.Key))
+	tb.Done(poison.Key)
+	assert.Assert(t, tb.Begin(start, poison.Key))
 }
 
-// A quarantine lapses. The request is tried once, and the next end begins one that lasts twice as
-// long; after a whole answer it is as any other.
+// After its quarantine a request gets one trial. A crash doubles the next quarantine, and an answer
+// resets it.
 func TestQuarantineLapsesAndGrows(t *testing.T) {
 	s := DefaultSettings()
 	tb := NewTable(s)
-	bad := subject("a", "bad")
-	endThree(tb, bad, start)
-	assert.Equal(t, tb.Judge(after(s.Term-time.Second), bad.Key).Standing, Quarantined)
+	poison := subject("a", "bad")
+	endThree(tb, poison, start)
+	assert.Equal(t, tb.Judge(after(s.Term-time.Second), poison.Key).Standing, Quarantined)
 	lapsed := after(s.Term + time.Second)
-	assert.Equal(t, tb.Judge(lapsed, bad.Key).Standing, LastTrial)
-	v := tb.Ended(lapsed, bad, run("up-9", lapsed))
+	assert.Equal(t, tb.Judge(lapsed, poison.Key).Standing, LastTrial)
+	v := tb.Ended(lapsed, poison, run("up-9", lapsed))
 	assert.Equal(t, v.Standing, Quarantined)
 	assert.Equal(t, v.Left, 2*s.Term)
 	again := lapsed.Add(2*s.Term + time.Second)
-	assert.Assert(t, tb.Answered(again, bad.Key))
+	assert.Assert(t, tb.Answered(again, poison.Key))
 	later := again.Add(time.Second)
-	assert.Equal(t, tb.Ended(later, bad, run("up-10", later)).Standing, Suspect)
+	assert.Equal(t, tb.Ended(later, poison, run("up-10", later)).Standing, Suspect)
 	assert.Equal(t, s.term(100), s.MostTerm)
 }
 
-// Two requests run beside the one that ends upstreams, one of them twice. Once that one is
-// known, its ends are no longer held against them.
+// Crashes of a request in quarantine aren't held against requests that ran beside it, whether they are
+// reported before or after the quarantine begins.
 func TestQuarantineExplainsTheEndsOfOthers(t *testing.T) {
 	tb := NewTable(DefaultSettings())
-	bad, once, twice := subject("a", "bad"), subject("b", "once"), subject("c", "twice")
+	poison, once, twice := subject("a", "bad"), subject("b", "once"), subject("c", "twice")
 	before := after(-time.Second)
 	tb.Ended(before, once, run("up-1", before))
 	tb.Ended(before, twice, run("up-1", before))
-	tb.Ended(before, bad, run("up-1", before))
+	tb.Ended(before, poison, run("up-1", before))
 	tb.Ended(start, twice, run("up-2", start))
-	tb.Ended(start, bad, run("up-2", start))
+	tb.Ended(start, poison, run("up-2", start))
 	assert.Equal(t, tb.Judge(start, twice.Key).Standing, LastTrial)
-	tb.Ended(start, bad, run("up-3", start))
-	assert.Equal(t, tb.Judge(start, bad.Key).Standing, Quarantined)
+	tb.Ended(start, poison, run("up-3", start))
+	assert.Equal(t, tb.Judge(start, poison.Key).Standing, Quarantined)
 	assert.Equal(t, tb.Judge(start, once.Key).Standing, Free)
 	assert.Equal(t, tb.Judge(start, twice.Key).Standing, Free)
-	// One whose word comes later isn't charged with them either.
+	// A crash that is reported during the quarantine isn't held against it either.
 	assert.Equal(t, tb.Ended(start, twice, run("up-3", start)).Standing, Free)
 	assert.Equal(t, tb.Ended(start, twice, run("up-4", start)).Standing, Suspect)
 }
 
-// Entries see one end each. By what they tell each other the third one puts the request in
-// quarantine at all of them; a clear word takes it out again.
+// Three tables observe one crash each; what they report adds up to a quarantine in all of them, and a
+// clearing in one ends it in the others.
 func TestTablesAddUpWhatTheyHear(t *testing.T) {
-	bad := subject("a", "bad")
+	poison := subject("a", "bad")
 	tables := []*Table{NewTable(DefaultSettings()), NewTable(DefaultSettings()), NewTable(DefaultSettings())}
-	hub := NewTable(DefaultSettings())
+	replica := NewTable(DefaultSettings())
 	for i, tb := range tables {
-		tb.Ended(start, bad, run(fmt.Sprint("up-", i), after(time.Duration(i-2)*time.Second)))
+		tb.Ended(start, poison, run(fmt.Sprint("up-", i), after(time.Duration(i-2)*time.Second)))
 		for _, m := range tb.Own(start, 0).Suspicions {
 			assert.NilError(t, Check(m))
-			assert.Assert(t, hub.Learn(start, m))
-			assert.Assert(t, !hub.Learn(start, m), "nothing new the second time")
+			assert.Assert(t, replica.Learn(start, m))
+			assert.Assert(t, !replica.Learn(start, m), "nothing new the second time")
 		}
 	}
-	told := hub.Since(start, 0)
+	told := replica.Since(start, 0)
 	assert.Equal(t, len(told.Suspicions), 1)
 	for _, tb := range tables {
 		tb.Learn(start, told.Suspicions[0])
-		assert.Equal(t, tb.Judge(start, bad.Key).Standing, Quarantined)
+		assert.Equal(t, tb.Judge(start, poison.Key).Standing, Quarantined)
 	}
-	assert.Equal(t, len(hub.Since(start, told.Version).Suspicions), 0)
-	tables[0].Answered(start, bad.Key)
-	hub.Learn(start, tables[0].Own(start, 0).Suspicions[0])
-	told = hub.Since(start, told.Version)
+	assert.Equal(t, len(replica.Since(start, told.Version).Suspicions), 0)
+	tables[0].Answered(start, poison.Key)
+	replica.Learn(start, tables[0].Own(start, 0).Suspicions[0])
+	told = replica.Since(start, told.Version)
 	assert.Assert(t, told.Suspicions[0].Cleared)
 	tables[1].Learn(start, told.Suspicions[0])
-	assert.Equal(t, tables[1].Judge(start, bad.Key).Standing, Free)
+	assert.Equal(t, tables[1].Judge(start, poison.Key).Standing, Free)
 }
 
-// What only ran once beside an end isn't told to those that act on it: when a group is lost, that
-// is all that ran there.
+// When a group is lost, each request that ran there has a single crash. Reporting all of them would
+// flood the entries.
 func TestFewAreToldOf(t *testing.T) {
-	hub := NewTable(DefaultSettings())
+	replica := NewTable(DefaultSettings())
 	for i := range 500 {
-		hub.Ended(start, subject("a", fmt.Sprint(i)), run("up-1", start))
+		replica.Ended(start, subject("a", fmt.Sprint(i)), run("up-1", start))
 	}
-	assert.Equal(t, len(hub.Since(start, 0).Suspicions), 0)
+	assert.Equal(t, len(replica.Since(start, 0).Suspicions), 0)
 	for i := range 500 {
-		hub.Answered(start, subject("a", fmt.Sprint(i)).Key)
+		replica.Answered(start, subject("a", fmt.Sprint(i)).Key)
 	}
-	assert.Equal(t, len(hub.Since(start, 0).Suspicions), 0)
+	assert.Equal(t, len(replica.Since(start, 0).Suspicions), 0)
 }
 
-// A long list is told in parts, and none is left out.
+// No change is left out when there are more than fit in one message.
 func TestLongListsAreToldInParts(t *testing.T) {
-	hub := NewTable(DefaultSettings())
+	replica := NewTable(DefaultSettings())
 	for i := range 300 {
 		s := subject(fmt.Sprint("team-", i%4), fmt.Sprint(i))
-		hub.Ended(start, s, run("up-1", start))
-		hub.Ended(start, s, run("up-2", start))
+		replica.Ended(start, s, run("up-1", start))
+		replica.Ended(start, s, run("up-2", start))
 	}
 	seen, version := 0, uint64(0)
 	for range 10 {
-		told := hub.Since(start, version)
+		told := replica.Since(start, version)
 		assert.Assert(t, len(told.Suspicions) <= MostTold)
 		seen, version = seen+len(told.Suspicions), told.Version
 	}
 	assert.Equal(t, seen, 300)
-	assert.Equal(t, version, hub.Version())
+	assert.Equal(t, version, replica.Version())
 }
 
-// A team sends more and more requests under which upstreams end. It pushes out its own, the
-// weakest and oldest first; another team's one stays.
+// A team with many suspected requests evicts its own records, the weakest and oldest first, and not
+// those of other teams.
 func TestMemoryIsBoundedByTeam(t *testing.T) {
 	s := DefaultSettings()
 	tb := NewTable(s)
@@ -257,7 +254,7 @@
 	assert.Equal(t, tb.Judge(after(time.Minute), held.Key).Standing, Quarantined)
 }
 
-// What isn't held any more is forgotten, and its hint with it: requests like it cost nothing again.
+// The hint of a forgotten request is forgotten too, so that no bodies are hashed for it.
 func TestOldEndsAreForgotten(t *testing.T) {
 	s := DefaultSettings()
 	tb := NewTable(s)
@@ -271,12 +268,12 @@
 	assert.Assert(t, !tb.MayKnow(one.Hint))
 }
 
-// The log's quarantines outlive all processes: a table that starts anew learns them, also those
-// that have lapsed, and a command that comes twice changes nothing.
+// A table that starts empty learns current and lapsed quarantines from the log, and a repeated command
+// changes nothing.
 func TestMachineKeepsQuarantines(t *testing.T) {
 	tb, m := NewTable(DefaultSettings()), &Machine{}
-	bad := subject("a", "bad")
-	endThree(tb, bad, start)
+	poison := subject("a", "bad")
+	endThree(tb, poison, start)
 	s := tb.All(start)[0]
 	assert.Assert(t, !m.Covers(start, s))
 	put := &wire.QuarantineCommand{Put: Logged(start, s)}
@@ -288,40 +285,39 @@
 	restored.Restore(m.Snapshot())
 	fresh := NewTable(DefaultSettings())
 	fresh.Learn(after(time.Minute), restored.Told(after(time.Minute))[0])
-	v := fresh.Judge(after(time.Minute), bad.Key)
+	v := fresh.Judge(after(time.Minute), poison.Key)
 	assert.Equal(t, v.Standing, Quarantined)
 	assert.Equal(t, v.Left, DefaultSettings().Term-time.Minute)
 
 	lapsed := after(DefaultSettings().Term + time.Minute)
 	later := NewTable(DefaultSettings())
 	later.Learn(lapsed, restored.Told(lapsed)[0])
-	assert.Equal(t, later.Judge(lapsed, bad.Key).Standing, LastTrial)
-	assert.Equal(t, later.Ended(lapsed, bad, run("up-9", lapsed)).Standing, Quarantined)
+	assert.Equal(t, later.Judge(lapsed, poison.Key).Standing, LastTrial)
+	assert.Equal(t, later.Ended(lapsed, poison, run("up-9", lapsed)).Standing, Quarantined)
 
-	assert.Assert(t, m.Apply(&wire.QuarantineCommand{Lift: bad.Key[:], AtMs: 7}).Changed)
-	assert.Equal(t, m.LiftedAt(bad.Key[:]), uint64(7))
+	assert.Assert(t, m.Apply(&wire.QuarantineCommand{Lift: poison.Key[:], AtMs: 7}).Changed)
+	assert.Equal(t, m.LiftedAt(poison.Key[:]), uint64(7))
 	assert.Equal(t, len(m.Told(start)), 0)
-	assert.Assert(t, !m.Apply(&wire.QuarantineCommand{Lift: bad.Key[:], AtMs: 9}).Changed, "it isn't there any more")
+	assert.Assert(t, !m.Apply(&wire.QuarantineCommand{Lift: poison.Key[:], AtMs: 9}).Changed, "it isn't there any more")
 }
 
-// An operator lifts a quarantine. A replica that was cut off asks for it again by the ends of
-// before: refused. Then the request ends three more, and is put in quarantine once more. A replica
-// that starts days later applies all three again, at one moment, and comes to the same.
+// A quarantine that was lifted isn't put back for the crashes from before the lift, but for new ones.
+// A replica that replays the log days later comes to the same result.
 func TestLiftedQuarantineComesBackByNewEndsOnly(t *testing.T) {
 	tb, m := NewTable(DefaultSettings()), &Machine{}
-	bad := subject("a", "bad")
-	endThree(tb, bad, start)
+	poison := subject("a", "bad")
+	endThree(tb, poison, start)
 	old := Logged(start, tb.All(start)[0])
 	lifted := after(time.Minute)
 	again := after(time.Hour)
 	fresh := NewTable(DefaultSettings())
 	for i := range 3 {
 		at := again.Add(time.Duration(i) * time.Second)
-		fresh.Ended(at, bad, run(fmt.Sprint("new-", i), at))
+		fresh.Ended(at, poison, run(fmt.Sprint("new-", i), at))
 	}
 	put := Logged(again.Add(2*time.Second), fresh.All(again.Add(2 * time.Second))[0])
 	commands := []*wire.QuarantineCommand{
-		{Put: old, AtMs: uint64(start.UnixMilli())}, {Lift: bad.Key[:], AtMs: uint64(lifted.UnixMilli())},
+		{Put: old, AtMs: uint64(start.UnixMilli())}, {Lift: poison.Key[:], AtMs: uint64(lifted.UnixMilli())},
 		{Put: old, AtMs: uint64(lifted.UnixMilli())}, {Put: put, AtMs: uint64(again.UnixMilli())},
 	}
 	replayed, late := NewTable(DefaultSettings()), again.Add(5*time.Minute)
@@ -332,12 +328,12 @@
 			replayed.Learn(late, Decided(late, c))
 		}
 	}
-	v := replayed.Judge(late, bad.Key)
+	v := replayed.Judge(late, poison.Key)
 	assert.Equal(t, v.Standing, Quarantined)
 	assert.DeepEqual(t, v.Upstreams, []string{"new-0", "new-1", "new-2"})
 }
 
-// One team fills the log with its own: it loses its own oldest.
+// A team that fills the log loses its own oldest quarantines, not those of other teams.
 func TestLogIsBoundedByTeam(t *testing.T) {
 	m := &Machine{}
 	add := func(team string, i int) {
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// Requester tells what a request is. It is asked only where something is held against any.
+// Requester provides the identity of a request. It is called only while the node remembers any
+// request.
 type Requester interface {
-	// Identity is what makes the request the same when it comes again.
+	// Identity returns the parts of the request that identify it when it is sent again.
 	Identity() *Request
 }
 
-// Trial is one request of a caller at an entry. Its zero value is one of a node that knows nothing.
-// Its methods may be called by several goroutines, but for Begin and Done.
+// Trial checks one caller's request against a Node and records its runs. The zero value suspects no
+// request. Its methods are safe for concurrent use, except Begin and Done.
 type Trial struct {
 	node *Node
 	of   Requester
-	// key names the request by its content, once that was asked for.
+	// key identifies the request by its content; nil until it is needed.
 	key   atomic.Pointer[Key]
 	begun bool
 }
 
-// Init makes it the trial of a request.
+// Init sets the node and the request of the trial.
 func (t *Trial) Init(n *Node, of Requester) { t.node, t.of = n, of }
 
-// suspected says whether something may be held against the request, and names it then. The body
-// is hashed only for a request like one that is remembered.
+// suspectedKey returns the key of a request that may be suspected. It hashes the body only if the
+// hint of the request is known.
 func (t *Trial) suspected() (Key, bool) {
 	if t.node == nil || t.node.known.Load() == 0 {
 		return Key{}, false
@@ -47,7 +48,7 @@
 	return k, true
 }
 
-// Verdict is what may be done with the request now.
+// Verdict returns the current verdict on the request.
 func (t *Trial) Verdict() Verdict {
 	k, ok := t.suspected()
 	if !ok {
@@ -58,8 +59,8 @@
 	return t.node.table.Judge(t.node.now(), k)
 }
 
-// Begin notes that the request is about to be sent. It says no to one in quarantine, and to one
-// on its last trial while a copy of it runs from here. Done must follow.
+// Begin registers that the request is about to be sent. It returns false if the request is in
+// quarantine, or on its last trial while a copy of it runs from this process. Done must follow.
 func (t *Trial) Begin() bool {
 	k, ok := t.suspected()
 	if !ok {
@@ -71,7 +72,7 @@
 	return t.begun
 }
 
-// Done ends what Begin began.
+// Done unregisters the run that Begin registered, if any.
 func (t *Trial) Done() {
 	if !t.begun {
 		return
@@ -82,8 +83,8 @@
 	t.node.table.Done(*t.key.Load())
 }
 
-// Answered takes that an upstream answered the request whole: it isn't one that ends each
-// upstream that runs it. It says whether something was held against it.
+// Answered records that an upstream answered the request completely, which clears it, and reports
+// whether anything was held against it.
 func (t *Trial) Answered(requestID string) (cleared bool) {
 	k, ok := t.suspected()
 	if !ok {
@@ -94,16 +95,17 @@
 		return cleared
 	})
 	if cleared {
-		t.node.tell("Suspected request was answered.", "request", requestID, "key", k)
+		t.node.tell("Suspected request was answered and cleared.", "request", requestID, "key", k)
 	}
 	return cleared
 }
 
-// Why names the inputs of a verdict, for logs and callers.
+// Why describes the inputs of a verdict for logs and callers. It is empty if the request's key was
+// never needed.
 func (t *Trial) Why(v Verdict) string {
 	k := t.key.Load()
 	if k == nil {
 		return ""
 	}
-	return fmt.Sprintf("key %s: %d upstreams ended under it (%s), the last %d ms ago", k, v.Ends, strings.Join(v.Upstreams, " "), v.Age.Milliseconds())
+	return fmt.Sprintf("key %s: %d upstreams crashed while running it (%s), the last %d ms ago", k, v.Ends, strings.Join(v.Upstreams, " "), v.Age.Milliseconds())
 }
--- a/table/doc.go
+++ b/table/doc.go
@@ -1,8 +1,7 @@
-// Package table is the configuration table that operators edit row by row:
-// its kinds, columns, checks and versions, and the typed view that the
-// decision packages read.
+// Package table is the configuration table that operators edit row by row: its kinds of rows,
+// columns, checks and versions, and the typed View that other packages read.
 //
-// A row is text in columns (wire.Row); a View is the same rows checked and
-// typed. Rows that fail a check are never in a View, because an edit is
-// checked against the whole table before it is accepted.
+// A row is text in columns (wire.Row); a View holds the same rows checked and typed. Rows that
+// fail a check never get into a View: an edit is checked before it is accepted, and NewView and
+// With return an error for a row that fails.
 package table
--- a/table/follower.go
+++ b/table/follower.go
@@ -8,13 +8,13 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrForeignCluster is returned for rows of another cluster than the first.
+// ErrForeignCluster is returned for an update from a cluster other than the one followed.
 var ErrForeignCluster = merry.Sentinel("rows come from another cluster")
 
-// Follower keeps an entry's copy of the table from a watch. It never goes back:
-// an update below the revision in force changes nothing, and before a
-// linearizable read has told how far the table was at the entry's start, no row
-// is put in force. It is pure and not safe for use by several goroutines.
+// Follower keeps an entry's copy of the table up to date from a watch. The copy never goes back:
+// updates below the current revision are ignored, and no row takes effect until the copy has reached
+// the floor, the revision that a linearizable read returned at the entry's start. Follower is pure
+// and not safe for concurrent use.
 type Follower struct {
 	rows      map[rowID]*wire.Row
 	revision  uint64
@@ -22,18 +22,18 @@
 	floor     uint64
 	floored   bool
 	confirmed time.Time
-	// view is the last one that was built, nil if none holds; pending are the
-	// rows taken since.
+	// view is the latest one, nil if the next must be built from all rows; pending has the rows that
+	// were received after it was built.
 	view    *View
 	pending []*wire.Row
 }
 
-// NewFollower makes a follower of an entry that has just started.
+// NewFollower returns the follower of an entry that has just started.
 func NewFollower() *Follower { return &Follower{rows: map[rowID]*wire.Row{}} }
 
-// SetFloor takes the answer to the linearizable read at the entry's start. A
-// replica that lags could otherwise serve rows that an operator has replaced
-// before this entry even started.
+// SetFloor sets the floor from a linearizable read at the entry's start. Without it, a lagging replica
+// could bring rows into effect that operators had replaced before the entry started. It returns
+// ErrForeignCluster if the cluster isn't the one followed.
 func (f *Follower) SetFloor(cluster string, revision uint64) error {
 	if f.cluster != "" && f.cluster != cluster {
 		return merry.Prependf(ErrForeignCluster, "%s, not %s", cluster, f.cluster)
@@ -44,18 +44,18 @@
 	return nil
 }
 
-// Revision returns what to ask a watch for: the revision that is held.
+// Revision returns the revision of the rows held, after which a watch should continue.
 func (f *Follower) Revision() uint64 { return f.revision }
 
-// Floored says whether SetFloor was called.
+// Floored reports whether SetFloor has succeeded.
 func (f *Follower) Floored() bool { return f.floored }
 
-// Confirmed returns when the rows held were last known to be current; zero if
-// they never were.
+// Confirmed returns when the rows held were last known to be current, or the zero time if they never
+// were.
 func (f *Follower) Confirmed() time.Time { return f.confirmed }
 
-// Apply takes an update. It returns the view to put in force, or nil if nothing
-// changed or the floor isn't reached.
+// Apply applies an update. It returns the view that takes effect, or nil if nothing changed or the
+// floor hasn't been reached.
 func (f *Follower) Apply(now time.Time, u *wire.TableUpdate) (*View, error) {
 	if f.cluster != "" && u.Cluster != f.cluster {
 		return nil, merry.Prependf(ErrForeignCluster, "%s, not %s", u.Cluster, f.cluster)
@@ -77,15 +77,15 @@
 	return f.build()
 }
 
-// build makes the view of the rows held, out of the last one where it can: a
-// full build looks at all rows for each edit of one.
+// buildView returns the view of the rows held. It derives it from the previous view if there is one,
+// since a full build looks at all rows.
 func (f *Follower) build() (v *View, err error) {
 	if f.view == nil {
 		v, err = NewView(f.revision, f.list())
 	} else {
 		v, err = f.view.With(f.revision, f.pending)
 	}
-	// After an error v is nil, and the next view is built from all rows.
+	// After an error v is nil, so the next view is built from all rows.
 	f.view, f.pending = v, nil
 	return v, err
 }
--- a/table/follower_test.go
+++ b/table/follower_test.go
@@ -18,9 +18,8 @@
 	}
 }
 
-// An entry starts and first reaches a replica that lags. It puts no row in force
-// until it holds what was accepted before its start; later a lagging replica
-// can't take it back.
+// After a restart, a lagging replica must bring no row into effect that was replaced before the start,
+// and take none back later.
 func TestRestartNeverBringsAnOldRowBack(t *testing.T) {
 	f := NewFollower()
 	v, err := f.Apply(now, update(3, "3"))
@@ -39,8 +38,7 @@
 	assert.Equal(t, f.Revision(), uint64(8))
 }
 
-// A host of another cluster answers at an address that was ours. Its rows are
-// refused.
+// An address may be reused by a host of another cluster.
 func TestRowsOfAnotherClusterAreRefused(t *testing.T) {
 	f := NewFollower()
 	assert.NilError(t, f.SetFloor("c", 1))
--- a/table/fuzz_test.go
+++ b/table/fuzz_test.go
@@ -7,8 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// An operator sends any text as a table. It is refused, or what it is read as
-// can be written and read again as the same.
+// ReadTSV must refuse a text, or read rows that are the same after WriteTSV and ReadTSV.
 func FuzzReadTSV(f *testing.F) {
 	for _, text := range []string{
 		"pool\tlm\tslots=8\n", "service\ta\tkind=plain\tpool=lm\n", "# only a comment\n\n",
--- a/table/machine.go
+++ b/table/machine.go
@@ -8,26 +8,25 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Bounds of what the table remembers besides the rows in force.
+// Limits of what the table keeps besides the current rows.
 const (
-	// MaxEdits is how many answers are kept for resent edits: about two days at
-	// 22,000 edits a day. A resend that comes later is judged by its version.
+	// MaxEdits is the number of replies kept for edits that are sent again: about two days of edits
+	// at 22,000 a day. An edit sent again after that is decided by its base version.
 	MaxEdits = 50_000
-	// MaxVersions is how many earlier versions of one row are kept.
+	// MaxVersions is the number of earlier versions kept of one row.
 	MaxVersions = 50
-	// MaxHistory is how many earlier versions are kept in all: at least four days
-	// at 22,000 edits a day. With MaxEdits it bounds a replica's memory, its
-	// snapshots and the time of its start, however many edits there were.
+	// MaxHistory is the number of earlier versions kept of all rows: at least four days of edits at
+	// 22,000 a day. Together with MaxEdits it limits a replica's memory, its snapshots and its time
+	// to start.
 	MaxHistory = 100_000
-	// MaxTombstones is how many deleted rows are kept for watchers.
+	// MaxTombstones is the number of deleted rows kept for watchers.
 	MaxTombstones = 10_000
 )
 
 type rowID struct{ kind, key string }
 
-// Machine is the table as a state machine on the replicated log: every replica
-// applies the same edits in the same order and comes to the same rows. It is
-// not safe for use by several goroutines.
+// Machine is the table as a replicated state machine: every replica applies the same edits in the same
+// order and gets the same rows. It is not safe for concurrent use.
 type Machine struct {
 	revision  uint64
 	rows      map[rowID]*wire.Row
@@ -35,26 +34,29 @@
 	edits     map[string]storedEdit
 	editOrder []string
 	versions  map[rowID]int
-	deleted   []rowID
-	floor     uint64
-	// referenced counts the live rows that refer to a row.
+	// deleted has the deleted rows that are kept, oldest first; floor is the latest revision of one that
+	// was dropped. A watcher at an earlier revision needs a snapshot.
+	deleted []rowID
+	floor   uint64
+	// referenced counts, for each row, the rows that refer to it, without deleted ones.
 	referenced map[rowID]int
-	// unique maps a value that may stand in one row only to that row.
+	// unique maps each value that must be unique to the row that has it.
 	unique map[string]rowID
 }
 
-// NewMachine makes an empty table.
+// NewMachine returns an empty table.
 func NewMachine() *Machine {
 	m := &Machine{}
 	m.Restore(&wire.TableSnapshot{})
 	return m
 }
 
-// Revision is the log index of the latest accepted edit.
+// Revision returns the log index of the latest accepted edit.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// Check says what is wrong with an edit on its own: kinds, keys and columns. It
-// is made before an edit is proposed, so that a bad one never reaches the log.
+// Check checks the kinds, keys and columns of an edit, without reference to other rows. It returns the
+// reply to an invalid edit, or nil. Edits are checked before they are proposed, so that invalid ones
+// don't reach the log.
 func Check(e *wire.TableEdit) *wire.EditReply {
 	if r := checkShape(e); r != nil {
 		return r
@@ -70,7 +72,7 @@
 	return nil
 }
 
-// checkShape says what is wrong with an edit whatever the columns are.
+// checkShape checks an edit's ID, and that the edit has rows and none of them twice.
 func checkShape(e *wire.TableEdit) *wire.EditReply {
 	if e.EditId == "" || len(e.EditId) > 128 {
 		return invalid("", "edit_id", "1 to 128 characters are needed")
@@ -82,7 +84,7 @@
 	for _, r := range e.Rows {
 		id := rowID{r.Kind, r.Key}
 		if seen[id] {
-			return invalid(id.String(), "", "the row stands twice in the edit")
+			return invalid(id.String(), "", "the edit has the row twice")
 		}
 		seen[id] = true
 	}
@@ -103,26 +105,25 @@
 	return invalid(id.String(), "", err.Error())
 }
 
-// Stored returns the answer to an edit that was decided before, or nil. Only
-// accepted edits are stored: a conflict decided nothing, and the row in force
-// may have moved on.
+// Stored returns the reply to an edit that was accepted before, marked as replayed, or nil if there is
+// none. If the ID was used for another edit, it returns the reply to an invalid edit. Replies to
+// conflicts aren't stored, since the rows may have changed meanwhile.
 func (m *Machine) Stored(e *wire.TableEdit) *wire.EditReply {
 	s, ok := m.edits[e.EditId]
 	if !ok {
 		return nil
 	}
 	if s.digest != digestOf(e) {
-		return invalid("", "edit_id", "the ID was used for another edit")
+		return invalid("", "edit_id", "the ID was already used for another edit")
 	}
 	r := s.decode()
 	r.Replayed = true
 	return r
 }
 
-// Apply decides an edit at a log index. Columns are not checked again: they passed
-// Check before the edit was proposed. Releases differ in what they check, and a replica
-// that judged anew would refuse what another one accepted, or, reading its own log
-// after an upgrade, what it had accepted itself: an accepted row would revert.
+// Apply decides an edit at a log index. It doesn't repeat CheckRow, which differs between releases: a
+// replica of another release, or one that replays its log after an upgrade, would refuse an edit that
+// was accepted, and its rows would diverge.
 func (m *Machine) Apply(index uint64, e *wire.TableEdit) *wire.EditReply {
 	if r := m.Stored(e); r != nil {
 		return r
@@ -147,22 +148,22 @@
 	return reply
 }
 
-// conflicts compares versions. Of two edits based on the same version the log
-// orders one first; the other finds a version that has moved on.
+// findConflicts compares the base versions of an edit with the current ones. Of two edits with the
+// same base version, the one that is later in the log conflicts.
 func (m *Machine) conflicts(e *wire.TableEdit) *wire.EditReply {
-	var inForce []*wire.Row
+	var current []*wire.Row
 	for _, r := range e.Rows {
 		old := m.rows[rowID{r.Kind, r.Key}]
 		if m.versionOf(old) != r.BaseVersion && !(r.BaseVersion == 0 && old.GetDeleted()) {
-			inForce = append(inForce, currentOrMissing(old, r))
+			current = append(current, currentOrMissing(old, r))
 		}
 	}
-	if inForce == nil {
+	if current == nil {
 		return nil
 	}
 	return &wire.EditReply{
-		Status: wire.EditStatus_EDIT_STATUS_CONFLICT, Rows: inForce, Revision: m.revision,
-		Row: inForce[0].Kind + " " + inForce[0].Key, Detail: "the row has another version",
+		Status: wire.EditStatus_EDIT_STATUS_CONFLICT, Rows: current, Revision: m.revision,
+		Row: current[0].Kind + " " + current[0].Key, Detail: "the row has another version",
 	}
 }
 
@@ -196,7 +197,7 @@
 	return next
 }
 
-// put replaces a row and keeps the old version as history.
+// put replaces a row and adds its former version to the history.
 func (m *Machine) put(r *wire.Row) {
 	id := rowID{r.Kind, r.Key}
 	if old := m.rows[id]; old != nil {
@@ -219,7 +220,7 @@
 	m.editOrder = append(m.editOrder, e.EditId)
 }
 
-// Get returns the row in force, or nil.
+// Get returns the current row, or nil if there is none.
 func (m *Machine) Get(kind, key string) *wire.Row {
 	r := m.rows[rowID{kind, key}]
 	if r == nil || r.Deleted {
@@ -228,8 +229,7 @@
 	return r
 }
 
-// Rows returns the rows in force of a kind, or of all kinds if it is empty,
-// sorted by kind and key.
+// Rows returns the current rows of a kind, or of all kinds if kind is empty, sorted by kind and key.
 func (m *Machine) Rows(kind string) []*wire.Row {
 	var list []*wire.Row
 	for _, r := range m.rows {
@@ -250,8 +250,9 @@
 	})
 }
 
-// Since returns what changed after a revision, deleted rows included, or the
-// whole table when that is no longer known.
+// Since returns the rows changed after a revision, including deleted ones. If revision is 0, above the
+// table's, or so old that deletions after it are no longer known, it returns all current rows and sets
+// snapshot.
 func (m *Machine) Since(revision uint64) (rows []*wire.Row, snapshot bool) {
 	if revision == 0 || revision < m.floor || revision > m.revision {
 		return m.Rows(""), true
--- a/table/past.go
+++ b/table/machine_encoding.go
@@ -9,11 +9,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// What is kept for the rare question (a row's history, an edit sent again) is
-// kept encoded. As messages with maps, 100,000 of each took four times the
-// memory, and each start and snapshot the time to build them.
-
-// pastRow is an earlier version of a row.
+// historyRow is an earlier version of a row. It is kept encoded: decoded messages with maps take
+// several times the memory, and would have to be built at each start.
 type pastRow struct {
 	id      rowID
 	encoded []byte
@@ -36,8 +33,8 @@
 	rowKeyField  = 2
 )
 
-// readRowID reads only the kind and key of an encoded row. Equal ones share
-// their text.
+// decodeRowID decodes only the kind and key of an encoded row. Equal IDs share their text through
+// known.
 func readRowID(b []byte, known map[rowID]rowID) rowID {
 	var id rowID
 	for len(b) > 0 {
@@ -67,10 +64,10 @@
 	return id
 }
 
-// editDigest tells two edits apart.
+// editDigest distinguishes edits with the same ID.
 type editDigest [16]byte
 
-// storedEdit is the answer to an edit, kept for resends.
+// storedEdit is the encoded reply to an accepted edit, kept for when the edit is sent again.
 type storedEdit struct {
 	digest editDigest
 	reply  []byte
--- a/table/past_test.go
+++ b/table/machine_encoding_test.go
@@ -10,8 +10,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A replica starts again from its snapshot. A row's earlier versions and the
-// answers to edits that are sent again are those from before the start.
+// A row's history and the replies to edits sent again are the same after a restart from a snapshot.
 func TestRestartKeepsHistoryAndAnswers(t *testing.T) {
 	m := NewMachine()
 	var edits []*wire.TableEdit
--- a/table/machine_history.go
+++ b/table/machine_history.go
@@ -4,7 +4,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// trim keeps the bounds; every replica trims alike.
+// trim enforces the limits. It is deterministic, so that all replicas keep the same.
 func (m *Machine) trim() {
 	for len(m.editOrder) > MaxEdits {
 		delete(m.edits, m.editOrder[0])
@@ -21,8 +21,8 @@
 	}
 }
 
-// trimHistory drops versions beyond the bounds once a tenth more has gathered,
-// so that the cost is spread over many edits.
+// trimHistory drops versions beyond the limits. It does so only once the history exceeds its limit by
+// a tenth, or a row its own twofold, so that the cost is spread over many edits.
 func (m *Machine) trimHistory() {
 	if len(m.history) < MaxHistory+MaxHistory/10 && !m.overVersions() {
 		return
@@ -47,9 +47,9 @@
 	return m.versions[last.id] > 2*MaxVersions
 }
 
-// History returns the versions of a row that are kept, newest first, the one in
-// force included; only the one in force at a revision if it isn't 0.
-func (m *Machine) History(kind, key string, at uint64) []*wire.Row {
+// History returns the kept versions of a row, newest first, including the current one. If atRevision
+// isn't 0, it returns only the version that was in force at that revision.
+func (m *Machine) History(kind, key string, atRevision uint64) []*wire.Row {
 	var list []*wire.Row
 	if r := m.rows[rowID{kind, key}]; r != nil {
 		list = append(list, r)
@@ -59,11 +59,11 @@
 			list = append(list, h.decode())
 		}
 	}
-	if at == 0 {
+	if atRevision == 0 {
 		return list
 	}
 	for _, r := range list {
-		if r.Revision <= at {
+		if r.Revision <= atRevision {
 			return []*wire.Row{r}
 		}
 	}
--- a/table/machine_snapshot.go
+++ b/table/machine_snapshot.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-// Restore replaces the whole state.
+// Restore replaces the whole state with that of a snapshot.
 func (m *Machine) Restore(s *wire.TableSnapshot) {
 	*m = Machine{
 		revision: s.GetRevision(), floor: s.GetFloor(),
--- a/table/machine_test.go
+++ b/table/machine_test.go
@@ -47,8 +47,7 @@
 	return m
 }
 
-// decide is what becomes of an operator's edit: it is checked where it comes in, and
-// then applied.
+// checkAndApply checks and applies an edit, as it is done for operators.
 func decide(m *Machine, index uint64, e *wire.TableEdit) *wire.EditReply {
 	if r := Check(e); r != nil {
 		return r
@@ -56,9 +55,8 @@
 	return m.Apply(index, e)
 }
 
-// An operator's edit is accepted, and the host is upgraded to a release that would
-// refuse such a column. When the replica reads its log the edit is accepted again: the
-// row stays in force.
+// A release with stricter column checks must accept the edits in its log that an earlier release has
+// accepted.
 func TestAcceptedEditOutlivesItsColumnCheck(t *testing.T) {
 	m := filled(t)
 	e := edit("before", row(KindPool, "old", 0, "slots=0", "column_of_old=1"))
@@ -68,8 +66,7 @@
 	assert.Equal(t, m.Get(KindPool, "old").Columns["column_of_old"], "1")
 }
 
-// A bad edit is refused with the column and what is wrong with it, and changes
-// nothing.
+// An invalid edit is refused with its column and the reason, and changes nothing.
 func TestBadEditsNameTheirColumn(t *testing.T) {
 	for _, c := range []struct {
 		name, column, detail string
@@ -129,13 +126,11 @@
 	assert.Equal(t, len(m.History(KindLimit, "growers/pushpa-lm", 4)), 0)
 }
 
-// naive is the table as one would write it without versions on a log: the
-// machine must agree with it on every accepted row.
+// referenceTable has the slots column of each pool, without versions.
 type naive map[string]string
 
-// Operators edit at random, resend, race with equal versions; the replica is
-// replaced by one restored from a snapshot at random moments; an entry follows
-// with gaps. Machine, restored machine, follower and the naive table agree.
+// With random edits, resends, conflicts, restarts from snapshots and gaps in the watch, machine and
+// follower must have the rows of the reference table.
 func TestMachineAgreesWithANaiveTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, ref, f := NewMachine(), naive{}, NewFollower()
--- a/table/references.go
+++ b/table/references.go
@@ -7,7 +7,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// references lists the rows that a row can't do without.
+// references returns the rows that must exist for a row to be valid.
 func references(r *wire.Row) []rowID {
 	switch r.Kind {
 	case KindService, KindGroup:
@@ -23,8 +23,7 @@
 	return nil
 }
 
-// uniques lists the values of a row that no other row may have: a bearer key
-// or a model name in two rows would make the choice between them an accident.
+// uniqueValues returns the values of a row that no other row may have: bearer keys and names of models.
 func uniques(r *wire.Row) []string {
 	var values []string
 	switch {
@@ -44,8 +43,8 @@
 	return values
 }
 
-// checkReferences judges the rows as they would be after the whole edit, so
-// that one edit may bring a pool and the service that needs it.
+// checkReferences checks the rows as they would be after the whole edit, so that one edit can add both
+// a pool and a service that refers to it.
 func (m *Machine) checkReferences(next []*wire.Row) *wire.EditReply {
 	after := map[rowID]*wire.Row{}
 	for _, r := range next {
@@ -58,11 +57,11 @@
 		old := m.rows[id]
 		return old != nil && !old.Deleted
 	}
-	lost := map[rowID]int{}
+	removed := map[rowID]int{}
 	for _, r := range next {
 		if old := m.rows[rowID{r.Kind, r.Key}]; old != nil && !old.Deleted {
 			for _, ref := range references(old) {
-				lost[ref]++
+				removed[ref]++
 			}
 		}
 	}
@@ -70,7 +69,7 @@
 	for _, r := range next {
 		id := rowID{r.Kind, r.Key}
 		if r.Deleted {
-			if m.referenced[id]-lost[id] > 0 {
+			if m.referenced[id]-removed[id] > 0 {
 				return invalid(id.String(), "", "other rows refer to it")
 			}
 			continue
@@ -98,7 +97,7 @@
 			}
 		}
 		if ok && holder != id {
-			return invalid(id.String(), "", "the same "+strings.Fields(v)[0]+" stands in "+holder.String())
+			return invalid(id.String(), "", "the same "+strings.Fields(v)[0]+" is in "+holder.String())
 		}
 		taken[v] = id
 	}
--- a/table/schema.go
+++ b/table/schema.go
@@ -21,10 +21,10 @@
 	KindGroup   = "group"
 )
 
-// ColumnKeySHA256 holds digests of a team's bearer keys; it is not shown to callers.
+// ColumnKeySHA256 is the column with the digests of a team's bearer keys, which callers must not see.
 const ColumnKeySHA256 = "key_sha256"
 
-// Errors of this layer.
+// Errors of row checks.
 var (
 	ErrUnknownKind   = merry.Sentinel("unknown row kind")
 	ErrUnknownColumn = merry.Sentinel("unknown column")
@@ -33,12 +33,12 @@
 	ErrReference     = merry.Sentinel("row refers to a row that does not exist")
 )
 
-// Column describes one column of a kind.
+// Column describes a column of a kind of rows.
 type Column struct {
 	Name string
-	// Default stands in for an empty cell.
+	// Default applies to an empty cell.
 	Default string
-	// Unit is empty for plain text, else e.g. "ms" or "requests/s".
+	// Unit is for example "ms" or "requests/s"; empty for plain text.
 	Unit string
 	Doc  string
 	// check returns what is wrong with a cell, or "".
@@ -97,7 +97,7 @@
 
 var priorities = oneOf("urgent", "normal", "batch")
 
-// Schema lists the columns of each kind, in the order operators see them.
+// Schema has the columns of each kind, in the order in which operators see them.
 var Schema = map[string][]Column{
 	KindTeam: {
 		{Name: ColumnKeySHA256, Doc: "digests of the team's bearer keys", check: sha256List},
@@ -146,7 +146,7 @@
 	},
 }
 
-// Kinds returns the row kinds, sorted.
+// Kinds returns the kinds of rows, sorted.
 func Kinds() []string {
 	kinds := make([]string, 0, len(Schema))
 	for k := range Schema {
@@ -156,7 +156,7 @@
 	return kinds
 }
 
-// ColumnError says which cell is wrong and why.
+// ColumnError names an invalid cell and what is wrong with it.
 type ColumnError struct {
 	Kind, Key, Column, Detail string
 }
@@ -165,10 +165,10 @@
 	return e.Kind + " " + strconv.Quote(e.Key) + ": column " + e.Column + ": " + e.Detail
 }
 
-// Unwrap makes errors.Is(err, ErrInvalidColumn) hold.
+// Unwrap returns ErrInvalidColumn.
 func (e *ColumnError) Unwrap() error { return ErrInvalidColumn }
 
-// CheckRow checks the key and each cell of a row, without references.
+// CheckRow checks the key and the cells of a row, but not whether the rows that it refers to exist.
 func CheckRow(kind, key string, columns map[string]string) error {
 	cols, ok := Schema[kind]
 	if !ok {
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// checkSlots: a rank holds an expert once in a layer, so it can't have more slots
-// than there are experts; no map would fit such a group.
+// checkSpareSlots checks that a rank has no more slots than there are experts: a rank holds an expert
+// only once per layer, so no placement could fill the slots.
 func checkSlots(key string, c cells) error {
 	ranks, experts := c.int("ranks"), c.int("experts")
 	if (experts+ranks-1)/ranks+c.int("spare_slots") <= experts {
@@ -216,8 +216,8 @@
 	}
 }
 
-// checkClaimTTL: registers must remember a key for at least twice as long as a
-// request may run, or a resend could run beside the first sending.
+// checkClaimTTL checks that idempotency keys are remembered for at least twice as long as a request may
+// run. Otherwise a request that is sent again could run beside the first one.
 func checkClaimTTL(key string, c cells) error {
 	if c.yes("idempotent") || c.millis("claim_ttl_ms") >= 2*c.millis("timeout_ms") {
 		return nil
@@ -232,8 +232,8 @@
 	if key == "" || len(key) > 128 || strings.ContainsAny(key, "\t\r\n\" ") {
 		return merry.Prependf(ErrInvalidKey, "%s %q: 1 to 128 characters without blanks", kind, key)
 	}
-	// A dot as a part of a key would be taken out of the row's path by HTTP
-	// libraries: an order for the row would go to another path.
+	// HTTP libraries remove parts that are dots from a path, so a request for such a row would go to
+	// another path.
 	for part := range strings.SplitSeq(key, "/") {
 		if part == "" || part == "." || part == ".." {
 			return merry.Prependf(ErrInvalidKey, "%s %q: its parts must not be empty or dots", kind, key)
--- a/table/seed_test.go
+++ b/table/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// A fixed seed gives the same verdict on every run; -rapid.seed tries others.
+// Rapid tests use a fixed seed, so that each run gives the same result; -rapid.seed sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/table/tsv.go
+++ b/table/tsv.go
@@ -11,11 +11,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrTSV is returned for text that is not a table.
+// ErrTSV is returned for text that isn't a table, and for rows that can't be written.
 var ErrTSV = merry.Sentinel("table text is malformed")
 
-// ReadTSV reads rows as tab-separated lines: kind, key, then column=value
-// cells. Empty lines and lines that start with # are skipped.
+// ReadTSV reads and checks rows from tab-separated lines: kind, key, then cells as column=value. It
+// skips empty lines and lines that start with #.
 func ReadTSV(r io.Reader) ([]*wire.Row, error) {
 	cr := csv.NewReader(r)
 	cr.Comma = '\t'
@@ -61,7 +61,7 @@
 	return row, nil
 }
 
-// WriteTSV writes rows in the form that ReadTSV reads, sorted by kind and key.
+// WriteTSV writes rows in the form that ReadTSV reads, sorted by kind and key and without deleted rows.
 func WriteTSV(w io.Writer, rows []*wire.Row) error {
 	sorted := append([]*wire.Row(nil), rows...)
 	sort.Slice(sorted, func(i, j int) bool {
--- a/table/view.go
+++ b/table/view.go
@@ -13,8 +13,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Source names the row and version that a typed value comes from, so that a
-// refusal can name what decided it.
+// Source identifies the version of the row from which a typed value was made, so that a refusal can
+// name the row that caused it.
 type Source struct {
 	Kind, Key         string
 	Version, Revision uint64
@@ -54,7 +54,7 @@
 	UrgentPercent int
 }
 
-// Limit is a typed limit row; zero values mean no limit.
+// Limit is a typed limit row; 0 means no limit.
 type Limit struct {
 	Source
 	Requests   float64
@@ -94,8 +94,7 @@
 	byKey    map[[sha256.Size]byte]*Team
 }
 
-// NewView checks rows and builds their typed view. Rows marked deleted are
-// left out.
+// NewView checks rows and returns their view. Deleted rows are left out.
 func NewView(revision uint64, rows []*wire.Row) (*View, error) {
 	v := &View{
 		Revision: revision,
@@ -130,8 +129,7 @@
 	return nil
 }
 
-// cells reads the checked text of one row; a cell that was checked can't fail
-// to parse.
+// cells parses the cells of a row that has passed CheckRow, so that parsing can't fail.
 type cells struct{ row *wire.Row }
 
 func (c cells) text(name string) string {
@@ -162,7 +160,7 @@
 	return time.Duration(c.int(name)) * time.Millisecond
 }
 
-// ParsePriority returns the priority that a word names, or unspecified.
+// ParsePriority returns the priority with a name, or PRIORITY_UNSPECIFIED.
 func ParsePriority(word string) wire.Priority {
 	switch word {
 	case "urgent":
@@ -289,9 +287,8 @@
 	return merry.Wrap(err, merry.WithCause(ErrReference))
 }
 
-// TeamByKey finds the team of a bearer key. The digest is looked up, and then
-// compared in constant time: a map look-up alone could tell, by its time, how
-// much of a digest was right.
+// TeamByKey returns the team of a bearer key, or nil. The digest that is found is compared once more in
+// constant time, so that the time of the lookup doesn't reveal how much of a digest matches.
 func (v *View) TeamByKey(key string) *Team {
 	digest := sha256.Sum256([]byte(key))
 	t := v.byKey[digest]
@@ -306,11 +303,11 @@
 	return nil
 }
 
-// ServiceByModel finds the engine service that serves a model, or nil.
+// ServiceByModel returns the engine service that serves a model, or nil.
 func (v *View) ServiceByModel(model string) *Service { return v.byModel[model] }
 
-// Limit returns the limit row for a team and service, the team's row for all
-// services if there is none, or nil.
+// Limit returns the limit of a team at a service: the row for the pair, or else the team's row for all
+// services, or nil.
 func (v *View) Limit(team, service string) *Limit {
 	if l := v.limits[team+"/"+service]; l != nil {
 		return l
@@ -318,7 +315,7 @@
 	return v.limits[team+"/*"]
 }
 
-// Weight returns the team's weight at a service, 1 if no row says otherwise.
+// Weight returns the weight of a team at a service, which is 1 if no row sets it.
 func (v *View) Weight(team, service string) int {
 	if w := v.weights[team+"/"+service]; w != nil {
 		return w.Weight
--- a/table/viewchange.go
+++ b/table/viewchange.go
@@ -7,9 +7,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// With returns the view after some rows were changed or deleted; of several with
-// one key the last counts. Maps that no changed row touches are shared with v,
-// which stays as it is: requests in progress go on reading it.
+// With returns the view with some rows changed or deleted; of several rows with the same kind and key
+// the last one counts. v doesn't change, since requests in progress read it; it shares the maps of
+// unchanged kinds with the new view.
 func (v *View) With(revision uint64, rows []*wire.Row) (*View, error) {
 	last := map[rowID]*wire.Row{}
 	for _, r := range rows {
@@ -18,8 +18,8 @@
 	next := *v
 	next.Revision = revision
 	next.unshare(last)
-	// All old values go before a new one comes: an edit may move a bearer key
-	// from one team to another, and the old row's end must not take it along.
+	// All old values are removed before new ones are added: if an edit moves a bearer key from one team
+	// to another, removing the old row later would remove the key of the new one.
 	for id := range last {
 		next.remove(id)
 	}
@@ -34,7 +34,7 @@
 	return &next, nil
 }
 
-// unshare copies the maps that the changed rows are going to touch.
+// cloneChanged clones the maps that the changed rows affect.
 func (v *View) unshare(changed map[rowID]*wire.Row) {
 	touched := map[string]bool{}
 	for id := range changed {
@@ -103,8 +103,8 @@
 	delete(v.Services, name)
 }
 
-// checkChanged checks what the changed rows refer to. Only where a row is gone
-// that others may refer to, all are checked.
+// checkChanged checks the references of the changed rows. If a row was deleted that others may refer
+// to, it checks the references of all rows.
 func (v *View) checkChanged(changed map[rowID]*wire.Row) error {
 	for id, r := range changed {
 		if r.Deleted && slices.Contains([]string{KindTeam, KindService, KindPool}, id.kind) {
--- a/table/viewchange_test.go
+++ b/table/viewchange_test.go
@@ -13,11 +13,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// An edit changes a few of many rows, and the entry builds its view out of the
-// one before. If a row were left over or lost there, a team's old key would go on
-// to work, or its new limit would not hold, until the entry's next start. The full
-// build of the same rows is the oracle: views, and refusals of rows that refer to
-// none, are the same after every update, and the views before stay as they were.
+// A view built from changes must equal the full build of the same rows, and earlier views must not
+// change. Otherwise a team's old key could stay valid, or a new limit not apply, until a restart.
 func TestViewOfChangesIsTheViewOfAllRows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFollower()
@@ -52,7 +49,7 @@
 	})
 }
 
-// firstRows are a team, service and pool of each name.
+// initialRows returns three teams, services and pools.
 func firstRows(rev uint64) (rows []*wire.Row) {
 	for i := range 3 {
 		rows = append(rows,
@@ -72,7 +69,7 @@
 	return &wire.Row{Kind: KindService, Key: name, Revision: rev, Columns: map[string]string{"kind": "engine", "pool": pool, "models": model}}
 }
 
-// sharedValue says whether after an update a key or model would stand in two rows.
+// hasDuplicate reports whether a key or model would be in two rows after an update.
 func sharedValue(f *Follower, u *wire.TableUpdate) bool {
 	after := map[rowID]*wire.Row{}
 	if !u.Snapshot {
