--- a/logread/ended.go
+++ b/logread/ended.go
@@ -11,8 +11,8 @@
 // msgEnded is the message that gateways log when a request has ended.
 const msgEnded = "Request ended."
 
-// heldFor is the time at the gateway from which a refusal counts as one after waiting.
-const heldFor = 100 * time.Millisecond
+// waitedThreshold is the time at the gateway from which a refusal counts as one after waiting.
+const waitedThreshold = 100 * time.Millisecond
 
 // Cause classifies the outcome of a request. Its text is what tables show.
 type Cause string
@@ -41,8 +41,8 @@
 // Reasons of the gateway other than refusals. With failureReasons the request was sent to an upstream;
 // callerErrorReasons are the caller's fault.
 var (
-	failures = []string{"in-doubt", "timeout", "stream-broken-off", "last-trial"}
-	improper = []string{"no-route", "unknown-key", "bad-request", "header-too-large", "body-too-large"}
+	failureReasons     = []string{"in-doubt", "timeout", "stream-broken-off", "last-trial"}
+	callerErrorReasons = []string{"no-route", "unknown-key", "bad-request", "header-too-large", "body-too-large"}
 )
 
 // Ended is the outcome of a request at a gateway, as its line reports it.
@@ -99,7 +99,7 @@
 }
 
 // earlierAttemptsTook returns the duration of the attempts before the last one.
-func (e *Ended) earlier() (sum time.Duration) {
+func (e *Ended) earlierAttemptsTook() (sum time.Duration) {
 	for _, a := range e.attempts[:max(len(e.attempts)-1, 0)] {
 		sum += a.took
 	}
@@ -110,35 +110,35 @@
 func (e *Ended) Cause() Cause {
 	switch {
 	case e.Reason != "":
-		return e.notAnswered()
+		return e.unansweredCause()
 	case e.Status >= 500:
 		return UpstreamFailed
 	case e.late == "pause":
 		return LatePause
 	case e.late != "":
-		return e.lateFirst()
+		return e.lateFirstEventCause()
 	}
 	return InTime
 }
 
 // unansweredCause returns the cause of a request for which no upstream's answer was passed on.
-func (e *Ended) notAnswered() Cause {
+func (e *Ended) unansweredCause() Cause {
 	switch {
 	case e.Reason == "caller-gone":
 		return CallerLeft
-	case slices.Contains(failures, e.Reason):
+	case slices.Contains(failureReasons, e.Reason):
 		return Cause("failed: " + e.Reason)
-	case slices.Contains(improper, e.Reason):
+	case slices.Contains(callerErrorReasons, e.Reason):
 		return Cause("not allowed: " + e.Reason)
-	case e.Took >= heldFor:
+	case e.Took >= waitedThreshold:
 		return Cause("refused after waiting: " + e.Reason)
 	}
 	return Cause("refused: " + e.Reason)
 }
 
 // lateFirstEventCause returns what took most of the time to a late first event.
-func (e *Ended) lateFirst() Cause {
-	earlier := e.earlier()
+func (e *Ended) lateFirstEventCause() Cause {
+	earlier := e.earlierAttemptsTook()
 	cause, longest := LateUpstream, e.FirstEvent-e.Waited-earlier
 	for _, part := range []struct {
 		cause Cause
@@ -163,17 +163,17 @@
 	case LateCameBack:
 		return fmt.Sprintf("Late by its first event: its caller had sent it first %v before it came to this gateway.", e.Age)
 	case LateEarlier:
-		return fmt.Sprintf("Late by its first event, after %v; earlier attempts took %v of that.", e.FirstEvent, e.earlier())
+		return fmt.Sprintf("Late by its first event, after %v; earlier attempts took %v of that.", e.FirstEvent, e.earlierAttemptsTook())
 	case LateUpstream:
 		return fmt.Sprintf("Late by its first event, after %v; the upstream %s took most of that.", e.FirstEvent, e.lastUpstream())
 	case UpstreamFailed:
 		return fmt.Sprintf("The upstream %s answered with %d.", e.lastUpstream(), e.Status)
 	default:
-		return e.unanswered(cause)
+		return e.unansweredSentence(cause)
 	}
 }
 
-func (e *Ended) unanswered(cause Cause) string {
+func (e *Ended) unansweredSentence(cause Cause) string {
 	text := fmt.Sprintf("Ended with %d after %v; %s", e.Status, e.Took, cause)
 	switch {
 	case e.Why != "":
--- a/logread/line.go
+++ b/logread/line.go
@@ -16,7 +16,7 @@
 var ErrRead = merry.Sentinel("log can't be read")
 
 // maxLineBytes limits the length of a line. Lines with a state dump have some kilobytes.
-const longestLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // Line is a line of a log.
 type Line struct {
@@ -56,7 +56,7 @@
 // empty ones. Read returns ErrRead if reading fails or a line is too long.
 func Read(source string, r io.Reader, f func(Line)) (skipped int, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, longestLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		if l, ok := parse(source, s.Text()); ok {
 			f(l)
@@ -76,13 +76,13 @@
 	d := logfmt.NewDecoder(strings.NewReader(text))
 	for d.ScanRecord() {
 		for d.ScanKeyval() {
-			l.take(string(d.Key()), string(d.Value()))
+			l.setField(string(d.Key()), string(d.Value()))
 		}
 	}
 	return l, d.Err() == nil && !l.At.IsZero() && l.Msg != ""
 }
 
-func (l *Line) take(key, value string) {
+func (l *Line) setField(key, value string) {
 	switch key {
 	case "ts":
 		at, err := time.Parse(time.RFC3339Nano, value)
--- a/logread/logread_test.go
+++ b/logread/logread_test.go
@@ -11,16 +11,16 @@
 	"github.com/snipereach/snipereach/logread"
 )
 
-const head = `ts=2026-03-01T10:00:01.5Z level=info part=gateway `
+const linePrefix = `ts=2026-03-01T10:00:01.5Z level=info part=gateway `
 
-func read(t *testing.T, text string) (lines []logread.Line, skipped int) {
+func readLines(t *testing.T, text string) (lines []logread.Line, skipped int) {
 	skipped, err := logread.Read("a.log", strings.NewReader(text), func(l logread.Line) { lines = append(lines, l) })
 	assert.NilError(t, err)
 	return lines, skipped
 }
 
-func ended(t *testing.T, rest string) logread.Ended {
-	lines, _ := read(t, head+`msg="Request ended." `+rest)
+func parseEnded(t *testing.T, rest string) logread.Ended {
+	lines, _ := readLines(t, linePrefix+`msg="Request ended." `+rest)
 	assert.Equal(t, len(lines), 1, rest)
 	e, ok := logread.ParseEnded(&lines[0])
 	assert.Assert(t, ok)
@@ -28,9 +28,9 @@
 }
 
 // A log may have text of a collector before each line, output of a crash, and empty lines.
-func TestOnlyLinesOfProcessesAreRead(t *testing.T) {
-	lines, skipped := read(t, "   1.2 gw-1 "+head+"msg=Started. id=gw-1\n\npanic: runtime error\n\tgoroutine 1 [running]:\n"+head+
-		"msg=\"half a line\n"+head+`msg="Replica was late." late_ms=265 text="a b=\"c\""`)
+func TestReadSkipsForeignLines(t *testing.T) {
+	lines, skipped := readLines(t, "   1.2 gw-1 "+linePrefix+"msg=Started. id=gw-1\n\npanic: runtime error\n\tgoroutine 1 [running]:\n"+linePrefix+
+		"msg=\"half a line\n"+linePrefix+`msg="Replica was late." late_ms=265 text="a b=\"c\""`)
 	assert.Equal(t, len(lines), 2)
 	assert.Equal(t, skipped, 3)
 	assert.Equal(t, lines[0].Msg, "Started.")
@@ -44,14 +44,14 @@
 	assert.Assert(t, !ok)
 }
 
-func TestLineWithoutEndIsAnError(t *testing.T) {
+func TestReadFailsOnOverlongLine(t *testing.T) {
 	_, err := logread.Read("big.log", strings.NewReader(strings.Repeat("x", 2<<20)), func(logread.Line) {})
 	assert.ErrorIs(t, err, logread.ErrRead)
 	assert.ErrorContains(t, err, "big.log")
 }
 
 // Every kind of outcome must have the cause and sentence that tell an operator what took the time.
-func TestCauseOfARequest(t *testing.T) {
+func TestCauseAndSentence(t *testing.T) {
 	for _, c := range []struct {
 		line     string
 		cause    logread.Cause
@@ -94,7 +94,7 @@
 		{"status=404 reason=no-route took_ms=0 attempts=", "not allowed: no-route", "Ended with 404 after 0s; not allowed: no-route; it was sent to no upstream."},
 		{"status=0 reason=caller-gone took_ms=120 attempts=u-1:caller-gone:0:120", logread.CallerLeft, "Ended with 0 after 120ms; caller left."},
 	} {
-		e := ended(t, c.line)
+		e := parseEnded(t, c.line)
 		assert.Equal(t, e.Cause(), c.cause, c.line)
 		assert.Equal(t, e.Sentence(), c.sentence)
 	}
@@ -106,7 +106,7 @@
 	for i, rest := range []string{
 		"status=200 reason= took_ms=1 attempts=u:answered:200:1 lines_left_out=7", "status=503 reason=draining took_ms=1 attempts=", "status=503 reason=draining took_ms=1 attempts=",
 	} {
-		e := ended(t, rest)
+		e := parseEnded(t, rest)
 		e.At = at.Add(time.Duration(i) * 1500 * time.Millisecond)
 		s.Add(&e)
 	}
@@ -120,9 +120,9 @@
 }
 
 // Each line of any text must be either read or counted, and each ended request have a cause.
-func TestAnyTextIsReadOrCounted(t *testing.T) {
+func TestReadAccountsForEveryLine(t *testing.T) {
 	part := rapid.SampledFrom([]string{
-		head, `msg="Request ended." `, "status=200 ", "status=x ", "reason=upstreams-busy ", "attempts=a:b ", "attempts=:::,, ", "late=first-event ",
+		linePrefix, `msg="Request ended." `, "status=200 ", "status=x ", "reason=upstreams-busy ", "attempts=a:b ", "attempts=:::,, ", "late=first-event ",
 		"first_event_ms=-5 ", `why="`, "\"", "= ", "took_ms=99999999999999999999 ", "age_ms=3 ", "\x00", "é ",
 	})
 	rapid.Check(t, func(t *rapid.T) {
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -46,20 +46,20 @@
 
 // BenchmarkLearnMassCrash measures how long a replica takes to learn of all requests that ran at a
 // group that is lost, with and without requests in quarantine. Heartbeats wait meanwhile.
-func BenchmarkFlood(b *testing.B) {
+func BenchmarkLearnMassCrash(b *testing.B) {
 	from := NewTable(DefaultSettings())
 	var list []*wire.Suspicion
 	for i := range 1920 {
 		s := subject(fmt.Sprint("team-", i%24), fmt.Sprint(i))
-		from.Ended(start, s, run(fmt.Sprint("up-", i/10), start))
-		list = append(list, from.message(start, from.records[s.Key]))
+		from.Ended(start, s, crashedRun(fmt.Sprint("up-", i/10), start))
+		list = append(list, from.toSuspicion(start, from.records[s.Key]))
 	}
 	for _, quarantined := range []int{0, 64} {
 		b.Run(fmt.Sprint(quarantined), func(b *testing.B) {
 			for b.Loop() {
 				tb := NewTable(DefaultSettings())
 				for i := range quarantined {
-					endThree(tb, subject("bad", fmt.Sprint(i)), start)
+					crashThree(tb, subject("bad", fmt.Sprint(i)), start)
 				}
 				for _, m := range list {
 					tb.Learn(start, m)
--- a/quarantine/eviction.go
+++ b/quarantine/eviction.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// recordFor returns the record of a request. If there is none it creates one, which may evict
-// others.
-func (t *Table) record(now time.Time, s Subject) *record {
+// recordFor returns the record of a request. If there is none it creates one, which may evict others.
+func (t *Table) recordFor(now time.Time, s Subject) *record {
 	r := t.records[s.Key]
 	if r != nil {
 		return r
 	}
-	t.makeRoom(now, s.Team)
+	t.evictIfFull(now, s.Team)
 	r = &record{Subject: s}
 	t.records[s.Key] = r
 	t.hints[s.Hint]++
@@ -23,39 +22,39 @@
 
 // evictIfFull makes room for one more record of a team. It evicts many records at once, because each
 // eviction scans the whole table.
-func (t *Table) makeRoom(now time.Time, team string) {
+func (t *Table) evictIfFull(now time.Time, team string) {
 	if t.teams[team] < t.settings.MostOfTeam && len(t.records) < t.settings.Most {
 		return
 	}
 	t.Forget(now)
 	switch {
 	case t.teams[team] >= t.settings.MostOfTeam:
-		t.dropWeakest(now, team, t.settings.MostOfTeam/roomParts)
+		t.evictWeakest(now, team, t.settings.MostOfTeam/evictionDivisor)
 	case len(t.records) >= t.settings.Most:
-		t.dropWeakest(now, t.largestTeam(), t.settings.MostOfTeam/roomParts)
+		t.evictWeakest(now, t.largestTeam(), t.settings.MostOfTeam/evictionDivisor)
 	}
 }
 
 // evictionDivisor divides MostOfTeam into the number of records that are evicted at once.
-const roomParts = 16
+const evictionDivisor = 16
 
 // Forget drops the records of requests that are not suspected, have no copy in flight and were not
 // cleared within ClearedFor.
 func (t *Table) Forget(now time.Time) {
 	for _, r := range t.records {
-		if t.standing(now, r) == Free && !t.isCleared(now, r) && r.running == 0 {
-			t.drop(r)
+		if t.standing(now, r) == Free && !t.clearedRecently(now, r) && r.inFlight == 0 {
+			t.dropRecord(r)
 		}
 	}
 }
 
 // clearedRecently reports whether a request was cleared within ClearedFor, while peers are told of
 // it.
-func (t *Table) isCleared(now time.Time, r *record) bool {
+func (t *Table) clearedRecently(now time.Time, r *record) bool {
 	return !r.clearedAt.IsZero() && now.Sub(r.clearedAt) <= t.settings.ClearedFor
 }
 
-func (t *Table) drop(r *record) {
+func (t *Table) dropRecord(r *record) {
 	delete(t.records, r.Key)
 	delete(t.everQuarantined, r.Key)
 	if t.hints[r.Hint]--; t.hints[r.Hint] == 0 {
@@ -79,25 +78,25 @@
 // evictWeakest evicts up to n records of a team, those with the least held against them first and
 // the oldest first among equals. Evicting by team keeps a team that sends many poison requests from
 // displacing the records of other teams.
-func (t *Table) dropWeakest(now time.Time, team string, n int) {
+func (t *Table) evictWeakest(now time.Time, team string, n int) {
 	var list []*record
 	for _, r := range t.records {
 		if r.Team == team {
 			list = append(list, r)
 		}
 	}
-	slices.SortFunc(list, func(a, b *record) int { return t.compare(now, a, b) })
+	slices.SortFunc(list, func(a, b *record) int { return t.compareForEviction(now, a, b) })
 	for _, r := range list[:min(n, len(list))] {
-		t.drop(r)
+		t.dropRecord(r)
 	}
 }
 
 // compareForEviction orders records by standing, number of crashes, and time of the last crash.
-func (t *Table) compare(now time.Time, a, b *record) int {
+func (t *Table) compareForEviction(now time.Time, a, b *record) int {
 	return cmp.Or(
 		cmp.Compare(t.standing(now, a), t.standing(now, b)),
 		cmp.Compare(len(a.runs), len(b.runs)),
-		a.lastEnd.Compare(b.lastEnd),
+		a.lastCrash.Compare(b.lastCrash),
 		slices.Compare(a.Key[:], b.Key[:]),
 	)
 }
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -46,7 +46,7 @@
 func (r *Request) Hint() Hint {
 	h := xxhash.New()
 	var size [8]byte
-	for _, part := range r.texts() {
+	for _, part := range r.hashedTexts() {
 		binary.LittleEndian.PutUint64(size[:], uint64(len(part)))
 		_, _ = h.Write(size[:])
 		_, _ = h.WriteString(part)
@@ -61,7 +61,7 @@
 func (r *Request) Key() Key {
 	h := sha256.New()
 	var size [8]byte
-	for _, part := range r.texts() {
+	for _, part := range r.hashedTexts() {
 		binary.LittleEndian.PutUint64(size[:], uint64(len(part)))
 		h.Write(size[:])
 		h.Write([]byte(part))
@@ -77,4 +77,4 @@
 	return Subject{Key: r.Key(), Hint: r.Hint(), Team: r.Team, Route: route}
 }
 
-func (r *Request) texts() [4]string { return [4]string{r.Team, r.Method, r.Host, r.URI} }
+func (r *Request) hashedTexts() [4]string { return [4]string{r.Team, r.Method, r.Host, r.URI} }
--- a/quarantine/machine.go
+++ b/quarantine/machine.go
@@ -9,9 +9,9 @@
 
 // Limits of the state kept on the replicated log.
 const (
-	mostLogged       = 512
-	mostLoggedOfTeam = 64
-	mostLifted       = 256
+	maxLogged        = 512
+	maxLoggedPerTeam = 64
+	maxLifted        = 256
 )
 
 // Machine is the replicated state machine of quarantines. Tables exist in memory only: without the
@@ -46,21 +46,21 @@
 	if q.EndedMs < m.LiftedAt(q.Request.GetKey()) {
 		return false
 	}
-	i := m.index(q.Request.GetKey())
+	i := m.indexOf(q.Request.GetKey())
 	if i >= 0 && m.logged[i].UntilMs >= q.UntilMs {
 		return false
 	}
 	if i >= 0 {
 		m.logged = slices.Delete(m.logged, i, i+1)
 	}
-	m.makeRoom(q.Request.GetTeam())
+	m.evictOldest(q.Request.GetTeam())
 	m.logged = append(m.logged, q)
 	return true
 }
 
 // evictOldest drops the team's oldest quarantine if the team has reached its limit, or else the
 // oldest of all if the log has.
-func (m *Machine) makeRoom(team string) {
+func (m *Machine) evictOldest(team string) {
 	ofTeam := 0
 	oldest := -1
 	for i, q := range m.logged {
@@ -73,33 +73,33 @@
 		}
 	}
 	switch {
-	case ofTeam >= mostLoggedOfTeam:
+	case ofTeam >= maxLoggedPerTeam:
 		m.logged = slices.Delete(m.logged, oldest, oldest+1)
-	case len(m.logged) >= mostLogged:
+	case len(m.logged) >= maxLogged:
 		m.logged = slices.Delete(m.logged, 0, 1)
 	}
 }
 
 func (m *Machine) lift(key []byte, atMS uint64) bool {
-	i := m.index(key)
+	i := m.indexOf(key)
 	if i < 0 {
 		return false
 	}
 	m.logged = slices.Delete(m.logged, i, i+1)
 	m.lifted = append(m.lifted, &wire.LiftedQuarantine{Key: key, AtMs: atMS})
-	if len(m.lifted) > mostLifted {
+	if len(m.lifted) > maxLifted {
 		m.lifted = m.lifted[1:]
 	}
 	return true
 }
 
-func (m *Machine) index(key []byte) int {
+func (m *Machine) indexOf(key []byte) int {
 	return slices.IndexFunc(m.logged, func(q *wire.LoggedQuarantine) bool { return slices.Equal(q.Request.GetKey(), key) })
 }
 
 // Get returns the quarantine of a request, or nil.
 func (m *Machine) Get(key []byte) *wire.LoggedQuarantine {
-	if i := m.index(key); i >= 0 {
+	if i := m.indexOf(key); i >= 0 {
 		return m.logged[i]
 	}
 	return nil
@@ -120,7 +120,7 @@
 func (m *Machine) Told(now time.Time) []*wire.Suspicion {
 	list := make([]*wire.Suspicion, len(m.logged))
 	for i, q := range m.logged {
-		list[i] = tellLogged(now, q)
+		list[i] = suspicionFromLog(now, q)
 	}
 	return list
 }
@@ -128,19 +128,19 @@
 // Decided returns the message that announces a command that changed the state.
 func Decided(now time.Time, c *wire.QuarantineCommand) *wire.Suspicion {
 	if c.Put != nil {
-		return tellLogged(now, c.Put)
+		return suspicionFromLog(now, c.Put)
 	}
-	return &wire.Suspicion{Key: c.Lift, Cleared: true, ClearedAgeMs: inMillis(now.Sub(time.UnixMilli(int64(c.AtMs))))}
+	return &wire.Suspicion{Key: c.Lift, Cleared: true, ClearedAgeMs: toMillis(now.Sub(time.UnixMilli(int64(c.AtMs))))}
 }
 
 // suspicionFromLog returns the message for a quarantine on the log. The log keeps the time of the
 // last crash only, which stands for those of all runs.
-func tellLogged(now time.Time, q *wire.LoggedQuarantine) *wire.Suspicion {
+func suspicionFromLog(now time.Time, q *wire.LoggedQuarantine) *wire.Suspicion {
 	r := q.Request
-	age := inMillis(now.Sub(time.UnixMilli(int64(q.EndedMs))))
+	age := toMillis(now.Sub(time.UnixMilli(int64(q.EndedMs))))
 	m := &wire.Suspicion{
 		Key: r.GetKey(), Hint: r.GetHint(), Team: r.GetTeam(), Route: r.GetRoute(), Terms: r.GetTerms(),
-		QuarantineMs: inMillis(time.UnixMilli(int64(q.UntilMs)).Sub(now)),
+		QuarantineMs: toMillis(time.UnixMilli(int64(q.UntilMs)).Sub(now)),
 	}
 	for _, run := range r.GetRuns() {
 		m.Runs = append(m.Runs, &wire.EndedRun{Upstream: run.Upstream, AgeMs: age})
@@ -156,7 +156,7 @@
 	}
 	return &wire.LoggedQuarantine{
 		Request: r,
-		UntilMs: uint64(now.Add(millis(s.QuarantineMs)).UnixMilli()),
+		UntilMs: uint64(now.Add(fromMillis(s.QuarantineMs)).UnixMilli()),
 		EndedMs: uint64(now.Add(-Age(s)).UnixMilli()),
 	}
 }
@@ -165,7 +165,7 @@
 // within untilTolerance.
 func (m *Machine) Covers(now time.Time, s *wire.Suspicion) bool {
 	q := m.Get(s.Key)
-	return q != nil && !now.Add(millis(s.QuarantineMs)-termSlack).After(time.UnixMilli(int64(q.UntilMs)))
+	return q != nil && !now.Add(fromMillis(s.QuarantineMs)-untilTolerance).After(time.UnixMilli(int64(q.UntilMs)))
 }
 
 // Empty reports whether the state has neither quarantines nor lifts.
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -13,11 +13,11 @@
 
 // Limits of a message.
 const (
-	mostRuns = 8
+	maxRuns = 8
 	// maxNameBytes limits the names of teams, routes and upstreams.
-	mostName = 256
+	maxNameBytes = 256
 	// maxTerms is above the number of quarantines from which on their duration no longer grows.
-	mostTerms = 64
+	maxTerms = 64
 	// MostTold is the maximum number of suspicions in one message.
 	MostTold = 128
 )
@@ -30,17 +30,17 @@
 		return merry.Prepend(ErrMessage, "message is nil")
 	case len(m.Key) != keySize:
 		return merry.Prependf(ErrMessage, "key has %d bytes", len(m.Key))
-	case len(m.Runs) > mostRuns:
+	case len(m.Runs) > maxRuns:
 		return merry.Prependf(ErrMessage, "%d runs are too many", len(m.Runs))
-	case len(m.Team) > mostName || len(m.Route) > mostName:
+	case len(m.Team) > maxNameBytes || len(m.Route) > maxNameBytes:
 		return merry.Prepend(ErrMessage, "team or route name is too long")
-	case m.Terms > mostTerms:
+	case m.Terms > maxTerms:
 		return merry.Prependf(ErrMessage, "%d terms are too many", m.Terms)
 	case !m.Cleared && len(m.Runs) == 0:
 		return merry.Prepend(ErrMessage, "a suspicion that isn't cleared needs a run")
 	}
 	for _, run := range m.Runs {
-		if run.GetUpstream() == "" || len(run.Upstream) > mostName {
+		if run.GetUpstream() == "" || len(run.Upstream) > maxNameBytes {
 			return merry.Prepend(ErrMessage, "upstream name is empty or too long")
 		}
 	}
@@ -57,8 +57,8 @@
 // Since returns the changes after a version that peers act on: requests on their last trial or in
 // quarantine, and the clearing of requests that had got that far.
 func (t *Table) Since(now time.Time, version uint64) Told {
-	return t.told(now, func(r *record) uint64 {
-		if t.standing(now, r) < LastTrial && !(r.spread && t.isCleared(now, r)) {
+	return t.changesAfter(now, func(r *record) uint64 {
+		if t.standing(now, r) < LastTrial && !(r.announced && t.clearedRecently(now, r)) {
 			return 0
 		}
 		return r.version
@@ -67,7 +67,7 @@
 
 // Own returns the changes after a version that this process observed itself.
 func (t *Table) Own(now time.Time, version uint64) Told {
-	return t.told(now, func(r *record) uint64 { return r.own }, version)
+	return t.changesAfter(now, func(r *record) uint64 { return r.ownVersion }, version)
 }
 
 // All returns all suspected requests, sorted by key.
@@ -75,7 +75,7 @@
 	var list []*wire.Suspicion
 	for _, r := range t.records {
 		if t.standing(now, r) != Free {
-			list = append(list, t.message(now, r))
+			list = append(list, t.toSuspicion(now, r))
 		}
 	}
 	slices.SortFunc(list, func(a, b *wire.Suspicion) int { return slices.Compare(a.Key, b.Key) })
@@ -84,7 +84,7 @@
 
 // changesAfter returns the records for which versionOf exceeds version, in ascending order of it
 // and at most MostTold of them.
-func (t *Table) told(now time.Time, versionOf func(*record) uint64, version uint64) Told {
+func (t *Table) changesAfter(now time.Time, versionOf func(*record) uint64, version uint64) Told {
 	if version == t.version {
 		return Told{Version: version}
 	}
@@ -101,37 +101,37 @@
 		batch.Version = versionOf(list[MostTold-1])
 	}
 	for _, r := range list {
-		if m := t.message(now, r); Check(m) == nil {
+		if m := t.toSuspicion(now, r); Check(m) == nil {
 			batch.Suspicions = append(batch.Suspicions, m)
 		}
 	}
 	return batch
 }
 
-func (t *Table) message(now time.Time, r *record) *wire.Suspicion {
+func (t *Table) toSuspicion(now time.Time, r *record) *wire.Suspicion {
 	m := &wire.Suspicion{
-		Key: r.Key[:], Hint: uint64(r.Hint), Team: r.Team, Route: r.Route, Runs: messagesOf(now, r.runs),
-		QuarantineMs: inMillis(r.until.Sub(now)), Terms: uint32(r.terms),
+		Key: r.Key[:], Hint: uint64(r.Hint), Team: r.Team, Route: r.Route, Runs: toWireRuns(now, r.runs),
+		QuarantineMs: toMillis(r.until.Sub(now)), Terms: uint32(r.terms),
 	}
-	if t.isCleared(now, r) {
-		m.Cleared, m.ClearedAgeMs = true, inMillis(now.Sub(r.clearedAt))
+	if t.clearedRecently(now, r) {
+		m.Cleared, m.ClearedAgeMs = true, toMillis(now.Sub(r.clearedAt))
 	}
 	return m
 }
 
-func messagesOf(now time.Time, runs []Run) []*wire.EndedRun {
+func toWireRuns(now time.Time, runs []Run) []*wire.EndedRun {
 	list := make([]*wire.EndedRun, len(runs))
 	for i, run := range runs {
-		list[i] = &wire.EndedRun{Upstream: run.Upstream, AgeMs: inMillis(now.Sub(run.Ended)), RanMs: inMillis(run.Ended.Sub(run.Began))}
+		list[i] = &wire.EndedRun{Upstream: run.Upstream, AgeMs: toMillis(now.Sub(run.Ended)), RanMs: toMillis(run.Ended.Sub(run.Began))}
 	}
 	return list
 }
 
-func runsOf(now time.Time, m *wire.Suspicion) []Run {
+func fromWireRuns(now time.Time, m *wire.Suspicion) []Run {
 	list := make([]Run, len(m.Runs))
 	for i, run := range m.Runs {
-		ended := now.Add(-millis(run.AgeMs))
-		list[i] = Run{Upstream: run.Upstream, Began: ended.Add(-millis(run.RanMs)), Ended: ended}
+		ended := now.Add(-fromMillis(run.AgeMs))
+		list[i] = Run{Upstream: run.Upstream, Began: ended.Add(-fromMillis(run.RanMs)), Ended: ended}
 	}
 	return list
 }
@@ -140,7 +140,7 @@
 func Age(m *wire.Suspicion) time.Duration {
 	age := time.Duration(math.MaxInt64)
 	for _, run := range m.Runs {
-		age = min(age, millis(run.AgeMs))
+		age = min(age, fromMillis(run.AgeMs))
 	}
 	return age
 }
@@ -154,9 +154,9 @@
 	return list
 }
 
-func millis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
+func fromMillis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 // toMillis converts d to milliseconds, clamped to the range of a message's field.
-func inMillis(d time.Duration) uint32 {
+func toMillis(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), math.MaxUint32))
 }
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -16,7 +16,7 @@
 
 // maxLinesPerSecond limits a node's log lines. Every request that was running on a crashed upstream
 // logs one.
-const nodeLines = 24
+const maxLinesPerSecond = 24
 
 // Node is what an entry or gateway knows of requests that may crash upstreams: what it observed
 // itself, and what control replicas report from others. It is safe for concurrent use. A Trial with
@@ -26,27 +26,27 @@
 // Its caller then sends it again, possibly to another entry that has not seen it yet; unless entries
 // share what they observe, one such request can keep a group down.
 type Node struct {
-	id    string
-	log   log.Logger
-	now   func() time.Time
-	dial  directory.Dial
-	lines *kernel.LineBudget
+	id         string
+	log        log.Logger
+	now        func() time.Time
+	dial       directory.Dial
+	lineBudget *kernel.LineBudget
 	// recordCount is the number of remembered requests. While it is 0, which is the usual case, a
 	// request costs one atomic load.
-	known atomic.Int64
+	recordCount atomic.Int64
 
 	mu    sync.Mutex
 	table *Table
 	// reporters report to the control replicas, by address.
-	tellers map[string]*teller
+	reporters map[string]*reporter
 }
 
 // NewNode returns the node of the entry or gateway with this ID. It uses dial to reach control
 // replicas.
 func NewNode(id string, l log.Logger, now func() time.Time, dial directory.Dial) *Node {
 	return &Node{
-		id: id, log: l, now: now, dial: dial, lines: kernel.NewLineBudget(nodeLines, now),
-		table: NewTable(DefaultSettings()), tellers: map[string]*teller{},
+		id: id, log: l, now: now, dial: dial, lineBudget: kernel.NewLineBudget(maxLinesPerSecond, now),
+		table: NewTable(DefaultSettings()), reporters: map[string]*reporter{},
 	}
 }
 
@@ -65,12 +65,12 @@
 
 // Ended records a crash that was observed here, and returns the verdict on the request after it.
 func (n *Node) Ended(e End) (v Verdict) {
-	n.change(func(now time.Time, t *Table) bool {
+	n.updateTable(func(now time.Time, t *Table) bool {
 		ended := now.Add(-e.Ago)
 		v = t.Ended(now, e.Subject, Run{Upstream: e.Upstream, Began: ended.Add(-e.Ran), Ended: ended})
 		return true
 	})
-	n.tell("Upstream ended under a request.", "request", e.RequestID, "key", e.Key, "route", e.Route, "team", e.Team,
+	n.logInfo("Upstream ended under a request.", "request", e.RequestID, "key", e.Key, "route", e.Route, "team", e.Team,
 		"upstream", e.Upstream, "addr", e.Address, "sign", e.Sign, "ends", v.Ends, "standing", v.Standing)
 	return v
 }
@@ -81,34 +81,34 @@
 	if len(list) == 0 {
 		return
 	}
-	for _, c := range n.learn(from, list) {
-		n.tell("Request standing changed.", "replica", from, "key", c.key, "route", c.told.Route, "team", c.told.Team,
+	for _, c := range n.merge(from, list) {
+		n.logInfo("Request standing changed.", "replica", from, "key", c.key, "route", c.suspicion.Route, "team", c.suspicion.Team,
 			"standing", c.verdict.Standing, "ends", c.verdict.Ends, "upstreams", strings.Join(c.verdict.Upstreams, ","),
 			"left_ms", c.verdict.Left.Milliseconds())
 	}
 }
 
 // standingChange is a request whose standing was changed by a peer's message.
-type heard struct {
-	key     Key
-	told    *wire.Suspicion
-	verdict Verdict
+type standingChange struct {
+	key       Key
+	suspicion *wire.Suspicion
+	verdict   Verdict
 }
 
 // merge merges suspicions into the table and returns the resulting changes of standing. Invalid
 // suspicions are logged and skipped.
-func (n *Node) learn(from string, list []*wire.Suspicion) (changes []heard) {
-	n.change(func(now time.Time, t *Table) bool {
+func (n *Node) merge(from string, list []*wire.Suspicion) (changes []standingChange) {
+	n.updateTable(func(now time.Time, t *Table) bool {
 		for _, m := range list {
 			if err := Check(m); err != nil {
-				n.tell("Invalid suspicion skipped.", "replica", from, "err", err)
+				n.logInfo("Invalid suspicion skipped.", "replica", from, "err", err)
 				continue
 			}
 			k := Key(m.Key)
 			before := t.Judge(now, k).Standing
 			t.Learn(now, m)
 			if v := t.Judge(now, k); v.Standing != before {
-				changes = append(changes, heard{key: k, told: m, verdict: v})
+				changes = append(changes, standingChange{key: k, suspicion: m, verdict: v})
 			}
 		}
 		return false
@@ -117,7 +117,7 @@
 }
 
 // forgetPeriodically drops obsolete records every forgetInterval until ctx is done.
-func (n *Node) forgetNowAndThen(ctx context.Context) {
+func (n *Node) forgetPeriodically(ctx context.Context) {
 	tick := time.NewTicker(forgetInterval)
 	defer tick.Stop()
 	for {
@@ -126,7 +126,7 @@
 			return
 		case <-tick.C:
 		}
-		n.change(func(now time.Time, t *Table) bool {
+		n.updateTable(func(now time.Time, t *Table) bool {
 			t.Forget(now)
 			return false
 		})
@@ -148,22 +148,22 @@
 }
 
 // updateTable calls f with the table. If f returns true, the reporters are notified.
-func (n *Node) change(f func(now time.Time, t *Table) (notify bool)) {
+func (n *Node) updateTable(f func(now time.Time, t *Table) (notify bool)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	notify := f(n.now(), n.table)
-	n.known.Store(int64(n.table.Len()))
+	n.recordCount.Store(int64(n.table.Len()))
 	if !notify {
 		return
 	}
-	for _, t := range n.tellers {
-		t.wake()
+	for _, r := range n.reporters {
+		r.notify()
 	}
 }
 
 // logInfo logs a line unless the line budget is exhausted.
-func (n *Node) tell(msg string, kv ...any) {
-	ok, leftOut := n.lines.Take()
+func (n *Node) logInfo(msg string, kv ...any) {
+	ok, leftOut := n.lineBudget.Take()
 	if !ok {
 		return
 	}
--- a/quarantine/property_test.go
+++ b/quarantine/property_test.go
@@ -15,7 +15,7 @@
 
 // Tables exchange crashes and answers of one request late, repeatedly and out of order. Once all have
 // exchanged everything, they must hold the same crashes, and none from before the last answer.
-func TestTablesAgreeOnceAllIsHeard(t *testing.T) {
+func TestTablesConvergeAfterExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := make([]*Table, 3)
 		for i := range tables {
@@ -39,24 +39,24 @@
 					continue
 				}
 				i := rapid.IntRange(0, len(messages)-1).Draw(t, "word")
-				table.Learn(now, older(messages[i], now.Sub(sentAt[i])))
+				table.Learn(now, delayed(messages[i], now.Sub(sentAt[i])))
 			case 4, 5:
 				for _, m := range table.Own(now, 0).Suspicions {
 					messages, sentAt = append(messages, m), append(sentAt, now)
 				}
 			default:
 				crashes++
-				table.Ended(now, poison, run(fmt.Sprint("up-", crashes%6), now))
+				table.Ended(now, poison, crashedRun(fmt.Sprint("up-", crashes%6), now))
 			}
 		}
 		for range 2 * len(tables) {
-			exchange(now, tables)
+			exchangeAll(now, tables)
 		}
 		first := tables[0].Judge(now, poison.Key)
 		for _, table := range tables {
 			v := table.Judge(now, poison.Key)
 			assert.Equal(t, v.Standing == Quarantined, first.Standing == Quarantined)
-			assert.DeepEqual(t, sorted(v.Upstreams), sorted(first.Upstreams))
+			assert.DeepEqual(t, sortedCopy(v.Upstreams), sortedCopy(first.Upstreams))
 			if r := table.records[poison.Key]; r != nil {
 				for _, run := range r.runs {
 					assert.Assert(t, run.Ended.After(lastAnswer), "a crash from before the answer is held")
@@ -66,29 +66,29 @@
 	})
 }
 
-func sorted(list []string) []string {
+func sortedCopy(list []string) []string {
 	list = slices.Clone(list)
 	slices.Sort(list)
 	return list
 }
 
 // delayed returns a message as it is after some time in transit.
-func older(m *wire.Suspicion, by time.Duration) *wire.Suspicion {
+func delayed(m *wire.Suspicion, by time.Duration) *wire.Suspicion {
 	m = proto.CloneOf(m)
 	for _, run := range m.Runs {
-		run.AgeMs += inMillis(by)
+		run.AgeMs += toMillis(by)
 	}
-	m.ClearedAgeMs += inMillis(by)
-	m.QuarantineMs -= min(m.QuarantineMs, inMillis(by))
+	m.ClearedAgeMs += toMillis(by)
+	m.QuarantineMs -= min(m.QuarantineMs, toMillis(by))
 	return m
 }
 
-// exchange has all tables learn everything that the others hold.
-func exchange(now time.Time, tables []*Table) {
+// exchangeAll has all tables learn everything that the others hold.
+func exchangeAll(now time.Time, tables []*Table) {
 	for _, from := range tables {
 		var list []*wire.Suspicion
 		for _, r := range from.records {
-			if m := from.message(now, r); Check(m) == nil {
+			if m := from.toSuspicion(now, r); Check(m) == nil {
 				list = append(list, m)
 			}
 		}
@@ -102,9 +102,9 @@
 
 // Any message that passes Check must leave a table within its limits, and lead to no message that
 // Check refuses.
-func FuzzTableTakesAnyWord(f *testing.F) {
+func FuzzTableLearn(f *testing.F) {
 	table := NewTable(DefaultSettings())
-	endThree(table, subject("a", "bad"), start)
+	crashThree(table, subject("a", "bad"), start)
 	for _, m := range table.All(start) {
 		seed, err := proto.Marshal(m)
 		assert.NilError(f, err)
@@ -119,8 +119,8 @@
 		table := NewTable(DefaultSettings())
 		table.Learn(start, m)
 		table.Learn(after(time.Second), m)
-		v := table.Ended(after(2*time.Second), Subject{Key: Key(m.Key)}, run("up-x", after(2*time.Second)))
-		assert.Assert(t, v.Standing != Free && len(v.Upstreams) <= mostRuns)
+		v := table.Ended(after(2*time.Second), Subject{Key: Key(m.Key)}, crashedRun("up-x", after(2*time.Second)))
+		assert.Assert(t, v.Standing != Free && len(v.Upstreams) <= maxRuns)
 		assert.Assert(t, v.Left <= 50*24*time.Hour)
 		for _, out := range table.Since(after(2*time.Second), 0).Suspicions {
 			assert.NilError(t, Check(out))
--- a/quarantine/reporter.go
+++ b/quarantine/reporter.go
@@ -12,26 +12,26 @@
 const (
 	// reportDelay is the time for which suspicions are batched: all requests that ran at a crashed
 	// upstream are known within milliseconds.
-	tellGather = 5 * time.Millisecond
+	reportDelay = 5 * time.Millisecond
 	// reportTimeout limits one call, reportRetryDelay is the pause after a failed one, and
 	// reportAttempts is the number of calls until the reporter waits for the next change or TellAgain.
-	tellTimeout = time.Second
-	tellRetry   = 150 * time.Millisecond
-	tellTries   = 4
+	reportTimeout    = time.Second
+	reportRetryDelay = 150 * time.Millisecond
+	reportAttempts   = 4
 	// forgetInterval is how often obsolete records are dropped.
 	forgetInterval = 10 * time.Second
 )
 
 // reporter reports to one replica what this node observed. Node.mu guards its version.
-type teller struct {
+type reporter struct {
 	changed chan struct{}
 	// version is the table version up to which the replica has been told.
 	version uint64
 }
 
-func (t *teller) wake() {
+func (r *reporter) notify() {
 	select {
-	case t.changed <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
@@ -40,8 +40,8 @@
 // returns may change. All replicas are told directly, so that the loss of some of them, or of their
 // leader, keeps no suspicion from other entries.
 func (n *Node) Run(ctx context.Context, replicas func() []string) {
-	go n.forgetNowAndThen(ctx)
-	directory.FollowList(ctx, replicas, n.tellReplica)
+	go n.forgetPeriodically(ctx)
+	directory.FollowList(ctx, replicas, n.reportTo)
 }
 
 // TellAgain has everything reported to a replica again, because it may have restarted with an empty
@@ -49,84 +49,84 @@
 func (n *Node) TellAgain(replica string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if t := n.tellers[replica]; t != nil && n.table.Len() > 0 {
-		t.version = 0
-		t.wake()
+	if r := n.reporters[replica]; r != nil && n.table.Len() > 0 {
+		r.version = 0
+		r.notify()
 	}
 }
 
 // reportTo reports to one replica until ctx is done.
-func (n *Node) tellReplica(ctx context.Context, addr string) {
-	t := &teller{changed: make(chan struct{}, 1)}
-	t.wake()
+func (n *Node) reportTo(ctx context.Context, addr string) {
+	r := &reporter{changed: make(chan struct{}, 1)}
+	r.notify()
 	n.mu.Lock()
-	n.tellers[addr] = t
+	n.reporters[addr] = r
 	n.mu.Unlock()
-	defer n.dropTeller(addr, t)
+	defer n.dropReporter(addr, r)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.changed:
+		case <-r.changed:
 		}
-		pause(ctx, tellGather)
-		for try := 0; try < tellTries && !n.tellAll(ctx, addr, t); try++ {
-			pause(ctx, tellRetry)
+		pause(ctx, reportDelay)
+		for attempt := 0; attempt < reportAttempts && !n.reportPending(ctx, addr, r); attempt++ {
+			pause(ctx, reportRetryDelay)
 		}
 	}
 }
 
-func (n *Node) dropTeller(addr string, t *teller) {
+func (n *Node) dropReporter(addr string, r *reporter) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.tellers[addr] == t {
-		delete(n.tellers, addr)
+	if n.reporters[addr] == r {
+		delete(n.reporters, addr)
 	}
 }
 
 // reportPending sends a replica everything that it hasn't been told yet. It returns false if a call
 // failed.
-func (n *Node) tellAll(ctx context.Context, addr string, t *teller) bool {
+func (n *Node) reportPending(ctx context.Context, addr string, r *reporter) bool {
 	for ctx.Err() == nil {
-		batch, from := n.untold(t)
+		batch, from := n.pending(r)
 		if len(batch.Suspicions) == 0 {
 			return true
 		}
-		if err := n.tellOnce(ctx, addr, batch.Suspicions); err != nil {
-			n.tell("Reporting suspicions to a replica failed.", "replica", addr, "suspicions", len(batch.Suspicions), "err", err)
+		if err := n.send(ctx, addr, batch.Suspicions); err != nil {
+			n.logInfo("Reporting suspicions to a replica failed.", "replica", addr, "suspicions", len(batch.Suspicions), "err", err)
 			return false
 		}
-		n.told(t, from, batch.Version)
+		n.markReported(r, from, batch.Version)
 	}
 	return true
 }
 
 // pending returns the next batch that a replica hasn't been told yet, and the version after which it
 // begins.
-func (n *Node) untold(t *teller) (batch Told, from uint64) {
+func (n *Node) pending(r *reporter) (batch Told, from uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	batch, from = n.table.Own(n.now(), t.version), t.version
+	batch, from = n.table.Own(n.now(), r.version), r.version
 	if len(batch.Suspicions) == 0 {
-		t.version = batch.Version
+		r.version = batch.Version
 	}
 	return batch, from
 }
 
-// markReported notes that a replica was told up to version, unless TellAgain has reset the reporter
-// since pending returned from.
-func (n *Node) told(t *teller, from, version uint64) {
+// markReported notes that a replica was told everything up to version, unless TellAgain has reset the
+// reporter since pending returned from.
+func (n *Node) markReported(r *reporter, from, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if t.version == from {
-		t.version = version
+	if r.version == from {
+		r.version = version
 	}
 }
 
 // send sends suspicions to a replica. It clears the requests whose quarantine an operator has lifted,
 // as the reply tells.
-func (n *Node) tellOnce(ctx context.Context, addr string, list []*wire.Suspicion) error {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+func (n *Node) send(ctx context.Context, addr string, list []*wire.Suspicion) error {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	req := &wire.TellSuspicionsRequest{Teller: n.id, Suspicions: list}
 	reply, err := wire.NewDRPCQuarantineClient(n.dial(ctx, addr)).Tell(ctx, req)
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -22,18 +22,18 @@
 	replicas []*Table
 	machine  Machine
 	// leaderlessUntil is the time until which nothing is committed to the log.
-	leaderless time.Time
-	ups        []*simUpstream
-	named      int
-	events     []simEvent
+	leaderlessUntil time.Time
+	upstreams       []*simUpstream
+	nextID          int
+	events          []simEvent
 
 	harmless simCount
 	// outcomes has the sends and crashes of each poison request.
-	outcome map[Key]*simBad
+	outcomes map[Key]*poisonOutcome
 }
 
 type simOptions struct {
-	entries, upstreams, bad int
+	entries, upstreams, poison int
 	// rate is the number of harmless requests per second.
 	rate float64
 	// crashes is the number of unrelated upstream crashes per second.
@@ -44,27 +44,27 @@
 	// once, at random.
 	faults bool
 	// distinct is the number of distinct harmless requests; with 0 each one is unique.
-	fixed int
-	span  time.Duration
+	distinct int
+	span     time.Duration
 }
 
 type simCount struct {
-	sent, served, setAside int
+	sent, served, refused int
 }
 
 // poisonOutcome has the sends and crashes of one poison request.
-type simBad struct {
-	ends  []time.Time
-	sends []time.Time
+type poisonOutcome struct {
+	crashes []time.Time
+	sends   []time.Time
 }
 
 type simEntry struct {
-	table *Table
-	told  uint64
-	heard []uint64
+	table           *Table
+	reportedVersion uint64
+	learnedVersions []uint64
 	// partitionedUntil is the end of the entry's latest partition from all replicas, connectedSince the
 	// time from which it has had time to learn what they know.
-	apartUntil, inTouchFrom time.Time
+	partitionedUntil, connectedSince time.Time
 }
 
 type simUpstream struct {
@@ -75,10 +75,10 @@
 
 type simRequest struct {
 	Subject
-	bad bool
-	// attempts is the number of attempts of this send, left the number of further sends by the caller.
-	attempts, left int
-	entry          int
+	poison bool
+	// attempts is the number of attempts of this send, sendsLeft the number of further sends by the caller.
+	attempts, sendsLeft int
+	entry               int
 }
 
 type simEvent struct {
@@ -87,14 +87,14 @@
 }
 
 const (
-	simTick    = 10 * time.Millisecond
-	simContact = 3 * time.Second
-	simBack    = 3 * time.Second
-	simEndsIn  = 60 * time.Millisecond
+	simTick            = 10 * time.Millisecond
+	simConvergenceTime = 3 * time.Second
+	simRestartDelay    = 3 * time.Second
+	simCrashDelay      = 60 * time.Millisecond
 )
 
 func newSim(seed uint64, o simOptions) *sim {
-	s := &sim{rnd: rand.New(rand.NewPCG(seed, 7)), now: start, opts: o, outcome: map[Key]*simBad{}}
+	s := &sim{rnd: rand.New(rand.NewPCG(seed, 7)), now: start, opts: o, outcomes: map[Key]*poisonOutcome{}}
 	for range 3 {
 		s.replicas = append(s.replicas, NewTable(DefaultSettings()))
 	}
@@ -103,11 +103,11 @@
 	}
 	for range o.upstreams {
 		u := &simUpstream{}
-		s.begin(u)
-		s.ups = append(s.ups, u)
+		s.startUpstream(u)
+		s.upstreams = append(s.upstreams, u)
 	}
-	for i := range o.bad {
-		s.after(time.Duration(s.rnd.IntN(3000))*time.Millisecond, func() { s.sendBad(subject("a", fmt.Sprint("bad ", i))) })
+	for i := range o.poison {
+		s.after(time.Duration(s.rnd.IntN(3000))*time.Millisecond, func() { s.sendPoison(subject("a", fmt.Sprint("bad ", i))) })
 	}
 	if o.massCrash {
 		s.massCrash()
@@ -118,20 +118,20 @@
 // massCrash schedules the crash of half of the upstreams, and then the next one.
 func (s *sim) massCrash() {
 	s.after(time.Duration(4000+s.rnd.IntN(6000))*time.Millisecond, func() {
-		for _, i := range s.rnd.Perm(len(s.ups))[:len(s.ups)/2] {
-			s.end(s.ups[i])
+		for _, i := range s.rnd.Perm(len(s.upstreams))[:len(s.upstreams)/2] {
+			s.crash(s.upstreams[i])
 		}
 		s.massCrash()
 	})
 }
 
 func (s *sim) newEntry() *simEntry {
-	return &simEntry{table: NewTable(DefaultSettings()), heard: make([]uint64, len(s.replicas)), inTouchFrom: s.now.Add(simContact)}
+	return &simEntry{table: NewTable(DefaultSettings()), learnedVersions: make([]uint64, len(s.replicas)), connectedSince: s.now.Add(simConvergenceTime)}
 }
 
-func (s *sim) begin(u *simUpstream) {
-	s.named++
-	u.id, u.up, u.running = fmt.Sprint("up-", s.named), true, map[*simRequest]time.Time{}
+func (s *sim) startUpstream(u *simUpstream) {
+	s.nextID++
+	u.id, u.up, u.running = fmt.Sprint("up-", s.nextID), true, map[*simRequest]time.Time{}
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -161,30 +161,30 @@
 		s.sendHarmless()
 	}
 	if s.chance(s.opts.crashes) {
-		s.end(s.ups[s.rnd.IntN(len(s.ups))])
+		s.crash(s.upstreams[s.rnd.IntN(len(s.upstreams))])
 	}
 	if s.opts.faults {
-		s.fault()
+		s.injectFaults()
 	}
-	s.spread()
+	s.propagate()
 }
 
 // injectFaults restarts, partitions or stops parts of the system at random.
-func (s *sim) fault() {
+func (s *sim) injectFaults() {
 	for i, e := range s.entries {
 		switch {
 		case s.chance(0.02):
 			s.entries[i] = s.newEntry()
 		case s.chance(0.02):
-			e.apartUntil = s.now.Add(time.Duration(s.rnd.IntN(4000)) * time.Millisecond)
-			e.inTouchFrom = e.apartUntil.Add(simContact)
+			e.partitionedUntil = s.now.Add(time.Duration(s.rnd.IntN(4000)) * time.Millisecond)
+			e.connectedSince = e.partitionedUntil.Add(simConvergenceTime)
 		}
 	}
 	if s.chance(0.05) {
 		s.restartReplica(s.rnd.IntN(len(s.replicas)))
 	}
 	if s.chance(0.05) {
-		s.leaderless = s.now.Add(time.Second)
+		s.leaderlessUntil = s.now.Add(time.Second)
 	}
 	if s.chance(0.02) {
 		for i := range s.entries {
@@ -202,17 +202,17 @@
 		s.replicas[i].Learn(s.now, m)
 	}
 	for _, e := range s.entries {
-		e.told, e.heard[i] = 0, 0
+		e.reportedVersion, e.learnedVersions[i] = 0, 0
 	}
 }
 
 // propagate exchanges suspicions between entries and replicas, and puts quarantines on the log.
-func (s *sim) spread() {
+func (s *sim) propagate() {
 	for _, e := range s.entries {
-		if s.now.Before(e.apartUntil) {
+		if s.now.Before(e.partitionedUntil) {
 			continue
 		}
-		told := e.table.Own(s.now, e.told)
+		told := e.table.Own(s.now, e.reportedVersion)
 		for _, m := range told.Suspicions {
 			if Check(m) != nil {
 				panic("a message that Check refuses")
@@ -221,21 +221,21 @@
 				s.after(time.Duration(5+s.rnd.IntN(30))*time.Millisecond, func() { s.replicas[i].Learn(s.now, m) })
 			}
 		}
-		e.told = told.Version
+		e.reportedVersion = told.Version
 		for i, r := range s.replicas {
-			told := r.Since(s.now, e.heard[i])
+			told := r.Since(s.now, e.learnedVersions[i])
 			for _, m := range told.Suspicions {
 				e.table.Learn(s.now, m)
 			}
-			e.heard[i] = told.Version
+			e.learnedVersions[i] = told.Version
 		}
 	}
-	if s.now.Before(s.leaderless) {
+	if s.now.Before(s.leaderlessUntil) {
 		return
 	}
 	for _, r := range s.replicas {
 		for _, q := range s.machine.Told(s.now) {
-			if rec := r.records[Key(q.Key)]; rec != nil && len(rec.runs) == 0 && r.isCleared(s.now, rec) {
+			if rec := r.records[Key(q.Key)]; rec != nil && len(rec.runs) == 0 && r.clearedRecently(s.now, rec) {
 				s.machine.Apply(&wire.QuarantineCommand{Lift: q.Key, AtMs: uint64(s.now.UnixMilli())})
 			}
 		}
@@ -247,42 +247,42 @@
 	}
 }
 
-func (s *sim) sendBad(sub Subject) {
-	s.send(&simRequest{Subject: sub, bad: true, entry: s.rnd.IntN(len(s.entries))})
-	s.after(time.Duration(300+s.rnd.IntN(1200))*time.Millisecond, func() { s.sendBad(sub) })
+func (s *sim) sendPoison(sub Subject) {
+	s.send(&simRequest{Subject: sub, poison: true, entry: s.rnd.IntN(len(s.entries))})
+	s.after(time.Duration(300+s.rnd.IntN(1200))*time.Millisecond, func() { s.sendPoison(sub) })
 }
 
 func (s *sim) sendHarmless() {
 	body := s.rnd.Uint64()
-	if s.opts.fixed > 0 {
-		body %= uint64(s.opts.fixed)
+	if s.opts.distinct > 0 {
+		body %= uint64(s.opts.distinct)
 	}
 	s.harmless.sent++
-	s.send(&simRequest{Subject: subject(fmt.Sprint("t", body%10), fmt.Sprint(body)), left: 1, entry: s.rnd.IntN(len(s.entries))})
+	s.send(&simRequest{Subject: subject(fmt.Sprint("t", body%10), fmt.Sprint(body)), sendsLeft: 1, entry: s.rnd.IntN(len(s.entries))})
 }
 
 // send makes one attempt of a request.
 func (s *sim) send(r *simRequest) {
 	e := s.entries[r.entry]
 	v := e.table.Judge(s.now, r.Key)
-	u := s.pick()
+	u := s.pickUpstream()
 	switch {
 	case v.Standing == Quarantined:
-		if !r.bad {
-			s.harmless.setAside++
+		if !r.poison {
+			s.harmless.refused++
 		}
 		return
 	case u == nil, !e.table.Begin(s.now, r.Key):
-		s.comeBack(r)
+		s.resend(r)
 		return
 	}
 	r.attempts++
 	u.running[r] = s.now
-	if r.bad {
-		s.noteSend(r, e)
-		s.after(simEndsIn, func() {
+	if r.poison {
+		s.recordSend(r, e)
+		s.after(simCrashDelay, func() {
 			if _, runs := u.running[r]; runs {
-				s.end(u)
+				s.crash(u)
 			}
 		})
 		return
@@ -298,10 +298,10 @@
 	})
 }
 
-// pick returns a random running upstream, or nil if there is none.
-func (s *sim) pick() *simUpstream {
+// pickUpstream returns a random running upstream, or nil if there is none.
+func (s *sim) pickUpstream() *simUpstream {
 	var up []*simUpstream
-	for _, u := range s.ups {
+	for _, u := range s.upstreams {
 		if u.up {
 			up = append(up, u)
 		}
@@ -312,19 +312,19 @@
 	return up[s.rnd.IntN(len(up))]
 }
 
-func (s *sim) noteSend(r *simRequest, e *simEntry) {
-	b := s.outcome[r.Key]
+func (s *sim) recordSend(r *simRequest, e *simEntry) {
+	b := s.outcomes[r.Key]
 	if b == nil {
-		b = &simBad{}
-		s.outcome[r.Key] = b
+		b = &poisonOutcome{}
+		s.outcomes[r.Key] = b
 	}
-	if !s.now.Before(e.inTouchFrom) {
+	if !s.now.Before(e.connectedSince) {
 		b.sends = append(b.sends, s.now)
 	}
 }
 
 // crash stops an upstream with all that runs there, and schedules its restart.
-func (s *sim) end(u *simUpstream) {
+func (s *sim) crash(u *simUpstream) {
 	if !u.up {
 		return
 	}
@@ -332,21 +332,21 @@
 	interrupted := u.running
 	u.running = map[*simRequest]time.Time{}
 	incarnation := u.id
-	for _, r := range inOrder(interrupted) {
-		if r.bad {
-			b := s.outcome[r.Key]
-			b.ends = append(b.ends, s.now)
+	for _, r := range sortedByKey(interrupted) {
+		if r.poison {
+			b := s.outcomes[r.Key]
+			b.crashes = append(b.crashes, s.now)
 		}
 		e := s.entries[r.entry]
 		e.table.Done(r.Key)
 		e.table.Ended(s.now, r.Subject, Run{Upstream: incarnation, Began: interrupted[r], Ended: s.now})
-		s.after(5*time.Millisecond, func() { s.again(r) })
+		s.after(5*time.Millisecond, func() { s.retry(r) })
 	}
-	s.after(simBack, func() { s.begin(u) })
+	s.after(simRestartDelay, func() { s.startUpstream(u) })
 }
 
 // sortedByKey returns the requests in a defined order, so that a run depends on its seed only.
-func inOrder(set map[*simRequest]time.Time) []*simRequest {
+func sortedByKey(set map[*simRequest]time.Time) []*simRequest {
 	list := make([]*simRequest, 0, len(set))
 	for r := range set {
 		list = append(list, r)
@@ -362,30 +362,30 @@
 }
 
 // retry makes a second attempt, or leaves it to the caller.
-func (s *sim) again(r *simRequest) {
+func (s *sim) retry(r *simRequest) {
 	if r.attempts < 2 && s.entries[r.entry].table.Judge(s.now, r.Key).Standing < LastTrial {
 		s.send(r)
 		return
 	}
-	s.comeBack(r)
+	s.resend(r)
 }
 
 // resend has the caller send the request again, if it has a send left.
-func (s *sim) comeBack(r *simRequest) {
-	if r.left == 0 {
+func (s *sim) resend(r *simRequest) {
+	if r.sendsLeft == 0 {
 		return
 	}
-	next := &simRequest{Subject: r.Subject, bad: r.bad, left: r.left - 1, entry: s.rnd.IntN(len(s.entries))}
+	next := &simRequest{Subject: r.Subject, poison: r.poison, sendsLeft: r.sendsLeft - 1, entry: s.rnd.IntN(len(s.entries))}
 	s.after(time.Duration(200+s.rnd.IntN(500))*time.Millisecond, func() { s.send(next) })
 }
 
-// lateSends counts sends by connected entries later than simContact after the third crash.
-func (b *simBad) lateSends() (n int) {
-	if len(b.ends) < 3 {
+// lateSends counts sends by connected entries later than simConvergenceTime after the third crash.
+func (b *poisonOutcome) lateSends() (n int) {
+	if len(b.crashes) < 3 {
 		return 0
 	}
 	for _, at := range b.sends {
-		if at.Sub(b.ends[2]) > simContact {
+		if at.Sub(b.crashes[2]) > simConvergenceTime {
 			n++
 		}
 	}
@@ -395,7 +395,7 @@
 // harmlessOnLog returns how many quarantines on the log are of harmless requests.
 func (s *sim) harmlessOnLog() (n int) {
 	for _, q := range s.machine.logged {
-		if s.outcome[Key(q.Request.Key)] == nil {
+		if s.outcomes[Key(q.Request.Key)] == nil {
 			n++
 		}
 	}
@@ -404,56 +404,56 @@
 
 // Poison requests are sent among harmless ones while entries and replicas are restarted and
 // partitioned. On every seed, connected entries send a poison request at most three times once
-// simContact has passed since its third crash; at most one in a thousand harmless requests is refused.
-func TestRequestsThatEndUpstreamsAreToldFromOthers(t *testing.T) {
-	for bad := 1; bad <= 3; bad++ {
-		total, ends, worst, harmless := simCount{}, 0, 0, 0
+// simConvergenceTime has passed since its third crash; at most one in a thousand harmless requests is refused.
+func TestSimulationQuarantinesPoisonRequests(t *testing.T) {
+	for poison := 1; poison <= 3; poison++ {
+		total, crashes, worst, harmless := simCount{}, 0, 0, 0
 		for seed := range seeds() {
-			s := newSim(uint64(seed), simOptions{entries: 7, upstreams: 16, bad: bad, rate: 100, crashes: 0.05, faults: true, span: 40 * time.Second})
+			s := newSim(uint64(seed), simOptions{entries: 7, upstreams: 16, poison: poison, rate: 100, crashes: 0.05, faults: true, span: 40 * time.Second})
 			s.run()
 			total.add(s.harmless)
 			harmless += s.harmlessOnLog()
-			for _, b := range s.outcome {
-				ends, worst = ends+len(b.ends), max(worst, len(b.ends))
-				assert.Assert(t, b.lateSends() <= 3, "seed %d: sent %d times later than simContact after the third crash", seed, b.lateSends())
+			for _, b := range s.outcomes {
+				crashes, worst = crashes+len(b.crashes), max(worst, len(b.crashes))
+				assert.Assert(t, b.lateSends() <= 3, "seed %d: sent %d times later than simConvergenceTime after the third crash", seed, b.lateSends())
 			}
 		}
 		t.Logf("%d poison, %d seeds: %.2f crashes per request, %d at most; harmless: %d sent, %d put in quarantine, %d refused, %.3f served",
-			bad, seeds(), float64(ends)/float64(bad*seeds()), worst, total.sent, harmless, total.setAside, float64(total.served)/float64(total.sent))
-		assert.Assert(t, total.setAside*1000 <= total.sent, "%d of %d harmless requests were refused", total.setAside, total.sent)
+			poison, seeds(), float64(crashes)/float64(poison*seeds()), worst, total.sent, harmless, total.refused, float64(total.served)/float64(total.sent))
+		assert.Assert(t, total.refused*1000 <= total.sent, "%d of %d harmless requests were refused", total.refused, total.sent)
 	}
 }
 
 // Half of the upstreams crash at once, repeatedly, and no request is the cause. No request may be
 // refused, whether it is unique or one of a few that run at several of the upstreams.
-func TestLossOfManyUpstreamsSetsNothingAside(t *testing.T) {
-	for _, fixed := range []int{0, 5} {
-		total := playHarmless(t, simOptions{massCrash: true, fixed: fixed})
-		assert.Equal(t, total.setAside, 0, "of %d", total.sent)
+func TestSimulationMassCrashRefusesNothing(t *testing.T) {
+	for _, distinct := range []int{0, 5} {
+		total := runHarmless(t, simOptions{massCrash: true, distinct: distinct})
+		assert.Equal(t, total.refused, 0, "of %d", total.sent)
 	}
 }
 
 // Upstreams also crash singly all the time, so a popular harmless request can see three crashes in a
 // row. At most one in a thousand requests may be refused.
-func TestUpstreamsThatEndAllTheTimeSetLittleAside(t *testing.T) {
-	for _, fixed := range []int{0, 5} {
-		total := playHarmless(t, simOptions{crashes: 0.5, massCrash: true, fixed: fixed})
-		assert.Assert(t, total.setAside*1000 <= total.sent, "%d of %d were refused", total.setAside, total.sent)
+func TestSimulationFrequentCrashesRefuseLittle(t *testing.T) {
+	for _, distinct := range []int{0, 5} {
+		total := runHarmless(t, simOptions{crashes: 0.5, massCrash: true, distinct: distinct})
+		assert.Assert(t, total.refused*1000 <= total.sent, "%d of %d were refused", total.refused, total.sent)
 	}
 }
 
 // runHarmless runs simulations without poison requests, and returns the sum of their counts.
-func playHarmless(t *testing.T, o simOptions) (total simCount) {
+func runHarmless(t *testing.T, o simOptions) (total simCount) {
 	o.entries, o.upstreams, o.rate, o.faults, o.span = 7, 16, 100, true, 40*time.Second
 	for seed := range seeds() {
 		s := newSim(uint64(seed), o)
 		s.run()
 		total.add(s.harmless)
 	}
-	t.Logf("%d seeds, %d distinct requests: %d sent, %d refused, %.3f served", seeds(), o.fixed, total.sent, total.setAside, float64(total.served)/float64(total.sent))
+	t.Logf("%d seeds, %d distinct requests: %d sent, %d refused, %.3f served", seeds(), o.distinct, total.sent, total.refused, float64(total.served)/float64(total.sent))
 	return total
 }
 
 func (c *simCount) add(o simCount) {
-	c.sent, c.served, c.setAside = c.sent+o.sent, c.served+o.served, c.setAside+o.setAside
+	c.sent, c.served, c.refused = c.sent+o.sent, c.served+o.served, c.refused+o.refused
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -40,7 +40,7 @@
 }
 
 // quarantineDuration returns the duration of a request's n-th quarantine.
-func (s *Settings) term(n int) time.Duration {
+func (s *Settings) quarantineDuration(n int) time.Duration {
 	d := s.Term
 	for i := 1; i < n && d < s.MostTerm; i++ {
 		d *= 2
@@ -98,22 +98,22 @@
 	Subject
 	// runs are those during which an upstream crashed. Each incarnation counts once, however many
 	// copies ran there.
-	runs    []Run
-	lastEnd time.Time
+	runs      []Run
+	lastCrash time.Time
 	// until is the end of its latest quarantine, terms the number of its quarantines.
 	until time.Time
 	terms int
 	// inFlight is the number of copies that run from this process.
-	running int
+	inFlight int
 	// announced is set once the request is on its last trial or in quarantine, which peers are told.
 	// They are then also told when it is cleared.
-	spread bool
+	announced bool
 	// clearedAt is when the request was last answered completely, or its quarantine lifted. Crashes up
 	// to that time aren't held against it, however late they are reported.
 	clearedAt time.Time
 	// version is the table version of the latest change, ownVersion that of the latest change that
 	// this process observed itself, or 0 if there was none.
-	version, own uint64
+	version, ownVersion uint64
 }
 
 // Table is what one process knows of requests that were running when upstreams crashed. It is not
@@ -165,7 +165,7 @@
 	switch {
 	case now.Before(r.until):
 		return Quarantined
-	case len(r.runs) == 0 || t.over(now, r):
+	case len(r.runs) == 0 || t.isExpired(now, r):
 		return Free
 	case r.terms > 0 || len(r.runs) >= t.settings.Ends-1:
 		// A request whose quarantine has lapsed is tried one more time.
@@ -175,11 +175,11 @@
 }
 
 // isExpired reports whether the crashes are too long ago to be held against the request.
-func (t *Table) over(now time.Time, r *record) bool {
+func (t *Table) isExpired(now time.Time, r *record) bool {
 	if r.terms > 0 {
 		return now.Sub(r.until) > t.settings.MostTerm
 	}
-	return now.Sub(r.lastEnd) > t.settings.Memory
+	return now.Sub(r.lastCrash) > t.settings.Memory
 }
 
 // Judge returns the verdict on a request.
@@ -192,7 +192,7 @@
 	if v.Standing == Free {
 		return v
 	}
-	v.Ends, v.Upstreams, v.Age = len(r.runs), r.upstreams(), now.Sub(r.lastEnd)
+	v.Ends, v.Upstreams, v.Age = len(r.runs), r.upstreams(), now.Sub(r.lastCrash)
 	v.Left = max(r.until.Sub(now), 0)
 	return v
 }
@@ -206,28 +206,28 @@
 		return true
 	}
 	s := t.standing(now, r)
-	if s == Quarantined || s == LastTrial && r.running > 0 {
+	if s == Quarantined || s == LastTrial && r.inFlight > 0 {
 		return false
 	}
-	r.running++
+	r.inFlight++
 	return true
 }
 
 // Done unregisters a copy that Begin registered. A record that was created meanwhile doesn't count
 // the copy.
 func (t *Table) Done(k Key) {
-	if r := t.records[k]; r != nil && r.running > 0 {
-		r.running--
+	if r := t.records[k]; r != nil && r.inFlight > 0 {
+		r.inFlight--
 	}
 }
 
 // Ended records a run from this process during which an upstream crashed, and returns the verdict
 // after it.
 func (t *Table) Ended(now time.Time, s Subject, run Run) Verdict {
-	r := t.record(now, s)
-	if t.hold(now, r, []Run{run}) {
-		t.changed(now, r)
-		r.own = t.version
+	r := t.recordFor(now, s)
+	if t.addRuns(now, r, []Run{run}) {
+		t.reassess(now, r)
+		r.ownVersion = t.version
 	}
 	return t.Judge(now, s.Key)
 }
@@ -239,8 +239,8 @@
 	if r == nil || len(r.runs) == 0 {
 		return false
 	}
-	t.clear(r, now)
-	r.own = t.version
+	t.clearRecord(r, now)
+	r.ownVersion = t.version
 	return true
 }
 
@@ -248,30 +248,30 @@
 // changed anything.
 func (t *Table) Learn(now time.Time, m *wire.Suspicion) bool {
 	k := Key(m.Key)
-	cleared := m.Cleared && t.learnCleared(k, now.Add(-millis(m.ClearedAgeMs)))
+	cleared := m.Cleared && t.learnCleared(k, now.Add(-fromMillis(m.ClearedAgeMs)))
 	if len(m.Runs) == 0 {
 		return cleared
 	}
-	r := t.record(now, Subject{Key: k, Hint: Hint(m.Hint), Team: m.Team, Route: m.Route})
-	runs := runsOf(now, m)
-	changed := t.hold(now, r, runs)
+	r := t.recordFor(now, Subject{Key: k, Hint: Hint(m.Hint), Team: m.Team, Route: m.Route})
+	runs := fromWireRuns(now, m)
+	changed := t.addRuns(now, r, runs)
 	// A quarantine that rests on crashes from before the last clearing doesn't count.
-	if !r.clearedSince(runs) && t.decided(now, r, m) {
+	if !r.clearedSince(runs) && t.mergeQuarantine(now, r, m) {
 		changed = true
 	}
 	if changed {
-		t.changed(now, r)
+		t.reassess(now, r)
 	}
 	return changed || cleared
 }
 
 // mergeQuarantine adopts another process's quarantine of a request if it is the later one, and
 // reports whether that changed anything.
-func (t *Table) decided(now time.Time, r *record, m *wire.Suspicion) (changed bool) {
+func (t *Table) mergeQuarantine(now time.Time, r *record, m *wire.Suspicion) (changed bool) {
 	if terms := int(m.Terms); terms > r.terms {
-		r.terms, r.until, changed = terms, earlier(now, r.lastEnd.Add(t.settings.term(terms))), true
+		r.terms, r.until, changed = terms, earlier(now, r.lastCrash.Add(t.settings.quarantineDuration(terms))), true
 	}
-	if until := now.Add(millis(m.QuarantineMs)); m.QuarantineMs > 0 && until.After(r.until.Add(termSlack)) {
+	if until := now.Add(fromMillis(m.QuarantineMs)); m.QuarantineMs > 0 && until.After(r.until.Add(untilTolerance)) {
 		r.until, r.terms, changed = until, max(r.terms, 1), true
 	}
 	return changed
@@ -288,13 +288,13 @@
 	if r == nil || !at.After(r.clearedAt) {
 		return false
 	}
-	t.clear(r, at)
+	t.clearRecord(r, at)
 	return true
 }
 
 // untilTolerance is the difference between two reported ends of one quarantine that is ignored.
 // Messages carry times relative to when they are sent, so their transit shifts the ends.
-const termSlack = 10 * time.Second
+const untilTolerance = 10 * time.Second
 
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
@@ -304,19 +304,19 @@
 }
 
 // reassess decides on quarantine after more is held against a request.
-func (t *Table) changed(now time.Time, r *record) {
-	if t.isDue(now, r) {
+func (t *Table) reassess(now time.Time, r *record) {
+	if t.isQuarantineDue(now, r) {
 		r.terms++
-		r.until = now.Add(t.settings.term(r.terms))
+		r.until = now.Add(t.settings.quarantineDuration(r.terms))
 	}
-	t.touch(r)
+	t.bumpVersion(r)
 	if r.terms > 0 {
 		t.everQuarantined[r.Key] = r
 	}
 	s := t.standing(now, r)
-	r.spread = r.spread || s >= LastTrial
+	r.announced = r.announced || s >= LastTrial
 	if s == Quarantined {
-		t.explain(r)
+		t.attributeCrashes(r)
 	}
 }
 
@@ -326,22 +326,22 @@
 // When many upstreams fail at once, copies of a popular harmless request may run at several of them.
 // A poison request crashes upstreams again in runs that begin after a crash; until then it stays on
 // its last trial, and an answer clears it.
-func (t *Table) isDue(now time.Time, r *record) bool {
-	if now.Before(r.until) || r.lastEnd.Before(r.until) || t.over(now, r) {
+func (t *Table) isQuarantineDue(now time.Time, r *record) bool {
+	if now.Before(r.until) || r.lastCrash.Before(r.until) || t.isExpired(now, r) {
 		return false
 	}
 	if r.terms > 0 {
 		return len(r.runs) > 0
 	}
-	return len(r.runs) >= t.settings.Ends && t.countEnds(r) >= t.settings.Ends && r.series(t.settings.Apart) > 1
+	return len(r.runs) >= t.settings.Ends && t.countCrashes(r) >= t.settings.Ends && r.countSequential(t.settings.Apart) > 1
 }
 
 // countCrashes counts the crashes held against a request. Those of one outage, in which many
 // upstreams crashed simultaneously, count as one.
-func (t *Table) countEnds(r *record) (n int) {
+func (t *Table) countCrashes(r *record) (n int) {
 	var outage time.Time
-	for _, run := range r.byEnd() {
-		if t.endedAround(run.Ended) >= t.settings.AtOnce {
+	for _, run := range r.runsByEnd() {
+		if t.upstreamsCrashedNear(run.Ended) >= t.settings.AtOnce {
 			if !outage.IsZero() && run.Ended.Sub(outage) <= 2*t.settings.Apart {
 				continue
 			}
@@ -354,7 +354,7 @@
 
 // upstreamsCrashedNear returns how many upstreams crashed within Apart of a time while running any of
 // the remembered requests.
-func (t *Table) endedAround(at time.Time) int {
+func (t *Table) upstreamsCrashedNear(at time.Time) int {
 	ended := map[string]bool{}
 	for _, r := range t.records {
 		for _, run := range r.runs {
@@ -367,15 +367,15 @@
 }
 
 // runsByEnd returns the runs in the order in which they ended.
-func (r *record) byEnd() []Run {
+func (r *record) runsByEnd() []Run {
 	return slices.SortedFunc(slices.Values(r.runs), func(a, b Run) int { return a.Ended.Compare(b.Ended) })
 }
 
 // countSequential returns how many runs followed one another, each begun more than apart after the
 // one before had ended.
-func (r *record) series(apart time.Duration) (n int) {
+func (r *record) countSequential(apart time.Duration) (n int) {
 	var last time.Time
-	for _, run := range r.byEnd() {
+	for _, run := range r.runsByEnd() {
 		if n == 0 || run.Began.After(last.Add(apart)) {
 			n, last = n+1, run.Ended
 		}
@@ -392,7 +392,7 @@
 }
 
 // crashedDuring reports whether the upstream crashed while running the request.
-func (r *record) ranAt(upstream string) bool {
+func (r *record) crashedDuring(upstream string) bool {
 	return slices.ContainsFunc(r.runs, func(run Run) bool { return run.Upstream == upstream })
 }
 
@@ -400,23 +400,23 @@
 // before the last clearing, of upstreams that are counted already, and those that are attributed to
 // another request. The first run added to an expired record replaces its former runs and
 // quarantines.
-func (t *Table) hold(now time.Time, r *record, runs []Run) (changed bool) {
-	expired := len(r.runs) > 0 && t.over(now, r)
+func (t *Table) addRuns(now time.Time, r *record, runs []Run) (changed bool) {
+	expired := len(r.runs) > 0 && t.isExpired(now, r)
 	for _, run := range runs {
-		if !run.Ended.After(r.clearedAt) || r.ranAt(run.Upstream) || t.explained(now, r, run.Upstream) {
+		if !run.Ended.After(r.clearedAt) || r.crashedDuring(run.Upstream) || t.isAttributed(now, r, run.Upstream) {
 			continue
 		}
 		if expired {
-			r.spread, r.runs, r.until, r.terms = false, nil, time.Time{}, 0
+			r.announced, r.runs, r.until, r.terms = false, nil, time.Time{}, 0
 			delete(t.everQuarantined, r.Key)
 			expired = false
 		}
 		r.runs = append(r.runs, run)
-		if len(r.runs) > mostRuns {
+		if len(r.runs) > maxRuns {
 			r.runs = r.runs[1:]
 		}
-		if run.Ended.After(r.lastEnd) {
-			r.lastEnd = run.Ended
+		if run.Ended.After(r.lastCrash) {
+			r.lastCrash = run.Ended
 		}
 		changed = true
 	}
@@ -425,9 +425,9 @@
 
 // isAttributed reports whether another request, which is in quarantine, was running when the upstream
 // crashed.
-func (t *Table) explained(now time.Time, r *record, upstream string) bool {
+func (t *Table) isAttributed(now time.Time, r *record, upstream string) bool {
 	for _, other := range t.everQuarantined {
-		if other != r && t.standing(now, other) == Quarantined && other.ranAt(upstream) {
+		if other != r && t.standing(now, other) == Quarantined && other.crashedDuring(upstream) {
 			return true
 		}
 	}
@@ -437,14 +437,14 @@
 // attributeCrashes removes the crashes of a request that is put in quarantine from other requests,
 // which only ran beside it and are likely to be sent again. Requests that were in quarantine
 // themselves keep theirs.
-func (t *Table) explain(cause *record) {
+func (t *Table) attributeCrashes(cause *record) {
 	var changed []*record
 	for _, r := range t.records {
 		if r == cause || r.terms > 0 {
 			continue
 		}
 		before := len(r.runs)
-		r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return cause.ranAt(run.Upstream) })
+		r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return cause.crashedDuring(run.Upstream) })
 		if len(r.runs) < before {
 			changed = append(changed, r)
 		}
@@ -452,19 +452,19 @@
 	// In a defined order, so that versions are assigned reproducibly.
 	slices.SortFunc(changed, func(a, b *record) int { return slices.Compare(a.Key[:], b.Key[:]) })
 	for _, r := range changed {
-		t.touch(r)
+		t.bumpVersion(r)
 	}
 }
 
 // clearRecord discards what is held against a request up to a time.
-func (t *Table) clear(r *record, at time.Time) {
+func (t *Table) clearRecord(r *record, at time.Time) {
 	r.clearedAt, r.until, r.terms = at, time.Time{}, 0
 	delete(t.everQuarantined, r.Key)
 	r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return !run.Ended.After(at) })
-	t.touch(r)
+	t.bumpVersion(r)
 }
 
-func (t *Table) touch(r *record) {
+func (t *Table) bumpVersion(r *record) {
 	t.version++
 	r.version = t.version
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -20,21 +20,21 @@
 	return Subject{Key: r.Key(), Hint: r.Hint(), Team: team, Route: "r"}
 }
 
-// run returns a run of 10 ms that ended with the crash of its upstream.
-func run(upstream string, ended time.Time) Run {
+// crashedRun returns a run of 10 ms that ended with the crash of its upstream.
+func crashedRun(upstream string, ended time.Time) Run {
 	return Run{Upstream: upstream, Began: ended.Add(-10 * time.Millisecond), Ended: ended}
 }
 
 // crashThree has three upstreams crash one after the other while running a request.
-func endThree(tb *Table, s Subject, last time.Time) {
+func crashThree(tb *Table, s Subject, last time.Time) {
 	for i := range 3 {
 		at := last.Add(time.Duration(i-2) * time.Second)
-		tb.Ended(at, s, run(fmt.Sprint("up-", i), at))
+		tb.Ended(at, s, crashedRun(fmt.Sprint("up-", i), at))
 	}
 }
 
 // The key depends on team, method, host, URI and body, and on where each of them ends.
-func TestRequestIsNamedByItsContent(t *testing.T) {
+func TestKeyIdentifiesContent(t *testing.T) {
 	base := Request{Team: "a", Method: "POST", Host: "h", URI: "/x", Body: []byte("body")}
 	same := base
 	assert.Equal(t, base.Key(), same.Key())
@@ -58,15 +58,15 @@
 
 // A request is suspected after one crash, on its last trial after two and in quarantine after three.
 // Several copies at one upstream count as one crash.
-func TestThirdEndPutsARequestInQuarantine(t *testing.T) {
+func TestThirdCrashQuarantines(t *testing.T) {
 	tb := NewTable(DefaultSettings())
 	poison := subject("a", "bad")
 	assert.Equal(t, tb.Judge(start, poison.Key).Standing, Free)
 	for range 5 {
-		assert.Equal(t, tb.Ended(start, poison, run("up-1", start)).Standing, Suspect)
+		assert.Equal(t, tb.Ended(start, poison, crashedRun("up-1", start)).Standing, Suspect)
 	}
-	assert.Equal(t, tb.Ended(after(time.Second), poison, run("up-2", after(time.Second))).Standing, LastTrial)
-	v := tb.Ended(after(2*time.Second), poison, run("up-3", after(2*time.Second)))
+	assert.Equal(t, tb.Ended(after(time.Second), poison, crashedRun("up-2", after(time.Second))).Standing, LastTrial)
+	v := tb.Ended(after(2*time.Second), poison, crashedRun("up-3", after(2*time.Second)))
 	assert.Equal(t, v.Standing, Quarantined)
 	assert.Equal(t, v.Ends, 3)
 	assert.Equal(t, v.Left, DefaultSettings().Term)
@@ -75,13 +75,13 @@
 
 // A harmless request that keeps being sent while upstreams crash isn't put in quarantine if it is
 // answered in between.
-func TestAnswerClearsARequest(t *testing.T) {
+func TestAnswerClearsSuspicion(t *testing.T) {
 	tb := NewTable(DefaultSettings())
 	harmless := subject("a", "fine")
 	for n := range 30 {
 		now := after(time.Duration(n) * time.Second)
-		assert.Assert(t, tb.Ended(now, harmless, run(fmt.Sprint("up-", 2*n), now)).Standing < Quarantined)
-		assert.Assert(t, tb.Ended(now, harmless, run(fmt.Sprint("up-", 2*n+1), now)).Standing < Quarantined)
+		assert.Assert(t, tb.Ended(now, harmless, crashedRun(fmt.Sprint("up-", 2*n), now)).Standing < Quarantined)
+		assert.Assert(t, tb.Ended(now, harmless, crashedRun(fmt.Sprint("up-", 2*n+1), now)).Standing < Quarantined)
 		assert.Assert(t, tb.Answered(now, harmless.Key))
 		assert.Equal(t, tb.Judge(now, harmless.Key).Standing, Free)
 	}
@@ -90,7 +90,7 @@
 
 // Copies of a harmless request run at several upstreams that crash simultaneously. That puts it on its
 // last trial only, and an answer clears it; crashes of runs that begin later put it in quarantine.
-func TestEndsAtOnceAreNoSeries(t *testing.T) {
+func TestSimultaneousCrashesDoNotQuarantine(t *testing.T) {
 	tb := NewTable(DefaultSettings())
 	popular := subject("a", "hot")
 	for i := range 6 {
@@ -107,22 +107,22 @@
 	assert.Assert(t, answered.Answered(after(time.Second), popular.Key))
 	assert.Equal(t, answered.Judge(after(time.Second), popular.Key).Standing, Free)
 	late := after(2 * time.Second)
-	assert.Equal(t, tb.Ended(late, popular, run("up-8", late)).Standing, LastTrial)
+	assert.Equal(t, tb.Ended(late, popular, crashedRun("up-8", late)).Standing, LastTrial)
 	later := after(3 * time.Second)
-	assert.Equal(t, tb.Ended(later, popular, run("up-9", later)).Standing, Quarantined)
+	assert.Equal(t, tb.Ended(later, popular, crashedRun("up-9", later)).Standing, Quarantined)
 }
 
 // Concurrent copies of a request on its last trial would each crash an upstream before the first
 // crash is known.
-func TestLastTrialRunsAlone(t *testing.T) {
+func TestLastTrialAllowsOneCopy(t *testing.T) {
 	tb := NewTable(DefaultSettings())
 	poison := subject("a", "bad")
-	tb.Ended(start, poison, run("up-1", start))
+	tb.Ended(start, poison, crashedRun("up-1", start))
 	assert.Assert(t, tb.Begin(start, poison.Key))
 	assert.Assert(t, tb.Begin(start, poison.Key))
 	tb.Done(poison.Key)
 	tb.Done(poison.Key)
-	tb.Ended(start, poison, run("up-2", start))
+	tb.Ended(start, poison, crashedRun("up-2", start))
 	assert.Assert(t, tb.Begin(start, poison.Key))
 	assert.Assert(t, !tb.Begin(start, poison.Key))
 	tb.Done(poison.Key)
@@ -131,53 +131,53 @@
 
 // After its quarantine a request gets one trial. A crash doubles the next quarantine, and an answer
 // resets it.
-func TestQuarantineLapsesAndGrows(t *testing.T) {
+func TestQuarantineLapsesAndDoubles(t *testing.T) {
 	s := DefaultSettings()
 	tb := NewTable(s)
 	poison := subject("a", "bad")
-	endThree(tb, poison, start)
+	crashThree(tb, poison, start)
 	assert.Equal(t, tb.Judge(after(s.Term-time.Second), poison.Key).Standing, Quarantined)
 	lapsed := after(s.Term + time.Second)
 	assert.Equal(t, tb.Judge(lapsed, poison.Key).Standing, LastTrial)
-	v := tb.Ended(lapsed, poison, run("up-9", lapsed))
+	v := tb.Ended(lapsed, poison, crashedRun("up-9", lapsed))
 	assert.Equal(t, v.Standing, Quarantined)
 	assert.Equal(t, v.Left, 2*s.Term)
 	again := lapsed.Add(2*s.Term + time.Second)
 	assert.Assert(t, tb.Answered(again, poison.Key))
 	later := again.Add(time.Second)
-	assert.Equal(t, tb.Ended(later, poison, run("up-10", later)).Standing, Suspect)
-	assert.Equal(t, s.term(100), s.MostTerm)
+	assert.Equal(t, tb.Ended(later, poison, crashedRun("up-10", later)).Standing, Suspect)
+	assert.Equal(t, s.quarantineDuration(100), s.MostTerm)
 }
 
 // Crashes of a request in quarantine aren't held against requests that ran beside it, whether they are
 // reported before or after the quarantine begins.
-func TestQuarantineExplainsTheEndsOfOthers(t *testing.T) {
+func TestQuarantineTakesCrashesOffOthers(t *testing.T) {
 	tb := NewTable(DefaultSettings())
 	poison, once, twice := subject("a", "bad"), subject("b", "once"), subject("c", "twice")
 	before := after(-time.Second)
-	tb.Ended(before, once, run("up-1", before))
-	tb.Ended(before, twice, run("up-1", before))
-	tb.Ended(before, poison, run("up-1", before))
-	tb.Ended(start, twice, run("up-2", start))
-	tb.Ended(start, poison, run("up-2", start))
+	tb.Ended(before, once, crashedRun("up-1", before))
+	tb.Ended(before, twice, crashedRun("up-1", before))
+	tb.Ended(before, poison, crashedRun("up-1", before))
+	tb.Ended(start, twice, crashedRun("up-2", start))
+	tb.Ended(start, poison, crashedRun("up-2", start))
 	assert.Equal(t, tb.Judge(start, twice.Key).Standing, LastTrial)
-	tb.Ended(start, poison, run("up-3", start))
+	tb.Ended(start, poison, crashedRun("up-3", start))
 	assert.Equal(t, tb.Judge(start, poison.Key).Standing, Quarantined)
 	assert.Equal(t, tb.Judge(start, once.Key).Standing, Free)
 	assert.Equal(t, tb.Judge(start, twice.Key).Standing, Free)
 	// A crash that is reported during the quarantine isn't held against it either.
-	assert.Equal(t, tb.Ended(start, twice, run("up-3", start)).Standing, Free)
-	assert.Equal(t, tb.Ended(start, twice, run("up-4", start)).Standing, Suspect)
+	assert.Equal(t, tb.Ended(start, twice, crashedRun("up-3", start)).Standing, Free)
+	assert.Equal(t, tb.Ended(start, twice, crashedRun("up-4", start)).Standing, Suspect)
 }
 
 // Three tables observe one crash each; what they report adds up to a quarantine in all of them, and a
 // clearing in one ends it in the others.
-func TestTablesAddUpWhatTheyHear(t *testing.T) {
+func TestTablesMergeCrashes(t *testing.T) {
 	poison := subject("a", "bad")
 	tables := []*Table{NewTable(DefaultSettings()), NewTable(DefaultSettings()), NewTable(DefaultSettings())}
 	replica := NewTable(DefaultSettings())
 	for i, tb := range tables {
-		tb.Ended(start, poison, run(fmt.Sprint("up-", i), after(time.Duration(i-2)*time.Second)))
+		tb.Ended(start, poison, crashedRun(fmt.Sprint("up-", i), after(time.Duration(i-2)*time.Second)))
 		for _, m := range tb.Own(start, 0).Suspicions {
 			assert.NilError(t, Check(m))
 			assert.Assert(t, replica.Learn(start, m))
@@ -201,10 +201,10 @@
 
 // When a group is lost, each request that ran there has a single crash. Reporting all of them would
 // flood the entries.
-func TestFewAreToldOf(t *testing.T) {
+func TestSinceOmitsSingleCrashes(t *testing.T) {
 	replica := NewTable(DefaultSettings())
 	for i := range 500 {
-		replica.Ended(start, subject("a", fmt.Sprint(i)), run("up-1", start))
+		replica.Ended(start, subject("a", fmt.Sprint(i)), crashedRun("up-1", start))
 	}
 	assert.Equal(t, len(replica.Since(start, 0).Suspicions), 0)
 	for i := range 500 {
@@ -214,12 +214,12 @@
 }
 
 // No change is left out when there are more than fit in one message.
-func TestLongListsAreToldInParts(t *testing.T) {
+func TestSinceReturnsBoundedBatches(t *testing.T) {
 	replica := NewTable(DefaultSettings())
 	for i := range 300 {
 		s := subject(fmt.Sprint("team-", i%4), fmt.Sprint(i))
-		replica.Ended(start, s, run("up-1", start))
-		replica.Ended(start, s, run("up-2", start))
+		replica.Ended(start, s, crashedRun("up-1", start))
+		replica.Ended(start, s, crashedRun("up-2", start))
 	}
 	seen, version := 0, uint64(0)
 	for range 10 {
@@ -233,33 +233,33 @@
 
 // A team with many suspected requests evicts its own records, the weakest and oldest first, and not
 // those of other teams.
-func TestMemoryIsBoundedByTeam(t *testing.T) {
+func TestTableEvictsWithinTeam(t *testing.T) {
 	s := DefaultSettings()
 	tb := NewTable(s)
 	held := subject("b", "held")
-	endThree(tb, held, start)
+	crashThree(tb, held, start)
 	strong := subject("a", "strong")
-	tb.Ended(start, strong, run("up-3", start))
-	tb.Ended(start, strong, run("up-4", start))
+	tb.Ended(start, strong, crashedRun("up-3", start))
+	tb.Ended(start, strong, crashedRun("up-4", start))
 	for i := range 3 * s.Most {
-		tb.Ended(after(time.Duration(i)*time.Millisecond), subject("a", fmt.Sprint(i)), run("up-5", start))
+		tb.Ended(after(time.Duration(i)*time.Millisecond), subject("a", fmt.Sprint(i)), crashedRun("up-5", start))
 	}
 	assert.Assert(t, tb.Len() <= s.MostOfTeam+1, tb.Len())
 	assert.Equal(t, tb.Judge(after(time.Second), held.Key).Standing, Quarantined)
 	assert.Equal(t, tb.Judge(after(time.Second), strong.Key).Standing, LastTrial)
 	for i := range 3 * s.Most {
-		tb.Ended(after(time.Minute), subject(fmt.Sprint("t-", i%50), fmt.Sprint(i)), run("up-6", after(time.Minute)))
+		tb.Ended(after(time.Minute), subject(fmt.Sprint("t-", i%50), fmt.Sprint(i)), crashedRun("up-6", after(time.Minute)))
 	}
 	assert.Assert(t, tb.Len() <= s.Most, tb.Len())
 	assert.Equal(t, tb.Judge(after(time.Minute), held.Key).Standing, Quarantined)
 }
 
 // The hint of a forgotten request is forgotten too, so that no bodies are hashed for it.
-func TestOldEndsAreForgotten(t *testing.T) {
+func TestForgetDropsExpiredRecords(t *testing.T) {
 	s := DefaultSettings()
 	tb := NewTable(s)
 	one := subject("a", "one")
-	tb.Ended(start, one, run("up-1", start))
+	tb.Ended(start, one, crashedRun("up-1", start))
 	assert.Assert(t, tb.MayKnow(one.Hint))
 	late := after(s.Memory + time.Second)
 	assert.Equal(t, tb.Judge(late, one.Key).Standing, Free)
@@ -270,10 +270,10 @@
 
 // A table that starts empty learns current and lapsed quarantines from the log, and a repeated command
 // changes nothing.
-func TestMachineKeepsQuarantines(t *testing.T) {
+func TestMachineRestoresQuarantines(t *testing.T) {
 	tb, m := NewTable(DefaultSettings()), &Machine{}
 	poison := subject("a", "bad")
-	endThree(tb, poison, start)
+	crashThree(tb, poison, start)
 	s := tb.All(start)[0]
 	assert.Assert(t, !m.Covers(start, s))
 	put := &wire.QuarantineCommand{Put: Logged(start, s)}
@@ -293,7 +293,7 @@
 	later := NewTable(DefaultSettings())
 	later.Learn(lapsed, restored.Told(lapsed)[0])
 	assert.Equal(t, later.Judge(lapsed, poison.Key).Standing, LastTrial)
-	assert.Equal(t, later.Ended(lapsed, poison, run("up-9", lapsed)).Standing, Quarantined)
+	assert.Equal(t, later.Ended(lapsed, poison, crashedRun("up-9", lapsed)).Standing, Quarantined)
 
 	assert.Assert(t, m.Apply(&wire.QuarantineCommand{Lift: poison.Key[:], AtMs: 7}).Changed)
 	assert.Equal(t, m.LiftedAt(poison.Key[:]), uint64(7))
@@ -303,17 +303,17 @@
 
 // A quarantine that was lifted isn't put back for the crashes from before the lift, but for new ones.
 // A replica that replays the log days later comes to the same result.
-func TestLiftedQuarantineComesBackByNewEndsOnly(t *testing.T) {
+func TestLiftedQuarantineNeedsNewCrashes(t *testing.T) {
 	tb, m := NewTable(DefaultSettings()), &Machine{}
 	poison := subject("a", "bad")
-	endThree(tb, poison, start)
+	crashThree(tb, poison, start)
 	old := Logged(start, tb.All(start)[0])
 	lifted := after(time.Minute)
 	again := after(time.Hour)
 	fresh := NewTable(DefaultSettings())
 	for i := range 3 {
 		at := again.Add(time.Duration(i) * time.Second)
-		fresh.Ended(at, poison, run(fmt.Sprint("new-", i), at))
+		fresh.Ended(at, poison, crashedRun(fmt.Sprint("new-", i), at))
 	}
 	put := Logged(again.Add(2*time.Second), fresh.All(again.Add(2 * time.Second))[0])
 	commands := []*wire.QuarantineCommand{
@@ -334,21 +334,21 @@
 }
 
 // A team that fills the log loses its own oldest quarantines, not those of other teams.
-func TestLogIsBoundedByTeam(t *testing.T) {
+func TestMachineEvictsWithinTeam(t *testing.T) {
 	m := &Machine{}
 	add := func(team string, i int) {
 		s := subject(team, fmt.Sprint(i))
 		m.Apply(&wire.QuarantineCommand{Put: &wire.LoggedQuarantine{Request: &wire.Suspicion{Key: s.Key[:], Team: team}, UntilMs: 1, EndedMs: 1}})
 	}
 	add("b", 0)
-	for i := range 2 * mostLogged {
+	for i := range 2 * maxLogged {
 		add("a", i)
 	}
-	assert.Equal(t, len(m.logged), mostLoggedOfTeam+1)
+	assert.Equal(t, len(m.logged), maxLoggedPerTeam+1)
 	b := subject("b", "0")
 	assert.Assert(t, m.Get(b.Key[:]) != nil)
-	for i := range 4 * mostLogged {
+	for i := range 4 * maxLogged {
 		add(fmt.Sprint("t", i%100), i)
 	}
-	assert.Equal(t, len(m.logged), mostLogged)
+	assert.Equal(t, len(m.logged), maxLogged)
 }
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -17,26 +17,26 @@
 // Trial checks one caller's request against a Node and records its runs. The zero value suspects no
 // request. Its methods are safe for concurrent use, except Begin and Done.
 type Trial struct {
-	node *Node
-	of   Requester
+	node      *Node
+	requester Requester
 	// key identifies the request by its content; nil until it is needed.
-	key   atomic.Pointer[Key]
-	begun bool
+	key        atomic.Pointer[Key]
+	registered bool
 }
 
 // Init sets the node and the request of the trial.
-func (t *Trial) Init(n *Node, of Requester) { t.node, t.of = n, of }
+func (t *Trial) Init(n *Node, of Requester) { t.node, t.requester = n, of }
 
-// suspectedKey returns the key of a request that may be suspected. It hashes the body only if the
-// hint of the request is known.
-func (t *Trial) suspected() (Key, bool) {
-	if t.node == nil || t.node.known.Load() == 0 {
+// suspectedKey returns the key of a request against which something may be held. It hashes the body
+// only if the hint of the request is known.
+func (t *Trial) suspectedKey() (Key, bool) {
+	if t.node == nil || t.node.recordCount.Load() == 0 {
 		return Key{}, false
 	}
 	if k := t.key.Load(); k != nil {
 		return *k, true
 	}
-	r := t.of.Identity()
+	r := t.requester.Identity()
 	t.node.mu.Lock()
 	known := t.node.table.MayKnow(r.Hint())
 	t.node.mu.Unlock()
@@ -50,7 +50,7 @@
 
 // Verdict returns the current verdict on the request.
 func (t *Trial) Verdict() Verdict {
-	k, ok := t.suspected()
+	k, ok := t.suspectedKey()
 	if !ok {
 		return Verdict{}
 	}
@@ -62,22 +62,22 @@
 // Begin registers that the request is about to be sent. It returns false if the request is in
 // quarantine, or on its last trial while a copy of it runs from this process. Done must follow.
 func (t *Trial) Begin() bool {
-	k, ok := t.suspected()
+	k, ok := t.suspectedKey()
 	if !ok {
 		return true
 	}
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
-	t.begun = t.node.table.Begin(t.node.now(), k)
-	return t.begun
+	t.registered = t.node.table.Begin(t.node.now(), k)
+	return t.registered
 }
 
 // Done unregisters the run that Begin registered, if any.
 func (t *Trial) Done() {
-	if !t.begun {
+	if !t.registered {
 		return
 	}
-	t.begun = false
+	t.registered = false
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
 	t.node.table.Done(*t.key.Load())
@@ -86,16 +86,16 @@
 // Answered records that an upstream answered the request completely, which clears it, and reports
 // whether anything was held against it.
 func (t *Trial) Answered(requestID string) (cleared bool) {
-	k, ok := t.suspected()
+	k, ok := t.suspectedKey()
 	if !ok {
 		return false
 	}
-	t.node.change(func(now time.Time, table *Table) bool {
+	t.node.updateTable(func(now time.Time, table *Table) bool {
 		cleared = table.Judge(now, k).Standing != Free && table.Answered(now, k)
 		return cleared
 	})
 	if cleared {
-		t.node.tell("Suspected request was answered and cleared.", "request", requestID, "key", k)
+		t.node.logInfo("Suspected request was answered and cleared.", "request", requestID, "key", k)
 	}
 	return cleared
 }
--- a/table/follower.go
+++ b/table/follower.go
@@ -16,12 +16,12 @@
 // the floor, the revision that a linearizable read returned at the entry's start. Follower is pure
 // and not safe for concurrent use.
 type Follower struct {
-	rows      map[rowID]*wire.Row
-	revision  uint64
-	cluster   string
-	floor     uint64
-	floored   bool
-	confirmed time.Time
+	rows        map[rowID]*wire.Row
+	revision    uint64
+	cluster     string
+	floor       uint64
+	hasFloor    bool
+	confirmedAt time.Time
 	// view is the latest one, nil if the next must be built from all rows; pending has the rows that
 	// were received after it was built.
 	view    *View
@@ -40,7 +40,7 @@
 	}
 	f.cluster = cluster
 	f.floor = max(f.floor, revision)
-	f.floored = true
+	f.hasFloor = true
 	return nil
 }
 
@@ -48,11 +48,11 @@
 func (f *Follower) Revision() uint64 { return f.revision }
 
 // Floored reports whether SetFloor has succeeded.
-func (f *Follower) Floored() bool { return f.floored }
+func (f *Follower) Floored() bool { return f.hasFloor }
 
 // Confirmed returns when the rows held were last known to be current, or the zero time if they never
 // were.
-func (f *Follower) Confirmed() time.Time { return f.confirmed }
+func (f *Follower) Confirmed() time.Time { return f.confirmedAt }
 
 // Apply applies an update. It returns the view that takes effect, or nil if nothing changed or the
 // floor hasn't been reached.
@@ -64,24 +64,24 @@
 		return nil, nil
 	}
 	changed := u.Revision > f.revision
-	f.take(u)
-	if !f.floored || f.revision < f.floor {
+	f.applyRows(u)
+	if !f.hasFloor || f.revision < f.floor {
 		return nil, nil
 	}
-	if at := now.Add(-time.Duration(u.ConfirmedAgeMs) * time.Millisecond); at.After(f.confirmed) {
-		f.confirmed = at
+	if at := now.Add(-time.Duration(u.ConfirmedAgeMs) * time.Millisecond); at.After(f.confirmedAt) {
+		f.confirmedAt = at
 	}
 	if !changed {
 		return nil, nil
 	}
-	return f.build()
+	return f.buildView()
 }
 
 // buildView returns the view of the rows held. It derives it from the previous view if there is one,
-// since a full build looks at all rows.
-func (f *Follower) build() (v *View, err error) {
+// since building it anew looks at all rows.
+func (f *Follower) buildView() (v *View, err error) {
 	if f.view == nil {
-		v, err = NewView(f.revision, f.list())
+		v, err = NewView(f.revision, f.rowList())
 	} else {
 		v, err = f.view.With(f.revision, f.pending)
 	}
@@ -90,7 +90,7 @@
 	return v, err
 }
 
-func (f *Follower) take(u *wire.TableUpdate) {
+func (f *Follower) applyRows(u *wire.TableUpdate) {
 	if u.Snapshot {
 		f.rows = map[rowID]*wire.Row{}
 		f.view, f.pending = nil, nil
@@ -111,7 +111,7 @@
 	f.revision = u.Revision
 }
 
-func (f *Follower) list() []*wire.Row {
+func (f *Follower) rowList() []*wire.Row {
 	list := make([]*wire.Row, 0, len(f.rows))
 	for _, r := range f.rows {
 		list = append(list, r)
--- a/table/machine.go
+++ b/table/machine.go
@@ -30,7 +30,7 @@
 type Machine struct {
 	revision  uint64
 	rows      map[rowID]*wire.Row
-	history   []pastRow
+	history   []historyRow
 	edits     map[string]storedEdit
 	editOrder []string
 	versions  map[rowID]int
@@ -131,7 +131,7 @@
 	if r := checkShape(e); r != nil {
 		return r
 	}
-	if r := m.conflicts(e); r != nil {
+	if r := m.findConflicts(e); r != nil {
 		return r
 	}
 	next := m.nextRows(index, e)
@@ -143,14 +143,14 @@
 	}
 	m.revision = index
 	reply := &wire.EditReply{Status: wire.EditStatus_EDIT_STATUS_ACCEPTED, Rows: next, Revision: index}
-	m.store(e, reply)
+	m.storeReply(e, reply)
 	m.trim()
 	return reply
 }
 
-// findConflicts compares the base versions of an edit with the current ones. Of two edits with the
-// same base version, the one that is later in the log conflicts.
-func (m *Machine) conflicts(e *wire.TableEdit) *wire.EditReply {
+// findConflicts compares the base versions of an edit with the current versions. Of two edits with the
+// same base version, the later one in the log is refused.
+func (m *Machine) findConflicts(e *wire.TableEdit) *wire.EditReply {
 	var current []*wire.Row
 	for _, r := range e.Rows {
 		old := m.rows[rowID{r.Kind, r.Key}]
@@ -201,21 +201,21 @@
 func (m *Machine) put(r *wire.Row) {
 	id := rowID{r.Kind, r.Key}
 	if old := m.rows[id]; old != nil {
-		m.history = append(m.history, newPastRow(id, old))
+		m.history = append(m.history, newHistoryRow(id, old))
 		m.versions[id]++
-		m.index(old, -1)
+		m.updateIndexes(old, -1)
 		if old.Deleted {
 			m.deleted = slices.DeleteFunc(m.deleted, func(d rowID) bool { return d == id })
 		}
 	}
 	m.rows[id] = r
-	m.index(r, 1)
+	m.updateIndexes(r, 1)
 	if r.Deleted {
 		m.deleted = append(m.deleted, id)
 	}
 }
 
-func (m *Machine) store(e *wire.TableEdit, reply *wire.EditReply) {
+func (m *Machine) storeReply(e *wire.TableEdit, reply *wire.EditReply) {
 	m.edits[e.EditId] = newStoredEdit(e, reply)
 	m.editOrder = append(m.editOrder, e.EditId)
 }
--- a/table/machine_encoding.go
+++ b/table/machine_encoding.go
@@ -11,19 +11,19 @@
 
 // historyRow is an earlier version of a row. It is kept encoded: decoded messages with maps take
 // several times the memory, and would have to be built at each start.
-type pastRow struct {
+type historyRow struct {
 	id      rowID
 	encoded []byte
 }
 
-func newPastRow(id rowID, r *wire.Row) pastRow {
+func newHistoryRow(id rowID, r *wire.Row) historyRow {
 	b, _ := proto.Marshal(r)
-	return pastRow{id, b}
+	return historyRow{id, b}
 }
 
-func (p pastRow) decode() *wire.Row {
+func (h historyRow) decode() *wire.Row {
 	r := &wire.Row{}
-	_ = proto.Unmarshal(p.encoded, r)
+	_ = proto.Unmarshal(h.encoded, r)
 	return r
 }
 
@@ -35,7 +35,7 @@
 
 // decodeRowID decodes only the kind and key of an encoded row. Equal IDs share their text through
 // known.
-func readRowID(b []byte, known map[rowID]rowID) rowID {
+func decodeRowID(b []byte, known map[rowID]rowID) rowID {
 	var id rowID
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
--- a/table/machine_encoding_test.go
+++ b/table/machine_encoding_test.go
@@ -11,7 +11,7 @@
 )
 
 // A row's history and the replies to edits sent again are the same after a restart from a snapshot.
-func TestRestartKeepsHistoryAndAnswers(t *testing.T) {
+func TestSnapshotKeepsHistoryAndReplies(t *testing.T) {
 	m := NewMachine()
 	var edits []*wire.TableEdit
 	for i := range uint64(30) {
--- a/table/machine_history.go
+++ b/table/machine_history.go
@@ -24,11 +24,11 @@
 // trimHistory drops versions beyond the limits. It does so only once the history exceeds its limit by
 // a tenth, or a row its own twofold, so that the cost is spread over many edits.
 func (m *Machine) trimHistory() {
-	if len(m.history) < MaxHistory+MaxHistory/10 && !m.overVersions() {
+	if len(m.history) < MaxHistory+MaxHistory/10 && !m.exceedsMaxVersions() {
 		return
 	}
 	drop := len(m.history) - MaxHistory
-	kept := make([]pastRow, 0, min(len(m.history), MaxHistory+MaxHistory/10))
+	kept := make([]historyRow, 0, min(len(m.history), MaxHistory+MaxHistory/10))
 	for i, r := range m.history {
 		if i < drop || m.versions[r.id] > MaxVersions {
 			m.versions[r.id]--
@@ -39,7 +39,7 @@
 	m.history = kept
 }
 
-func (m *Machine) overVersions() bool {
+func (m *Machine) exceedsMaxVersions() bool {
 	if len(m.history) == 0 {
 		return false
 	}
--- a/table/machine_snapshot.go
+++ b/table/machine_snapshot.go
@@ -33,7 +33,7 @@
 	for _, r := range s.GetRows() {
 		id := rowID{r.Kind, r.Key}
 		m.rows[id] = r
-		m.index(r, 1)
+		m.updateIndexes(r, 1)
 		if r.Deleted {
 			m.deleted = append(m.deleted, id)
 		}
@@ -41,7 +41,7 @@
 	sort.Slice(m.deleted, func(i, j int) bool { return m.rows[m.deleted[i]].Revision < m.rows[m.deleted[j]].Revision })
 	known := map[rowID]rowID{}
 	for _, b := range s.GetHistory() {
-		r := pastRow{readRowID(b, known), b}
+		r := historyRow{decodeRowID(b, known), b}
 		m.history = append(m.history, r)
 		m.versions[r.id]++
 	}
--- a/table/machine_test.go
+++ b/table/machine_test.go
@@ -26,7 +26,7 @@
 	return r
 }
 
-func without(kind, key string, base uint64) *wire.RowEdit {
+func deleteRow(kind, key string, base uint64) *wire.RowEdit {
 	return &wire.RowEdit{Kind: kind, Key: key, BaseVersion: base, Delete: true}
 }
 
@@ -34,7 +34,7 @@
 
 var digest = strings.Repeat("ab", 32)
 
-func filled(t *testing.T) *Machine {
+func newTestMachine(t *testing.T) *Machine {
 	t.Helper()
 	m := NewMachine()
 	r := m.Apply(5, edit("first",
@@ -48,7 +48,7 @@
 }
 
 // checkAndApply checks and applies an edit, as it is done for operators.
-func decide(m *Machine, index uint64, e *wire.TableEdit) *wire.EditReply {
+func checkAndApply(m *Machine, index uint64, e *wire.TableEdit) *wire.EditReply {
 	if r := Check(e); r != nil {
 		return r
 	}
@@ -57,8 +57,8 @@
 
 // A release with stricter column checks must accept the edits in its log that an earlier release has
 // accepted.
-func TestAcceptedEditOutlivesItsColumnCheck(t *testing.T) {
-	m := filled(t)
+func TestApplySkipsColumnChecks(t *testing.T) {
+	m := newTestMachine(t)
 	e := edit("before", row(KindPool, "old", 0, "slots=0", "column_of_old=1"))
 	assert.Assert(t, Check(e) != nil, "this release would refuse it")
 	r := m.Apply(9, e)
@@ -67,7 +67,7 @@
 }
 
 // An invalid edit is refused with its column and the reason, and changes nothing.
-func TestBadEditsNameTheirColumn(t *testing.T) {
+func TestInvalidEditNamesColumn(t *testing.T) {
 	for _, c := range []struct {
 		name, column, detail string
 		edit                 *wire.TableEdit
@@ -78,7 +78,7 @@
 		{"digest", "key_sha256", "SHA-256", edit("x", row(KindTeam, "t", 0, "key_sha256=abc"))},
 		{"reference", "pool", "no pool nowhere", edit("x", row(KindService, "s", 0, "kind=plain", "pool=nowhere"))},
 		{"team of a limit", "team", "no team nobody", edit("x", row(KindLimit, "nobody/*", 0))},
-		{"still referred to", "", "other rows refer", edit("x", without(KindPool, "lm", 1))},
+		{"still referred to", "", "other rows refer", edit("x", deleteRow(KindPool, "lm", 1))},
 		{"same key twice", "", "growers", edit("x", row(KindTeam, "t", 0, "key_sha256="+digest))},
 		{"same model twice", "", "pushpa-lm", edit("x", row(KindService, "s", 0, "kind=engine", "pool=lm", "models=a,pushpa-lm"))},
 		{"time to live", "claim_ttl_ms", "twice timeout_ms", edit("x", row(KindService, "s", 0, "kind=plain", "pool=lm", "timeout_ms=9000", "claim_ttl_ms=10000"))},
@@ -89,8 +89,8 @@
 		{"no ID", "edit_id", "characters", edit("", row(KindPool, "p", 0))},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := filled(t)
-			r := decide(m, 9, c.edit)
+			m := newTestMachine(t)
+			r := checkAndApply(m, 9, c.edit)
 			assert.Equal(t, r.Status, wire.EditStatus_EDIT_STATUS_INVALID)
 			assert.Equal(t, r.Column, c.column)
 			assert.Assert(t, strings.Contains(r.Detail+r.Row, c.detail), "%s: %s", r.Row, r.Detail)
@@ -99,12 +99,12 @@
 	}
 }
 
-func TestOneEditMayMoveWhatItRefersTo(t *testing.T) {
-	m := filled(t)
+func TestOneEditCanMoveReferences(t *testing.T) {
+	m := newTestMachine(t)
 	r := m.Apply(6, edit("move",
 		row(KindPool, "lm2", 0),
 		row(KindService, "pushpa-lm", 1, "kind=engine", "pool=lm2"),
-		without(KindPool, "lm", 1),
+		deleteRow(KindPool, "lm", 1),
 	))
 	assert.Equal(t, r.Status, accepted, r.Detail)
 	r = m.Apply(7, edit("swap",
@@ -114,10 +114,10 @@
 	assert.Equal(t, r.Status, accepted, r.Detail)
 }
 
-func TestHistoryTellsWhatWasInForce(t *testing.T) {
-	m := filled(t)
+func TestHistoryAtRevision(t *testing.T) {
+	m := newTestMachine(t)
 	m.Apply(8, edit("b", row(KindLimit, "growers/pushpa-lm", 1, "requests_per_second=20")))
-	m.Apply(11, edit("c", without(KindLimit, "growers/pushpa-lm", 2)))
+	m.Apply(11, edit("c", deleteRow(KindLimit, "growers/pushpa-lm", 2)))
 	at := func(rev uint64) *wire.Row { return m.History(KindLimit, "growers/pushpa-lm", rev)[0] }
 	assert.Equal(t, at(5).Columns["requests_per_second"], "10")
 	assert.Equal(t, at(10).Columns["requests_per_second"], "20")
@@ -127,13 +127,13 @@
 }
 
 // referenceTable has the slots column of each pool, without versions.
-type naive map[string]string
+type referenceTable map[string]string
 
 // With random edits, resends, conflicts, restarts from snapshots and gaps in the watch, machine and
 // follower must have the rows of the reference table.
-func TestMachineAgreesWithANaiveTable(t *testing.T) {
+func TestMachineMatchesReferenceTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m, ref, f := NewMachine(), naive{}, NewFollower()
+		m, ref, f := NewMachine(), referenceTable{}, NewFollower()
 		assert.NilError(t, f.SetFloor("c", 0))
 		var sent []*wire.TableEdit
 		replies := map[string]*wire.EditReply{}
@@ -146,18 +146,18 @@
 				sent = append(sent, e)
 			}
 			reply := m.Apply(index, e)
-			check(t, ref, replies, e, reply)
+			checkReply(t, ref, replies, e, reply)
 			if rapid.IntRange(0, 9).Draw(t, "restore") == 0 {
-				m = restored(t, m)
+				m = restoreFromSnapshot(t, m)
 			}
 			if rapid.Bool().Draw(t, "follow") {
 				rows, snapshot := m.Since(f.Revision())
 				_, err := f.Apply(now, &wire.TableUpdate{Rows: rows, Snapshot: snapshot, Revision: m.Revision(), Cluster: "c"})
 				assert.NilError(t, err)
-				compare(t, ref, f.list())
+				assertRows(t, ref, f.rowList())
 			}
 		}
-		compare(t, ref, m.Rows(""))
+		assertRows(t, ref, m.Rows(""))
 	})
 }
 
@@ -169,12 +169,12 @@
 	}
 	id := fmt.Sprintf("e%d", index)
 	if rapid.IntRange(0, 4).Draw(t, "delete") == 0 {
-		return edit(id, without(KindPool, key, base))
+		return edit(id, deleteRow(KindPool, key, base))
 	}
 	return edit(id, row(KindPool, key, base, fmt.Sprintf("slots=%d", index)))
 }
 
-func check(t *rapid.T, ref naive, replies map[string]*wire.EditReply, e *wire.TableEdit, reply *wire.EditReply) {
+func checkReply(t *rapid.T, ref referenceTable, replies map[string]*wire.EditReply, e *wire.TableEdit, reply *wire.EditReply) {
 	if first := replies[e.EditId]; first != nil {
 		if !reply.Replayed || reply.Revision != first.Revision {
 			t.Fatalf("edit %s sent again: %v, first %v", e.EditId, reply, first)
@@ -192,7 +192,7 @@
 	}
 }
 
-func restored(t *rapid.T, m *Machine) *Machine {
+func restoreFromSnapshot(t *rapid.T, m *Machine) *Machine {
 	data, err := proto.Marshal(m.Snapshot())
 	assert.NilError(t, err)
 	s := &wire.TableSnapshot{}
@@ -202,8 +202,8 @@
 	return next
 }
 
-func compare(t *rapid.T, ref naive, rows []*wire.Row) {
-	got := naive{}
+func assertRows(t *rapid.T, ref referenceTable, rows []*wire.Row) {
+	got := referenceTable{}
 	for _, r := range rows {
 		got[r.Key] = r.Columns["slots"]
 	}
@@ -211,7 +211,7 @@
 }
 
 func TestTSVRoundTrip(t *testing.T) {
-	m := filled(t)
+	m := newTestMachine(t)
 	var buf bytes.Buffer
 	assert.NilError(t, WriteTSV(&buf, m.Rows("")))
 	rows, err := ReadTSV(&buf)
--- a/table/references.go
+++ b/table/references.go
@@ -24,7 +24,7 @@
 }
 
 // uniqueValues returns the values of a row that no other row may have: bearer keys and names of models.
-func uniques(r *wire.Row) []string {
+func uniqueValues(r *wire.Row) []string {
 	var values []string
 	switch {
 	case r.Kind == KindTeam:
@@ -88,12 +88,12 @@
 			return invalid(id.String(), ref.kind, "no "+ref.String())
 		}
 	}
-	for _, v := range uniques(r) {
+	for _, v := range uniqueValues(r) {
 		holder, ok := taken[v]
 		if !ok {
 			holder, ok = m.unique[v]
 			if _, changing := after[holder]; ok && changing && holder != id {
-				ok = slices.Contains(uniques(after[holder]), v) && !after[holder].Deleted
+				ok = slices.Contains(uniqueValues(after[holder]), v) && !after[holder].Deleted
 			}
 		}
 		if ok && holder != id {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (m *Machine) index(r *wire.Row, by int) {
+func (m *Machine) updateIndexes(r *wire.Row, by int) {
 	if r.Deleted {
 		return
 	}
@@ -112,7 +112,7 @@
 	for _, ref := range references(r) {
 		m.referenced[ref] += by
 	}
-	for _, v := range uniques(r) {
+	for _, v := range uniqueValues(r) {
 		if by > 0 {
 			m.unique[v] = id
 		} else if m.unique[v] == id {
--- a/table/schema.go
+++ b/table/schema.go
@@ -198,14 +198,14 @@
 	case KindService:
 		return checkClaimTTL(key, c)
 	case KindGroup:
-		return checkSlots(key, c)
+		return checkSpareSlots(key, c)
 	}
 	return nil
 }
 
 // checkSpareSlots checks that a rank has no more slots than there are experts: a rank holds an expert
 // only once per layer, so no placement could fill the slots.
-func checkSlots(key string, c cells) error {
+func checkSpareSlots(key string, c cells) error {
 	ranks, experts := c.int("ranks"), c.int("experts")
 	if (experts+ranks-1)/ranks+c.int("spare_slots") <= experts {
 		return nil
--- a/table/view.go
+++ b/table/view.go
@@ -266,7 +266,7 @@
 
 func (v *View) checkPool(src Source, pool string) error {
 	if v.Pools[pool] == nil {
-		return v.missing(src, "pool", "no pool "+strconv.Quote(pool))
+		return v.referenceError(src, "pool", "no pool "+strconv.Quote(pool))
 	}
 	return nil
 }
@@ -274,15 +274,15 @@
 func (v *View) checkPair(src Source, key string) error {
 	team, service, _ := strings.Cut(key, "/")
 	if v.Teams[team] == nil {
-		return v.missing(src, "key", "no team "+strconv.Quote(team))
+		return v.referenceError(src, "key", "no team "+strconv.Quote(team))
 	}
 	if service != "*" && v.Services[service] == nil {
-		return v.missing(src, "key", "no service "+strconv.Quote(service))
+		return v.referenceError(src, "key", "no service "+strconv.Quote(service))
 	}
 	return nil
 }
 
-func (v *View) missing(src Source, column, detail string) error {
+func (v *View) referenceError(src Source, column, detail string) error {
 	err := &ColumnError{Kind: src.Kind, Key: src.Key, Column: column, Detail: detail}
 	return merry.Wrap(err, merry.WithCause(ErrReference))
 }
--- a/table/viewchange.go
+++ b/table/viewchange.go
@@ -17,7 +17,7 @@
 	}
 	next := *v
 	next.Revision = revision
-	next.unshare(last)
+	next.cloneChanged(last)
 	// All old values are removed before new ones are added: if an edit moves a bearer key from one team
 	// to another, removing the old row later would remove the key of the new one.
 	for id := range last {
@@ -35,7 +35,7 @@
 }
 
 // cloneChanged clones the maps that the changed rows affect.
-func (v *View) unshare(changed map[rowID]*wire.Row) {
+func (v *View) cloneChanged(changed map[rowID]*wire.Row) {
 	touched := map[string]bool{}
 	for id := range changed {
 		touched[id.kind] = true
--- a/table/viewchange_test.go
+++ b/table/viewchange_test.go
@@ -15,25 +15,25 @@
 
 // A view built from changes must equal the full build of the same rows, and earlier views must not
 // change. Otherwise a team's old key could stay valid, or a new limit not apply, until a restart.
-func TestViewOfChangesIsTheViewOfAllRows(t *testing.T) {
+func TestViewFromChangesEqualsFullBuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := NewFollower()
 		assert.NilError(t, f.SetFloor("c", uint64(rapid.IntRange(0, 3).Draw(t, "floor"))))
 		var views, full []*View
 		for rev := uint64(1); rev <= 20; rev++ {
-			u := &wire.TableUpdate{Cluster: "c", Revision: rev, Rows: firstRows(rev)}
+			u := &wire.TableUpdate{Cluster: "c", Revision: rev, Rows: initialRows(rev)}
 			if rev > 1 {
 				u.Rows, u.Snapshot = nil, rapid.IntRange(0, 9).Draw(t, "snapshot") == 0
 				for range rapid.IntRange(0, 4).Draw(t, "rows") {
-					u.Rows = append(u.Rows, anyRow(t, rev))
+					u.Rows = append(u.Rows, randomRow(t, rev))
 				}
 			}
-			if sharedValue(f, u) {
+			if hasDuplicate(f, u) {
 				// The machine accepts no such edit.
 				continue
 			}
 			got, err := f.Apply(now, u)
-			want, wantErr := NewView(rev, f.list())
+			want, wantErr := NewView(rev, f.rowList())
 			if rev < f.floor {
 				assert.Assert(t, got == nil && err == nil)
 				continue
@@ -44,13 +44,13 @@
 			}
 		}
 		for i := range views {
-			sameView(t, views[i], full[i])
+			assertSameView(t, views[i], full[i])
 		}
 	})
 }
 
 // initialRows returns three teams, services and pools.
-func firstRows(rev uint64) (rows []*wire.Row) {
+func initialRows(rev uint64) (rows []*wire.Row) {
 	for i := range 3 {
 		rows = append(rows,
 			teamRow(fmt.Sprint("team", i), fmt.Sprint("key", i), rev),
@@ -70,7 +70,7 @@
 }
 
 // hasDuplicate reports whether a key or model would be in two rows after an update.
-func sharedValue(f *Follower, u *wire.TableUpdate) bool {
+func hasDuplicate(f *Follower, u *wire.TableUpdate) bool {
 	after := map[rowID]*wire.Row{}
 	if !u.Snapshot {
 		after = maps.Clone(f.rows)
@@ -83,7 +83,7 @@
 		if r.Deleted {
 			continue
 		}
-		for _, v := range uniques(r) {
+		for _, v := range uniqueValues(r) {
 			if seen[v] {
 				return true
 			}
@@ -93,7 +93,7 @@
 	return false
 }
 
-func anyRow(t *rapid.T, rev uint64) *wire.Row {
+func randomRow(t *rapid.T, rev uint64) *wire.Row {
 	name := func(prefix string) string { return prefix + fmt.Sprint(rapid.IntRange(0, 2).Draw(t, prefix)) }
 	r := &wire.Row{Kind: rapid.SampledFrom(Kinds()).Draw(t, "kind"), Columns: map[string]string{}}
 	switch r.Kind {
@@ -117,7 +117,7 @@
 	return r
 }
 
-func sameView(t *rapid.T, got, want *View) {
+func assertSameView(t *rapid.T, got, want *View) {
 	assert.Equal(t, got.Revision, want.Revision)
 	assert.DeepEqual(t, got.Teams, want.Teams)
 	assert.DeepEqual(t, got.Services, want.Services)
