--- a/logread/ended.go
+++ b/logread/ended.go
@@ -38,8 +38,8 @@
 	CallerLeft Cause = "caller left"
 )
 
-// Reasons of the gateway other than refusals. With failureReasons the request was sent to an upstream;
-// callerErrorReasons are the caller's fault.
+// failureReasons are the gateway's reasons that count as failures, callerErrorReasons those that count
+// as errors of the caller. All other reasons count as refusals.
 var (
 	failureReasons     = []string{"in-doubt", "timeout", "stream-broken-off", "last-trial"}
 	callerErrorReasons = []string{"no-route", "unknown-key", "bad-request", "header-too-large", "body-too-large"}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -2,8 +2,8 @@
 // It tells them from requests that merely ran on an upstream when it crashed, and decides which
 // requests are no longer sent to any upstream.
 //
-// A crash here is any end of an upstream process, that is of one incarnation of an upstream,
-// while it was running requests.
+// A crash here is any unannounced end of an upstream process, that is of one incarnation of an
+// upstream, while it was running requests.
 //
 // Table and Machine are pure: they use no sockets, goroutines or clocks. Entries, gateways and
 // control replicas each keep a Table and exchange what they observe. Machine keeps quarantines on
@@ -12,7 +12,7 @@
 
 import "github.com/ansel1/merry/v2"
 
-// Errors of this layer.
+// Errors of this package.
 var (
 	// ErrKey is returned for text that is not a request key.
 	ErrKey = merry.Sentinel("invalid request key: 32 hexadecimal digits are needed")
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -404,7 +404,8 @@
 
 // Poison requests are sent among harmless ones while entries and replicas are restarted and
 // partitioned. On every seed, connected entries send a poison request at most three times once
-// simConvergenceTime has passed since its third crash; at most one in a thousand harmless requests is refused.
+// simConvergenceTime has passed since its third crash. At most one in a thousand harmless requests is
+// refused.
 func TestSimulationQuarantinesPoisonRequests(t *testing.T) {
 	for poison := 1; poison <= 3; poison++ {
 		total, crashes, worst, harmless := simCount{}, 0, 0, 0
--- a/table/view.go
+++ b/table/view.go
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// cells parses the cells of a row that has passed CheckRow, so that parsing can't fail.
+// cells parses the cells of a row. They have been checked, so parsing can't fail.
 type cells struct{ row *wire.Row }
 
 func (c cells) text(name string) string {
@@ -287,8 +287,8 @@
 	return merry.Wrap(err, merry.WithCause(ErrReference))
 }
 
-// TeamByKey returns the team of a bearer key, or nil. The digest that is found is compared once more in
-// constant time, so that the time of the lookup doesn't reveal how much of a digest matches.
+// TeamByKey returns the team of a bearer key, or nil. It finds the team by the key's digest, and then
+// compares the digests in constant time.
 func (v *View) TeamByKey(key string) *Team {
 	digest := sha256.Sum256([]byte(key))
 	t := v.byKey[digest]
--- a/table/viewchange_test.go
+++ b/table/viewchange_test.go
@@ -29,7 +29,7 @@
 				}
 			}
 			if hasDuplicate(f, u) {
-				// The machine accepts no such edit.
+				// Machine refuses edits that lead to this.
 				continue
 			}
 			got, err := f.Apply(now, u)
@@ -112,7 +112,7 @@
 		r.Key, r.Columns["weight"] = name("team")+"/*", fmt.Sprint(rev)
 	}
 	r.Revision, r.Version = rev, rev
-	// Deletions are rare, or hardly a set of rows would refer only to what exists.
+	// Deletions are rare, so that the references of most sets of rows are valid.
 	r.Deleted = rapid.IntRange(0, 9).Draw(t, "deleted") == 0
 	return r
 }
