--- a/logread/logread_test.go
+++ b/logread/logread_test.go
@@ -11,26 +11,26 @@
 	"github.com/snipereach/snipereach/logread"
 )
 
-const head = `ts=2026-03-01T10:00:01.5Z level=info part=gateway `
+const linePrefix = `ts=2026-03-01T10:00:01.5Z level=info part=gateway `
 
-func read(t *testing.T, text string) (lines []logread.Line, skipped int) {
+func readLines(t *testing.T, text string) (lines []logread.Line, skipped int) {
 	skipped, err := logread.Read("a.log", strings.NewReader(text), func(l logread.Line) { lines = append(lines, l) })
 	assert.NilError(t, err)
 	return lines, skipped
 }
 
-func ended(t *testing.T, rest string) logread.Ended {
-	lines, _ := read(t, head+`msg="Request ended." `+rest)
+func parseEnded(t *testing.T, rest string) logread.Ended {
+	lines, _ := readLines(t, linePrefix+`msg="Request ended." `+rest)
 	assert.Equal(t, len(lines), 1, rest)
 	e, ok := logread.ParseEnded(&lines[0])
 	assert.Assert(t, ok)
 	return e
 }
 
-// A log holds other things than a process's lines: what a collector puts before each, a crash's output, empty lines.
-func TestOnlyLinesOfProcessesAreRead(t *testing.T) {
-	lines, skipped := read(t, "   1.2 gw-1 "+head+"msg=Started. id=gw-1\n\npanic: runtime error\n\tgoroutine 1 [running]:\n"+head+
-		"msg=\"half a line\n"+head+`msg="Replica was late." late_ms=265 text="a b=\"c\""`)
+// A log may have text of a collector before each line, output of a crash, and empty lines.
+func TestReadSkipsForeignLines(t *testing.T) {
+	lines, skipped := readLines(t, "   1.2 gw-1 "+linePrefix+"msg=Started. id=gw-1\n\npanic: runtime error\n\tgoroutine 1 [running]:\n"+linePrefix+
+		"msg=\"half a line\n"+linePrefix+`msg="Replica was late." late_ms=265 text="a b=\"c\""`)
 	assert.Equal(t, len(lines), 2)
 	assert.Equal(t, skipped, 3)
 	assert.Equal(t, lines[0].Msg, "Started.")
@@ -44,15 +44,14 @@
 	assert.Assert(t, !ok)
 }
 
-func TestLineWithoutEndIsAnError(t *testing.T) {
+func TestReadFailsOnOverlongLine(t *testing.T) {
 	_, err := logread.Read("big.log", strings.NewReader(strings.Repeat("x", 2<<20)), func(logread.Line) {})
 	assert.ErrorIs(t, err, logread.ErrRead)
 	assert.ErrorContains(t, err, "big.log")
 }
 
-// Whoever is on call asks why a request was late, refused or failed: one sentence says it, and requests
-// of one cause count together.
-func TestCauseOfARequest(t *testing.T) {
+// Every kind of outcome must have the cause and sentence that tell an operator what took the time.
+func TestCauseAndSentence(t *testing.T) {
 	for _, c := range []struct {
 		line     string
 		cause    logread.Cause
@@ -65,7 +64,7 @@
 		},
 		{
 			"status=200 reason= took_ms=1881 attempts=u-1:answered:200:1007 first_event_ms=1095 waited_ms=873 late=first-event",
-			logread.LateWaited, "Late by its first event, after 1.095s; for 873ms of these it waited at the gateway for a place.",
+			logread.LateWaited, "Late by its first event, after 1.095s; it waited 873ms of that at the gateway for a slot.",
 		},
 		{
 			"status=200 reason= took_ms=1881 attempts=u-1:answered:200:1007 first_event_ms=967 waited_ms=706 age_ms=1564 late=first-event",
@@ -73,11 +72,11 @@
 		},
 		{
 			"status=200 reason= took_ms=2000 attempts=u-1:in-doubt:0:700,u-2:answered:200:800 first_event_ms=950 late=first-event",
-			logread.LateEarlier, "Late by its first event, after 950ms; earlier attempts took 700ms of these.",
+			logread.LateEarlier, "Late by its first event, after 950ms; earlier attempts took 700ms of that.",
 		},
 		{
 			"status=200 reason= took_ms=2000 attempts=u-1:answered:200:2000 first_event_ms=800 waited_ms=10 late=first-event",
-			logread.LateUpstream, "Late by its first event, after 800ms; the upstream u-1 took most of these.",
+			logread.LateUpstream, "Late by its first event, after 800ms; the upstream u-1 took most of that.",
 		},
 		{"status=500 reason= took_ms=40 attempts=u-1:answered:500:40", logread.UpstreamFailed, "The upstream u-1 answered with 500."},
 		{
@@ -95,7 +94,7 @@
 		{"status=404 reason=no-route took_ms=0 attempts=", "not allowed: no-route", "Ended with 404 after 0s; not allowed: no-route; it was sent to no upstream."},
 		{"status=0 reason=caller-gone took_ms=120 attempts=u-1:caller-gone:0:120", logread.CallerLeft, "Ended with 0 after 120ms; caller left."},
 	} {
-		e := ended(t, c.line)
+		e := parseEnded(t, c.line)
 		assert.Equal(t, e.Cause(), c.cause, c.line)
 		assert.Equal(t, e.Sentence(), c.sentence)
 	}
@@ -107,7 +106,7 @@
 	for i, rest := range []string{
 		"status=200 reason= took_ms=1 attempts=u:answered:200:1 lines_left_out=7", "status=503 reason=draining took_ms=1 attempts=", "status=503 reason=draining took_ms=1 attempts=",
 	} {
-		e := ended(t, rest)
+		e := parseEnded(t, rest)
 		e.At = at.Add(time.Duration(i) * 1500 * time.Millisecond)
 		s.Add(&e)
 	}
@@ -120,10 +119,10 @@
 	assert.DeepEqual(t, s.Total().ByNumber(), []logread.Cause{"refused: draining", logread.InTime})
 }
 
-// Whatever stands in a log, reading it ends, each line of it is either read or counted, and each end of a request has a cause.
-func TestAnyTextIsReadOrCounted(t *testing.T) {
+// Each line of any text must be either read or counted, and each ended request have a cause.
+func TestReadAccountsForEveryLine(t *testing.T) {
 	part := rapid.SampledFrom([]string{
-		head, `msg="Request ended." `, "status=200 ", "status=x ", "reason=upstreams-busy ", "attempts=a:b ", "attempts=:::,, ", "late=first-event ",
+		linePrefix, `msg="Request ended." `, "status=200 ", "status=x ", "reason=upstreams-busy ", "attempts=a:b ", "attempts=:::,, ", "late=first-event ",
 		"first_event_ms=-5 ", `why="`, "\"", "= ", "took_ms=99999999999999999999 ", "age_ms=3 ", "\x00", "é ",
 	})
 	rapid.Check(t, func(t *rapid.T) {
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -11,138 +11,141 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Bounds of a message. Names are those of configurations and registrations.
+// Limits of a message.
 const (
-	mostRuns = 8
-	mostName = 256
-	// mostTerms is above the terms after which a quarantine no longer grows.
-	mostTerms = 64
-	// MostTold bounds the suspicions in one message.
+	maxRuns = 8
+	// maxNameBytes limits the names of teams, routes and upstreams.
+	maxNameBytes = 256
+	// maxTerms is above the number of quarantines from which on their duration no longer grows.
+	maxTerms = 64
+	// MostTold is the maximum number of suspicions in one message.
 	MostTold = 128
 )
 
-// Check refuses a message of a peer that a Table must not take.
+// Check returns ErrMessage if a peer's message is malformed or exceeds a limit. Table.Learn must be
+// given only messages that passed it.
 func Check(m *wire.Suspicion) error {
 	switch {
 	case m == nil:
-		return merry.Prepend(ErrMessage, "none")
+		return merry.Prepend(ErrMessage, "message is nil")
 	case len(m.Key) != keySize:
-		return merry.Prependf(ErrMessage, "key of %d bytes", len(m.Key))
-	case len(m.Runs) > mostRuns:
-		return merry.Prependf(ErrMessage, "%d runs", len(m.Runs))
-	case len(m.Team) > mostName || len(m.Route) > mostName:
-		return merry.Prepend(ErrMessage, "a name is too long")
-	case m.Terms > mostTerms:
-		return merry.Prependf(ErrMessage, "%d terms", m.Terms)
+		return merry.Prependf(ErrMessage, "key has %d bytes", len(m.Key))
+	case len(m.Runs) > maxRuns:
+		return merry.Prependf(ErrMessage, "%d runs are too many", len(m.Runs))
+	case len(m.Team) > maxNameBytes || len(m.Route) > maxNameBytes:
+		return merry.Prepend(ErrMessage, "team or route name is too long")
+	case m.Terms > maxTerms:
+		return merry.Prependf(ErrMessage, "%d terms are too many", m.Terms)
 	case !m.Cleared && len(m.Runs) == 0:
-		return merry.Prepend(ErrMessage, "no upstream has ended")
+		return merry.Prepend(ErrMessage, "a suspicion that isn't cleared needs a run")
 	}
 	for _, run := range m.Runs {
-		if run.GetUpstream() == "" || len(run.Upstream) > mostName {
-			return merry.Prepend(ErrMessage, "an upstream's name is empty or too long")
+		if run.GetUpstream() == "" || len(run.Upstream) > maxNameBytes {
+			return merry.Prepend(ErrMessage, "upstream name is empty or too long")
 		}
 	}
 	return nil
 }
 
-// Told is a part of what a Table tells.
+// Told is a batch of changes to report to a peer.
 type Told struct {
 	Suspicions []*wire.Suspicion
-	// Version is the table's up to which it is told.
+	// Version is the table version up to which the peer has been told everything after this batch.
 	Version uint64
 }
 
-// Since returns what has changed after a version and is to be acted on: requests on their last
-// trial or in quarantine, and those that were cleared.
+// Since returns the changes after a version that peers act on: requests on their last trial or in
+// quarantine, and the clearing of requests that had got that far.
 func (t *Table) Since(now time.Time, version uint64) Told {
-	return t.told(now, func(r *record) uint64 {
-		if t.standing(now, r) < LastTrial && !(r.spread && t.isCleared(now, r)) {
+	return t.changesAfter(now, func(r *record) uint64 {
+		if t.standing(now, r) < LastTrial && !(r.announced && t.clearedRecently(now, r)) {
 			return 0
 		}
 		return r.version
 	}, version)
 }
 
-// Own returns what was seen here after a version.
+// Own returns the changes after a version that this process observed itself.
 func (t *Table) Own(now time.Time, version uint64) Told {
-	return t.told(now, func(r *record) uint64 { return r.own }, version)
+	return t.changesAfter(now, func(r *record) uint64 { return r.ownVersion }, version)
 }
 
-// All returns all requests against which something is held.
+// All returns all suspected requests, sorted by key.
 func (t *Table) All(now time.Time) []*wire.Suspicion {
 	var list []*wire.Suspicion
 	for _, r := range t.records {
 		if t.standing(now, r) != Free {
-			list = append(list, t.message(now, r))
+			list = append(list, t.toSuspicion(now, r))
 		}
 	}
 	slices.SortFunc(list, func(a, b *wire.Suspicion) int { return slices.Compare(a.Key, b.Key) })
 	return list
 }
 
-// told returns the records whose number is above a version, the lowest first and MostTold at most.
-func (t *Table) told(now time.Time, number func(*record) uint64, version uint64) Told {
+// changesAfter returns the records for which versionOf exceeds version, in ascending order of it
+// and at most MostTold of them.
+func (t *Table) changesAfter(now time.Time, versionOf func(*record) uint64, version uint64) Told {
 	if version == t.version {
 		return Told{Version: version}
 	}
 	var list []*record
 	for _, r := range t.records {
-		if number(r) > version {
+		if versionOf(r) > version {
 			list = append(list, r)
 		}
 	}
-	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(number(a), number(b)) })
-	out := Told{Version: t.version}
+	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(versionOf(a), versionOf(b)) })
+	batch := Told{Version: t.version}
 	if len(list) > MostTold {
 		list = list[:MostTold]
-		out.Version = number(list[MostTold-1])
+		batch.Version = versionOf(list[MostTold-1])
 	}
 	for _, r := range list {
-		if m := t.message(now, r); Check(m) == nil {
-			out.Suspicions = append(out.Suspicions, m)
+		if m := t.toSuspicion(now, r); Check(m) == nil {
+			batch.Suspicions = append(batch.Suspicions, m)
 		}
 	}
-	return out
+	return batch
 }
 
-func (t *Table) message(now time.Time, r *record) *wire.Suspicion {
+func (t *Table) toSuspicion(now time.Time, r *record) *wire.Suspicion {
 	m := &wire.Suspicion{
-		Key: r.Key[:], Hint: uint64(r.Hint), Team: r.Team, Route: r.Route, Runs: messagesOf(now, r.runs),
-		QuarantineMs: inMillis(r.until.Sub(now)), Terms: uint32(r.terms),
+		Key: r.Key[:], Hint: uint64(r.Hint), Team: r.Team, Route: r.Route, Runs: toWireRuns(now, r.runs),
+		QuarantineMs: toMillis(r.until.Sub(now)), Terms: uint32(r.terms),
 	}
-	if t.isCleared(now, r) {
-		m.Cleared, m.ClearedAgeMs = true, inMillis(now.Sub(r.clearedAt))
+	if t.clearedRecently(now, r) {
+		m.Cleared, m.ClearedAgeMs = true, toMillis(now.Sub(r.clearedAt))
 	}
 	return m
 }
 
-func messagesOf(now time.Time, runs []Run) []*wire.EndedRun {
+func toWireRuns(now time.Time, runs []Run) []*wire.EndedRun {
 	list := make([]*wire.EndedRun, len(runs))
 	for i, run := range runs {
-		list[i] = &wire.EndedRun{Upstream: run.Upstream, AgeMs: inMillis(now.Sub(run.Ended)), RanMs: inMillis(run.Ended.Sub(run.Began))}
+		list[i] = &wire.EndedRun{Upstream: run.Upstream, AgeMs: toMillis(now.Sub(run.Ended)), RanMs: toMillis(run.Ended.Sub(run.Began))}
 	}
 	return list
 }
 
-func runsOf(now time.Time, m *wire.Suspicion) []Run {
+func fromWireRuns(now time.Time, m *wire.Suspicion) []Run {
 	list := make([]Run, len(m.Runs))
 	for i, run := range m.Runs {
-		ended := now.Add(-millis(run.AgeMs))
-		list[i] = Run{Upstream: run.Upstream, Began: ended.Add(-millis(run.RanMs)), Ended: ended}
+		ended := now.Add(-fromMillis(run.AgeMs))
+		list[i] = Run{Upstream: run.Upstream, Began: ended.Add(-fromMillis(run.RanMs)), Ended: ended}
 	}
 	return list
 }
 
-// Age is the time since the last end that a message tells of.
+// Age returns the time since the latest crash in a message, or the longest Duration if it has none.
 func Age(m *wire.Suspicion) time.Duration {
 	age := time.Duration(math.MaxInt64)
 	for _, run := range m.Runs {
-		age = min(age, millis(run.AgeMs))
+		age = min(age, fromMillis(run.AgeMs))
 	}
 	return age
 }
 
-// Upstreams names those that ended, by a message.
+// Upstreams returns the IDs of the crashed upstreams in a message.
 func Upstreams(m *wire.Suspicion) []string {
 	list := make([]string, len(m.Runs))
 	for i, run := range m.Runs {
@@ -151,9 +154,9 @@
 	return list
 }
 
-func millis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
+func fromMillis(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// inMillis is d in the messages' unit, within what the field holds.
-func inMillis(d time.Duration) uint32 {
+// toMillis converts d to milliseconds, clamped to the range of a message's field.
+func toMillis(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), math.MaxUint32))
 }
--- a/table/follower.go
+++ b/table/follower.go
@@ -8,54 +8,54 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrForeignCluster is returned for rows of another cluster than the first.
+// ErrForeignCluster is returned for an update from a cluster other than the one followed.
 var ErrForeignCluster = merry.Sentinel("rows come from another cluster")
 
-// Follower keeps an entry's copy of the table from a watch. It never goes back:
-// an update below the revision in force changes nothing, and before a
-// linearizable read has told how far the table was at the entry's start, no row
-// is put in force. It is pure and not safe for use by several goroutines.
+// Follower keeps an entry's copy of the table up to date from a watch. The copy never goes back:
+// updates below the current revision are ignored, and no row takes effect until the copy has reached
+// the floor, the revision that a linearizable read returned at the entry's start. Follower is pure
+// and not safe for concurrent use.
 type Follower struct {
-	rows      map[rowID]*wire.Row
-	revision  uint64
-	cluster   string
-	floor     uint64
-	floored   bool
-	confirmed time.Time
-	// view is the last one that was built, nil if none holds; pending are the
-	// rows taken since.
+	rows        map[rowID]*wire.Row
+	revision    uint64
+	cluster     string
+	floor       uint64
+	hasFloor    bool
+	confirmedAt time.Time
+	// view is the latest one, nil if the next must be built from all rows; pending has the rows that
+	// were received after it was built.
 	view    *View
 	pending []*wire.Row
 }
 
-// NewFollower makes a follower of an entry that has just started.
+// NewFollower returns the follower of an entry that has just started.
 func NewFollower() *Follower { return &Follower{rows: map[rowID]*wire.Row{}} }
 
-// SetFloor takes the answer to the linearizable read at the entry's start. A
-// replica that lags could otherwise serve rows that an operator has replaced
-// before this entry even started.
+// SetFloor sets the floor from a linearizable read at the entry's start. Without it, a lagging replica
+// could bring rows into effect that operators had replaced before the entry started. It returns
+// ErrForeignCluster if the cluster isn't the one followed.
 func (f *Follower) SetFloor(cluster string, revision uint64) error {
 	if f.cluster != "" && f.cluster != cluster {
 		return merry.Prependf(ErrForeignCluster, "%s, not %s", cluster, f.cluster)
 	}
 	f.cluster = cluster
 	f.floor = max(f.floor, revision)
-	f.floored = true
+	f.hasFloor = true
 	return nil
 }
 
-// Revision returns what to ask a watch for: the revision that is held.
+// Revision returns the revision of the rows held, after which a watch should continue.
 func (f *Follower) Revision() uint64 { return f.revision }
 
-// Floored says whether SetFloor was called.
-func (f *Follower) Floored() bool { return f.floored }
+// Floored reports whether SetFloor has succeeded.
+func (f *Follower) Floored() bool { return f.hasFloor }
 
-// Confirmed returns when the rows held were last known to be current; zero if
-// they never were.
-func (f *Follower) Confirmed() time.Time { return f.confirmed }
+// Confirmed returns when the rows held were last known to be current, or the zero time if they never
+// were.
+func (f *Follower) Confirmed() time.Time { return f.confirmedAt }
 
-// Apply takes an update. It returns the view to put in force, or nil if nothing
-// changed or the floor isn't reached.
+// Apply applies an update. It returns the view that takes effect, or nil if nothing changed or the
+// floor hasn't been reached.
 func (f *Follower) Apply(now time.Time, u *wire.TableUpdate) (*View, error) {
 	if f.cluster != "" && u.Cluster != f.cluster {
 		return nil, merry.Prependf(ErrForeignCluster, "%s, not %s", u.Cluster, f.cluster)
@@ -64,33 +64,33 @@
 		return nil, nil
 	}
 	changed := u.Revision > f.revision
-	f.take(u)
-	if !f.floored || f.revision < f.floor {
+	f.applyRows(u)
+	if !f.hasFloor || f.revision < f.floor {
 		return nil, nil
 	}
-	if at := now.Add(-time.Duration(u.ConfirmedAgeMs) * time.Millisecond); at.After(f.confirmed) {
-		f.confirmed = at
+	if at := now.Add(-time.Duration(u.ConfirmedAgeMs) * time.Millisecond); at.After(f.confirmedAt) {
+		f.confirmedAt = at
 	}
 	if !changed {
 		return nil, nil
 	}
-	return f.build()
+	return f.buildView()
 }
 
-// build makes the view of the rows held, out of the last one where it can: a
-// full build looks at all rows for each edit of one.
-func (f *Follower) build() (v *View, err error) {
+// buildView returns the view of the rows held. It derives it from the previous view if there is one,
+// since building it anew looks at all rows.
+func (f *Follower) buildView() (v *View, err error) {
 	if f.view == nil {
-		v, err = NewView(f.revision, f.list())
+		v, err = NewView(f.revision, f.rowList())
 	} else {
 		v, err = f.view.With(f.revision, f.pending)
 	}
-	// After an error v is nil, and the next view is built from all rows.
+	// After an error v is nil, so the next view is built from all rows.
 	f.view, f.pending = v, nil
 	return v, err
 }
 
-func (f *Follower) take(u *wire.TableUpdate) {
+func (f *Follower) applyRows(u *wire.TableUpdate) {
 	if u.Snapshot {
 		f.rows = map[rowID]*wire.Row{}
 		f.view, f.pending = nil, nil
@@ -111,7 +111,7 @@
 	f.revision = u.Revision
 }
 
-func (f *Follower) list() []*wire.Row {
+func (f *Follower) rowList() []*wire.Row {
 	list := make([]*wire.Row, 0, len(f.rows))
 	for _, r := range f.rows {
 		list = append(list, r)
--- a/table/past.go
+++ b/table/machine_encoding.go
@@ -9,24 +9,21 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// What is kept for the rare question (a row's history, an edit sent again) is
-// kept encoded. As messages with maps, 100,000 of each took four times the
-// memory, and each start and snapshot the time to build them.
-
-// pastRow is an earlier version of a row.
-type pastRow struct {
+// historyRow is an earlier version of a row. It is kept encoded: decoded messages with maps take
+// several times the memory, and would have to be built at each start.
+type historyRow struct {
 	id      rowID
 	encoded []byte
 }
 
-func newPastRow(id rowID, r *wire.Row) pastRow {
+func newHistoryRow(id rowID, r *wire.Row) historyRow {
 	b, _ := proto.Marshal(r)
-	return pastRow{id, b}
+	return historyRow{id, b}
 }
 
-func (p pastRow) decode() *wire.Row {
+func (h historyRow) decode() *wire.Row {
 	r := &wire.Row{}
-	_ = proto.Unmarshal(p.encoded, r)
+	_ = proto.Unmarshal(h.encoded, r)
 	return r
 }
 
@@ -36,9 +33,9 @@
 	rowKeyField  = 2
 )
 
-// readRowID reads only the kind and key of an encoded row. Equal ones share
-// their text.
-func readRowID(b []byte, known map[rowID]rowID) rowID {
+// decodeRowID decodes only the kind and key of an encoded row. Equal IDs share their text through
+// known.
+func decodeRowID(b []byte, known map[rowID]rowID) rowID {
 	var id rowID
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
@@ -67,10 +64,10 @@
 	return id
 }
 
-// editDigest tells two edits apart.
+// editDigest distinguishes edits with the same ID.
 type editDigest [16]byte
 
-// storedEdit is the answer to an edit, kept for resends.
+// storedEdit is the encoded reply to an accepted edit, kept for when the edit is sent again.
 type storedEdit struct {
 	digest editDigest
 	reply  []byte
--- a/table/past_test.go
+++ b/table/machine_encoding_test.go
@@ -10,9 +10,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A replica starts again from its snapshot. A row's earlier versions and the
-// answers to edits that are sent again are those from before the start.
-func TestRestartKeepsHistoryAndAnswers(t *testing.T) {
+// A row's history and the replies to edits sent again are the same after a restart from a snapshot.
+func TestSnapshotKeepsHistoryAndReplies(t *testing.T) {
 	m := NewMachine()
 	var edits []*wire.TableEdit
 	for i := range uint64(30) {
