--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -1,9 +1,8 @@
-// Package refusal turns a refusal into an RFC 9457 answer and an explanation
-// token, and a token back into the refusal.
+// Package refusal encodes refusals as RFC 9457 problem details and as explanation tokens,
+// and decodes these tokens.
 //
-// A token is the refusal itself with an HMAC under the cluster's explanation
-// key, so any entry can explain it later, also when the refusing one is gone,
-// and nobody can make one up.
+// A token is the encoded refusal with an HMAC under a key of the cluster, so that any entry
+// can explain it later, even if the one that refused is gone, and nobody can forge one.
 package refusal
 
 import (
@@ -23,24 +22,24 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
+// Errors of this package.
 var (
 	ErrMalformedToken = merry.Sentinel("explanation token is malformed")
 	ErrForeignToken   = merry.Sentinel("explanation token was not made by this cluster")
 )
 
-// tokenPrefix begins each token. A base64url text may begin with a dash, and a
-// command line would take the token for a flag.
+// tokenPrefix begins each token. Without it, a base64url text may begin with a dash, and a
+// command line would parse the token as a flag.
 const tokenPrefix = "r"
 
-// maxToken bounds what Open looks at.
+// maxToken is the longest token that Open accepts, in bytes.
 const maxToken = 16 << 10
 
-// Sealer makes and opens explanation tokens.
+// Sealer makes and verifies explanation tokens.
 type Sealer struct{ key []byte }
 
-// NewSealer derives the explanation key from the cluster secret, so that the
-// secret itself signs nothing that callers see.
+// NewSealer derives the explanation key from the cluster secret, so that the secret itself
+// doesn't sign anything that callers see.
 func NewSealer(secret []byte) *Sealer {
 	m := hmac.New(sha256.New, secret)
 	m.Write([]byte("snipereach explanation key"))
@@ -53,17 +52,18 @@
 	return m.Sum(nil)
 }
 
-// Seal makes a token. Long texts are cut.
-func (s *Sealer) Seal(r *wire.Refusal) string { return s.seal(bounded(r)) }
+// Seal returns the explanation token of a refusal. Long texts are truncated.
+func (s *Sealer) Seal(r *wire.Refusal) string { return s.sign(truncated(r)) }
 
-// seal makes a token of a bounded refusal.
-func (s *Sealer) seal(r *wire.Refusal) string {
-	// It can't fail: only text that is not UTF-8 can't be encoded.
+// sign returns the token of a truncated refusal.
+func (s *Sealer) sign(r *wire.Refusal) string {
+	// Marshal fails only for strings that are not valid UTF-8.
 	body, _ := proto.Marshal(r)
 	return tokenPrefix + base64.RawURLEncoding.EncodeToString(append(s.mac(body), body...))
 }
 
-// Open checks a token and returns the refusal.
+// Open verifies a token and returns its refusal. It returns ErrMalformedToken or
+// ErrForeignToken.
 func (s *Sealer) Open(token string) (*wire.Refusal, error) {
 	if len(token) > maxToken {
 		return nil, merry.Prependf(ErrMalformedToken, "longer than %d characters", maxToken)
@@ -90,7 +90,7 @@
 	return r, nil
 }
 
-// Problem is the RFC 9457 body of a refusal.
+// Problem is the RFC 9457 problem details body of a refusal.
 type Problem struct {
 	Type      string             `json:"type"`
 	Title     string             `json:"title"`
@@ -107,13 +107,13 @@
 	Token     string             `json:"explanation_token,omitempty"`
 }
 
-// class is what callers see of a reason.
-type class struct {
+// reasonInfo is how a reason is presented to callers.
+type reasonInfo struct {
 	status int
 	title  string
 }
 
-var classes = map[wire.Reason]class{
+var reasonInfos = map[wire.Reason]reasonInfo{
 	wire.Reason_REASON_UNAUTHENTICATED:    {http.StatusUnauthorized, "The bearer key belongs to no team."},
 	wire.Reason_REASON_FORBIDDEN:          {http.StatusForbidden, "The team may not ask for this."},
 	wire.Reason_REASON_UNKNOWN_SERVICE:    {http.StatusNotFound, "No service by this name."},
@@ -140,21 +140,21 @@
 
 // ReasonWord returns a reason as callers see it, e.g. "rate-limit".
 func ReasonWord(r wire.Reason) string {
-	return word(r.String(), "REASON_")
+	return enumName(r.String(), "REASON_")
 }
 
-// OutcomeWord returns not-run, unknown or done.
+// OutcomeWord returns an outcome as callers see it: "not-run", "unknown" or "done".
 func OutcomeWord(o wire.Outcome) string {
-	return word(o.String(), "OUTCOME_")
+	return enumName(o.String(), "OUTCOME_")
 }
 
-func word(s, prefix string) string {
+func enumName(s, prefix string) string {
 	return strings.ReplaceAll(strings.ToLower(strings.TrimPrefix(s, prefix)), "_", "-")
 }
 
-// retryAfter is when a caller should come back, by reason: those that pass by
-// themselves. A limit's refusal carries its own time.
-var retryAfter = map[wire.Reason]time.Duration{
+// defaultRetryAfter holds the default Retry-After of the reasons that pass without the caller's
+// doing. A refusal by a limit carries its own.
+var defaultRetryAfter = map[wire.Reason]time.Duration{
 	wire.Reason_REASON_RATE_LIMIT:         time.Second,
 	wire.Reason_REASON_TOKEN_LIMIT:        time.Second,
 	wire.Reason_REASON_CONCURRENCY_LIMIT:  time.Second,
@@ -169,26 +169,26 @@
 	wire.Reason_REASON_RETRY_BUDGET:       time.Second,
 }
 
-// RetryAfter is when a caller should come back after a refusal for a reason; 0
-// if coming back doesn't help.
-func RetryAfter(r wire.Reason) time.Duration { return retryAfter[r] }
+// RetryAfter returns when a caller should retry after a refusal for a reason, or 0 if
+// retrying doesn't help.
+func RetryAfter(r wire.Reason) time.Duration { return defaultRetryAfter[r] }
 
 // Status returns the HTTP status of a reason.
 func Status(r wire.Reason) int {
-	if c, ok := classes[r]; ok {
+	if c, ok := reasonInfos[r]; ok {
 		return c.status
 	}
 	return http.StatusInternalServerError
 }
 
-// ProblemOf describes a refusal for its caller.
+// ProblemOf returns the problem details of a refusal, including its token.
 func (s *Sealer) ProblemOf(r *wire.Refusal) *Problem {
-	c, ok := classes[r.Reason]
+	c, ok := reasonInfos[r.Reason]
 	if !ok {
-		c = class{http.StatusInternalServerError, "The request was refused."}
+		c = reasonInfo{http.StatusInternalServerError, "The request was refused."}
 	}
-	r = bounded(r)
-	token := s.seal(r)
+	r = truncated(r)
+	token := s.sign(r)
 	p := &Problem{
 		Type:      "urn:snipereach:refusal:" + ReasonWord(r.Reason),
 		Title:     c.title,
@@ -214,7 +214,7 @@
 	return p
 }
 
-// Write answers a caller with a refusal.
+// Write writes the HTTP answer to a refused request.
 func (s *Sealer) Write(w http.ResponseWriter, r *wire.Refusal) {
 	p := s.ProblemOf(r)
 	h := w.Header()
--- a/refusal/refusal_test.go
+++ b/refusal/refusal_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-func sample() *wire.Refusal {
+func sampleRefusal() *wire.Refusal {
 	return &wire.Refusal{
 		RequestId: "q1", Reason: wire.Reason_REASON_RATE_LIMIT, Outcome: wire.Outcome_OUTCOME_NOT_RUN,
 		Team: "growers", RowKind: "limit", RowKey: "growers/*", RowVersion: 3, Revision: 41,
@@ -21,10 +21,9 @@
 	}
 }
 
-// An operator gives a token to snipereachctl. One in 64 began with a dash and was
-// taken for a flag: "unknown flag".
-func TestNoTokenLooksLikeAFlag(t *testing.T) {
-	r := sample()
+// A token that begins with a dash would be parsed as a command-line flag.
+func TestTokenDoesNotBeginWithDash(t *testing.T) {
+	r := sampleRefusal()
 	for n := range 500 {
 		r.RowVersion = uint64(n)
 		token := NewSealer([]byte("secret")).Seal(r)
@@ -32,20 +31,19 @@
 	}
 }
 
-func TestTokenHoldsTheWholeRefusal(t *testing.T) {
+func TestTokenRoundTrip(t *testing.T) {
 	s := NewSealer([]byte("secret"))
-	got, err := s.Open(s.Seal(sample()))
+	got, err := s.Open(s.Seal(sampleRefusal()))
 	assert.NilError(t, err)
-	assert.Assert(t, proto.Equal(got, sample()))
+	assert.Assert(t, proto.Equal(got, sampleRefusal()))
 }
 
-// A caller names a model of a megabyte, in bytes that are no text, and attempts fail
-// with details as long. What the caller is told stays small, and any entry can still
-// explain it: reason, outcome, rows and figures are whole, only details are cut.
-func TestLongTextsAreCutAndStillExplained(t *testing.T) {
+// With very long texts that are not valid UTF-8, the token stays within maxToken, and only
+// the texts and the list of attempts are truncated.
+func TestLongTextsAreTruncated(t *testing.T) {
 	s := NewSealer([]byte("secret"))
 	long := strings.Repeat("\xff\u00e9", 1<<19)
-	r := sample()
+	r := sampleRefusal()
 	r.Detail, r.Team, r.Service = long, long, long
 	for range maxAttempts + 1 {
 		r.Attempts = append(r.Attempts, &wire.RefusedAttempt{Upstream: long, Detail: long, Outcome: wire.Outcome_OUTCOME_UNKNOWN})
@@ -54,23 +52,22 @@
 	assert.Assert(t, len(p.Token) <= maxToken && len(p.Detail) <= maxText, "%d %d", len(p.Token), len(p.Detail))
 	got, err := s.Open(p.Token)
 	assert.NilError(t, err)
-	assert.Assert(t, utf8.ValidString(got.Detail) && strings.HasSuffix(got.Detail, cutMark))
+	assert.Assert(t, utf8.ValidString(got.Detail) && strings.HasSuffix(got.Detail, truncationMark))
 	assert.Equal(t, len(got.Attempts), maxAttempts)
 	assert.Equal(t, got.Attempts[0].Outcome, wire.Outcome_OUTCOME_UNKNOWN)
-	want := sample()
+	want := sampleRefusal()
 	want.Detail, want.Team, want.Service, want.Attempts = got.Detail, got.Team, got.Service, got.Attempts
 	assert.Assert(t, proto.Equal(got, want))
-	assert.Equal(t, len(r.Detail), len(long), "the caller's refusal is left as it is")
+	assert.Equal(t, len(r.Detail), len(long), "the caller's refusal is not changed")
 }
 
-// A token that is cut anywhere, changed anywhere, or made under another secret
-// is refused, and never read as another refusal.
-func TestForgedTokensAreRefused(t *testing.T) {
+// A token that was truncated, changed, or made under another secret is rejected.
+func TestForgedTokensAreRejected(t *testing.T) {
 	s := NewSealer([]byte("secret"))
-	token := s.Seal(sample())
+	token := s.Seal(sampleRefusal())
 	for n := range token {
 		_, err := s.Open(token[:n])
-		assert.Assert(t, err != nil, "cut at %d", n)
+		assert.Assert(t, err != nil, "truncated at %d", n)
 		changed := []byte(token)
 		changed[n] ^= 1
 		_, err = s.Open(string(changed))
@@ -82,33 +79,32 @@
 	assert.ErrorIs(t, err, ErrMalformedToken)
 }
 
-func TestAnyTextIsOpenedWithoutHarm(t *testing.T) {
+func TestRandomTextIsRejected(t *testing.T) {
 	s := NewSealer([]byte("secret"))
 	rapid.Check(t, func(t *rapid.T) {
 		if _, err := s.Open(rapid.String().Draw(t, "token")); err == nil {
-			t.Fatal("a random token was taken")
+			t.Fatal("a random token was accepted")
 		}
 	})
 }
 
-func TestProblemAnswer(t *testing.T) {
+func TestWrite(t *testing.T) {
 	s := NewSealer([]byte("secret"))
 	w := httptest.NewRecorder()
-	s.Write(w, sample())
+	s.Write(w, sampleRefusal())
 	assert.Equal(t, w.Code, 429)
 	assert.Equal(t, w.Header().Get("Retry-After"), "2")
 	assert.Equal(t, w.Header().Get("X-Request-Outcome"), "not-run")
 	assert.Equal(t, w.Header().Get("Content-Type"), "application/problem+json")
 }
 
-// Every reason that the protocol knows has a status and a title of its own: one
-// that was forgotten would reach callers as an internal error.
-func TestEveryReasonIsDescribed(t *testing.T) {
+// A reason without an entry would reach callers as an internal error.
+func TestEveryReasonHasStatusAndTitle(t *testing.T) {
 	for n, name := range wire.Reason_name {
 		if n == 0 {
 			continue
 		}
-		_, ok := classes[wire.Reason(n)]
+		_, ok := reasonInfos[wire.Reason(n)]
 		assert.Assert(t, ok, name)
 	}
 }
