--- a/fence/fence.go
+++ b/fence/fence.go
@@ -1,10 +1,10 @@
-// Package fence grants leases with fencing tokens. It is a state machine on the
-// replicated log: every replica applies the same grants in the same order.
+// Package fence grants leases with fencing tokens. It is a state machine on the replicated
+// log: every replica applies the same grants in the same order.
 //
-// A token is the log index of its grant, so it only grows. Whoever carries out
-// orders keeps the highest token seen and refuses lower ones (Kleppmann:
-// Designing Data-Intensive Applications, 8.4): an order of an earlier holder,
-// however late, changes nothing.
+// A token is the log index of its grant, so tokens only increase. An agent that executes
+// orders keeps the highest token it has seen and rejects lower ones (Kleppmann: Designing
+// Data-Intensive Applications, 8.4), so that a delayed order of an earlier lease holder has
+// no effect.
 package fence
 
 import (
@@ -13,17 +13,15 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Machine holds the lease of each group. It is not safe for use by several
-// goroutines.
+// Machine holds the lease of each group. It is not safe for concurrent use.
 type Machine struct {
 	leases map[string]*wire.Lease
 }
 
-// NewMachine makes an empty machine.
 func NewMachine() *Machine { return &Machine{leases: map[string]*wire.Lease{}} }
 
-// Apply grants a lease if the token that it replaces is still in force. It
-// returns the lease in force after it.
+// Apply grants a lease if the token that it replaces is still the current one. It returns
+// the lease in force afterwards.
 func (m *Machine) Apply(index uint64, g *wire.LeaseGrant) *wire.Lease {
 	if m.Token(g.Group) != g.Replaces {
 		return m.Get(g.Group)
@@ -41,10 +39,10 @@
 	return &wire.Lease{Group: group}
 }
 
-// Token returns a group's current fencing token, 0 if none was ever granted.
+// Token returns a group's current fencing token, or 0 if none was ever granted.
 func (m *Machine) Token(group string) uint64 { return m.Get(group).Token }
 
-// Snapshot returns the whole state.
+// Snapshot returns the whole state, ordered by group.
 func (m *Machine) Snapshot() *wire.FenceSnapshot {
 	s := &wire.FenceSnapshot{}
 	for _, l := range m.leases {
@@ -62,31 +60,30 @@
 	}
 }
 
-// Guard is what an agent keeps for each group: the highest token it has seen.
-// After its own start it knows none, and lets nothing through until a quorum
-// has told it the current one.
+// Guard keeps the highest fencing token that an agent has seen for each group. After a
+// restart it knows no token, and admits no order for a group until Learn has been called.
 type Guard struct {
 	highest map[string]uint64
 	known   map[string]bool
 }
 
-// NewGuard makes a guard that knows nothing.
+// NewGuard returns a Guard that admits nothing yet.
 func NewGuard() *Guard {
 	return &Guard{highest: map[string]uint64{}, known: map[string]bool{}}
 }
 
-// Learn takes a token that a quorum has confirmed as the current one.
+// Learn records a token that a quorum has confirmed as the current one.
 func (g *Guard) Learn(group string, token uint64) {
 	g.known[group] = true
 	g.highest[group] = max(g.highest[group], token)
 }
 
-// Known says whether the guard may judge orders for a group.
+// Known reports whether Learn has been called for a group.
 func (g *Guard) Known(group string) bool { return g.known[group] }
 
-// Admit says whether an order may pass. It is false for a token below the
-// highest seen, and for every token before Learn: after a restart the guard has
-// forgotten what it saw, and an old order would look like the newest.
+// Admit reports whether an order may be executed, and records its token. It returns false
+// for a token below the highest seen, and for any token before Learn: after a restart an
+// outdated order can't be told from a current one.
 func (g *Guard) Admit(group string, token uint64) bool {
 	if !g.known[group] || token < g.highest[group] || token == 0 {
 		return false
