--- a/admit/account.go
+++ b/admit/account.go
@@ -2,40 +2,43 @@
 
 import "time"
 
-// account is one entry's part of one subject.
+// account records what Home has granted to one entry for one subject and what the entry
+// reported.
 type account struct {
 	// grants that the entry may be using, oldest first.
 	grants []grant
-	// ended stands for the grants that ended before the entry named a later one:
-	// a report that was sent before their end and comes after it doesn't count the
-	// requests that were admitted in between.
-	ended  grant
-	demand Amounts
-	// running is what the entry last reported to have in progress.
-	running float64
-	// had is the most that it reported before the home was settled.
-	had float64
-	// held is how long its requests in progress may go on.
-	held time.Time
-	// slot is its place in the sums, next when its part of them changes by time, and
-	// dueIndex its place in the queue of these changes.
-	slot     int
-	next     time.Time
-	dueIndex int
+	// expired merges the grants that expired before the entry acknowledged a later one. A
+	// report that was sent before they expired may arrive after that and omit requests that
+	// were admitted in between, so their concurrency stays counted.
+	expired grant
+	demand  Amounts
+	// reportedRunning is the number of requests in progress in the entry's last report.
+	reportedRunning float64
+	// peakRunning is the most requests in progress that the entry reported while Home was
+	// not settled; see Home.settled.
+	peakRunning float64
+	// runningUntil is when the last request admitted under any of the grants has ended.
+	runningUntil time.Time
+	// slot is the account's index in the sumTree. changesAt is when its totals next change
+	// by time alone, heapIndex its index in the changeQueue or notQueued.
+	slot      int
+	changesAt time.Time
+	heapIndex int
 }
 
 type grant struct {
 	epoch   uint64
 	amounts Amounts
 	expires time.Time
-	// held is when the last request that was admitted under it has ended.
-	held time.Time
+	// runningUntil is when the last request admitted under the grant has ended, by Home's
+	// clock.
+	runningUntil time.Time
 }
 
-// take notes a new grant. The answer that carries it may be lost, so earlier
-// grants count until the entry has named a later one or they have ended.
-func (acc *account) take(now time.Time, d Demand, g grant, hold time.Duration) {
-	g.held = g.expires.Add(time.Duration(float64(hold) * clockRatio))
+// addGrant records a grant and the demand that it answers. The reply that carries it may be
+// lost, so earlier grants stay counted until the entry acknowledges a later epoch.
+func (acc *account) addGrant(now time.Time, d Demand, g grant, hold time.Duration) {
+	g.runningUntil = g.expires.Add(time.Duration(float64(hold) * maxClockRatio))
 	kept := acc.grants[:0]
 	for _, old := range acc.grants {
 		switch {
@@ -43,35 +46,35 @@
 		case now.Before(old.expires):
 			kept = append(kept, old)
 		default:
-			acc.ended = acc.ended.join(old)
+			acc.expired = acc.expired.merge(old)
 		}
 	}
-	if acc.ended.epoch < d.Ack {
-		acc.ended = grant{}
+	if acc.expired.epoch < d.Ack {
+		acc.expired = grant{}
 	}
 	acc.grants = append(kept, g)
 	acc.demand = d.Wanted
-	acc.running = d.Running
-	if g.held.After(acc.held) {
-		acc.held = g.held
+	acc.reportedRunning = d.Running
+	if g.runningUntil.After(acc.runningUntil) {
+		acc.runningUntil = g.runningUntil
 	}
 }
 
-// join returns a grant that counts for as much and as long as both.
-func (g grant) join(o grant) grant {
+// merge returns a grant that covers the concurrency of both grants for as long as either.
+func (g grant) merge(o grant) grant {
 	g.epoch = max(g.epoch, o.epoch)
 	g.amounts.Concurrent = max(g.amounts.Concurrent, o.amounts.Concurrent)
-	if o.held.After(g.held) {
-		g.held = o.held
+	if o.runningUntil.After(g.runningUntil) {
+		g.runningUntil = o.runningUntil
 	}
 	return g
 }
 
-// live is what the entry may be using now.
-func (acc *account) live(now time.Time) Amounts {
+// inUse returns the most that the entry may be using now.
+func (acc *account) inUse(now time.Time) Amounts {
 	var a Amounts
 	for _, g := range acc.grants {
-		if now.Before(g.held) {
+		if now.Before(g.runningUntil) {
 			a.Concurrent = max(a.Concurrent, g.amounts.Concurrent)
 		}
 		if now.Before(g.expires) {
@@ -79,41 +82,43 @@
 			a.Tokens = max(a.Tokens, g.amounts.Tokens)
 		}
 	}
-	if now.Before(acc.ended.held) {
-		a.Concurrent = max(a.Concurrent, acc.ended.amounts.Concurrent)
+	if now.Before(acc.expired.runningUntil) {
+		a.Concurrent = max(a.Concurrent, acc.expired.amounts.Concurrent)
 	}
-	if now.Before(acc.held) {
-		a.Concurrent = max(a.Concurrent, acc.running)
+	if now.Before(acc.runningUntil) {
+		a.Concurrent = max(a.Concurrent, acc.reportedRunning)
 	}
 	return a
 }
 
-// asking says whether the entry has asked for a share lately.
-func (acc *account) asking(now time.Time) bool {
+// hasDemand reports whether the entry's last demand asked for a share and its latest grant
+// has not expired.
+func (acc *account) hasDemand(now time.Time) bool {
 	return acc.demand != Amounts{} && now.Before(acc.grants[len(acc.grants)-1].expires)
 }
 
-// sums are the account's part of its subject's.
-func (acc *account) sums(now time.Time) sums {
-	s := sums{used: acc.live(now)}
-	if acc.asking(now) {
-		s.wanted, s.asking = acc.demand, 1
+// totals returns the account's contribution to the totals of its subject.
+func (acc *account) totals(now time.Time) totals {
+	s := totals{used: acc.inUse(now)}
+	if acc.hasDemand(now) {
+		s.wanted, s.askers = acc.demand, 1
 	}
 	return s
 }
 
-// nextChange is when the sums change next if nothing is heard, if they do.
+// nextChange returns when the account's totals next change by time alone; ok is false if
+// they don't.
 func (acc *account) nextChange(now time.Time) (next time.Time, ok bool) {
-	ends := func(t time.Time) {
+	consider := func(t time.Time) {
 		if now.Before(t) && (!ok || t.Before(next)) {
 			next, ok = t, true
 		}
 	}
 	for _, g := range acc.grants {
-		ends(g.expires)
-		ends(g.held)
+		consider(g.expires)
+		consider(g.runningUntil)
 	}
-	ends(acc.ended.held)
-	ends(acc.held)
+	consider(acc.expired.runningUntil)
+	consider(acc.runningUntil)
 	return next, ok
 }
--- a/admit/accounts.go
+++ b/admit/accounts.go
@@ -5,96 +5,97 @@
 	"time"
 )
 
-// accounts are the entries' parts of one subject. Their sums are kept and not
-// added up at each question: a team that is active at 2,000 entries asks thousands
-// of times a second.
+// accounts holds the accounts of all entries for one subject. Their totals are kept up to
+// date incrementally, since adding up all accounts for each demand is too slow with
+// thousands of entries.
 type accounts struct {
 	byEntry map[string]*account
-	sums    sumTree
-	// due has the accounts whose part changes by time alone, the next one first.
-	due dueQueue
+	totals  sumTree
+	// changes queues the accounts whose totals change by time alone, the next one first.
+	changes changeQueue
 }
 
 func newAccounts() *accounts { return &accounts{byEntry: map[string]*account{}} }
 
-// of returns an entry's account.
-func (a *accounts) of(entry string) *account {
+// getOrCreate returns an entry's account.
+func (a *accounts) getOrCreate(entry string) *account {
 	acc := a.byEntry[entry]
 	if acc == nil {
-		acc = &account{slot: a.sums.take(), dueIndex: notDue}
+		acc = &account{slot: a.totals.allocate(), heapIndex: notQueued}
 		a.byEntry[entry] = acc
 	}
 	return acc
 }
 
-// settle brings the sums up to now: grants end, and requests under them later.
-func (a *accounts) settle(now time.Time) {
-	for len(a.due) > 0 && !now.Before(a.due[0].next) {
-		a.update(now, a.due[0])
+// advance updates the totals of accounts whose grants, or requests admitted under them,
+// have ended by now.
+func (a *accounts) advance(now time.Time) {
+	for len(a.changes) > 0 && !now.Before(a.changes[0].changesAt) {
+		a.refresh(now, a.changes[0])
 	}
 }
 
-// update takes an account into the sums as it is now.
-func (a *accounts) update(now time.Time, acc *account) {
-	a.sums.set(acc.slot, acc.sums(now))
+// refresh recomputes an account's totals as of now and requeues its next change.
+func (a *accounts) refresh(now time.Time, acc *account) {
+	a.totals.set(acc.slot, acc.totals(now))
 	next, ok := acc.nextChange(now)
-	acc.next = next
+	acc.changesAt = next
 	switch {
-	case ok && acc.dueIndex == notDue:
-		heap.Push(&a.due, acc)
+	case ok && acc.heapIndex == notQueued:
+		heap.Push(&a.changes, acc)
 	case ok:
-		heap.Fix(&a.due, acc.dueIndex)
-	case acc.dueIndex != notDue:
-		heap.Remove(&a.due, acc.dueIndex)
+		heap.Fix(&a.changes, acc.heapIndex)
+	case acc.heapIndex != notQueued:
+		heap.Remove(&a.changes, acc.heapIndex)
 	}
 }
 
-// sweep drops the accounts of which nothing counts any more.
+// sweep drops the accounts whose last request in progress must have ended.
 func (a *accounts) sweep(now time.Time) {
-	a.settle(now)
+	a.advance(now)
 	for id, acc := range a.byEntry {
-		if now.Before(acc.held) {
+		if now.Before(acc.runningUntil) {
 			continue
 		}
 		delete(a.byEntry, id)
-		a.sums.give(acc.slot)
+		a.totals.release(acc.slot)
 	}
 }
 
-// others returns what the accounts but one have and want.
-func (a *accounts) others(acc *account) *others {
-	o := &others{}
-	o.before, o.after = a.sums.around(acc.slot)
+// peersOf returns the totals of all accounts but one.
+func (a *accounts) peersOf(acc *account) *peers {
+	o := &peers{}
+	o.before, o.after = a.totals.around(acc.slot)
 	return o
 }
 
-// notDue is the index of an account that doesn't change by time.
-const notDue = -1
+// notQueued is the heapIndex of an account that has no change queued.
+const notQueued = -1
 
-// dueQueue is a heap by the time of the next change.
-type dueQueue []*account
+// changeQueue is a min-heap of accounts by changesAt.
+type changeQueue []*account
 
-func (q dueQueue) Len() int           { return len(q) }
-func (q dueQueue) Less(i, j int) bool { return q[i].next.Before(q[j].next) }
+func (q changeQueue) Len() int           { return len(q) }
+func (q changeQueue) Less(i, j int) bool { return q[i].changesAt.Before(q[j].changesAt) }
 
-func (q dueQueue) Swap(i, j int) {
+func (q changeQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].dueIndex, q[j].dueIndex = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (q *dueQueue) Push(x any) {
+func (q *changeQueue) Push(x any) {
 	acc := x.(*account)
-	acc.dueIndex = len(*q)
+	acc.heapIndex = len(*q)
 	*q = append(*q, acc)
 }
 
 // Pop implements heap.Interface.
-func (q *dueQueue) Pop() any {
+func (q *changeQueue) Pop() any {
 	last := len(*q) - 1
 	acc := (*q)[last]
 	(*q)[last] = nil
 	*q = (*q)[:last]
-	acc.dueIndex = notDue
+	acc.heapIndex = notQueued
 	return acc
 }
--- a/admit/homedump.go
+++ b/admit/allocator_dump.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Live returns the sum of what all entries may use of a subject now.
+// Live returns the sum of what all entries may be using of a subject now.
 func (h *Home) Live(now time.Time, s Subject) Amounts {
 	all := h.subjects[s]
 	if all == nil {
 		return Amounts{}
 	}
-	all.settle(now)
-	return all.sums.total().used
+	all.advance(now)
+	return all.totals.total().used
 }
 
-// SubjectState is one subject in a dump.
+// SubjectState describes one subject in a dump of Home; -1 means unlimited.
 type SubjectState struct {
 	Team       string  `json:"team"`
 	Service    string  `json:"service"`
@@ -25,7 +25,7 @@
 	Concurrent float64 `json:"concurrent"`
 }
 
-// Dump lists the subjects that are granted now.
+// Dump returns the subjects that Home keeps accounts of, ordered by team and service.
 func (h *Home) Dump(now time.Time) []SubjectState {
 	var list []SubjectState
 	for s, all := range h.subjects {
--- a/admit/amounts.go
+++ b/admit/amounts.go
@@ -2,15 +2,14 @@
 
 import "math"
 
-// Amounts are the three measures of a limit; +Inf is no limit.
+// Amounts holds a value for each measure of a limit. +Inf means unlimited.
 type Amounts struct {
 	// Requests and Tokens are per second.
 	Requests, Tokens float64
-	// Concurrent requests in progress.
+	// Concurrent is a number of requests in progress.
 	Concurrent float64
 }
 
-// Unlimited is no limit at all.
 var Unlimited = Amounts{math.Inf(1), math.Inf(1), math.Inf(1)}
 
 func (a Amounts) add(b Amounts) Amounts {
@@ -21,59 +20,61 @@
 func tokensOf(a Amounts) float64     { return a.Tokens }
 func concurrentOf(a Amounts) float64 { return a.Concurrent }
 
-// maxDemand is more than any limit.
+// maxDemand caps reported demands; it is larger than any limit.
 const maxDemand = 1e15
 
-// sane keeps what is no amount out of the sums that are divided by.
-func (a Amounts) sane() Amounts {
-	return Amounts{saneAmount(a.Requests), saneAmount(a.Tokens), saneAmount(a.Concurrent)}
+// sanitized returns a with NaN and negative values replaced by 0 and large ones capped, so
+// that a faulty report can't corrupt the totals that limits are divided by.
+func (a Amounts) sanitized() Amounts {
+	return Amounts{sanitizeAmount(a.Requests), sanitizeAmount(a.Tokens), sanitizeAmount(a.Concurrent)}
 }
 
-func saneAmount(v float64) float64 {
+func sanitizeAmount(v float64) float64 {
 	if v > 0 {
 		return min(v, maxDemand)
 	}
 	return 0
 }
 
-// Floor is what each entry of a ring of n may use without a grant.
+// Floor returns what each entry of a ring of n may use without a grant.
 func Floor(limit Amounts, n int) Amounts {
 	if n < 1 {
 		return Amounts{}
 	}
-	part := FloorPart / float64(2*n)
-	a := Amounts{Tokens: limit.Tokens * part}
+	fraction := FloorPart / float64(2*n)
+	a := Amounts{Tokens: limit.Tokens * fraction}
 	if limit.Requests >= FloorFrom {
-		a.Requests = limit.Requests * part
+		a.Requests = limit.Requests * fraction
 	}
 	if limit.Concurrent >= FloorFrom {
-		a.Concurrent = math.Floor(limit.Concurrent * part)
+		a.Concurrent = math.Floor(limit.Concurrent * fraction)
 	}
 	return a
 }
 
-// pool is the part of a limit that is granted.
-func pool(limit Amounts) Amounts {
+// grantable returns the part of a limit that is granted as shares; the rest is for floors.
+func grantable(limit Amounts) Amounts {
 	return Amounts{
-		Requests:   granted(limit.Requests),
+		Requests:   grantableAmount(limit.Requests),
 		Tokens:     limit.Tokens * (1 - FloorPart),
-		Concurrent: math.Floor(granted(limit.Concurrent)),
+		Concurrent: math.Floor(grantableAmount(limit.Concurrent)),
 	}
 }
 
-// granted never falls as the limit grows, also where floors begin: an entry and
-// a home that know different versions of a row stay within the larger of the two.
-func granted(limit float64) float64 {
+// grantableAmount never decreases as the limit grows, also at FloorFrom: an entry and Home
+// that know different versions of a limit stay within the larger one.
+func grantableAmount(limit float64) float64 {
 	if limit >= FloorFrom {
 		return limit * (1 - FloorPart)
 	}
 	return min(limit, FloorFrom*(1-FloorPart))
 }
 
-// burstPool is how many requests all grants of a limit may save up together. With
-// the floors' part it is at most a second's worth, or one request if the limit is
-// less than one a second. Like granted, it never falls as the limit grows.
-func burstPool(limit float64) float64 {
+// grantableBurst returns how many requests all grants of a limit together may accumulate.
+// With the burst of the floors it is at most one second's worth, or one request if the
+// limit is below one per second. Like grantableAmount, it never decreases as the limit
+// grows.
+func grantableBurst(limit float64) float64 {
 	perSecond := limit * burstTime.Seconds()
 	if limit >= FloorFrom {
 		return perSecond * (1 - FloorBurst)
@@ -81,7 +82,8 @@
 	return min(max(perSecond, 1), FloorFrom*burstTime.Seconds()*(1-FloorBurst))
 }
 
-// floorBurst is how many requests a floor may save up.
+// floorBurst returns how many requests the floor of one entry may accumulate in a ring of
+// n.
 func floorBurst(limit float64, n int) float64 {
 	if n < 1 || limit < FloorFrom {
 		return 0
@@ -89,20 +91,20 @@
 	return limit * burstTime.Seconds() * FloorBurst / float64(2*n)
 }
 
-// burst is what an entry may save up with its part of a granted pool.
-func burst(limit, share float64) float64 {
+// shareBurst returns how many requests an entry may accumulate with its share of a limit.
+func shareBurst(limit, share float64) float64 {
 	if math.IsInf(limit, 1) {
 		return 0
 	}
-	return share * burstPool(limit) / granted(limit)
+	return share * grantableBurst(limit) / grantableAmount(limit)
 }
 
-// requestUnit is the least share of a limit that can save up one request.
-func requestUnit(limit float64) float64 {
-	return granted(limit) / burstPool(limit)
+// minRequestShare returns the smallest share of a limit whose burst holds one request.
+func minRequestShare(limit float64) float64 {
+	return grantableAmount(limit) / grantableBurst(limit)
 }
 
-// finite stands in for values that JSON can't carry: -1 is no limit.
+// finite returns v, or -1 for infinities and NaN, which JSON can't represent.
 func finite(v float64) float64 {
 	if math.IsInf(v, 0) || math.IsNaN(v) {
 		return -1
--- a/admit/bench_test.go
+++ b/admit/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// One decision of the gate: a request comes to a full queue in which every team
-// waits, one starts and one ends.
+// BenchmarkGateDecision measures one offer, one start and one end with a long queue in
+// which all teams wait.
 func BenchmarkGateDecision(b *testing.B) {
 	for _, teams := range []int{10, 100, 1000, 3800} {
 		for _, name := range []string{"gate", "fifo"} {
@@ -17,13 +17,13 @@
 				if name == "fifo" {
 					q = NewFIFO(s)
 				}
-				benchDecision(b, q, teams)
+				benchmarkDecisions(b, q, teams)
 			})
 		}
 	}
 }
 
-func benchDecision(b *testing.B, q Queue, teams int) {
+func benchmarkDecisions(b *testing.B, q Queue, teams int) {
 	names := make([]string, teams)
 	for i := range names {
 		names[i] = fmt.Sprint("team-", i)
@@ -52,7 +52,7 @@
 	}
 }
 
-// One decision of an entry's limiter, over all teams in turn.
+// BenchmarkLimiterTake measures one Take, over all teams in turn.
 func BenchmarkLimiterTake(b *testing.B) {
 	for _, teams := range []int{10, 100, 1000, 3800} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
@@ -75,11 +75,11 @@
 	}
 }
 
-// One grant of the home, for a team whose callers use several entries.
+// BenchmarkHomeGrant measures one Grant for a team whose callers use several entries.
 func BenchmarkHomeGrant(b *testing.B) {
 	for _, entries := range []int{1, 7, 50} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
-			p := newPair(entries, Amounts{1000, 1e6, 100})
+			p := newShareCluster(entries, Amounts{1000, 1e6, 100})
 			p.settle()
 			d := Demand{Wanted: Amounts{100, 1e4, 10}}
 			names := make([]string, entries)
@@ -95,7 +95,7 @@
 	}
 }
 
-// An entry's look for what is due, which it takes ten times a second.
+// BenchmarkLimiterDue measures the check for due demands, which runs once per ShareCheck.
 func BenchmarkLimiterDue(b *testing.B) {
 	for _, teams := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
@@ -105,11 +105,11 @@
 				l.Take(simEpoch, Subject{fmt.Sprint("team-", i), "lm"}, Amounts{1000, 1e6, 100}, Ask{})
 			}
 			l.Report(simEpoch)
-			now := simEpoch.Add(2 * askGap)
+			now := simEpoch.Add(2 * minAskInterval)
 			b.ReportAllocs()
 			for range b.N {
 				if l.Due(now) {
-					b.Fatal("nothing changed")
+					b.Fatal("a demand is due although nothing changed")
 				}
 			}
 		})
--- a/admit/class.go
+++ b/admit/class.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// class is the work of one priority.
+// class is the queue of one priority.
 type class struct {
-	// flows holds each team that waits, and the finish tags of teams that
-	// could otherwise gain by having nothing waiting for a moment.
+	// flows holds the teams with waiting work, and idle teams whose finish tag still
+	// counts: dropping it would let a team gain by having nothing queued for a moment.
 	flows map[string]*flow
 	heap  flowHeap
-	// total is how much work waits.
+	// total is the amount of waiting work.
 	total int
-	// tickets is how many of them wait elsewhere too.
+	// tickets is how much of it is queued at other gates too.
 	tickets int
-	// places is how much of the queue they take, in parts of a place.
-	places  int
-	running int
-	// weights is the sum over the teams of whose work some stays until it is started,
-	// and teams their number.
-	weights float64
-	teams   int
-	// vtime is the start tag of the work last started; last is the largest
-	// finish tag.
-	vtime, last float64
-	// mean is the mean time that work ran.
-	mean meanTime
-	// sweepAt is the number of flows at which idle ones are looked for.
-	sweepAt int
+	// usedUnits is the queue capacity in use; work queued at this gate alone takes
+	// unitsPerWork.
+	usedUnits int
+	running   int
+	// exclusiveWeight is the sum of the weights of the teams that have work queued at this
+	// gate alone, exclusiveTeams the number of these teams.
+	exclusiveWeight float64
+	exclusiveTeams  int
+	// vtime is the virtual time, the start tag of the work started last. maxFinish is the
+	// largest finish tag.
+	vtime, maxFinish float64
+	// meanRun is the smoothed run time.
+	meanRun runTimeAverage
+	// sweepThreshold is the number of flows at which idle ones are looked for.
+	sweepThreshold int
 }
 
 // flow is the waiting work of one team, oldest first.
@@ -36,12 +37,12 @@
 	team       string
 	head, tail *Work
 	n          int
-	// staying is how many of them wait here alone.
-	staying int
-	weight  float64
-	// start is the tag of the head, finish that of the work last started.
-	start, finish float64
-	index         int
+	// exclusive is how much of it is queued at this gate alone.
+	exclusive int
+	weight    float64
+	// startTag is that of the head, finishTag that of the work started last.
+	startTag, finishTag float64
+	index               int
 }
 
 func (c *class) push(w *Work) {
@@ -60,34 +61,36 @@
 	f.tail = w
 	f.n++
 	if f.n == 1 {
-		// A team that was idle begins now: it gets no credit for the past.
-		f.start = max(c.vtime, f.finish)
+		// A team that was idle gets no credit for the past.
+		f.startTag = max(c.vtime, f.finishTag)
 		f.weight = float64(w.Weight)
 		heap.Push(&c.heap, f)
 	}
-	c.count(f, w, 1)
+	c.adjustCounts(f, w, 1)
 }
 
-// placeUnit is a place in a queue. It divides evenly by up to 8 tickets.
-const placeUnit = 840
+// unitsPerWork is the queue capacity that work queued at one gate takes. It is divisible by
+// every number of tickets up to 8.
+const unitsPerWork = 840
 
-// count adds work that waits, or takes it off.
-func (c *class) count(f *flow, w *Work, n int) {
+// adjustCounts updates the counters for w; n is 1 when it is queued and -1 when it is
+// removed.
+func (c *class) adjustCounts(f *flow, w *Work, n int) {
 	c.total += n
-	c.places += n * placeUnit / max(w.Tickets, 1)
+	c.usedUnits += n * unitsPerWork / max(w.Tickets, 1)
 	if w.Tickets > 0 {
 		c.tickets += n
 		return
 	}
-	before := f.staying
-	f.staying += n
+	before := f.exclusive
+	f.exclusive += n
 	switch {
 	case before == 0:
-		c.weights += f.weight
-		c.teams++
-	case f.staying == 0:
-		c.weights -= f.weight
-		c.teams--
+		c.exclusiveWeight += f.weight
+		c.exclusiveTeams++
+	case f.exclusive == 0:
+		c.exclusiveWeight -= f.weight
+		c.exclusiveTeams--
 	}
 }
 
@@ -106,82 +109,84 @@
 	}
 	w.prev, w.next, w.flow = nil, nil, nil
 	f.n--
-	c.count(f, w, -1)
+	c.adjustCounts(f, w, -1)
 	switch {
 	case f.n == 0:
 		heap.Remove(&c.heap, f.index)
-		c.forget()
+		c.pruneFlows()
 	case wasHead:
 		heap.Fix(&c.heap, f.index)
 	}
 }
 
-// charge moves the tags for work that starts; it is still its team's head.
+// charge advances the virtual time and the team's tags for work that starts. The work must
+// still be its team's head.
 func (c *class) charge(w *Work) {
 	f := w.flow
-	c.vtime = max(c.vtime, f.start)
-	f.finish = f.start + w.Cost/float64(w.Weight)
-	f.start = f.finish
-	c.last = max(c.last, f.finish)
+	c.vtime = max(c.vtime, f.startTag)
+	f.finishTag = f.startTag + w.Cost/float64(w.Weight)
+	f.startTag = f.finishTag
+	c.maxFinish = max(c.maxFinish, f.finishTag)
 }
 
-// ahead estimates from below how much of its class goes before new work: its team's
-// own, and what other teams get by their weights meanwhile, at most all that waits.
+// workAhead returns a lower bound on the work of the class that starts before new work:
+// that of its own team, and what other teams get by their weights meanwhile, at most all
+// that waits. Tickets aren't counted.
 //
-// Of its share by weight another team may get two less: it may have been served one
-// before its turn, and the last one of its share may come after the new work. Without
-// this, work was refused for a deadline that it would have made by a run.
-func (c *class) ahead(w *Work) float64 {
-	own, weights, others := 0.0, c.weights, c.teams
-	if f := c.flows[w.Team]; f != nil && f.staying > 0 {
-		own = float64(f.staying)
+// Another team may get up to shareSlack less than its share by weight: it may have been
+// served early, and the last work of its share may start after the new one.
+func (c *class) workAhead(w *Work) float64 {
+	own, weights, others := 0.0, c.exclusiveWeight, c.exclusiveTeams
+	if f := c.flows[w.Team]; f != nil && f.exclusive > 0 {
+		own = float64(f.exclusive)
 		others--
 	} else {
 		weights += float64(w.Weight)
 	}
 	shares := own*weights/float64(w.Weight) - float64(shareSlack*others)
-	return min(max(own, shares), float64(c.untilStarted()))
+	return min(max(own, shares), float64(c.exclusiveWaiting()))
 }
 
-// shareSlack is how much less than its share by weight a team may get for a while.
+// shareSlack bounds how far a team may temporarily lag behind its share by weight, in units
+// of work.
 const shareSlack = 2
 
-// untilStarted is how much of what waits stays until it is started here.
-func (c *class) untilStarted() int { return c.total - c.tickets }
+// exclusiveWaiting returns how much of the waiting work is queued at this gate alone.
+func (c *class) exclusiveWaiting() int { return c.total - c.tickets }
 
-// meanTime is a smoothed mean; 0 before the first.
-type meanTime struct{ seconds float64 }
+// runTimeAverage is an exponentially weighted moving average, 0 before the first sample.
+type runTimeAverage struct{ seconds float64 }
 
-func (m *meanTime) add(d time.Duration) {
+func (m *runTimeAverage) add(d time.Duration) {
 	if m.seconds == 0 {
 		m.seconds = d.Seconds()
 	}
-	m.seconds += meanPart * (d.Seconds() - m.seconds)
+	m.seconds += meanRunSmoothing * (d.Seconds() - m.seconds)
 }
 
-// forget drops the tags of idle teams that make no difference: those that virtual
-// time has passed, and all of them once the class is idle (then virtual time is
-// the largest finish tag, as in the paper). Memory follows the teams that wait or
-// were served lately, not all teams ever seen.
-func (c *class) forget() {
+// pruneFlows drops the tags of idle teams that no longer matter: those whose finish tag
+// virtual time has passed, and all of them once the class is idle (virtual time then
+// becomes the largest finish tag). It bounds memory by the teams that wait or were served
+// lately.
+func (c *class) pruneFlows() {
 	if c.total == 0 && c.running == 0 {
-		c.vtime = c.last
+		c.vtime = c.maxFinish
 		clear(c.flows)
 		return
 	}
-	if len(c.flows) < c.sweepAt {
+	if len(c.flows) < c.sweepThreshold {
 		return
 	}
 	for team, f := range c.flows {
-		if f.n == 0 && f.finish <= c.vtime {
+		if f.n == 0 && f.finishTag <= c.vtime {
 			delete(c.flows, team)
 		}
 	}
-	c.sweepAt = 2*len(c.flows) + minSweep
+	c.sweepThreshold = 2*len(c.flows) + minSweepThreshold
 }
 
-// newest returns a team's newest waiting work of a named queue.
-func (c *class) newest(team, queue string) *Work {
+// newestOf returns a team's newest waiting work in a named queue, or nil.
+func (c *class) newestOf(team, queue string) *Work {
 	f := c.flows[team]
 	if f == nil {
 		return nil
@@ -194,15 +199,16 @@
 	return nil
 }
 
-// giveWay returns the work that gives way to new work in the full class, or nil.
-func (c *class) giveWay(w *Work, bound int) *Work {
+// evictionVictim returns the work to evict from the full class in favor of new work, or
+// nil: the newest work of the team that has most.
+func (c *class) evictionVictim(w *Work, bound int) *Work {
 	own, teams := 0, len(c.heap)
 	if f := c.flows[w.Team]; f != nil && f.n > 0 {
 		own = f.n
 	} else {
 		teams++
 	}
-	if !underEvenPart(own, teams, max(bound, c.total)) {
+	if !withinEvenShare(own, teams, max(bound, c.total)) {
 		return nil
 	}
 	largest := c.heap[0]
@@ -217,11 +223,11 @@
 	return largest.tail
 }
 
-// underEvenPart says whether a team that has some of a full queue may have one
+// withinEvenShare reports whether a team that has own work in a full queue may add one
 // more.
-func underEvenPart(own, teams, total int) bool { return (own+1)*teams <= total }
+func withinEvenShare(own, teams, total int) bool { return (own+1)*teams <= total }
 
-// occupancy counts the work that waits in a named queue, by team.
+// occupancy counts the waiting work of a named queue by team.
 type occupancy struct {
 	total int
 	teams map[string]int
@@ -239,14 +245,14 @@
 	}
 }
 
-// givesWay returns the team whose work gives way to that of another in a full
-// queue, or nothing: the one that has most, the first by name of several.
-func (o *occupancy) givesWay(team string, bound int) string {
+// evictionTeam returns the team whose work is evicted from a full queue in favor of work of
+// team, or "" if there is none: the one that has most, the first by name of several.
+func (o *occupancy) evictionTeam(team string, bound int) string {
 	own, teams := o.teams[team], len(o.teams)
 	if own == 0 {
 		teams++
 	}
-	if !underEvenPart(own, teams, max(bound, o.total)) {
+	if !withinEvenShare(own, teams, max(bound, o.total)) {
 		return ""
 	}
 	found, most := "", own+1
@@ -258,14 +264,15 @@
 	return found
 }
 
-// flowHeap orders the teams that wait by the tags of their oldest work.
+// flowHeap is a min-heap of the teams with waiting work by the start tag of their oldest
+// work.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
 
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].start != h[j].start {
-		return h[i].start < h[j].start
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	return h[i].head.seq < h[j].head.seq
 }
--- a/admit/example_test.go
+++ b/admit/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A gate with one slot: an urgent signal that comes last starts first.
+// With one slot, urgent work that arrives last starts first.
 func ExampleGate() {
 	now := time.Unix(0, 0)
 	g := admit.NewGate(admit.Settings{Slots: 1, MaxQueue: 10})
--- a/admit/fifo.go
+++ b/admit/fifo.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Queue is what Gate and the naive FIFO have in common.
+// Queue is the interface that Gate and FIFO have in common.
 type Queue interface {
 	Offer(now time.Time, w *Work) error
 	Start(now time.Time) (start []*Work, refused []Refusal)
@@ -11,19 +11,18 @@
 	Waiting() int
 }
 
-// FIFO is the naive queue: one bounded line for all work, first come first
-// served, without classes, weights or reserved slots. It is the baseline that
-// Gate is compared with in tests and measurements.
+// FIFO is one bounded first-come-first-served queue without classes, weights or reserved
+// slots. It is the baseline that Gate is compared with in tests and benchmarks.
 type FIFO struct {
 	settings Settings
 	queue    []*Work
 	running  int
 }
 
-// NewFIFO makes a FIFO; it uses the slots and the bound of the settings.
+// NewFIFO returns a FIFO. It uses Slots and MaxQueue of the settings.
 func NewFIFO(s Settings) *FIFO { return &FIFO{settings: s} }
 
-// Offer queues work, or refuses it.
+// Offer queues work, or returns ErrDeadline or ErrQueueFull.
 func (f *FIFO) Offer(now time.Time, w *Work) error {
 	if !w.Deadline.IsZero() && !now.Before(w.Deadline) {
 		return ErrDeadline
@@ -37,17 +36,17 @@
 	return nil
 }
 
-// Start returns the work that starts now, and work whose deadline has passed.
+// Start returns the work that starts now, and waiting work whose deadline has passed.
 func (f *FIFO) Start(now time.Time) (start []*Work, refused []Refusal) {
 	for len(f.queue) > 0 {
 		w := f.queue[0]
-		late := !w.Deadline.IsZero() && !now.Before(w.Deadline)
-		if !late && f.running >= f.settings.Slots {
+		expired := !w.Deadline.IsZero() && !now.Before(w.Deadline)
+		if !expired && f.running >= f.settings.Slots {
 			break
 		}
 		f.queue = f.queue[1:]
-		if late {
-			w.state = stateOver
+		if expired {
+			w.state = stateDone
 			refused = append(refused, Refusal{w, ErrDeadline})
 			continue
 		}
@@ -71,11 +70,11 @@
 	case stateRunning:
 		f.running--
 	}
-	w.state = stateOver
+	w.state = stateDone
 }
 
-// Running returns how much work runs.
+// Running returns the amount of running work.
 func (f *FIFO) Running() int { return f.running }
 
-// Waiting returns how much work waits.
+// Waiting returns the amount of waiting work.
 func (f *FIFO) Waiting() int { return len(f.queue) }
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -1,9 +1,9 @@
-// Package admit decides who goes first: an urgent class with capacity of its
-// own, weighted fair queueing between teams, bounded queues and deadlines; and
-// it divides teams' limits between entries.
+// Package admit implements admission control: priority classes with slots reserved for
+// urgent work, weighted fair queueing between teams, bounded queues and deadlines. It also
+// divides the limits of teams between entries.
 //
-// Gate, Home and Limiter are pure: time and work go in, decisions come out.
-// Runner drives a Gate for goroutines.
+// Gate, Home and Limiter are deterministic state machines: they are told the time and do no
+// I/O. Runner drives a Gate for goroutines.
 package admit
 
 import (
@@ -14,63 +14,63 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer. Work refused with any of them was not started.
+// Errors of this package. Work that is refused with any of them was not started.
 var (
 	ErrQueueFull = merry.Sentinel("queue is full")
-	// ErrPartFull says that the work's named queue is at its own bound.
+	// ErrPartFull is returned when the named queue of the work is at its own bound.
 	ErrPartFull = merry.Sentinel("queue of the service is full")
 	ErrDeadline = merry.Sentinel("deadline passes before the work can start")
 	ErrClosed   = merry.Sentinel("no new work is taken")
-	// ErrBusy refuses work that is not to wait.
+	// ErrBusy is returned for work with NoWait that can't start at once.
 	ErrBusy = merry.Sentinel("no slot is free")
 )
 
-// Settings of a Gate.
+// Settings configures a Gate.
 type Settings struct {
-	// Slots is how much work runs at once.
+	// Slots bounds the work that runs at once.
 	Slots int
-	// Reserved slots take urgent work only.
+	// Reserved is the number of slots that take urgent work only.
 	Reserved int
-	// MaxQueue bounds the work that waits in each class.
+	// MaxQueue bounds the waiting work of each class.
 	MaxQueue int
 }
 
-// ReservedSlots is how many of some slots are kept for urgent work: a part in
-// percent, rounded up, since a tenth of eight slots that is rounded down keeps
-// none. One slot at least is left for other work.
+// ReservedSlots returns how many slots to reserve for urgent work, given a percentage. It
+// rounds up, since rounding down would reserve none of a few slots, but leaves at least one
+// slot for other work.
 func ReservedSlots(slots, percent int) int {
 	return max(min((slots*percent+99)/100, slots-1), 0)
 }
 
-// Work is one piece of work. Its fields are set by the caller.
+// Work is one unit of work that needs a slot. The caller sets its exported fields.
 type Work struct {
 	Team     string
 	Weight   int
 	Priority wire.Priority
-	// Cost is the work's size, in any one unit; 1 if zero.
+	// Cost is the size of the work in any unit; 0 means 1.
 	Cost float64
-	// Deadline by which the work must have started; zero is none.
+	// Deadline is when the work must have started; zero means none.
 	Deadline time.Time
-	// Queue names a part of the queue that has a bound of its own, MaxQueue. No
-	// name is no such bound.
+	// Queue names a queue within the class queues that has a bound of its own, MaxQueue.
+	// Work with an empty name has no such bound.
 	Queue    string
 	MaxQueue int
-	// NoWait has the work refused unless it starts at once.
+	// NoWait refuses the work unless it can start at once.
 	NoWait bool
-	// Tickets is at how many gates the work waits, to be started at one; 0 is here
-	// alone. The others see it go: it is no load, delays nothing that waits, and
-	// takes its part of a place in the queue.
+	// Tickets is the number of gates that the work is queued at as tied requests, to be
+	// started at one of them; 0 means this gate alone. Such work isn't counted as load or
+	// in wait estimates, and takes 1/Tickets of a place in the queue.
 	Tickets int
-	// Unused is set before Done if the slot was given back without a run.
+	// Unused is set before Done if the slot was released without running anything.
 	Unused bool
-	// Value is the caller's.
+	// Value is for the caller's use. Runner overwrites it.
 	Value any
 
 	flow       *flow
-	part       *occupancy
+	namedQueue *occupancy
 	prev, next *Work
 	seq        uint64
-	began      time.Time
+	startedAt  time.Time
 	state      workState
 }
 
@@ -80,44 +80,42 @@
 	stateNew workState = iota
 	stateWaiting
 	stateRunning
-	stateOver
+	stateDone
 )
 
-// Refusal is work that waited and will not be started.
+// Refusal is waiting work that will not be started.
 type Refusal struct {
 	Work *Work
 	Err  error
 }
 
-// Gate queues work and says what starts. Classes are strict: urgent before
-// normal before batch. Within a class, teams share by start-time fair queueing
-// (Goyal, Vin, Cheng: Start-time Fair Queueing, SIGCOMM 1996). Only the first
-// work of each team carries tags: work that is cancelled or refused while it
-// waits costs its team nothing.
+// Gate queues work and decides what starts. Classes have strict priority: urgent, normal,
+// batch. Within a class, teams share by start-time fair queueing (Goyal, Vin, Cheng:
+// Start-time Fair Queueing, SIGCOMM 1996). Only the oldest work of each team carries a tag,
+// so that work that is cancelled or refused while it waits costs its team nothing. Gate is
+// not safe for concurrent use.
 type Gate struct {
 	settings Settings
 	classes  [4]class
-	// queues counts the work that waits in each named queue.
-	queues  map[string]*occupancy
-	running int
-	urgent  int
-	// mean is the mean time that work ran, over all classes.
-	mean    meanTime
+	// namedQueues counts the waiting work of each named queue.
+	namedQueues   map[string]*occupancy
+	running       int
+	runningUrgent int
+	// meanRun is the smoothed run time over all classes.
+	meanRun runTimeAverage
 	seq     uint64
 	refused []Refusal
 }
 
-// NewGate makes a gate.
 func NewGate(s Settings) *Gate {
-	g := &Gate{settings: s, queues: map[string]*occupancy{}}
+	g := &Gate{settings: s, namedQueues: map[string]*occupancy{}}
 	for i := range g.classes {
 		g.classes[i].flows = map[string]*flow{}
 	}
 	return g
 }
 
-// Configure changes the settings in flight; no waiting work is lost, even above
-// a lowered queue bound.
+// Configure changes the settings. Waiting work is kept, even above a lowered queue bound.
 func (g *Gate) Configure(s Settings) { g.settings = s }
 
 func classOf(p wire.Priority) int {
@@ -129,8 +127,8 @@
 
 const urgentClass = int(wire.Priority_PRIORITY_URGENT)
 
-// Offer queues work, or refuses it. Work that gives way to it is among the
-// refusals that the next Start returns.
+// Offer queues work, or refuses it with an error. Work that is evicted in its favor is
+// among the refusals that the next Start returns.
 func (g *Gate) Offer(now time.Time, w *Work) error {
 	if w.Weight < 1 {
 		w.Weight = 1
@@ -142,7 +140,7 @@
 	if w.NoWait && !g.startsAtOnce(class) {
 		return ErrBusy
 	}
-	if !w.Deadline.IsZero() && !now.Add(g.wait(class, w)).Before(w.Deadline) {
+	if !w.Deadline.IsZero() && !now.Add(g.estimateWait(class, w)).Before(w.Deadline) {
 		return ErrDeadline
 	}
 	if !g.startsAtOnce(class) {
@@ -155,37 +153,36 @@
 	w.state = stateWaiting
 	g.classes[class].push(w)
 	if w.Queue != "" {
-		w.part = g.part(w.Queue)
-		w.part.add(w.Team)
+		w.namedQueue = g.namedQueue(w.Queue)
+		w.namedQueue.add(w.Team)
 	}
 	return nil
 }
 
-func (g *Gate) part(name string) *occupancy {
-	q := g.queues[name]
+func (g *Gate) namedQueue(name string) *occupancy {
+	q := g.namedQueues[name]
 	if q == nil {
 		q = &occupancy{teams: map[string]int{}}
-		g.queues[name] = q
+		g.namedQueues[name] = q
 	}
 	return q
 }
 
-// startsAtOnce says whether the next work of a class doesn't wait at all.
+// startsAtOnce reports whether new work of a class would start without waiting.
 func (g *Gate) startsAtOnce(class int) bool {
 	for i := range class + 1 {
 		if g.classes[i].total > 0 {
 			return false
 		}
 	}
-	return g.free(class)
+	return g.hasFreeSlot(class)
 }
 
-// wait estimates from below how long work would wait: what goes before it, by
-// the mean time that each class was seen to run, over the slots that it may use.
-// Work that can't make its deadline by this is refused at once, and its caller
-// can go elsewhere while there is time. What arrives later isn't counted, nor are
-// tickets: most of them go before their turn.
-func (g *Gate) wait(class int, w *Work) time.Duration {
+// estimateWait returns a lower bound on how long new work would wait: the work that starts
+// before it, by the mean run time of each class, over the slots that it may use. Work that
+// can't meet its deadline by this is refused early, so that its caller can go elsewhere in
+// time. Later arrivals aren't counted, nor are tickets, most of which start elsewhere.
+func (g *Gate) estimateWait(class int, w *Work) time.Duration {
 	if g.startsAtOnce(class) {
 		return 0
 	}
@@ -193,101 +190,101 @@
 	if class != urgentClass {
 		slots -= g.settings.Reserved
 	}
-	ahead := 0.0
+	secondsAhead := 0.0
 	for i := range class {
-		ahead += float64(g.classes[i].untilStarted()) * g.classes[i].mean.seconds
+		secondsAhead += float64(g.classes[i].exclusiveWaiting()) * g.classes[i].meanRun.seconds
 	}
 	c := &g.classes[class]
-	ahead += c.ahead(w) * c.mean.seconds
-	return time.Duration(ahead / float64(max(slots, 1)) * float64(time.Second))
+	secondsAhead += c.workAhead(w) * c.meanRun.seconds
+	return time.Duration(secondsAhead / float64(max(slots, 1)) * float64(time.Second))
 }
 
-// makeRoom says whether work may wait. If a queue is full, work of a team that
-// has more than an even part of it gives way to that of one that has less: a
-// team that sends without end can't keep others out of the queue.
+// makeRoom returns an error if work may not be queued. If a queue is full, work of the team
+// that has most in it is evicted in favor of a team below its even share, so that one team
+// can't keep others out of the queue.
 func (g *Gate) makeRoom(class int, w *Work) error {
-	if w.Queue != "" && !g.makeRoomInPart(class, w) {
+	if w.Queue != "" && !g.makeRoomInNamedQueue(class, w) {
 		return ErrPartFull
 	}
 	c := &g.classes[class]
-	if c.places < g.settings.MaxQueue*placeUnit {
+	if c.usedUnits < g.settings.MaxQueue*unitsPerWork {
 		return nil
 	}
-	victim := c.giveWay(w, g.settings.MaxQueue)
+	victim := c.evictionVictim(w, g.settings.MaxQueue)
 	if victim == nil {
 		return ErrQueueFull
 	}
-	g.drop(victim, ErrQueueFull)
+	g.refuseWaiting(victim, ErrQueueFull)
 	return nil
 }
 
-// makeRoomInPart looks for work that gives way in the classes from the lowest up
-// to that of the new work: none gives way to work of a lower class.
-func (g *Gate) makeRoomInPart(class int, w *Work) bool {
-	q := g.queues[w.Queue]
+// makeRoomInNamedQueue reports whether the named queue has room, evicting work if
+// necessary. It never evicts work of a higher class than that of the new work.
+func (g *Gate) makeRoomInNamedQueue(class int, w *Work) bool {
+	q := g.namedQueues[w.Queue]
 	if q == nil {
 		return w.MaxQueue > 0
 	}
 	if q.total < w.MaxQueue {
 		return true
 	}
-	team := q.givesWay(w.Team, w.MaxQueue)
+	team := q.evictionTeam(w.Team, w.MaxQueue)
 	if team == "" {
 		return false
 	}
 	for i := len(g.classes) - 1; i >= class; i-- {
-		if victim := g.classes[i].newest(team, w.Queue); victim != nil {
-			g.drop(victim, ErrPartFull)
+		if victim := g.classes[i].newestOf(team, w.Queue); victim != nil {
+			g.refuseWaiting(victim, ErrPartFull)
 			return true
 		}
 	}
 	return false
 }
 
-// drop takes waiting work out and refuses it.
-func (g *Gate) drop(w *Work, err error) {
-	g.unqueue(w)
-	w.state = stateOver
+// refuseWaiting removes waiting work and refuses it with err.
+func (g *Gate) refuseWaiting(w *Work, err error) {
+	g.dequeue(w)
+	w.state = stateDone
 	g.refused = append(g.refused, Refusal{w, err})
 }
 
-func (g *Gate) unqueue(w *Work) {
+func (g *Gate) dequeue(w *Work) {
 	g.classes[classOf(w.Priority)].remove(w)
-	if w.part == nil {
+	if w.namedQueue == nil {
 		return
 	}
-	w.part.sub(w.Team)
-	if w.part.total == 0 {
-		delete(g.queues, w.Queue)
+	w.namedQueue.sub(w.Team)
+	if w.namedQueue.total == 0 {
+		delete(g.namedQueues, w.Queue)
 	}
-	w.part = nil
+	w.namedQueue = nil
 }
 
-// free says whether a slot is free for a class.
-func (g *Gate) free(class int) bool {
+// hasFreeSlot reports whether a slot is free for a class.
+func (g *Gate) hasFreeSlot(class int) bool {
 	if g.running >= g.settings.Slots {
 		return false
 	}
 	if class == urgentClass {
 		return true
 	}
-	// Reserved slots that urgent work does not use stay empty: work that ran in
-	// them would make the next urgent signal wait for its end.
-	reservedFree := max(g.settings.Reserved-g.urgent, 0)
+	// Unused reserved slots stay empty: other work in them would delay the next urgent work
+	// until it has ended.
+	reservedFree := max(g.settings.Reserved-g.runningUrgent, 0)
 	return g.running+reservedFree < g.settings.Slots
 }
 
-// Start returns the work that starts now, and work that waited and is refused.
+// Start returns the work that starts now, and waiting work that is refused.
 func (g *Gate) Start(now time.Time) (start []*Work, refused []Refusal) {
 	for i := range g.classes {
 		c := &g.classes[i]
 		for len(c.heap) > 0 {
 			w := c.heap[0].head
 			if !w.Deadline.IsZero() && !now.Before(w.Deadline) {
-				g.drop(w, ErrDeadline)
+				g.refuseWaiting(w, ErrDeadline)
 				continue
 			}
-			if !g.free(i) {
+			if !g.hasFreeSlot(i) {
 				break
 			}
 			g.begin(now, w)
@@ -301,13 +298,13 @@
 func (g *Gate) begin(now time.Time, w *Work) {
 	class := classOf(w.Priority)
 	g.classes[class].charge(w)
-	g.unqueue(w)
+	g.dequeue(w)
 	w.state = stateRunning
-	w.began = now
+	w.startedAt = now
 	g.running++
 	g.classes[class].running++
 	if class == urgentClass {
-		g.urgent++
+		g.runningUrgent++
 	}
 }
 
@@ -315,43 +312,44 @@
 func (g *Gate) Done(now time.Time, w *Work) {
 	switch w.state {
 	case stateWaiting:
-		g.unqueue(w)
+		g.dequeue(w)
 	case stateRunning:
 		class := classOf(w.Priority)
 		g.running--
 		g.classes[class].running--
-		// A slot that was given back unused says nothing of how long runs take.
+		// A slot that was released unused says nothing about run times.
 		if !w.Unused {
-			ran := now.Sub(w.began)
-			g.classes[class].mean.add(ran)
-			g.mean.add(ran)
+			ran := now.Sub(w.startedAt)
+			g.classes[class].meanRun.add(ran)
+			g.meanRun.add(ran)
 		}
-		g.classes[class].forget()
+		g.classes[class].pruneFlows()
 		if class == urgentClass {
-			g.urgent--
+			g.runningUrgent--
 		}
 	}
-	w.state = stateOver
+	w.state = stateDone
 }
 
-// Running returns how much work runs.
+// Running returns the amount of running work.
 func (g *Gate) Running() int { return g.running }
 
-// Waiting returns how much work waits, but for tickets.
+// Waiting returns the amount of waiting work, not counting tickets.
 func (g *Gate) Waiting() int {
 	n := 0
 	for i := range g.classes {
-		n += g.classes[i].untilStarted()
+		n += g.classes[i].exclusiveWaiting()
 	}
 	return n
 }
 
-// MeanRun returns the mean time that work ran lately; 0 before the first has ended.
+// MeanRun returns the smoothed run time, or 0 before the first run has ended.
 func (g *Gate) MeanRun() time.Duration {
-	return time.Duration(g.mean.seconds * float64(time.Second))
+	return time.Duration(g.meanRun.seconds * float64(time.Second))
 }
 
-// meanPart is the weight of the newest run in the mean.
-const meanPart = 0.1
+// meanRunSmoothing is the EWMA smoothing factor of run times.
+const meanRunSmoothing = 0.1
 
-const minSweep = 64
+// minSweepThreshold keeps a small number of flows from being swept each time work ends.
+const minSweepThreshold = 64
--- a/admit/limiter.go
+++ b/admit/limiter.go
@@ -6,88 +6,91 @@
 	"time"
 )
 
-// Measures that a limit has.
+// Names of the measures of a limit.
 const (
 	MeasureRequests   = "requests_per_second"
 	MeasureTokens     = "tokens_per_second"
 	MeasureConcurrent = "concurrent"
 )
 
-// Refused says which measure a request is over, and by what.
+// Refused describes why Limiter.Take refused a request.
 type Refused struct {
 	Measure string
-	// Limit is the row's value; Share is this entry's part of it now.
+	// Limit is the configured limit of the measure; Share is this entry's current part of
+	// it.
 	Limit, Share float64
-	// Wait is when to come back.
+	// Wait is how long to wait before trying again.
 	Wait time.Duration
 }
 
-// Limiter holds an entry's shares and admits requests within them. It is pure
-// and not safe for use by several goroutines.
+// Limiter holds the shares of one entry and admits requests within them. It does no I/O and
+// is not safe for concurrent use.
 type Limiter struct {
 	entries  int
-	subjects map[Subject]*local
-	// home is the one that answered last, and told the one that has answered a
-	// report of all that is in progress.
-	home, told string
-	seq        uint64
+	subjects map[Subject]*localShare
+	// allocator is the name of the Home that answered last, fullReportTo the one that has
+	// answered a full report.
+	allocator, fullReportTo string
+	seq                     uint64
 }
 
-// local is an entry's part of one subject.
-type local struct {
+// localShare is an entry's share of the limit of one subject.
+type localShare struct {
 	limit Amounts
-	// entries is the ring size that the buckets were last set for.
-	entries int
-	granted Amounts
-	burst   float64
-	// hold bounds the timeout of a request in the concurrent part of the grant.
-	hold  time.Duration
-	sent  time.Time
-	until time.Time
-	home  string
-	epoch uint64
-	// requests and tokens are the buckets of this entry's share.
-	requests, tokens bucket
-	running          int
-	seen             time.Time
-	asked            meter
-	pauses           pauses
-	question         question
+	// ringSize is the number of entries that the buckets were last set for.
+	ringSize int
+	granted  Amounts
+	burst    float64
+	// maxTimeout bounds the timeout of a request that uses the concurrent part of the
+	// grant.
+	maxTimeout time.Duration
+	sentAt     time.Time
+	expires    time.Time
+	allocator  string
+	epoch      uint64
+	// requestBucket and tokenBucket enforce the share's rates.
+	requestBucket, tokenBucket bucket
+	running                    int
+	lastRequest                time.Time
+	arrivals                   meter
+	pauses                     pauseTracker
+	renewal                    renewal
 }
 
-// NewLimiter makes a limiter that holds no share.
-func NewLimiter() *Limiter { return &Limiter{subjects: map[Subject]*local{}} }
+// NewLimiter returns a Limiter without shares.
+func NewLimiter() *Limiter { return &Limiter{subjects: map[Subject]*localShare{}} }
 
-// SetEntries tells how many entries the ring has; floors follow from it.
+// SetEntries sets the number of entries in the ring, which floors are computed from.
 func (l *Limiter) SetEntries(n int) { l.entries = n }
 
-// burstTime is how much of a rate may be saved up.
+// burstTime is how many seconds' worth of a rate may accumulate in a bucket.
 const burstTime = time.Second
 
-// Ask is a request that wants to be admitted.
+// Ask is what a request needs to be admitted.
 type Ask struct {
 	Tokens float64
 	// Timeout is how long the request may be in progress.
 	Timeout time.Duration
 }
 
-// Take admits a request, or says why not. limit is the row's.
+// Take admits a request, or returns why it is refused. limit is the one in force now. Done
+// must be called for each admitted request.
 func (l *Limiter) Take(now time.Time, s Subject, limit Amounts, a Ask) *Refused {
-	loc := l.local(now, s, limit)
-	loc.asked.add(now, 1, a.Tokens)
+	loc := l.localShare(now, s, limit)
+	loc.arrivals.add(now, 1, a.Tokens)
 	share := loc.share(now)
-	if most := loc.concurrent(now, a.Timeout); float64(loc.running)+1 > most {
-		loc.question.stale = loc.question.stale || a.Timeout > loc.hold
-		return &Refused{MeasureConcurrent, limit.Concurrent, most, noShareWait}
+	if entryLimit := loc.concurrencyLimit(now, a.Timeout); float64(loc.running)+1 > entryLimit {
+		loc.renewal.stale = loc.renewal.stale || a.Timeout > loc.maxTimeout
+		return &Refused{MeasureConcurrent, limit.Concurrent, entryLimit, noShareRetryDelay}
 	}
 	if !math.IsInf(share.Tokens, 1) {
-		if ok, wait := loc.tokens.takeLarge(now, a.Tokens); !ok {
+		if ok, wait := loc.tokenBucket.takeLarge(now, a.Tokens); !ok {
 			return &Refused{MeasureTokens, limit.Tokens, share.Tokens, wait}
 		}
 	}
 	if !math.IsInf(share.Requests, 1) {
-		if ok, wait := loc.requests.take(now, 1); !ok {
-			loc.tokens.level += a.Tokens
+		if ok, wait := loc.requestBucket.take(now, 1); !ok {
+			loc.tokenBucket.level += a.Tokens
 			return &Refused{MeasureRequests, limit.Requests, share.Requests, wait}
 		}
 	}
@@ -102,102 +105,101 @@
 	}
 }
 
-// local returns a subject's state, brought up to now.
-func (l *Limiter) local(now time.Time, s Subject, limit Amounts) *local {
+// localShare returns the state of a subject, brought up to now.
+func (l *Limiter) localShare(now time.Time, s Subject, limit Amounts) *localShare {
 	loc := l.subjects[s]
 	if loc == nil {
-		loc = &local{limit: limit, entries: l.entries}
+		loc = &localShare{limit: limit, ringSize: l.entries}
 		l.subjects[s] = loc
 	}
-	loc.settle(now)
-	if loc.limit != limit || loc.entries != l.entries {
-		loc.question.stale = loc.question.stale || loc.limit != limit
-		loc.limit, loc.entries = limit, l.entries
-		loc.refill(now, now)
+	loc.advance(now)
+	if loc.limit != limit || loc.ringSize != l.entries {
+		loc.renewal.stale = loc.renewal.stale || loc.limit != limit
+		loc.limit, loc.ringSize = limit, l.entries
+		loc.refillBuckets(now, now)
 	}
-	if !loc.seen.IsZero() {
-		loc.pauses.add(now, now.Sub(loc.seen))
+	if !loc.lastRequest.IsZero() {
+		loc.pauses.record(now, now.Sub(loc.lastRequest))
 	}
-	loc.seen = now
+	loc.lastRequest = now
 	return loc
 }
 
-// share is what this entry may use now: its floor, and its grant while that
-// lasts, never more than the row says now.
-func (loc *local) share(now time.Time) Amounts {
-	floor := Floor(loc.limit, loc.entries)
-	g := loc.grant(now)
+// share returns what this entry may use now: its floor and its unexpired grant, at most the
+// limit.
+func (loc *localShare) share(now time.Time) Amounts {
+	floor := Floor(loc.limit, loc.ringSize)
+	g := loc.activeGrant(now)
 	return Amounts{
-		Requests:   part(loc.limit.Requests, floor.Requests, g.Requests),
-		Tokens:     part(loc.limit.Tokens, floor.Tokens, g.Tokens),
-		Concurrent: part(loc.limit.Concurrent, floor.Concurrent, g.Concurrent),
+		Requests:   localLimit(loc.limit.Requests, floor.Requests, g.Requests),
+		Tokens:     localLimit(loc.limit.Tokens, floor.Tokens, g.Tokens),
+		Concurrent: localLimit(loc.limit.Concurrent, floor.Concurrent, g.Concurrent),
 	}
 }
 
-// concurrent is how many requests with a timeout may be in progress here. The
-// home counts what was admitted under a grant for the grant's hold, and then
-// gives it to others: a request that may run longer is held to the floor.
-func (loc *local) concurrent(now time.Time, timeout time.Duration) float64 {
-	if timeout > loc.hold {
-		return part(loc.limit.Concurrent, Floor(loc.limit, loc.entries).Concurrent, 0)
+// concurrencyLimit returns how many requests may be in progress here for one with the given
+// timeout to be admitted. Home counts the requests of a grant for no longer than the
+// grant's maxTimeout allows, so a request that may run longer is held to the floor.
+func (loc *localShare) concurrencyLimit(now time.Time, timeout time.Duration) float64 {
+	if timeout > loc.maxTimeout {
+		return localLimit(loc.limit.Concurrent, Floor(loc.limit, loc.ringSize).Concurrent, 0)
 	}
 	return loc.share(now).Concurrent
 }
 
-func (loc *local) grant(now time.Time) Amounts {
-	if !now.Before(loc.until) {
+func (loc *localShare) activeGrant(now time.Time) Amounts {
+	if !now.Before(loc.expires) {
 		return Amounts{}
 	}
 	return loc.granted
 }
 
-func part(limit, floor, granted float64) float64 {
+func localLimit(limit, floor, granted float64) float64 {
 	if math.IsInf(limit, 1) {
 		return limit
 	}
 	return min(floor+granted, limit)
 }
 
-// settle brings the buckets up to now. A grant that has ended since is counted up
-// to its end and no further: its home gives the same part to others from then on.
-func (loc *local) settle(now time.Time) {
-	if !loc.until.IsZero() && loc.requests.filled.Before(loc.until) && !now.Before(loc.until) {
-		loc.refill(loc.until, loc.until)
+// advance refills the buckets up to now. A grant that has expired meanwhile counts up to
+// its end only: Home may have granted the same part to another entry from then on.
+func (loc *localShare) advance(now time.Time) {
+	if !loc.expires.IsZero() && loc.requestBucket.lastRefill.Before(loc.expires) && !now.Before(loc.expires) {
+		loc.refillBuckets(loc.expires, loc.expires)
 	}
-	loc.refill(now, now)
+	loc.refillBuckets(now, now)
 }
 
-// refill fills the buckets up to a time and sets the rates of the share that
-// holds from then on.
-func (loc *local) refill(at, now time.Time) {
+// refillBuckets refills the buckets up to at and sets the rates of the share as of now.
+func (loc *localShare) refillBuckets(at, now time.Time) {
 	share := loc.share(now)
 	if math.IsInf(loc.limit.Tokens, 1) {
-		loc.tokens = bucket{filled: at}
+		loc.tokenBucket = bucket{lastRefill: at}
 	} else {
-		loc.tokens.setRate(at, share.Tokens, share.Tokens*burstTime.Seconds())
+		loc.tokenBucket.setRate(at, share.Tokens, share.Tokens*burstTime.Seconds())
 	}
 	if math.IsInf(loc.limit.Requests, 1) {
-		loc.requests = bucket{filled: at}
+		loc.requestBucket = bucket{lastRefill: at}
 		return
 	}
-	saved := floorBurst(loc.limit.Requests, loc.entries)
-	if now.Before(loc.until) {
+	saved := floorBurst(loc.limit.Requests, loc.ringSize)
+	if now.Before(loc.expires) {
 		saved += loc.burst
 	}
 	most := max(loc.limit.Requests*burstTime.Seconds(), 1)
-	loc.requests.setRate(at, share.Requests, min(saved, most))
+	loc.requestBucket.setRate(at, share.Requests, min(saved, most))
 }
 
-// Granted says whether the entry holds a grant for a subject now.
+// Granted reports whether the entry holds an unexpired grant for a subject.
 func (l *Limiter) Granted(now time.Time, s Subject) bool {
 	loc := l.subjects[s]
-	return loc != nil && now.Before(loc.until)
+	return loc != nil && now.Before(loc.expires)
 }
 
-// Knows says whether anything is kept of a subject.
+// Knows reports whether the Limiter keeps state of a subject.
 func (l *Limiter) Knows(s Subject) bool { return l.subjects[s] != nil }
 
-// LocalState is one subject of an entry in a dump. -1 is no limit.
+// LocalState describes one subject of an entry in a dump; -1 means unlimited.
 type LocalState struct {
 	Team       string  `json:"team"`
 	Service    string  `json:"service"`
@@ -205,12 +207,12 @@
 	Tokens     float64 `json:"share_tokens_per_second"`
 	Concurrent float64 `json:"share_concurrent"`
 	Running    int     `json:"running"`
-	// Granted is how long the grant still lasts; 0 leaves the floor alone.
+	// Granted is the time until the grant expires; with 0, the entry has its floor alone.
 	Granted int64  `json:"granted_ms"`
 	Home    string `json:"home"`
 }
 
-// Dump lists the subjects that this entry has a part of.
+// Dump returns the subjects that this entry keeps state of, ordered by team and service.
 func (l *Limiter) Dump(now time.Time) []LocalState {
 	list := []LocalState{}
 	for s, loc := range l.subjects {
@@ -218,7 +220,7 @@
 		list = append(list, LocalState{
 			Team: s.Team, Service: s.Service, Requests: finite(share.Requests), Tokens: finite(share.Tokens),
 			Concurrent: finite(share.Concurrent), Running: loc.running,
-			Granted: max(loc.until.Sub(now).Milliseconds(), 0), Home: loc.home,
+			Granted: max(loc.expires.Sub(now).Milliseconds(), 0), Home: loc.allocator,
 		})
 	}
 	sort.Slice(list, func(i, j int) bool {
@@ -230,30 +232,31 @@
 	return list
 }
 
-// Apply takes a grant. sent is when the demand left: the grant is used from
-// there, so that it ends here before it ends at the home.
+// Apply takes a grant. sent is when the demand was sent: the grant's lifetime counts from
+// then, so that it expires here before it expires at Home.
 func (l *Limiter) Apply(now, sent time.Time, s Subject, home string, g Share) {
 	loc := l.subjects[s]
-	if loc == nil || home == loc.home && g.Epoch <= loc.epoch {
+	if loc == nil || home == loc.allocator && g.Epoch <= loc.epoch {
 		return
 	}
-	if home != loc.home && sent.Before(loc.sent) {
-		// A late answer of another home would replace the grant of a later one.
+	if home != loc.allocator && sent.Before(loc.sentAt) {
+		// A delayed answer of another Home must not replace a later grant.
 		return
 	}
-	loc.settle(now)
-	loc.question.answered(sent, g, loc.grant(now))
-	loc.home, loc.epoch = home, g.Epoch
-	loc.granted, loc.burst, loc.hold = g.Amounts, g.Burst, g.Hold
-	loc.sent, loc.until = sent, sent.Add(ShareTTL)
-	loc.refill(now, now)
+	loc.advance(now)
+	loc.renewal.recordAnswer(sent, g, loc.activeGrant(now))
+	loc.allocator, loc.epoch = home, g.Epoch
+	loc.granted, loc.burst, loc.maxTimeout = g.Amounts, g.Burst, g.Hold
+	loc.sentAt, loc.expires = sent, sent.Add(ShareTTL)
+	loc.refillBuckets(now, now)
 }
 
-// release gives the grant up before its end.
-func (loc *local) release(now time.Time) {
-	loc.settle(now)
+// releaseGrant gives the grant up before it expires. Incrementing the epoch acknowledges
+// this to Home.
+func (loc *localShare) releaseGrant(now time.Time) {
+	loc.advance(now)
 	loc.granted, loc.burst = Amounts{}, 0
-	loc.until = now
+	loc.expires = now
 	loc.epoch++
-	loc.refill(now, now)
+	loc.refillBuckets(now, now)
 }
--- a/admit/limiter_test.go
+++ b/admit/limiter_test.go
@@ -9,75 +9,76 @@
 	"gotest.tools/v3/assert"
 )
 
-// pair is a few entries and a home in virtual time, with a network that works.
-type pair struct {
-	now   time.Time
-	home  *Home
-	limit Amounts
-	hold  time.Duration
-	lims  []*Limiter
-	// look lets entries ask when something is due, as an entry's loop does, and not
-	// in each ShareInterval.
-	look bool
-	// questions counts what the home was asked.
-	questions int
+// shareCluster is some entries and a Home in virtual time, with a network that loses
+// nothing.
+type shareCluster struct {
+	now      time.Time
+	home     *Home
+	limit    Amounts
+	hold     time.Duration
+	limiters []*Limiter
+	// askWhenDue lets entries ask when something is due, as in production, and not in every
+	// round.
+	askWhenDue bool
+	// demandsSent counts the demands that Home answered.
+	demandsSent int
 }
 
-func newPair(entries int, limit Amounts) *pair {
-	p := &pair{now: simEpoch, limit: limit, hold: time.Second, home: NewHome(simEpoch, "home-1")}
+func newShareCluster(entries int, limit Amounts) *shareCluster {
+	p := &shareCluster{now: simEpoch, limit: limit, hold: time.Second, home: NewHome(simEpoch, "home-1")}
 	var ids []string
 	for i := range entries {
-		p.lims = append(p.lims, NewLimiter())
-		p.lims[i].SetEntries(entries)
+		p.limiters = append(p.limiters, NewLimiter())
+		p.limiters[i].SetEntries(entries)
 		ids = append(ids, fmt.Sprint(i))
 	}
 	p.home.SetFleet(Fleet{Members: ids, Unchanged: time.Hour})
-	p.now = p.now.Add(homeTTL)
+	p.now = p.now.Add(grantTTL)
 	return p
 }
 
-// round lets every entry ask the home once.
-func (p *pair) round() {
-	for i, l := range p.lims {
-		if !p.look || l.Due(p.now) {
+// round lets every entry ask Home once.
+func (p *shareCluster) round() {
+	for i, l := range p.limiters {
+		if !p.askWhenDue || l.Due(p.now) {
 			p.ask(i, l)
 		}
 	}
 }
 
-// settle runs the rounds after which the home knows what is in progress: in the
-// first it names itself, in the second the entries tell.
-func (p *pair) settle() {
+// settle runs enough rounds for Home to know all requests in progress: it names itself in
+// the answers of the first, and entries send full reports in the second.
+func (p *shareCluster) settle() {
 	for range 3 {
 		p.round()
 		p.now = p.now.Add(ShareInterval)
 	}
 }
 
-func (p *pair) ask(i int, l *Limiter) {
+func (p *shareCluster) ask(i int, l *Limiter) {
 	r, demands := l.Report(p.now)
 	r.Entry, r.Incarnation = fmt.Sprint(i), 1
 	if !p.home.Hear(p.now, r) {
 		return
 	}
 	l.Answered(r, p.home.Name(p.now))
-	p.questions += len(demands)
+	p.demandsSent += len(demands)
 	for s, d := range demands {
 		l.Apply(p.now, p.now, s, p.home.Name(p.now), p.home.Grant(p.now, r.Entry, s, p.limit, d, p.hold))
 	}
 }
 
-func (p *pair) take(i int) bool {
-	return p.lims[i].Take(p.now, simSubject, p.limit, Ask{Timeout: p.hold}) == nil
+func (p *shareCluster) take(i int) bool {
+	return p.limiters[i].Take(p.now, simSubject, p.limit, Ask{Timeout: p.hold}) == nil
 }
 
-// run lets some entries try at twice the limit, and counts what they get; a
-// request is over at once.
-func (p *pair) run(d time.Duration, busy ...int) []int {
-	got := make([]int, len(p.lims))
+// run lets some entries attempt twice the limit, and returns how many requests each admits.
+// A request ends at once.
+func (p *shareCluster) run(d time.Duration, busy ...int) []int {
+	got := make([]int, len(p.limiters))
 	gap := min(time.Duration(float64(time.Second)/p.limit.Requests/2), 100*time.Millisecond)
 	every := ShareInterval
-	if p.look {
+	if p.askWhenDue {
 		every = ShareCheck
 	}
 	next := p.now
@@ -89,56 +90,53 @@
 		for _, i := range busy {
 			if p.take(i) {
 				got[i]++
-				p.lims[i].Done(simSubject)
+				p.limiters[i].Done(simSubject)
 			}
 		}
 	}
 	return got
 }
 
-// All callers of a team use one entry, after another entry was busy and went
-// idle. Within two seconds the entry that they use has 95% of the limit.
-func TestLoneEntryGetsNearlyTheWholeLimit(t *testing.T) {
+// The only active entry gets at least 95% of the limit within two seconds, even if others
+// were active before.
+func TestSingleActiveEntryGetsTheLimit(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 2, 5, 20, 45, 49, 50, 51, 100, 1000} {
-		p := newPair(7, Amounts{rate, math.Inf(1), 40})
+		p := newShareCluster(7, Amounts{rate, math.Inf(1), 40})
 		p.run(10*time.Second, 1)
 		p.run(5*time.Second, 2)
-		p.now = p.now.Add(idleAfter)
+		p.now = p.now.Add(idleTimeout)
 		p.run(2*time.Second, 0)
-		share := p.lims[0].subjects[simSubject].share(p.now)
+		share := p.limiters[0].subjects[simSubject].share(p.now)
 		assert.Assert(t, share.Requests >= 0.95*rate, "%g of %g", share.Requests, rate)
 		assert.Equal(t, share.Concurrent, 40.0)
-		span := 100.0
-		got := p.run(time.Duration(span)*time.Second, 0)[0]
-		assert.Assert(t, float64(got) >= 0.95*rate*span-1, "%d of %g", got, rate*span)
+		seconds := 100.0
+		got := p.run(time.Duration(seconds)*time.Second, 0)[0]
+		assert.Assert(t, float64(got) >= 0.95*rate*seconds-1, "%d of %g", got, rate*seconds)
 	}
 }
 
-// Seven entries share a limit of three requests a second, or of three in
-// progress. A part of 3/7 would serve nobody; each gets whole ones in turn.
-func TestSmallLimitServesEveryEntryInTurn(t *testing.T) {
+// With fewer units than entries, whole units rotate between them.
+func TestSmallLimitRotatesBetweenEntries(t *testing.T) {
 	for _, limit := range []Amounts{{3, math.Inf(1), math.Inf(1)}, {1000, math.Inf(1), 3}, {0.4, math.Inf(1), math.Inf(1)}} {
-		p := newPair(7, limit)
+		p := newShareCluster(7, limit)
 		for i, n := range p.run(200*time.Second, 0, 1, 2, 3, 4, 5, 6) {
-			assert.Assert(t, n > 0, "entry %d got nothing of %v", i, limit)
+			assert.Assert(t, n > 0, "entry %d admitted nothing under %v", i, limit)
 		}
 	}
 }
 
-// An entry saved up a second of a large share when the share became smaller, or
-// ended, and went to another entry. It may not spend on top of that what it had
-// saved, nor go on saving at the old rate.
-func TestSavingsEndWithTheShare(t *testing.T) {
-	drain := func(p *pair) (got int) {
+// A burst that accumulated in a share is lost when the share becomes smaller or expires.
+func TestAccumulatedBurstEndsWithTheShare(t *testing.T) {
+	drain := func(p *shareCluster) (got int) {
 		for p.take(0) {
 			got++
 		}
 		return got
 	}
-	begin := func() *pair {
-		p := newPair(2, Amounts{100, math.Inf(1), math.Inf(1)})
+	begin := func() *shareCluster {
+		p := newShareCluster(2, Amounts{100, math.Inf(1), math.Inf(1)})
 		p.run(3*time.Second, 0)
-		for p.lims[0].subjects[simSubject].sent != p.now {
+		for p.limiters[0].subjects[simSubject].sentAt != p.now {
 			p.run(ShareCheck, 0)
 			p.round()
 		}
@@ -148,103 +146,100 @@
 
 	p := begin()
 	p.now = p.now.Add(time.Second)
-	p.lims[0].Apply(p.now, p.now, simSubject, "home-2", Share{Amounts: Amounts{Requests: 2}, Burst: 2, Epoch: 1})
-	assert.Equal(t, drain(p), 2+floor, "the share became smaller")
+	p.limiters[0].Apply(p.now, p.now, simSubject, "home-2", Share{Amounts: Amounts{Requests: 2}, Burst: 2, Epoch: 1})
+	assert.Equal(t, drain(p), 2+floor, "smaller share")
 
 	p = begin()
 	p.now = p.now.Add(time.Minute)
-	assert.Equal(t, drain(p), floor, "the share ended")
+	assert.Equal(t, drain(p), floor, "expired share")
 
 	p = begin()
 	p.now = p.now.Add(ShareTTL - time.Millisecond)
 	drain(p)
 	p.now = p.now.Add(50 * time.Millisecond)
-	assert.Equal(t, drain(p), 0, "the share ended a moment ago")
+	assert.Equal(t, drain(p), 0, "share that has just expired")
 }
 
-// An entry's report is sent, then it starts ten requests and is cut off. The
-// report comes late, after the grant's end, and says that nothing is in progress.
-// The ten still run, so the home must not give their part to another entry.
-func TestLateReportDoesNotFreeWhatRuns(t *testing.T) {
-	p := newPair(2, Amounts{1000, math.Inf(1), 10})
+// A delayed report doesn't include the requests that were admitted after it was sent, so
+// Home must not grant their part to another entry.
+func TestDelayedReportDoesNotFreeRunningRequests(t *testing.T) {
+	p := newShareCluster(2, Amounts{1000, math.Inf(1), 10})
 	p.hold = 5 * time.Second
 	p.take(0)
 	p.settle()
-	late, demands := p.lims[0].Report(p.now)
+	late, demands := p.limiters[0].Report(p.now)
 	late.Entry, late.Incarnation = "0", 1
 	started := 0
 	for p.now = p.now.Add(ShareTTL / 2); p.take(0); {
 		started++
 	}
 	assert.Equal(t, started, 10)
-	p.now = p.now.Add(homeTTL)
+	p.now = p.now.Add(grantTTL)
 	assert.Assert(t, p.home.Hear(p.now, late))
 	d := demands[simSubject]
-	d.Wanted = Amounts{} // no new part: only what runs may be counted
+	d.Wanted = Amounts{} // no new grant, so that only running requests count
 	p.home.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
 	p.take(1)
-	p.ask(1, p.lims[1])
-	assert.Equal(t, p.lims[1].subjects[simSubject].share(p.now).Concurrent, 0.0)
-	p.now = p.now.Add(homeTTL + 2*p.hold)
+	p.ask(1, p.limiters[1])
+	assert.Equal(t, p.limiters[1].subjects[simSubject].share(p.now).Concurrent, 0.0)
+	p.now = p.now.Add(grantTTL + 2*p.hold)
 	p.take(1)
-	p.ask(1, p.lims[1])
-	assert.Equal(t, p.lims[1].subjects[simSubject].share(p.now).Concurrent, 10.0)
+	p.ask(1, p.limiters[1])
+	assert.Equal(t, p.limiters[1].subjects[simSubject].share(p.now).Concurrent, 10.0)
 }
 
-// A new leader begins while an entry is cut off with ten requests in progress.
-// Another entry gets none of the concurrent limit until the first has told, or
-// until its requests must have ended. One with requests in progress keeps them.
-func TestNewHomeCountsWhatRunsAtAnEntryThatIsCutOff(t *testing.T) {
+// While an entry is partitioned from a new leader, other entries keep the requests in
+// progress that they have, and get no more of the concurrent limit until the partitioned
+// entry has reported or its requests must have ended.
+func TestNewHomeWaitsForPartitionedEntry(t *testing.T) {
 	grant := func(h *Home, now time.Time, entry string, seq uint64, running float64) float64 {
 		assert.Assert(t, h.Hear(now, Report{Entry: entry, Incarnation: 1, Seq: seq, Home: h.Name(now)}))
 		d := Demand{Wanted: Amounts{Requests: 50, Concurrent: 20}, Running: running}
 		return h.Grant(now, entry, simSubject, Amounts{1000, math.Inf(1), 10}, d, 30*time.Second).Concurrent
 	}
 	fleet := Fleet{Members: []string{"a", "b"}, Unchanged: time.Hour}
-	now := simEpoch.Add(homeTTL)
+	now := simEpoch.Add(grantTTL)
 	h := NewHome(simEpoch, "home-2")
 	h.SetFleet(fleet)
 	assert.Equal(t, grant(h, now, "b", 1, 0), 0.0)
 	assert.Equal(t, grant(h, now, "b", 2, 3), 3.0)
-	assert.Equal(t, grant(h, now, "b", 3, 1), 3.0, "as many as it had")
-	assert.Equal(t, grant(h, now, "a", 1, 7), 5.0, "the one that was cut off is back, with more than its part")
-	assert.Equal(t, grant(h, now.Add(homeTTL), "b", 4, 3), 3.0, "seven still run")
+	assert.Equal(t, grant(h, now, "b", 3, 1), 3.0, "the entry keeps its peak")
+	assert.Equal(t, grant(h, now, "a", 1, 7), 5.0, "the partitioned entry has reported, with more than its part")
+	assert.Equal(t, grant(h, now.Add(grantTTL), "b", 4, 3), 3.0, "seven requests still run")
 
 	h = NewHome(simEpoch, "home-3")
 	h.SetFleet(fleet)
-	assert.Equal(t, grant(h, now.Add(34*time.Second), "b", 1, 0), 10.0, "30 s timeouts have passed on any clock")
+	assert.Equal(t, grant(h, now.Add(34*time.Second), "b", 1, 0), 10.0, "30 s timeouts have passed by any clock")
 
 	h = NewHome(simEpoch, "home-4")
 	left := Fleet{Members: []string{"b"}, Previous: []string{"a", "b"}, Unchanged: 10 * time.Second, MostOnce: time.Minute}
 	h.SetFleet(left)
-	assert.Equal(t, grant(h, now, "b", 1, 0), 0.0, "the ring has lost an entry whose requests may run")
+	assert.Equal(t, grant(h, now, "b", 1, 0), 0.0, "requests of an entry that left the ring may still run")
 	left.Previous, left.MostOnce = nil, time.Second
 	h.SetFleet(left)
 	assert.Equal(t, grant(h, now, "b", 2, 0), 0.0, "the ring may have changed twice")
-	assert.Equal(t, grant(h, now.Add(34*time.Second), "stranger", 1, 0), 0.0, "the next home would not wait for it")
+	assert.Equal(t, grant(h, now.Add(34*time.Second), "stranger", 1, 0), 0.0, "a later Home would not wait for an entry outside the ring")
 }
 
-// A service's timeout is raised. The entry has the new row, its grant is from
-// before: the home will count what runs under it only for the old timeout. A
-// request with the longer one is held to the floor until the next grant.
-func TestLongerTimeoutWaitsForItsGrant(t *testing.T) {
-	p := newPair(2, Amounts{1000, math.Inf(1), 10})
+// Home counts the requests of a grant for the timeout known at the time. After the timeout
+// was raised, a request that may run longer is held to the floor until the next grant.
+func TestLongerTimeoutNeedsANewGrant(t *testing.T) {
+	p := newShareCluster(2, Amounts{1000, math.Inf(1), 10})
 	p.take(0)
 	p.settle()
 	longer := Ask{Timeout: 2 * p.hold}
-	refused := p.lims[0].Take(p.now, simSubject, p.limit, longer)
+	refused := p.limiters[0].Take(p.now, simSubject, p.limit, longer)
 	assert.Assert(t, refused != nil)
 	assert.Equal(t, refused.Measure, MeasureConcurrent)
 	p.hold = longer.Timeout
 	p.round()
 	p.now = p.now.Add(time.Second)
-	assert.Assert(t, p.lims[0].Take(p.now, simSubject, p.limit, longer) == nil)
+	assert.Assert(t, p.limiters[0].Take(p.now, simSubject, p.limit, longer) == nil)
 }
 
-// A team had no limit and is given one: what was saved up without a limit, or
-// what an unlimited share allows, doesn't count against the new row.
+// Nothing that accumulated while a team was unlimited counts under its first limit.
 func TestFirstLimitStartsEmpty(t *testing.T) {
-	p := newPair(1, Unlimited)
+	p := newShareCluster(1, Unlimited)
 	for range 50 {
 		assert.Assert(t, p.take(0))
 		p.round()
@@ -258,18 +253,18 @@
 	assert.Assert(t, got >= 95 && got <= 110, "%d of 100", got)
 }
 
-// Requests with more tokens than a second's worth pass when the bucket is full
-// and are paid off before the next.
-func TestLargeTokenRequestsKeepTheAverage(t *testing.T) {
-	p := newPair(1, Amounts{math.Inf(1), 100, math.Inf(1)})
+// Requests with more tokens than the burst pass when the bucket is full, and the average
+// rate is kept.
+func TestLargeTokenRequestsKeepTheAverageRate(t *testing.T) {
+	p := newShareCluster(1, Amounts{math.Inf(1), 100, math.Inf(1)})
 	admitted := 0.0
 	for range 6000 {
 		if p.now.UnixNano()/1e6%500 == 0 {
 			p.round()
 		}
-		if p.lims[0].Take(p.now, simSubject, p.limit, Ask{Tokens: 700}) == nil {
+		if p.limiters[0].Take(p.now, simSubject, p.limit, Ask{Tokens: 700}) == nil {
 			admitted += 700
-			p.lims[0].Done(simSubject)
+			p.limiters[0].Done(simSubject)
 		}
 		p.now = p.now.Add(10 * time.Millisecond)
 	}
--- a/admit/rows.go
+++ b/admit/limits.go
@@ -7,7 +7,7 @@
 	"github.com/snipereach/snipereach/table"
 )
 
-// LimitOf returns a limit row's amounts; a zero cell is no limit.
+// LimitOf returns the amounts of a limit row; a zero or negative cell means unlimited.
 func LimitOf(l *table.Limit) Amounts {
 	return Amounts{orInfinite(l.Requests), orInfinite(l.Tokens), orInfinite(float64(l.Concurrent))}
 }
@@ -19,8 +19,8 @@
 	return v
 }
 
-// SubjectOf names what a limit row applies to: a row for all services is one
-// limit over all of them.
+// SubjectOf returns the subject that a limit row applies to. A row for all services limits
+// their sum.
 func SubjectOf(l *table.Limit, team, service string) Subject {
 	if strings.HasSuffix(l.Key, "/*") {
 		return Subject{Team: team, Service: "*"}
--- /dev/null
+++ b/admit/membership.go
@@ -0,0 +1,82 @@
+package admit
+
+import "time"
+
+// Fleet is the ring membership of the entries in the replicated log.
+type Fleet struct {
+	Members []string
+	// Previous are the members before the last change.
+	Previous []string
+	// Unchanged is for how long the membership is known to have been the same. MostOnce is
+	// a period in which it changes at most once.
+	Unchanged, MostOnce time.Duration
+}
+
+// membership is what Home knows of the entries in the ring, and how many of them have not
+// sent it a full report yet. The numbers are kept so that a demand need not scan all
+// entries.
+type membership struct {
+	Fleet
+	members, previous map[string]bool
+	// unreported counts the members without a full report, unreportedPrevious those of the
+	// previous membership.
+	unreported, unreportedPrevious int
+	// settledHold is the longest request timeout for which Home was found settled.
+	settledHold time.Duration
+}
+
+func (r *membership) has(entry string) bool { return r.members[entry] }
+
+// markReported records the first full report of an entry.
+func (r *membership) markReported(entry string) {
+	if r.members[entry] {
+		r.unreported--
+	}
+	if r.previous[entry] {
+		r.unreportedPrevious--
+	}
+}
+
+// SetFleet sets the ring membership after a change.
+func (h *Home) SetFleet(f Fleet) {
+	r := &h.membership
+	r.Fleet = f
+	r.members, r.unreported = h.memberSet(f.Members)
+	r.previous, r.unreportedPrevious = h.memberSet(f.Previous)
+}
+
+// SetUnchanged updates Fleet.Unchanged.
+func (h *Home) SetUnchanged(d time.Duration) { h.membership.Unchanged = d }
+
+func (h *Home) memberSet(entries []string) (set map[string]bool, unreported int) {
+	set = make(map[string]bool, len(entries))
+	for _, id := range entries {
+		if set[id] {
+			continue
+		}
+		set[id] = true
+		if !h.entryStates[id].fullReport {
+			unreported++
+		}
+	}
+	return set, unreported
+}
+
+// settled reports whether Home knows of all requests that were admitted under grants of an
+// earlier Home: every entry of the ring has sent a full report, or the requests have ended,
+// by hold, their longest timeout. An entry that left the ring lately may still run some.
+func (h *Home) settled(now time.Time, hold time.Duration) bool {
+	r := &h.membership
+	wait := time.Duration(float64(hold) * maxClockRatio)
+	if h.skipStartupWait || !now.Before(h.openAt.Add(wait)) || hold <= r.settledHold {
+		return true
+	}
+	if len(r.members) == 0 || r.unreported > 0 {
+		return false
+	}
+	if r.Unchanged < wait && (wait > r.MostOnce || r.unreportedPrevious > 0) {
+		return false
+	}
+	r.settledHold = hold
+	return true
+}
--- a/admit/meter.go
+++ b/admit/meter.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// meter measures how much was asked for lately.
+// meter measures the recent rate of requests and tokens that were asked for.
 type meter struct {
-	window           time.Time
+	windowStart      time.Time
 	requests, tokens float64
-	// rate holds the averages up to the last window.
+	// rateRequests and rateTokens are the smoothed rates up to the last full window.
 	rateRequests, rateTokens float64
 }
 
 const meterWindow = 500 * time.Millisecond
 
 func (m *meter) add(now time.Time, requests, tokens float64) {
-	m.roll(now)
+	m.closeWindow(now)
 	m.requests += requests
 	m.tokens += tokens
 }
 
-func (m *meter) roll(now time.Time) {
-	if m.window.IsZero() {
-		m.window = now
+func (m *meter) closeWindow(now time.Time) {
+	if m.windowStart.IsZero() {
+		m.windowStart = now
 	}
-	d := now.Sub(m.window)
+	d := now.Sub(m.windowStart)
 	if d < meterWindow {
 		return
 	}
-	const old = 0.3
-	m.rateRequests = old*m.rateRequests + (1-old)*m.requests/d.Seconds()
-	m.rateTokens = old*m.rateTokens + (1-old)*m.tokens/d.Seconds()
+	const oldWeight = 0.3
+	m.rateRequests = oldWeight*m.rateRequests + (1-oldWeight)*m.requests/d.Seconds()
+	m.rateTokens = oldWeight*m.rateTokens + (1-oldWeight)*m.tokens/d.Seconds()
 	m.requests, m.tokens = 0, 0
-	m.window = now
+	m.windowStart = now
 }
 
-// rates returns requests and tokens per second, counting the open window.
+// rates returns requests and tokens per second, including the current window.
 func (m *meter) rates(now time.Time) (requests, tokens float64) {
-	m.roll(now)
+	m.closeWindow(now)
 	w := meterWindow.Seconds()
 	return max(m.rateRequests, m.requests/w), max(m.rateTokens, m.tokens/w)
 }
--- a/admit/runner.go
+++ b/admit/runner.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Runner drives a Gate for goroutines that wait for their turn.
+// Runner drives a Gate for goroutines that wait for a slot. It is safe for concurrent use.
 type Runner struct {
 	mu     sync.Mutex
 	gate   *Gate
@@ -14,47 +14,47 @@
 	now    func() time.Time
 }
 
-// NewRunner makes a runner. now is the clock; time.Now in production.
+// NewRunner returns a Runner. now is the clock, time.Now in production.
 func NewRunner(s Settings, now func() time.Time) *Runner {
 	return &Runner{gate: NewGate(s), now: now}
 }
 
-// turn is one piece of work on its way through a runner.
-type turn struct {
+// waiter is one call of Enter.
+type waiter struct {
 	runner *Runner
 	work   *Work
-	ch     chan error
-	over   sync.Once
+	result chan error
+	once   sync.Once
 }
 
-func (t *turn) release() { t.over.Do(func() { t.runner.leave(t.work) }) }
+func (t *waiter) release() { t.once.Do(func() { t.runner.done(t.work) }) }
 
-// Enter waits for the work's turn. It returns a function that must be called
-// once, when the work is over; or an error, and then the work was not started.
+// Enter waits for a slot. On success it returns a function that releases the slot and must
+// be called when the work has ended. On error the work was not started.
 func (r *Runner) Enter(ctx context.Context, w *Work) (release func(), err error) {
-	t := &turn{runner: r, work: w, ch: make(chan error, 1)}
+	t := &waiter{runner: r, work: w, result: make(chan error, 1)}
 	w.Value = t
 	if err := r.offer(w); err != nil {
 		return nil, err
 	}
 	if err := r.await(ctx, t); err != nil {
-		r.leave(w)
+		r.done(w)
 		return nil, err
 	}
 	return t.release, nil
 }
 
-func (r *Runner) await(ctx context.Context, t *turn) error {
+func (r *Runner) await(ctx context.Context, t *waiter) error {
 	// Most work starts at once and needs no timer.
 	select {
-	case err := <-t.ch:
+	case err := <-t.result:
 		return err
 	default:
 	}
-	timeout, stop := r.deadline(t.work)
+	timeout, stop := r.deadlineTimer(t.work)
 	defer stop()
 	select {
-	case err := <-t.ch:
+	case err := <-t.result:
 		return err
 	case <-timeout:
 		return ErrDeadline
@@ -63,7 +63,7 @@
 	}
 }
 
-func (r *Runner) deadline(w *Work) (<-chan time.Time, func()) {
+func (r *Runner) deadlineTimer(w *Work) (<-chan time.Time, func()) {
 	if w.Deadline.IsZero() {
 		return nil, func() {}
 	}
@@ -80,50 +80,50 @@
 	if err := r.gate.Offer(r.now(), w); err != nil {
 		return err
 	}
-	r.pump()
+	r.dispatch()
 	return nil
 }
 
-func (r *Runner) leave(w *Work) {
+func (r *Runner) done(w *Work) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gate.Done(r.now(), w)
-	r.pump()
+	r.dispatch()
 }
 
-func (r *Runner) pump() {
+func (r *Runner) dispatch() {
 	start, refused := r.gate.Start(r.now())
 	for _, w := range start {
-		w.Value.(*turn).ch <- nil
+		w.Value.(*waiter).result <- nil
 	}
 	for _, x := range refused {
-		x.Work.Value.(*turn).ch <- x.Err
+		x.Work.Value.(*waiter).result <- x.Err
 	}
 }
 
-// Configure changes the settings in flight.
+// Configure changes the settings; see Gate.Configure.
 func (r *Runner) Configure(s Settings) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gate.Configure(s)
-	r.pump()
+	r.dispatch()
 }
 
-// Close refuses new work; what waits or runs goes on.
+// Close refuses new work with ErrClosed. Waiting and running work goes on.
 func (r *Runner) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
 }
 
-// Counts returns how much work runs and waits.
+// Counts returns the amount of running and waiting work, not counting tickets that wait.
 func (r *Runner) Counts() (running, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.gate.Running(), r.gate.Waiting()
 }
 
-// MeanRun returns the mean time that work ran lately; 0 before the first has ended.
+// MeanRun returns the smoothed run time, or 0 before the first run has ended.
 func (r *Runner) MeanRun() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/admit/seed_test.go
+++ b/admit/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// A fixed seed gives the same verdict on every run; -rapid.seed tries others.
+// Fixes the rapid seed so that runs are reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/admit/share_test.go
+++ b/admit/share_test.go
@@ -13,80 +13,81 @@
 	"github.com/snipereach/snipereach/internal/schedule"
 )
 
-// sim is one schedule in virtual time: entries and homes with clocks of their
-// own, and a network that loses, doubles, delays and reorders messages. now is
-// counted by the fastest clock there may be; every other one runs at 1/1.1 of it
-// or faster. A limit's seconds are those of the fastest clock.
+// sim is one random schedule in virtual time: entries and Homes with clocks of their own,
+// and a network that loses, duplicates, delays and reorders messages. now is the time of
+// the fastest possible clock, which limits are measured by; the others run at between 1/1.1
+// of its rate and its rate.
 type sim struct {
 	rng     *rand.Rand
 	now     time.Duration
 	entries []*simEntry
-	// gone are the entries that left the ring and run on by themselves.
-	gone []*simEntry
-	home *Home
-	// homeRate is the rate of the home's clock; homeEnds is when its lease ends.
+	// departed are the entries that left the ring and go on running.
+	departed []*simEntry
+	home     *Home
+	// homeRate is the rate of Home's clock. leaseEnd is when its leadership ends.
 	homeRate float64
 	homes    int
-	homeEnds time.Duration
-	unsafe   func(*Home)
-	mail     []*message
-	due      []*message
-	row      simRow
-	holds    Holds
-	// ringSince is when the ring on the log changed last.
-	ring      int
+	leaseEnd time.Duration
+	// configure may disable safeguards of each new Home.
+	configure   func(*Home)
+	inTransit   []*message
+	deliverable []*message
+	config      simConfig
+	timeouts    Holds
+	// ringSize and previous describe the ring; ringSince is when it last changed.
+	ringSize  int
 	previous  []string
 	ringSince time.Duration
-	// history of the limits that anyone held in force, for what outlives a change.
-	history []heldLimit
+	// history holds the limits that any process had in force, and until when.
+	history []limitInForce
 	audit   bucket
 }
 
-// simRow is the row in force at one process.
-type simRow struct {
-	limit Amounts
-	hold  time.Duration
-	ring  int
+// simConfig is the configuration in force at one process.
+type simConfig struct {
+	limit    Amounts
+	timeout  time.Duration
+	ringSize int
 }
 
-type heldLimit struct {
+type limitInForce struct {
 	until time.Duration
 	limit Amounts
 }
 
 type simEntry struct {
-	id          string
-	rate        float64
-	incarnation uint64
-	lim         *Limiter
-	row         simRow
-	cutUntil    time.Duration
-	// ends holds when the requests in progress end.
+	id               string
+	rate             float64
+	incarnation      uint64
+	limiter          *Limiter
+	config           simConfig
+	partitionedUntil time.Duration
+	// ends holds when each request in progress ends.
 	ends []time.Duration
-	mode simMode
+	load simLoad
 }
 
-// simMode is how an entry's callers come.
-type simMode int
+// simLoad is the load pattern of an entry's callers.
+type simLoad int
 
 const (
-	simIdle simMode = iota
+	simIdle simLoad = iota
 	simBusy
-	// simPulses saves up and then asks for far more than the limit at once.
-	simPulses
-	simModes
+	// simBursts lets a burst accumulate and then asks for more than the limit at once.
+	simBursts
+	simLoadCount
 )
 
 type message struct {
-	at     time.Duration
-	toHome bool
-	entry  *simEntry
-	sent   time.Time
-	report Report
-	demand Demand
-	listed bool
-	home   string
-	share  Share
+	at        time.Duration
+	toHome    bool
+	entry     *simEntry
+	sent      time.Time
+	report    Report
+	demand    Demand
+	hasDemand bool
+	home      string
+	share     Share
 }
 
 const simStep = 80 * time.Millisecond
@@ -100,111 +101,112 @@
 	return simEpoch.Add(time.Duration(float64(s.now) * rate))
 }
 
-func newSim(seed uint64, unsafe func(*Home)) *sim {
+func newSim(seed uint64, configure func(*Home)) *sim {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	s := &sim{rng: rng, unsafe: unsafe, ring: 2 + rng.IntN(6)}
-	s.row = simRow{limit: s.someLimit(), hold: s.someHold(), ring: s.ring}
-	s.holds.Set(simEpoch, "clock-core", s.row.hold)
-	for i := range s.ring {
+	s := &sim{rng: rng, configure: configure, ringSize: 2 + rng.IntN(6)}
+	s.config = simConfig{limit: s.randomLimit(), timeout: s.randomTimeout(), ringSize: s.ringSize}
+	s.timeouts.Set(simEpoch, "clock-core", s.config.timeout)
+	for i := range s.ringSize {
 		s.entries = append(s.entries, s.newEntry(i))
 	}
-	s.lead()
+	s.newLeader()
 	return s
 }
 
 func (s *sim) newEntry(i int) *simEntry {
 	return &simEntry{
-		id: fmt.Sprintf("entry-%d-%d", i, s.now), rate: s.someRate(), incarnation: 1,
-		lim: NewLimiter(), row: s.row, mode: simMode(s.rng.IntN(int(simModes))),
+		id: fmt.Sprintf("entry-%d-%d", i, s.now), rate: s.randomRate(), incarnation: 1,
+		limiter: NewLimiter(), config: s.config, load: simLoad(s.rng.IntN(int(simLoadCount))),
 	}
 }
 
-func (s *sim) someRate() float64 { return 1/clockRatio + s.rng.Float64()*(1-1/clockRatio) }
+func (s *sim) randomRate() float64 { return 1/maxClockRatio + s.rng.Float64()*(1-1/maxClockRatio) }
 
-func (s *sim) someHold() time.Duration {
+func (s *sim) randomTimeout() time.Duration {
 	return time.Duration(200+s.rng.IntN(5000)) * time.Millisecond
 }
 
-// someLimit takes small limits, large ones and those where floors begin.
-func (s *sim) someLimit() Amounts {
+// randomLimit returns small limits, large ones and those around FloorFrom.
+func (s *sim) randomLimit() Amounts {
 	rates := []float64{0.4, 1, 2, 5, 20, 45, 49, 50, 51, 60, 120, 400}
 	concurrent := []float64{1, 2, 3, 10, 49, 50, 60, 400}
 	return Amounts{rates[s.rng.IntN(len(rates))], math.Inf(1), concurrent[s.rng.IntN(len(concurrent))]}
 }
 
-// lead makes a new home; the one before answers no more.
-func (s *sim) lead() {
+// newLeader replaces Home; the one before answers no more.
+func (s *sim) newLeader() {
 	s.homes++
-	s.homeRate = s.someRate()
+	s.homeRate = s.randomRate()
 	s.home = NewHome(s.clock(s.homeRate), fmt.Sprintf("home-%d", s.homes))
-	s.unsafe(s.home)
-	s.homeEnds = s.now + time.Duration(1+s.rng.IntN(15_000))*time.Millisecond
+	s.configure(s.home)
+	s.leaseEnd = s.now + time.Duration(1+s.rng.IntN(15_000))*time.Millisecond
 }
 
 func (s *sim) step() {
 	s.now += simStep
-	s.change()
-	if s.now >= s.homeEnds {
-		s.lead()
+	s.randomChange()
+	if s.now >= s.leaseEnd {
+		s.newLeader()
 	}
 	s.deliver()
-	for _, e := range s.everyEntry() {
+	for _, e := range s.allEntries() {
 		s.stepEntry(e)
 	}
 }
 
-func (s *sim) everyEntry() []*simEntry { return append(slices.Clip(s.entries), s.gone...) }
+func (s *sim) allEntries() []*simEntry { return append(slices.Clip(s.entries), s.departed...) }
 
-// change moves rows, the ring and processes.
-func (s *sim) change() {
+// randomChange changes the configuration, the ring, or a process, its connectivity or its
+// load.
+func (s *sim) randomChange() {
 	switch s.rng.IntN(80) {
 	case 0:
-		s.row.limit = s.someLimit()
+		s.config.limit = s.randomLimit()
 	case 1:
-		s.row.hold = s.someHold()
-		s.holds.Set(s.clock(1), "clock-core", s.row.hold)
+		s.config.timeout = s.randomTimeout()
+		s.timeouts.Set(s.clock(1), "clock-core", s.config.timeout)
 	case 2:
 		s.changeRing()
 	case 3:
 		e := s.entries[s.rng.IntN(len(s.entries))]
-		e.lim, e.incarnation, e.ends = NewLimiter(), e.incarnation+1, nil
+		e.limiter, e.incarnation, e.ends = NewLimiter(), e.incarnation+1, nil
 	case 4, 5:
 		e := s.entries[s.rng.IntN(len(s.entries))]
-		e.cutUntil = s.now + time.Duration(s.rng.IntN(12_000))*time.Millisecond
+		e.partitionedUntil = s.now + time.Duration(s.rng.IntN(12_000))*time.Millisecond
 	case 6:
 		e := s.entries[s.rng.IntN(len(s.entries))]
-		e.mode = simMode(s.rng.IntN(int(simModes)))
+		e.load = simLoad(s.rng.IntN(int(simLoadCount)))
 	}
 }
 
-// changeRing adds an entry, or takes the last one out, which is cut off: what it
-// runs goes on to its end. Floors allow for one entry that goes on outside the
-// ring, so one that left earlier stops.
+// changeRing adds an entry, or removes and partitions the last one, whose requests go on to
+// their end. Floors allow for one entry that runs outside the ring, so one that left
+// earlier stops.
 func (s *sim) changeRing() {
 	before := s.members()
 	switch {
-	case s.now-s.ringSince < ringPeriod:
+	case s.now-s.ringSince < minRingChangeInterval:
 		return
 	case s.rng.IntN(2) == 0 && len(s.entries) < 8:
-		s.gone = nil
+		s.departed = nil
 		s.entries = append(s.entries, s.newEntry(len(s.entries)))
 	case len(s.entries) > 2:
 		last := s.entries[len(s.entries)-1]
-		last.cutUntil = math.MaxInt64
-		s.gone = append(s.gone, last)
+		last.partitionedUntil = math.MaxInt64
+		s.departed = append(s.departed, last)
 		s.entries = s.entries[:len(s.entries)-1]
 	default:
 		return
 	}
-	if len(s.gone) > 1 {
-		s.gone = s.gone[len(s.gone)-1:]
+	if len(s.departed) > 1 {
+		s.departed = s.departed[len(s.departed)-1:]
 	}
-	s.ring, s.ringSince, s.previous = len(s.entries), s.now, before
-	s.row.ring = s.ring
+	s.ringSize, s.ringSince, s.previous = len(s.entries), s.now, before
+	s.config.ringSize = s.ringSize
 }
 
-// ringPeriod is the time in which the ring changes once at most.
-const ringPeriod = 3 * time.Second
+// minRingChangeInterval is the least time between two changes of the ring.
+const minRingChangeInterval = 3 * time.Second
 
 func (s *sim) members() []string {
 	var ids []string
@@ -215,7 +217,7 @@
 }
 
 func (s *sim) send(m message) {
-	if m.entry.cutUntil > s.now || s.rng.IntN(8) == 0 {
+	if m.entry.partitionedUntil > s.now || s.rng.IntN(8) == 0 {
 		return
 	}
 	copies := 1
@@ -228,89 +230,89 @@
 		if s.rng.IntN(6) == 0 {
 			m.at = s.now + time.Duration(s.rng.IntN(4000))*time.Millisecond
 		}
-		s.mail = append(s.mail, &m)
+		s.inTransit = append(s.inTransit, &m)
 	}
 }
 
 func (s *sim) deliver() {
-	s.due = s.due[:0]
-	later := s.mail[:0]
-	for _, m := range s.mail {
+	s.deliverable = s.deliverable[:0]
+	later := s.inTransit[:0]
+	for _, m := range s.inTransit {
 		if m.at <= s.now {
-			s.due = append(s.due, m)
+			s.deliverable = append(s.deliverable, m)
 		} else {
 			later = append(later, m)
 		}
 	}
-	s.mail = later
-	s.rng.Shuffle(len(s.due), func(i, j int) { s.due[i], s.due[j] = s.due[j], s.due[i] })
-	for _, m := range s.due {
+	s.inTransit = later
+	s.rng.Shuffle(len(s.deliverable), func(i, j int) { s.deliverable[i], s.deliverable[j] = s.deliverable[j], s.deliverable[i] })
+	for _, m := range s.deliverable {
 		if m.toHome {
-			s.answer(*m)
+			s.handleReport(*m)
 		} else if m.report.Incarnation == m.entry.incarnation {
-			s.apply(m)
+			s.handleAnswer(m)
 		}
 	}
 }
 
-func (s *sim) answer(m message) {
+func (s *sim) handleReport(m message) {
 	now := s.clock(s.homeRate)
 	s.home.SetFleet(Fleet{
-		Members: s.members(), Previous: s.previous, MostOnce: ringPeriod * 10 / 11,
+		Members: s.members(), Previous: s.previous, MostOnce: minRingChangeInterval * 10 / 11,
 		Unchanged: time.Duration(float64(s.now-s.ringSince) * s.homeRate),
 	})
-	s.hold(s.row.limit)
+	s.recordLimit(s.config.limit)
 	if !s.home.Hear(now, m.report) {
 		return
 	}
 	reply := m
 	reply.toHome, reply.home = false, s.home.Name(now)
-	if m.listed {
-		reply.share = s.home.Grant(now, m.entry.id, simSubject, s.row.limit, m.demand, s.holds.Of(s.clock(1), simSubject))
+	if m.hasDemand {
+		reply.share = s.home.Grant(now, m.entry.id, simSubject, s.config.limit, m.demand, s.timeouts.Of(s.clock(1), simSubject))
 	}
 	s.send(reply)
 }
 
-func (s *sim) apply(m *message) {
-	m.entry.lim.Answered(m.report, m.home)
-	if m.listed {
-		m.entry.lim.Apply(s.clock(m.entry.rate), m.sent, simSubject, m.home, m.share)
+func (s *sim) handleAnswer(m *message) {
+	m.entry.limiter.Answered(m.report, m.home)
+	if m.hasDemand {
+		m.entry.limiter.Apply(s.clock(m.entry.rate), m.sent, simSubject, m.home, m.share)
 	}
 }
 
 func (s *sim) stepEntry(e *simEntry) {
-	if e.cutUntil <= s.now && s.rng.IntN(10) == 0 {
-		e.row = s.row
+	if e.partitionedUntil <= s.now && s.rng.IntN(10) == 0 {
+		e.config = s.config
 	}
-	e.lim.SetEntries(e.row.ring)
-	s.finish(e)
+	e.limiter.SetEntries(e.config.ringSize)
+	s.endRequests(e)
 	now := s.clock(e.rate)
-	for range s.tries(e) {
+	for range s.attempts(e) {
 		s.take(e, now)
 	}
 	if s.rng.IntN(4) == 0 {
-		r, demands := e.lim.Report(now)
+		r, demands := e.limiter.Report(now)
 		r.Entry, r.Incarnation = e.id, e.incarnation
-		d, listed := demands[simSubject]
-		s.send(message{toHome: true, entry: e, sent: now, report: r, demand: d, listed: listed})
+		d, ok := demands[simSubject]
+		s.send(message{toHome: true, entry: e, sent: now, report: r, demand: d, hasDemand: ok})
 	}
 }
 
-func (s *sim) tries(e *simEntry) int {
-	limit := int(e.row.limit.Requests)
+func (s *sim) attempts(e *simEntry) int {
+	limit := int(e.config.limit.Requests)
 	switch {
-	case e.mode == simBusy:
+	case e.load == simBusy:
 		return s.rng.IntN(3) + s.rng.IntN(2+limit/8)
-	case e.mode == simPulses && s.rng.IntN(10) == 0:
+	case e.load == simBursts && s.rng.IntN(10) == 0:
 		return 2 + limit
 	}
 	return s.rng.IntN(3) / 2
 }
 
 func (s *sim) take(e *simEntry, now time.Time) {
-	s.hold(e.row.limit)
-	timeout := e.row.hold
-	if e.lim.Take(now, simSubject, e.row.limit, Ask{Timeout: timeout}) != nil {
+	s.recordLimit(e.config.limit)
+	timeout := e.config.timeout
+	if e.limiter.Take(now, simSubject, e.config.limit, Ask{Timeout: timeout}) != nil {
 		return
 	}
 	most := float64(timeout) / e.rate
@@ -318,31 +320,32 @@
 	s.audit.level--
 }
 
-func (s *sim) finish(e *simEntry) {
+func (s *sim) endRequests(e *simEntry) {
 	kept := e.ends[:0]
 	for _, end := range e.ends {
 		if end > s.now {
 			kept = append(kept, end)
 			continue
 		}
-		e.lim.Done(simSubject)
+		e.limiter.Done(simSubject)
 	}
 	e.ends = kept
 }
 
-// hold notes a limit that someone has in force now.
-func (s *sim) hold(l Amounts) {
+// recordLimit records that a limit is in force at some process now.
+func (s *sim) recordLimit(l Amounts) {
 	for i := range s.history {
 		if s.history[i].limit == l {
 			s.history[i].until = s.now
 			return
 		}
 	}
-	s.history = append(s.history, heldLimit{s.now, l})
+	s.history = append(s.history, limitInForce{s.now, l})
 }
 
-// allowed is the largest limit that anyone had in force within a time.
-func (s *sim) allowed(within time.Duration) Amounts {
+// maxLimitWithin returns the largest limit that was in force anywhere within a period up to
+// now.
+func (s *sim) maxLimitWithin(within time.Duration) Amounts {
 	var a Amounts
 	for _, h := range s.history {
 		if h.until+within >= s.now {
@@ -353,36 +356,35 @@
 	return a
 }
 
-// check returns the first broken promise.
-func (s *sim) check() string {
+// checkInvariants returns the first invariant that is violated, or "".
+func (s *sim) checkInvariants() string {
 	var share Amounts
 	running := 0.0
-	for _, e := range s.everyEntry() {
-		if loc := e.lim.subjects[simSubject]; loc != nil {
-			// An entry that is cut off has its old row in force, also while
-			// nobody asks.
-			s.hold(loc.limit)
+	for _, e := range s.allEntries() {
+		if loc := e.limiter.subjects[simSubject]; loc != nil {
+			// A partitioned entry has its old limit in force, also while nobody asks.
+			s.recordLimit(loc.limit)
 			share = share.add(loc.share(s.clock(e.rate)))
 		}
 		running += float64(len(e.ends))
 	}
 	const slack = 1e-6
-	live := s.allowed(homeTTL)
+	live := s.maxLimitWithin(grantTTL)
 	if share.Requests > live.Requests+slack {
 		return fmt.Sprintf("shares sum to %g requests/s of %g", share.Requests, live.Requests)
 	}
 	if share.Concurrent > live.Concurrent+slack {
 		return fmt.Sprintf("shares sum to %g concurrent of %g", share.Concurrent, live.Concurrent)
 	}
-	if most := s.allowed(homeTTL + 6*time.Second); running > most.Concurrent {
+	if most := s.maxLimitWithin(grantTTL + 6*time.Second); running > most.Concurrent {
 		return fmt.Sprintf("%g requests in progress of %g", running, most.Concurrent)
 	}
 	return s.checkRate(live.Requests)
 }
 
-// checkRate drains a bucket with each request that was admitted. It holds a
-// second of the limit; it is never empty exactly if in every window w no more
-// than limit * (w + 1 s) were admitted.
+// checkRate audits admitted requests with a token bucket whose burst is one second of the
+// limit. Its level is negative if and only if, in some window of length w, more than limit
+// * (w + 1 s) requests were admitted.
 func (s *sim) checkRate(limit float64) string {
 	if s.audit.level < -1e-6 {
 		return fmt.Sprintf("%g requests above %g * (w + 1 s)", -s.audit.level, limit)
@@ -391,44 +393,42 @@
 	return ""
 }
 
-// simulate runs one schedule.
-func simulate(seed uint64, unsafe func(*Home)) string {
-	s := newSim(seed, unsafe)
-	s.audit.level = max(s.row.limit.Requests, 1)
+// simulate runs one schedule and returns the violated invariant, or "".
+func simulate(seed uint64, configure func(*Home)) string {
+	s := newSim(seed, configure)
+	s.audit.level = max(s.config.limit.Requests, 1)
 	for s.now < 20*time.Second {
 		s.step()
-		if broken := s.check(); broken != "" {
-			return fmt.Sprintf("seed %d at %v: %s", seed, s.now, broken)
+		if violation := s.checkInvariants(); violation != "" {
+			return fmt.Sprintf("seed %d at %v: %s", seed, s.now, violation)
 		}
 	}
 	return ""
 }
 
-// simulateAll runs schedules until one breaks a promise.
-func simulateAll(seeds uint64, unsafe func(*Home)) string {
-	_, broken := schedule.Search(seeds, func(seed uint64) string { return simulate(seed, unsafe) })
-	return broken
+// simulateAll runs schedules until one violates an invariant.
+func simulateAll(seeds uint64, configure func(*Home)) string {
+	_, violation := schedule.Search(seeds, func(seed uint64) string { return simulate(seed, configure) })
+	return violation
 }
 
-// Entries are cut off and restarted, homes replace each other, messages come
-// late, twice, in another order or not at all, and rows and the ring change. A
-// team's callers get no more than its limit through all entries together: what
-// an entry may use ends before its home gives the same part to another.
+// Under partitions, restarts, leader changes, message faults and configuration changes, the
+// entries together never admit more than the team's limit.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	assert.Equal(t, simulateAll(10_000, func(*Home) {}), "")
 }
 
-// A new home grants at once, while the grants of the one before are in use.
-func TestNewHomeThatDoesNotWaitExceedsTheLimit(t *testing.T) {
-	broken := simulateAll(10_000, func(h *Home) { h.skipWait = true })
-	assert.Assert(t, broken != "", "the safeguard makes no difference")
-	t.Log(broken)
+// Without the startup wait, a new Home grants while grants of the one before are in use.
+func TestSkippedStartupWaitExceedsTheLimit(t *testing.T) {
+	violation := simulateAll(10_000, func(h *Home) { h.skipStartupWait = true })
+	assert.Assert(t, violation != "", "no violation without the safeguard")
+	t.Log(violation)
 }
 
-// A home forgets a grant when it makes the next one. The answer with the next
-// one is lost, so the entry uses the first on while others get the same part.
-func TestEarlierGrantThatIsNotCountedExceedsTheLimit(t *testing.T) {
-	broken := simulateAll(10_000, func(h *Home) { h.skipEarlier = true })
-	assert.Assert(t, broken != "", "the safeguard makes no difference")
-	t.Log(broken)
+// If Home counts only the latest grant, an entry that missed the answer with it goes on
+// using the one before, while others are granted the same part.
+func TestSkippedEarlierGrantsExceedTheLimit(t *testing.T) {
+	violation := simulateAll(10_000, func(h *Home) { h.skipEarlierGrants = true })
+	assert.Assert(t, violation != "", "no violation without the safeguard")
+	t.Log(violation)
 }
--- a/admit/sums_test.go
+++ b/admit/sumtree_test.go
@@ -13,10 +13,9 @@
 	"github.com/snipereach/snipereach/internal/schedule"
 )
 
-// recount is the naive way, which stood in the home before sums were kept: it adds
-// up at each question what all other accounts have and want.
-func recount(now time.Time, all *accounts, of *account) *others {
-	o := &others{}
+// recountPeers computes the peers of an account by adding up all other accounts.
+func recountPeers(now time.Time, all *accounts, of *account) *peers {
+	o := &peers{}
 	for _, acc := range all.byEntry {
 		side := &o.after
 		switch {
@@ -25,69 +24,67 @@
 		case acc.slot < of.slot:
 			side = &o.before
 		}
-		side.used = side.used.add(acc.live(now))
-		if acc.asking(now) {
+		side.used = side.used.add(acc.inUse(now))
+		if acc.hasDemand(now) {
 			side.wanted = side.wanted.add(acc.demand)
-			side.asking++
+			side.askers++
 		}
 	}
 	return o
 }
 
-// differ says where the kept sums of a home are not those of a recount, or where
-// the two would grant another part.
-func differ(h *Home, now time.Time, limit Amounts) string {
+// diffTotals describes where the totals that Home keeps, or the portions computed from them,
+// differ from a recount; it returns "" if they agree.
+func diffTotals(h *Home, now time.Time, limit Amounts) string {
 	for s, all := range h.subjects {
-		all.settle(now)
+		all.advance(now)
 		for id, acc := range all.byEntry {
-			kept, naive := all.others(acc), recount(now, all, acc)
-			kept.turn = turnAt(now.Sub(h.open), limit.Requests)
+			kept, naive := all.peersOf(acc), recountPeers(now, all, acc)
+			kept.turn = turnAt(now.Sub(h.openAt), limit.Requests)
 			naive.turn = kept.turn
-			if !near(kept.before, naive.before) || !near(kept.after, naive.after) {
-				return fmt.Sprintf("%v, all but %s: kept %+v, recounted %+v", s, id, *kept, *naive)
+			if !equalTotals(kept.before, naive.before) || !equalTotals(kept.after, naive.after) {
+				return fmt.Sprintf("%v, peers of %s: kept %+v, recounted %+v", s, id, *kept, *naive)
 			}
 			d := Demand{Wanted: acc.demand}
-			if a, b := kept.portions(limit, d), naive.portions(limit, d); !nearAmounts(a, b) {
-				return fmt.Sprintf("%v to %s: %v by kept sums, %v by recount", s, id, a, b)
+			if a, b := kept.portions(limit, d), naive.portions(limit, d); !equalAmounts(a, b) {
+				return fmt.Sprintf("%v to %s: %v by kept totals, %v by recount", s, id, a, b)
 			}
 		}
 	}
 	return ""
 }
 
-func near(a, b sums) bool {
-	return a.asking == b.asking && nearAmounts(a.used, b.used) && nearAmounts(a.wanted, b.wanted)
+func equalTotals(a, b totals) bool {
+	return a.askers == b.askers && equalAmounts(a.used, b.used) && equalAmounts(a.wanted, b.wanted)
 }
 
-func nearAmounts(a, b Amounts) bool {
-	return close9(a.Requests, b.Requests) && close9(a.Tokens, b.Tokens) && close9(a.Concurrent, b.Concurrent)
+func equalAmounts(a, b Amounts) bool {
+	return approxEqual(a.Requests, b.Requests) && approxEqual(a.Tokens, b.Tokens) && approxEqual(a.Concurrent, b.Concurrent)
 }
 
-func close9(a, b float64) bool {
+func approxEqual(a, b float64) bool {
 	return a == b || math.Abs(a-b) <= 1e-9*max(1, math.Abs(a), math.Abs(b))
 }
 
-// The home's sums are kept while grants are made, acknowledged, lost and end, and
-// entries and homes come and go. They are those of a recount at every moment: one
-// that is too low would grant a part twice, one too high would grant it to nobody.
-func TestKeptSumsAreThoseOfARecount(t *testing.T) {
-	_, broken := schedule.Search(10_000, func(seed uint64) string {
+// The totals equal a recount at every moment of random schedules. Too low a total would
+// grant a part twice, too high a one would grant it to nobody.
+func TestKeptTotalsEqualRecount(t *testing.T) {
+	_, violation := schedule.Search(10_000, func(seed uint64) string {
 		s := newSim(seed, func(*Home) {})
 		for s.now < 20*time.Second {
 			s.step()
-			if diff := differ(s.home, s.clock(s.homeRate), s.row.limit); diff != "" {
+			if diff := diffTotals(s.home, s.clock(s.homeRate), s.config.limit); diff != "" {
 				return fmt.Sprintf("seed %d at %v: %s", seed, s.now, diff)
 			}
 		}
 		return ""
 	})
-	assert.Equal(t, broken, "")
+	assert.Equal(t, violation, "")
 }
 
-// Hundreds of entries ask for three teams by turns, with all measures limited or
-// some not, and stay away for as long as it takes to be dropped. The sums of a
-// larger tree with reused slots are those of a recount too.
-func TestKeptSumsOfManyEntries(t *testing.T) {
+// The totals equal a recount in a large tree with reused slots, with all measures limited
+// or only some.
+func TestKeptTotalsEqualRecountWithManyEntries(t *testing.T) {
 	limits := []Amounts{{1000, 1e5, 200}, {math.Inf(1), 300, 7}, {20, math.Inf(1), math.Inf(1)}, Unlimited}
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -109,45 +106,44 @@
 			}
 			naive := Amounts{Concurrent: math.Inf(1)}
 			if all := h.subjects[subject]; all != nil {
-				o := recount(now, all, all.of(entry))
-				o.turn = turnAt(now.Sub(h.open), limit.Requests)
+				o := recountPeers(now, all, all.getOrCreate(entry))
+				o.turn = turnAt(now.Sub(h.openAt), limit.Requests)
 				naive = o.portions(limit, d)
 			}
 			g := h.Grant(now, entry, subject, limit, d, time.Duration(rng.IntN(4000))*time.Millisecond)
 			if !math.IsInf(naive.Concurrent, 1) {
-				// No entry is in the ring, so none gets a limited concurrent share.
+				// The ring is empty, so no entry gets a limited concurrent share.
 				naive.Concurrent = g.Concurrent
-				assert.Assert(t, nearAmounts(g.Amounts, naive), "seed %d: %v, by recount %v", seed, g.Amounts, naive)
+				assert.Assert(t, equalAmounts(g.Amounts, naive), "seed %d: %v, by recount %v", seed, g.Amounts, naive)
 			}
 			if rng.IntN(3) > 0 {
 				acks[entry+subject.Team] = g.Epoch
 			}
 			if rng.IntN(20) == 0 {
-				assert.Equal(t, differ(h, now, limit), "", "seed %d", seed)
+				assert.Equal(t, diffTotals(h, now, limit), "", "seed %d", seed)
 			}
 		}
 	}
 }
 
-// Seven entries want 1 to 7 of a limit of ten in progress, so that fractions are
-// left. The whole parts sum to ten in each turn, and over all turns each entry has
-// its fraction.
-func TestWholePartsSumToThePool(t *testing.T) {
+// Whole portions sum to the pool in every turn, and each entry gets its fraction on
+// average.
+func TestWholePortionsSumToThePool(t *testing.T) {
 	const n, pool = 7, 10.0
 	var got [n]float64
 	for turn := range n {
 		sum := 0.0
 		for i := range n {
-			o := &others{turn: turn}
+			o := &peers{turn: turn}
 			for j := range n {
-				one := sums{wanted: Amounts{Concurrent: float64(j + 1)}, asking: 1}
+				one := totals{wanted: Amounts{Concurrent: float64(j + 1)}, askers: 1}
 				if j < i {
 					o.before = o.before.add(one)
 				} else if j > i {
 					o.after = o.after.add(one)
 				}
 			}
-			part := o.fair(pool, 1, true, float64(i+1), concurrentOf)
+			part := o.fairPortion(pool, 1, true, float64(i+1), concurrentOf)
 			got[i] += part
 			sum += part
 		}
@@ -160,16 +156,16 @@
 	}
 }
 
-// A demand that is no number must not spoil the sums of the others.
-func TestDemandThatIsNoNumber(t *testing.T) {
+// A demand that is not a valid number must not corrupt the totals of other entries.
+func TestInvalidDemandIsSanitized(t *testing.T) {
 	now := simEpoch
 	h := NewHome(now.Add(-time.Hour), "home")
 	limit := Amounts{100, 100, math.Inf(1)}
 	for _, v := range []float64{math.NaN(), math.Inf(1), -5} {
 		h.Grant(now, "odd", simSubject, limit, Demand{Wanted: Amounts{v, v, v}, Running: v}, 0)
-		now = now.Add(2 * homeTTL)
+		now = now.Add(2 * grantTTL)
 		g := h.Grant(now, "even", simSubject, limit, Demand{Wanted: Amounts{1, 1, 1}}, 0)
 		assert.Assert(t, g.Requests > 90 && g.Tokens > 90, "%g: %v", v, g)
-		now = now.Add(2 * homeTTL)
+		now = now.Add(2 * grantTTL)
 	}
 }
