--- a/admit/share.go
+++ b/admit/share.go
@@ -38,8 +38,8 @@
 	// larger than FloorPart because a floor whose burst is below one request never admits
 	// any.
 	FloorBurst = 0.2
-	// FloorFrom is the least limit that has floors. The floor of a smaller one could not
-	// hold one request.
+	// FloorFrom is the least limit of requests or concurrency that has floors. The floor of
+	// a smaller one could not hold one request. Token limits always have floors.
 	FloorFrom = 50
 	// maxClockRatio bounds how much faster one clock may run than another.
 	maxClockRatio = 1.1
