--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,8 +1,7 @@
-// Package routing is the configuration of callers' requests as one versioned
-// document: which route takes a request, which services serve it, whose key it
-// shows.
+// Package routing implements the routing configuration, a single versioned document of
+// the routes of requests, the services that serve them and the API keys of teams.
 //
-// Check says whether a document may be in force, Machine holds the one in force
-// as a state machine on the replicated log, and Table answers requests from it.
-// All are pure.
+// Check validates a configuration, Machine holds the one in force as a state machine on
+// the replicated log, and Table looks up requests in it. None of them does I/O or
+// starts goroutines.
 package routing
--- a/routing/pack.go
+++ b/routing/pack.go
@@ -8,13 +8,13 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrPacked is returned for a packed configuration that can't be read.
-var ErrPacked = merry.Sentinel("packed configuration can't be read")
+// ErrPacked is returned by Unpack for data that can't be decoded.
+var ErrPacked = merry.Sentinel("packed configuration can't be decoded")
 
-// mostUnpacked bounds a configuration that entries fetch: tens of thousands of routes.
-const mostUnpacked = 16 << 20
+// maxUnpackedBytes bounds the size of a decompressed configuration.
+const maxUnpackedBytes = 16 << 20
 
-// Pack makes what entries fetch: a configuration without its source.
+// Pack encodes and compresses a configuration, without its Source, for entries.
 func Pack(c *wire.RoutingConfig) (*wire.PackedRouting, error) {
 	data, err := proto.Marshal(&wire.RoutingConfig{
 		Version: c.GetVersion(), Routes: c.GetRoutes(), Services: c.GetServices(), Limits: c.GetLimits(), Teams: c.GetTeams(),
@@ -29,9 +29,9 @@
 	return &wire.PackedRouting{Version: c.GetVersion(), Deflated: packed}, nil
 }
 
-// Unpack reads what Pack made.
+// Unpack decodes a configuration encoded by Pack.
 func Unpack(p *wire.PackedRouting) (*wire.RoutingConfig, error) {
-	data, err := deflate.Unpack(p.GetDeflated(), mostUnpacked)
+	data, err := deflate.Unpack(p.GetDeflated(), maxUnpackedBytes)
 	if err != nil {
 		return nil, merry.Prepend(ErrPacked, err.Error())
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-func valid() *wire.RoutingConfig {
+func validConfig() *wire.RoutingConfig {
 	return &wire.RoutingConfig{
 		Version:  3,
 		Services: []*wire.RoutedService{{Name: "pool"}, {Name: "clock"}},
@@ -32,43 +32,42 @@
 	return []*wire.WeightedService{{Service: service, Weight: weight}}
 }
 
-// An operator sends what can't be carried out. It is refused with what is wrong, also
-// if its version is old: nothing of it may ever be in force.
-func TestInvalidConfigurationsAreRefused(t *testing.T) {
-	assert.NilError(t, routing.Check(valid()))
+// Each invalid configuration must be rejected with a message that names the error.
+func TestCheckRejectsInvalidConfigurations(t *testing.T) {
+	assert.NilError(t, routing.Check(validConfig()))
 	for name, c := range map[string]struct {
-		spoil func(*wire.RoutingConfig)
-		says  string
+		modify  func(*wire.RoutingConfig)
+		message string
 	}{
 		"no version":      {func(c *wire.RoutingConfig) { c.Version = 0 }, "version"},
-		"unknown service": {func(c *wire.RoutingConfig) { c.Routes[0].Split = split("gone", 1) }, `"gone" is not known`},
-		"same place": {func(c *wire.RoutingConfig) {
+		"unknown service": {func(c *wire.RoutingConfig) { c.Routes[0].Split = split("gone", 1) }, `"gone" does not exist`},
+		"same host and prefix": {func(c *wire.RoutingConfig) {
 			c.Routes[1].PathPrefix = "/"
 			c.Routes[1].Host = "X.example"
-		}, "host and prefix"},
+		}, "same host and prefix"},
 		"no weight":     {func(c *wire.RoutingConfig) { c.Routes[0].Split = split("pool", 0) }, "weights"},
 		"no split":      {func(c *wire.RoutingConfig) { c.Routes[0].Split = nil }, "weights"},
 		"no timeout":    {func(c *wire.RoutingConfig) { c.Routes[1].TimeoutMs = 0 }, "timeout"},
 		"no kind":       {func(c *wire.RoutingConfig) { c.Routes[1].Kind = 0 }, "kind"},
 		"no host":       {func(c *wire.RoutingConfig) { c.Routes[1].Host = "" }, "host"},
-		"open prefix":   {func(c *wire.RoutingConfig) { c.Routes[1].PathPrefix = "/b" }, "slash"},
+		"no end slash":  {func(c *wire.RoutingConfig) { c.Routes[1].PathPrefix = "/b" }, "slash"},
 		"shared key":    {func(c *wire.RoutingConfig) { c.Teams[1].KeyHashes = c.Teams[0].KeyHashes[:1] }, "shares a key"},
-		"team twice":    {func(c *wire.RoutingConfig) { c.Teams[1].Name = "t1" }, "named twice"},
-		"service twice": {func(c *wire.RoutingConfig) { c.Services[1].Name = "pool" }, "named twice"},
+		"team twice":    {func(c *wire.RoutingConfig) { c.Teams[1].Name = "t1" }, "duplicate name"},
+		"service twice": {func(c *wire.RoutingConfig) { c.Services[1].Name = "pool" }, "duplicate name"},
 		"no team name":  {func(c *wire.RoutingConfig) { c.Teams[1].Name = "" }, "name is empty"},
 		"no name":       {func(c *wire.RoutingConfig) { c.Services[1].Name = "" }, "name is empty"},
 	} {
-		cfg := valid()
-		c.spoil(cfg)
+		cfg := validConfig()
+		c.modify(cfg)
 		err := routing.Check(cfg)
 		assert.ErrorIs(t, err, routing.ErrInvalid, name)
-		assert.ErrorContains(t, err, c.says, name)
+		assert.ErrorContains(t, err, c.message, name)
 	}
 }
 
-// Two operators send at once, and lost answers make them send again: whatever the
-// order, the highest version is in force, and none goes back.
-func TestHighestVersionIsInForce(t *testing.T) {
+// For any order of versions, with duplicates, the highest version must be in force and
+// the version must never decrease.
+func TestHighestVersionWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m routing.Machine
 		highest := uint64(0)
@@ -80,18 +79,18 @@
 				t.Fatalf("version %d over %d: accepted %v", v, highest, accepted)
 			}
 			if !accepted && m.Current() != before {
-				t.Fatal("what isn't accepted has changed what is in force")
+				t.Fatal("a rejected configuration changed the one in force")
 			}
 			highest = max(highest, v)
 		}
 		if m.Current().GetVersion() != highest {
-			t.Fatalf("in force: %d, not %d", m.Current().GetVersion(), highest)
+			t.Fatalf("version %d is in force, want %d", m.Current().GetVersion(), highest)
 		}
 	})
 }
 
-// naive looks at every route.
-func naive(c *wire.RoutingConfig, host, path string) *wire.Route {
+// linearMatch is a reference implementation of Table.Match.
+func linearMatch(c *wire.RoutingConfig, host, path string) *wire.Route {
 	var best *wire.Route
 	for _, r := range c.Routes {
 		if strings.EqualFold(r.Host, host) && strings.HasPrefix(path, r.PathPrefix) && (best == nil || len(r.PathPrefix) > len(best.PathPrefix)) {
@@ -101,7 +100,7 @@
 	return best
 }
 
-func TestMatchIsTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchReturnsLongestPrefix(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &wire.RoutingConfig{Version: 1}
 		seen := map[string]bool{}
@@ -117,25 +116,25 @@
 		table := routing.NewTable(c)
 		host := rapid.SampledFrom([]string{"a.example", "b.example", "c.example"}).Draw(t, "asked")
 		path := rapid.StringMatching(`/([ab]{1,2}/){0,4}[ab]?`).Draw(t, "path")
-		if table.Match(host, path) != naive(c, host, path) || table.Match(host+":80", path) != naive(c, host, path) {
+		if table.Match(host, path) != linearMatch(c, host, path) || table.Match(host+":80", path) != linearMatch(c, host, path) {
 			t.Fatalf("%s%s", host, path)
 		}
 	})
 }
 
-func TestKeysBelongToTeams(t *testing.T) {
-	table := routing.NewTable(valid())
+func TestTeamLookupByKey(t *testing.T) {
+	table := routing.NewTable(validConfig())
 	assert.Equal(t, table.TeamOf("k2").Name, "t1")
 	assert.Assert(t, table.TeamOf("k4") == nil)
 	assert.Assert(t, table.TeamOf("") == nil)
 	assert.Assert(t, table.NeedsKey(&wire.Route{}))
 	assert.Assert(t, !table.NeedsKey(&wire.Route{Anonymous: true}))
-	without := valid()
-	without.Teams = nil
-	assert.Assert(t, !routing.NewTable(without).NeedsKey(&wire.Route{}))
+	noTeams := validConfig()
+	noTeams.Teams = nil
+	assert.Assert(t, !routing.NewTable(noTeams).NeedsKey(&wire.Route{}))
 }
 
-func TestSplitFollowsItsWeights(t *testing.T) {
+func TestChooseFollowsWeights(t *testing.T) {
 	r := &wire.Route{Split: []*wire.WeightedService{{Service: "a", Weight: 90}, {Service: "none"}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
 	for i := range 1000 {
@@ -144,24 +143,25 @@
 	assert.DeepEqual(t, counts, map[string]int{"a": 900, "b": 100})
 }
 
-func TestKindsThatMayRunTwice(t *testing.T) {
+func TestRepeatableAndUrgency(t *testing.T) {
 	for _, c := range []struct {
-		route *wire.Route
-		may   bool
+		route      *wire.Route
+		repeatable bool
 	}{
 		{&wire.Route{Kind: wire.RouteKind_ROUTE_KIND_SAFE}, true},
 		{&wire.Route{Kind: wire.RouteKind_ROUTE_KIND_UNSAFE, Resume: true}, false},
 		{&wire.Route{Kind: wire.RouteKind_ROUTE_KIND_STREAMING}, false},
 		{&wire.Route{Kind: wire.RouteKind_ROUTE_KIND_STREAMING, Resume: true}, true},
 	} {
-		assert.Equal(t, routing.Repeatable(c.route), c.may, "%v", c.route)
+		assert.Equal(t, routing.Repeatable(c.route), c.repeatable, "%v", c.route)
 	}
 	assert.Equal(t, routing.Urgency(&wire.Route{Priority: 4}, nil), uint32(4))
 	assert.Equal(t, routing.Urgency(&wire.Route{Priority: 4}, &wire.KeyedTeam{HasPriority: true}), uint32(0))
 }
 
-// An entry gets all of a configuration but its source, in a fraction of the bytes.
-func TestPackedConfigurationIsWhole(t *testing.T) {
+// A packed configuration must decode to the original without its Source, be smaller, and
+// be rejected if it is truncated.
+func TestPackRoundTrip(t *testing.T) {
 	c := &wire.RoutingConfig{Version: 3, Source: []byte("as it was sent"), Limits: &wire.RoutingLimits{}}
 	for i := range 300 {
 		c.Routes = append(c.Routes, &wire.Route{Name: fmt.Sprint("r", i), Host: "h", PathPrefix: fmt.Sprintf("/%d/", i)})
--- a/routing/table.go
+++ b/routing/table.go
@@ -9,40 +9,41 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Table answers requests from one configuration. It is immutable.
+// Table looks up routes, services and teams in a configuration. It is immutable.
 type Table struct {
 	Config *wire.RoutingConfig
 
 	services map[string]*wire.RoutedService
-	// hosts holds the routes of each host, the longest prefix first.
-	hosts map[string][]*wire.Route
-	teams map[keyHash]*wire.KeyedTeam
+	// routesByHost holds the routes by their lower-case Host field, the longest path
+	// prefix first.
+	routesByHost map[string][]*wire.Route
+	teams        map[keyHash]*wire.KeyedTeam
 }
 
 type keyHash [sha256.Size]byte
 
-// HashKey is how a caller's key is kept and compared.
+// HashKey returns the hash by which an API key is stored and compared.
 func HashKey(key string) []byte {
 	h := sha256.Sum256([]byte(key))
 	return h[:]
 }
 
-// NewTable makes a table of a checked configuration.
+// NewTable creates a Table of a configuration that has passed Check.
 func NewTable(c *wire.RoutingConfig) *Table {
 	t := &Table{
-		Config:   c,
-		services: map[string]*wire.RoutedService{},
-		hosts:    map[string][]*wire.Route{},
-		teams:    map[keyHash]*wire.KeyedTeam{},
+		Config:       c,
+		services:     map[string]*wire.RoutedService{},
+		routesByHost: map[string][]*wire.Route{},
+		teams:        map[keyHash]*wire.KeyedTeam{},
 	}
 	for _, s := range c.Services {
 		t.services[s.Name] = s
 	}
 	for _, r := range c.Routes {
 		key := hostKey(r.Host)
-		t.hosts[key] = append(t.hosts[key], r)
+		t.routesByHost[key] = append(t.routesByHost[key], r)
 	}
-	for _, list := range t.hosts {
+	for _, list := range t.routesByHost {
 		sort.SliceStable(list, func(i, j int) bool { return len(list[i].PathPrefix) > len(list[j].PathPrefix) })
 	}
 	for _, team := range c.Teams {
@@ -53,17 +54,16 @@
 	return t
 }
 
-// hostKey is how hosts are compared: without case.
+// hostKey returns a host name in lower case, as host names are case-insensitive.
 func hostKey(host string) string { return strings.ToLower(host) }
 
-// Match returns the route of a request: of its host's routes, the one with the
-// longest prefix that begins the path; nil if there is none. host may carry a
-// port.
+// Match returns the route of a request: the one with the longest path prefix among
+// those of its host, or nil if none matches. host may include a port.
 func (t *Table) Match(host, path string) *wire.Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
-	for _, r := range t.hosts[hostKey(host)] {
+	for _, r := range t.routesByHost[hostKey(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// Service returns a service, or nil.
+// Service returns the service of the given name, or nil.
 func (t *Table) Service(name string) *wire.RoutedService { return t.services[name] }
 
-// TeamOf returns the team that holds a key, or nil.
+// TeamOf returns the team that an API key belongs to, or nil.
 func (t *Table) TeamOf(key string) *wire.KeyedTeam {
 	if key == "" {
 		return nil
@@ -82,10 +82,11 @@
 	return t.teams[sha256.Sum256([]byte(key))]
 }
 
-// NeedsKey says whether a request on a route must show a key.
+// NeedsKey reports whether requests on a route must carry an API key.
 func (t *Table) NeedsKey(r *wire.Route) bool { return len(t.Config.Teams) > 0 && !r.Anonymous }
 
-// Choose returns the service of one request. draw is uniform in [0, 1).
+// Choose selects the service of a request by the weights of the route's split. draw is a
+// uniformly distributed random number in [0, 1).
 func Choose(r *wire.Route, draw float64) string {
 	total := uint64(0)
 	for _, s := range r.Split {
@@ -101,13 +102,13 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Repeatable says whether a request on a route may run more than once.
+// Repeatable reports whether requests on a route may be executed more than once.
 func Repeatable(r *wire.Route) bool {
 	return r.Kind == wire.RouteKind_ROUTE_KIND_SAFE || r.Kind == wire.RouteKind_ROUTE_KIND_STREAMING && r.Resume
 }
 
-// Urgency is the priority of a request: its team's, or else its route's; 0 is the
-// most urgent.
+// Urgency returns the priority of a request: that of its team if it has one, otherwise
+// that of its route. 0 is the highest priority.
 func Urgency(r *wire.Route, team *wire.KeyedTeam) uint32 {
 	if team.GetHasPriority() {
 		return team.Priority
