--- a/direct/client.go
+++ b/direct/client.go
@@ -16,80 +16,82 @@
 	"github.com/snipereach/snipereach/transport"
 )
 
-// Errors of this layer.
 var (
-	// ErrNotSent says that no byte of the request has left: it has not run.
-	ErrNotSent = merry.Sentinel("upstream can't be reached")
-	// ErrBroken says that the connection ended before a whole answer was read. The
-	// request may have run.
-	ErrBroken = merry.Sentinel("upstream broke off")
-	// ErrMalformed says that what came is no answer to the request.
-	ErrMalformed = merry.Sentinel("upstream sent what is no answer to the request")
+	// ErrNotSent is returned if no byte of the request was sent, in general because the
+	// connection could not be opened. The request was not executed.
+	ErrNotSent = merry.Sentinel("request was not sent to upstream")
+	// ErrBroken is returned if the connection failed before the complete response was
+	// read. The request may have been executed.
+	ErrBroken = merry.Sentinel("connection to upstream failed before the response was complete")
+	// ErrMalformed is returned if the upstream sent something other than a response to
+	// the request. The request may have been executed.
+	ErrMalformed = merry.Sentinel("upstream sent an invalid response")
 )
 
 const (
-	// readBuffer holds the head and first bytes of an answer; a call to a model
-	// reads little more at a time.
-	readBuffer = 4 << 10
-	// maxIdle bounds the idle connections to one upstream: more than that are open
-	// only after a burst.
-	maxIdle = 16
-	// idleLimit is how long a connection is kept where the upstream doesn't say.
-	idleLimit = 4 * time.Second
-	// idleMargin is taken off the upstream's own limit: a request that crosses its
-	// close on the way is in doubt.
+	// readBufferSize is the size of a connection's read buffer in bytes.
+	readBufferSize = 4 << 10
+	// maxIdlePerUpstream bounds the idle connections to one upstream.
+	maxIdlePerUpstream = 16
+	// maxIdleTime is how long an idle connection is kept at most.
+	maxIdleTime = 4 * time.Second
+	// idleMargin is subtracted from the upstream's own idle timeout: the outcome of a
+	// request sent while the upstream closes the connection would be unknown.
 	idleMargin = time.Second
-	// maxStrays is how many answers to other attempts are read past in one call.
-	maxStrays = 3
-	// maxStray bounds the body of such an answer.
-	maxStray = 1 << 20
+	// maxResponses is the maximum number of responses read in one call, including those
+	// to other attempts, which are discarded.
+	maxResponses = 3
+	// maxDiscardedBytes bounds the body of a discarded response.
+	maxDiscardedBytes = 1 << 20
 )
 
-// Request is one call to an upstream.
+// Request is a request to an upstream.
 type Request struct {
 	Method string
-	// URI is the request target as the caller wrote it.
+	// URI is the request target, sent unchanged.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
 }
 
-// Response is the head of an answer, with a body that must be closed.
+// Response is the head of a response. Its body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 if it isn't known before its end.
+	// Length is the length of the body in bytes, or -1 if it is unknown.
 	Length int64
 	Body   *Body
 }
 
-// Client calls upstreams and keeps their connections.
+// Client sends requests to upstreams and pools its connections to them. It is safe for
+// concurrent use.
 type Client struct {
 	dial transport.DialFunc
 
 	mu sync.Mutex
-	// idle connections by address, the one used last at the end.
+	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*conn
-	// opened counts new connections.
+	// opened is the number of connections opened so far.
 	opened uint64
 }
 
-// NewClient makes a client that opens connections with dial.
+// NewClient creates a client that opens connections with dial.
 func NewClient(dial transport.DialFunc) *Client {
 	return &Client{dial: dial, idle: map[string][]*conn{}}
 }
 
-// Opened returns how many connections were opened.
+// Opened returns the number of connections opened so far.
 func (c *Client) Opened() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.opened
 }
 
-// Do sends a request to an address and reads the head of its answer. accept says
-// whether an answer belongs to the request. The context covers the body too: when
-// it ends, the connection is closed at once, so that the upstream stops its work.
+// Do sends a request to an address and reads the head of the response. accept reports
+// whether a response belongs to the request. The context also covers the reading of the
+// body: when it is done, the connection is reset, so that the upstream can stop working
+// on the request.
 func (c *Client) Do(ctx context.Context, addr string, r *Request, accept func(status int, h http.Header) bool) (*Response, error) {
 	cn, err := c.connect(ctx, addr)
 	if err != nil {
@@ -102,18 +104,18 @@
 		cn.abort()
 		return nil, err
 	}
-	body := &Body{client: c, addr: addr, conn: cn, resp: resp, stop: stop}
+	body := &Body{client: c, addr: addr, conn: cn, resp: resp, stopAbort: stop}
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: body}, nil
 }
 
-// connect returns a connection: an idle one that is still good, or a new one.
+// connect returns an idle connection that can be reused, or opens a new one.
 func (c *Client) connect(ctx context.Context, addr string) (*conn, error) {
 	for {
-		cn := c.take(addr)
+		cn := c.popIdle(addr)
 		if cn == nil {
 			break
 		}
-		if time.Now().Before(cn.idleUntil) && cn.quiet() {
+		if time.Now().Before(cn.idleUntil) && cn.reusable() {
 			return cn, nil
 		}
 		_ = cn.Close()
@@ -125,11 +127,11 @@
 	c.mu.Lock()
 	c.opened++
 	c.mu.Unlock()
-	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer)}, nil
+	return &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBufferSize)}, nil
 }
 
-// take returns the connection that was used last.
-func (c *Client) take(addr string) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil.
+func (c *Client) popIdle(addr string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[addr]
@@ -141,17 +143,18 @@
 	return last
 }
 
-func (c *Client) put(addr string, cn *conn) {
+// putIdle keeps a connection for later calls, or closes it if enough are idle.
+func (c *Client) putIdle(addr string, cn *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= maxIdle {
+	if len(c.idle[addr]) >= maxIdlePerUpstream {
 		_ = cn.Close()
 		return
 	}
 	c.idle[addr] = append(c.idle[addr], cn)
 }
 
-// Forget closes the idle connections to all addresses but those named.
+// Forget closes the idle connections to all addresses that are not in keep.
 func (c *Client) Forget(keep map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,14 +172,15 @@
 // Close closes all idle connections.
 func (c *Client) Close() { c.Forget(nil) }
 
+// exchange sends a request and reads the head of the first response that accept accepts.
 func (c *Client) exchange(cn *conn, r *Request, accept func(int, http.Header) bool) (*http.Response, error) {
-	if n, err := cn.Write(encode(r)); err != nil {
+	if n, err := cn.Write(encodeRequest(r)); err != nil {
 		if n == 0 {
 			return nil, merry.Prepend(ErrNotSent, err.Error())
 		}
 		return nil, merry.Prepend(ErrBroken, err.Error())
 	}
-	for range maxStrays {
+	for range maxResponses {
 		resp, err := readHead(cn, r.Method)
 		if err != nil {
 			return nil, err
@@ -184,15 +188,15 @@
 		if accept(resp.StatusCode, resp.Header) {
 			return resp, nil
 		}
-		// The answer of an earlier attempt on this connection came late. Ours follows.
-		if err := skip(resp); err != nil {
+		// This is a late response to an earlier attempt on the connection.
+		if err := discardResponse(resp); err != nil {
 			return nil, err
 		}
 	}
-	return nil, merry.Prepend(ErrMalformed, "answers to other attempts")
+	return nil, merry.Prepend(ErrMalformed, "only responses to other attempts")
 }
 
-// readHead reads the head of the next final answer.
+// readHead reads the head of the next response, skipping informational ones (1xx).
 func readHead(cn *conn, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(cn.br, &http.Request{Method: method})
@@ -208,28 +212,30 @@
 	}
 }
 
-func skip(resp *http.Response) error {
-	if !framed(resp) {
-		return merry.Prepend(ErrMalformed, "an answer to another attempt has no length")
+// discardResponse reads the rest of a response that is discarded.
+func discardResponse(resp *http.Response) error {
+	if !hasFraming(resp) {
+		return merry.Prepend(ErrMalformed, "response to another attempt has no length")
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStray))
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardedBytes))
 	if err != nil {
 		return merry.Prepend(ErrBroken, err.Error())
 	}
-	if n == maxStray {
-		return merry.Prepend(ErrMalformed, "a long answer to another attempt")
+	if n == maxDiscardedBytes {
+		return merry.Prepend(ErrMalformed, "response to another attempt is too long")
 	}
 	return nil
 }
 
-// framed says whether an answer's end can be told from a connection that ended.
-func framed(resp *http.Response) bool {
+// hasFraming reports whether a response has a Content-Length or is chunked. Otherwise it ends
+// with the connection, so that a truncated body can't be detected.
+func hasFraming(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// encode writes a request as one piece, so that it leaves in one packet if it is
-// small.
-func encode(r *Request) []byte {
+// encodeRequest encodes a request in a single buffer, so that a small one is sent in a single
+// packet.
+func encodeRequest(r *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
 	b.WriteString(r.Method)
@@ -239,7 +245,7 @@
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
 	_ = r.Header.Write(&b)
-	if len(r.Body) > 0 || takesBody(r.Method) {
+	if len(r.Body) > 0 || needsContentLength(r.Method) {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
 		b.WriteString("\r\n")
@@ -249,26 +255,32 @@
 	return b.Bytes()
 }
 
-func takesBody(method string) bool {
+// needsContentLength reports whether a request of the method needs a Content-Length even if its
+// body is empty.
+func needsContentLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// Body is the body of an answer.
+// Body is the body of a response.
 type Body struct {
 	client *Client
 	addr   string
 	conn   *conn
 	resp   *http.Response
-	stop   func() bool
-	whole  bool
-	closed bool
+	// stopAbort cancels the abort of the connection at the end of the context; it returns
+	// false if that has already begun.
+	stopAbort func() bool
+	// complete is true once the body has been read to its end.
+	complete bool
+	closed   bool
 }
 
-// Read returns io.EOF only once the whole body was read.
+// Read reads from the body. It returns io.EOF only at the end of the body, and ErrBroken
+// if the connection failed before.
 func (b *Body) Read(p []byte) (int, error) {
 	n, err := b.resp.Body.Read(p)
 	if err == io.EOF {
-		b.whole = true
+		b.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
@@ -277,36 +289,36 @@
 	return n, nil
 }
 
-// Close gives the connection back if the answer was read to its end and the
-// connection is good for another call, or else closes it.
+// Close returns the connection to the client if the body was read to its end and the
+// connection can be reused; otherwise it closes the connection.
 func (b *Body) Close() {
 	if b.closed {
 		return
 	}
 	b.closed = true
-	if !b.stop() || !b.whole {
+	if !b.stopAbort() || !b.complete {
 		b.conn.abort()
 		return
 	}
-	if b.resp.Close || !framed(b.resp) || b.conn.br.Buffered() > 0 {
+	if b.resp.Close || !hasFraming(b.resp) || b.conn.br.Buffered() > 0 {
 		_ = b.conn.Close()
 		return
 	}
 	b.conn.idleUntil = time.Now().Add(idleTime(b.resp.Header))
-	b.client.put(b.addr, b.conn)
+	b.client.putIdle(b.addr, b.conn)
 }
 
-// idleTime is how long a connection may be idle, by the header "Keep-Alive:
-// timeout=SECONDS" or the default.
+// idleTime returns how long a connection may be idle before it is reused: the timeout of
+// the header "Keep-Alive: timeout=SECONDS" less idleMargin, at most maxIdleTime.
 func idleTime(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
-		text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
+		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
-		if s, err := strconv.Atoi(text); err == nil && s >= 0 {
-			return min(time.Duration(s)*time.Second-idleMargin, idleLimit)
+		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
+			return min(time.Duration(seconds)*time.Second-idleMargin, maxIdleTime)
 		}
 	}
-	return idleLimit
+	return maxIdleTime
 }
--- a/direct/client_test.go
+++ b/direct/client_test.go
@@ -16,18 +16,18 @@
 	"github.com/snipereach/snipereach/direct"
 )
 
-// upstream answers each request on a connection with the next of its scripts; a
-// script that ends with "RST" or "FIN" ends the connection so.
-type upstream struct {
+// testUpstream responds to each request with the next of its scripts. A script that ends in
+// "RST" or "FIN" then resets or closes the connection.
+type testUpstream struct {
 	lis      net.Listener
 	accepted chan struct{}
 	requests chan string
 }
 
-func newUpstream(t *testing.T, scripts ...string) *upstream {
+func newTestUpstream(t *testing.T, scripts ...string) *testUpstream {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	u := &upstream{lis: lis, accepted: make(chan struct{}, 64), requests: make(chan string, 64)}
+	u := &testUpstream{lis: lis, accepted: make(chan struct{}, 64), requests: make(chan string, 64)}
 	next := make(chan string, len(scripts))
 	for _, s := range scripts {
 		next <- s
@@ -46,7 +46,7 @@
 	return u
 }
 
-func (u *upstream) serve(c net.Conn, next chan string) {
+func (u *testUpstream) serve(c net.Conn, next chan string) {
 	defer c.Close()
 	br := bufio.NewReader(c)
 	for {
@@ -71,12 +71,12 @@
 	}
 }
 
-func (u *upstream) addr() string { return u.lis.Addr().String() }
+func (u *testUpstream) addr() string { return u.lis.Addr().String() }
 
 func newClient() *direct.Client { return direct.NewClient((&net.Dialer{}).DialContext) }
 
-// call makes one call for an attempt and reads its answer whole.
-func call(t *testing.T, c *direct.Client, u *upstream, id string) (string, error) {
+// call sends a request for the given attempt and reads the response to its end.
+func call(t *testing.T, c *direct.Client, u *testUpstream, id string) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -90,22 +90,22 @@
 	return string(body), err
 }
 
-func answer(id, body string) string {
-	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
+func okResponse(id, body string) string {
+	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + digit(len(body)) + "\r\n\r\n" + body
 }
 
-func itoa(n int) string { return string(rune('0' + n)) }
+func digit(n int) string { return string(rune('0' + n)) }
 
-func TestRequestLeavesAsItCame(t *testing.T) {
-	u := newUpstream(t, answer("1", "yes"))
+func TestRequestIsSentUnchanged(t *testing.T) {
+	u := newTestUpstream(t, okResponse("1", "yes"))
 	body, err := call(t, newClient(), u, "1")
 	assert.NilError(t, err)
 	assert.Equal(t, body, "yes")
 	assert.Equal(t, <-u.requests, "POST /p?q=%41 x.example hello")
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
-	u := newUpstream(t, answer("1", "a"), answer("2", "b"))
+func TestConnectionIsReused(t *testing.T) {
+	u := newTestUpstream(t, okResponse("1", "a"), okResponse("2", "b"))
 	c := newClient()
 	for _, id := range []string{"1", "2"} {
 		_, err := call(t, c, u, id)
@@ -114,10 +114,10 @@
 	assert.Equal(t, c.Opened(), uint64(1))
 }
 
-// An upstream answers a request twice, and the second answer comes when the next
-// request's is expected. The caller gets the answer that names its own attempt.
-func TestLateExtraAnswerGoesToNobody(t *testing.T) {
-	u := newUpstream(t, answer("1", "a"), answer("1", "x")+answer("2", "b"))
+// A duplicate response that arrives before the response to the next request must be
+// discarded.
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
+	u := newTestUpstream(t, okResponse("1", "a"), okResponse("1", "x")+okResponse("2", "b"))
 	c := newClient()
 	_, err := call(t, c, u, "1")
 	assert.NilError(t, err)
@@ -126,10 +126,9 @@
 	assert.Equal(t, body, "b")
 }
 
-// An upstream sends bytes after a complete answer. They belong to no request, so the
-// connection isn't used again.
-func TestExtraBytesEndTheConnection(t *testing.T) {
-	u := newUpstream(t, answer("1", "a")+answer("1", "x"), answer("2", "b"))
+// A connection on which data follows a complete response must not be reused.
+func TestExtraDataPreventsReuse(t *testing.T) {
+	u := newTestUpstream(t, okResponse("1", "a")+okResponse("1", "x"), okResponse("2", "b"))
 	c := newClient()
 	for _, id := range []string{"1", "2"} {
 		_, err := call(t, c, u, id)
@@ -138,9 +137,9 @@
 	assert.Equal(t, c.Opened(), uint64(2))
 }
 
-// Answers that break off are errors, and never look whole: with a length, in chunks,
-// or without a length on a connection that is reset.
-func TestAnswersThatBreakOffAreNotWhole(t *testing.T) {
+// Truncated responses must be reported as errors: those with a length, chunked ones and
+// incomplete heads. A body without framing is complete when the connection ends.
+func TestTruncatedResponsesAreErrors(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: 1\r\n"
 	for name, script := range map[string]string{
 		"length":      head + "Content-Length: 9\r\n\r\nabcFIN",
@@ -150,37 +149,38 @@
 		"no answer":   "FIN",
 		"no HTTP":     "+OK ready\r\nFIN",
 	} {
-		_, err := call(t, newClient(), newUpstream(t, script), "1")
+		_, err := call(t, newClient(), newTestUpstream(t, script), "1")
 		assert.ErrorIs(t, err, direct.ErrBroken, name)
 	}
-	whole, err := call(t, newClient(), newUpstream(t, head+"\r\nabcFIN"), "1")
+	body, err := call(t, newClient(), newTestUpstream(t, head+"\r\nabcFIN"), "1")
 	assert.NilError(t, err)
-	assert.Equal(t, whole, "abc")
+	assert.Equal(t, body, "abc")
 }
 
-func TestAnswersToOthersOnlyAreMalformed(t *testing.T) {
-	u := newUpstream(t, strings.Repeat(answer("9", "x"), 3))
+func TestOnlyResponsesToOtherAttempts(t *testing.T) {
+	u := newTestUpstream(t, strings.Repeat(okResponse("9", "x"), 3))
 	_, err := call(t, newClient(), u, "1")
 	assert.ErrorIs(t, err, direct.ErrMalformed)
 }
 
-// Nobody listens: no byte has left, so the request may go elsewhere whatever it is.
-func TestRefusedConnectionSentNothing(t *testing.T) {
-	u := newUpstream(t)
+// A refused connection must be reported as ErrNotSent, since any request may then be
+// sent elsewhere.
+func TestRefusedConnectionIsNotSent(t *testing.T) {
+	u := newTestUpstream(t)
 	_ = u.lis.Close()
 	_, err := call(t, newClient(), u, "1")
 	assert.ErrorIs(t, err, direct.ErrNotSent)
 }
 
-// The upstream closes an idle connection. The next request doesn't leave on it, where
-// it would be in doubt.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	u := newUpstream(t, answer("1", "a")+"FIN", answer("2", "b"))
+// A request must not be sent on an idle connection that the upstream has closed, where
+// its outcome would be unknown.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	u := newTestUpstream(t, okResponse("1", "a")+"FIN", okResponse("2", "b"))
 	c := newClient()
 	_, err := call(t, c, u, "1")
 	assert.NilError(t, err)
 	for range 200 {
-		// The close is on its way over loopback.
+		// Waits for the close to arrive.
 		time.Sleep(time.Millisecond)
 	}
 	body, err := call(t, c, u, "2")
@@ -188,10 +188,9 @@
 	assert.Equal(t, body, "b")
 }
 
-// The caller leaves while its answer is under way: the upstream sees the connection
-// end at once and can stop.
-func TestEndOfContextEndsTheCall(t *testing.T) {
-	u := newUpstream(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\na")
+// Cancelling the context while the body is read must end the call.
+func TestCancelledContextEndsCall(t *testing.T) {
+	u := newTestUpstream(t, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\na")
 	ctx, cancel := context.WithCancel(context.Background())
 	resp, err := newClient().Do(ctx, u.addr(), &direct.Request{Method: "GET", URI: "/", Host: "x"}, func(int, http.Header) bool { return true })
 	assert.NilError(t, err)
@@ -201,7 +200,7 @@
 	resp.Body.Close()
 }
 
-func TestEventsArePassedWhole(t *testing.T) {
+func TestEventsAreReadWhole(t *testing.T) {
 	const text = "id: 1\ndata: a\n\n: note\r\nid:2\r\ndata: b\r\n\r\n"
 	e := direct.NewEvents(strings.NewReader(text))
 	var raw, ids string
@@ -216,7 +215,7 @@
 	}
 	assert.Equal(t, raw, text)
 	assert.Equal(t, ids, "1,2,")
-	// An upstream that stops in the middle of an event has not come to its end.
+	// A stream that ends in the middle of an event is incomplete.
 	e = direct.NewEvents(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
 	_, err := e.Next()
 	assert.NilError(t, err)
@@ -224,8 +223,7 @@
 	assert.ErrorIs(t, err, direct.ErrPartialEvent)
 }
 
-// Whatever an upstream sends, the events that come out are what went in, in order,
-// and nothing else.
+// For any input, the concatenated events must be a prefix of it.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n")
 	f.Add("\n\n\n")
--- a/direct/conn.go
+++ b/direct/conn.go
@@ -10,32 +10,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is one connection to an upstream, for one call at a time.
+// conn is a connection to an upstream, used for one call at a time.
 type conn struct {
 	net.Conn
 	br *bufio.Reader
-	// idleUntil is when the upstream may close it for being idle; zero if unknown.
+	// idleUntil is until when the connection may be reused after being idle.
 	idleUntil time.Time
 }
 
-// abort ends a connection in the middle of a call. It is reset: bytes that a frozen or
-// cut off upstream has not taken yet are dropped. After an orderly close they would
-// reach it seconds later, and run for a caller who has left.
+// abort resets the connection in the middle of a call. Unlike an orderly close, a reset
+// drops data that a frozen or unreachable upstream has not received yet; it would
+// otherwise execute the request later, after the caller has given up.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		// It fails only on a connection that has ended already.
+		// An error means that the connection is already closed.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Conn.Close()
 }
 
-// quiet says whether an idle connection is still open and has nothing to read.
+// reusable reports whether an idle connection is still open and has no data to read.
 //
-// Bytes that come between two calls belong to no request: a faulty upstream sends
-// an answer twice, or says 408 before it closes. Taken for the next call's answer
-// they would go to another caller. A connection that has ended would leave the
-// next call in doubt.
-func (c *conn) quiet() bool {
+// Data received between two calls belongs to no request, such as a duplicate response or
+// a 408 before a close. It must not be taken for the response to the next call, which
+// may be another caller's. On a closed connection the outcome of the next call would
+// be unknown.
+func (c *conn) reusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -47,12 +47,12 @@
 	if err != nil {
 		return false
 	}
-	silent := false
-	var one [1]byte
+	empty := false
+	var buf [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, _, rerr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = errors.Is(rerr, unix.EAGAIN)
+		_, _, rerr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		empty = errors.Is(rerr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
--- a/direct/doc.go
+++ b/direct/doc.go
@@ -1,7 +1,7 @@
-// Package direct calls upstreams by HTTP/1.1 and makes sure whose answer it is.
+// Package direct is an HTTP/1.1 client for upstreams that matches responses to requests.
 //
-// A Client keeps connections open between calls and gives each call one of its
-// own. An answer is taken only if it names the attempt that was sent; what a
-// faulty upstream sends besides is read past or closes the connection, so that no
-// byte of one answer ends in another.
+// A Client pools connections and uses each for one call at a time. It accepts a response
+// only if it belongs to the attempt that was sent. Other data that a faulty upstream
+// sends is discarded or closes the connection, so that no byte of one response ends up
+// in another.
 package direct
--- a/direct/events.go
+++ b/direct/events.go
@@ -9,41 +9,42 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrPartialEvent says that a stream ended in the middle of an event.
+// ErrPartialEvent is returned if a stream ends in the middle of an event.
 var ErrPartialEvent = merry.Sentinel("stream ended in the middle of an event")
 
-// maxEvent bounds one event, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the size of an event.
+const maxEventBytes = 1 << 20
 
-// Event is one event of a stream.
+// Event is a server-sent event.
 type Event struct {
-	// Raw is the event as it came, up to and with the empty line that ends it.
+	// Raw holds the bytes of the event as received, with the empty line that ends it.
 	Raw []byte
-	// ID is the event's, empty if it has none.
+	// ID is the value of the last id field, or empty if there is none.
 	ID string
 }
 
-// Events reads a stream (text/event-stream) event by event. An upstream may stop in
-// the middle of one: only whole events may be passed on, or a stream that goes on
-// elsewhere would join pieces of two.
+// Events reads a text/event-stream body. It returns only complete events: a stream that
+// is resumed at another upstream must not continue in the middle of an event.
 type Events struct {
 	br *bufio.Reader
 }
 
-// NewEvents reads events from a body.
-func NewEvents(r io.Reader) *Events { return &Events{br: bufio.NewReaderSize(r, readBuffer)} }
+// NewEvents creates a reader of the events in a body.
+func NewEvents(r io.Reader) *Events { return &Events{br: bufio.NewReaderSize(r, readBufferSize)} }
 
-// Next returns the next event; io.EOF after the last one of a whole stream.
+// Next returns the next event. It returns io.EOF at the end of the stream,
+// ErrPartialEvent if the stream ends in the middle of an event, and ErrMalformed if an
+// event is too long.
 func (e *Events) Next() (Event, error) {
 	var ev Event
 	for {
 		line, err := e.br.ReadBytes('\n')
 		ev.Raw = append(ev.Raw, line...)
 		if err != nil {
-			return Event{}, endOf(ev, err)
+			return Event{}, streamEnd(ev, err)
 		}
-		if len(ev.Raw) > maxEvent {
-			return Event{}, merry.Prepend(ErrMalformed, "an event is too long")
+		if len(ev.Raw) > maxEventBytes {
+			return Event{}, merry.Prepend(ErrMalformed, "event is too long")
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
@@ -55,7 +56,8 @@
 	}
 }
 
-func endOf(ev Event, err error) error {
+// streamEnd returns the error of Next for a read error after part of an event.
+func streamEnd(ev Event, err error) error {
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Refuses says whether nothing listens at an address any more: its host answers, and no process
-// takes connections there. A host that is silent or cut off, and an upstream that takes the
-// connection, don't refuse; the connection is kept for a later call.
+// Refuses reports whether connections to an address are refused: its host is reachable, but no
+// process listens there. It returns false for an unreachable host, and for an upstream that
+// accepts the connection, which is then kept for a later call.
 func (c *Client) Refuses(ctx context.Context, addr string) bool {
 	nc, err := c.dial(ctx, "tcp", addr)
 	if err != nil {
@@ -19,6 +19,6 @@
 	c.mu.Lock()
 	c.opened++
 	c.mu.Unlock()
-	c.put(addr, &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBuffer), idleUntil: time.Now().Add(idleLimit)})
+	c.putIdle(addr, &conn{Conn: nc, br: bufio.NewReaderSize(nc, readBufferSize), idleUntil: time.Now().Add(maxIdleTime)})
 	return false
 }
