--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -8,21 +8,21 @@
 	"gotest.tools/v3/assert"
 )
 
-var sizes = []int{19, 64, 500, 5500}
+var poolSizes = []int{19, 64, 500, 5500}
 
 func makeBalancer(name string, ups []Upstream) Balancer {
 	b, err := New(name, Place{Entry: "entry-1", FailureDomain: "hall-a", Seed: 1})
 	if err != nil {
 		panic(err)
 	}
-	b.Update(start, ups)
+	b.Update(testStart, ups)
 	for i, u := range ups {
-		b.Report(start, u.ID, 1, load(1, i%8))
+		b.Report(testStart, u.ID, 1, testLoad(1, i%8))
 	}
 	return b
 }
 
-func prompts(n, blocks int) [][]uint64 {
+func testPrompts(n, blocks int) [][]uint64 {
 	list := make([][]uint64, n)
 	for i := range list {
 		for k := range blocks {
@@ -32,75 +32,75 @@
 	return list
 }
 
-// decide makes one choice and ends it.
-func decide(b Balancer, now time.Time, r *Request, seq *uint64) {
+// pickAndFinish picks an upstream and ends the attempt.
+func pickAndFinish(b Balancer, now time.Time, r *Request, seq *uint64) {
 	c, ok := b.Pick(now, r)
 	if !ok {
 		panic("no upstream")
 	}
 	*seq++
-	b.Done(now, c.Upstream, r, whole(nil))
+	b.Done(now, c.Upstream, r, success(nil))
 }
 
-// BenchmarkDecide is a choice and its end, by size of the pool.
-func BenchmarkDecide(b *testing.B) {
+// BenchmarkPick measures Pick and Done by balancer and pool size.
+func BenchmarkPick(b *testing.B) {
 	for _, name := range []string{"round-robin", "least-loaded", "prefix"} {
-		for _, size := range sizes {
+		for _, size := range poolSizes {
 			b.Run(fmt.Sprintf("%s/%d", name, size), func(b *testing.B) {
-				bal := makeBalancer(name, upstreams(size))
-				reqs := prompts(500, 24)
+				bal := makeBalancer(name, testUpstreams(size))
+				reqs := testPrompts(500, 24)
 				var seq uint64
 				b.ReportAllocs()
 				for i := range b.N {
 					r := Request{Tokens: 1000, Prefix: reqs[i%len(reqs)]}
-					decide(bal, start.Add(time.Duration(i)*time.Millisecond), &r, &seq)
+					pickAndFinish(bal, testStart.Add(time.Duration(i)*time.Millisecond), &r, &seq)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkUpdate is a change of the directory, by size of the pool.
+// BenchmarkUpdate measures an update of the candidates by pool size.
 func BenchmarkUpdate(b *testing.B) {
-	for _, size := range sizes {
+	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			ups := upstreams(size)
+			ups := testUpstreams(size)
 			bal := makeBalancer("least-loaded", ups)
 			b.ReportAllocs()
 			for range b.N {
-				bal.Update(start, ups)
+				bal.Update(testStart, ups)
 			}
 		})
 	}
 }
 
-// BenchmarkGap is what a gap in the events costs while the index is full.
-func BenchmarkGap(b *testing.B) {
+// BenchmarkCacheEventGap measures a gap in an upstream's cache events with a full index.
+func BenchmarkCacheEventGap(b *testing.B) {
 	bal := NewPrefix(DefaultPrefixSettings())
-	bal.Update(start, upstreams(19))
+	bal.Update(testStart, testUpstreams(19))
 	for i := range bal.settings.MaxBlocks {
 		bal.index.add(uint64(i), 1<<(i%19)|1<<((i+1)%19))
 	}
 	seq := uint64(1)
 	for range b.N {
 		seq += 2
-		bal.Cache(start, "up-3", 1, events(seq, seq))
+		bal.Cache(testStart, "up-3", 1, cacheEvents(seq, seq))
 	}
 }
 
-// A choice is made for each of 89,000 requests a second: garbage there is time
-// for all. The request itself is the caller's.
-func TestDecisionsDontAllocate(t *testing.T) {
+// Pick and Done run for every request and must not produce garbage. The Request is
+// allocated by the caller.
+func TestPickDoesNotAllocate(t *testing.T) {
 	for _, name := range []string{"round-robin", "least-loaded", "prefix"} {
-		b := makeBalancer(name, upstreams(19))
-		r := &Request{Tokens: 1000, Prefix: prompts(1, 24)[0], Exclude: map[string]bool{}}
+		b := makeBalancer(name, testUpstreams(19))
+		r := &Request{Tokens: 1000, Prefix: testPrompts(1, 24)[0], Exclude: map[string]bool{}}
 		var seq uint64
-		now := start
+		now := testStart
 		run := func() {
 			now = now.Add(20 * time.Millisecond)
-			decide(b, now, r, &seq)
+			pickAndFinish(b, now, r, &seq)
 		}
-		for range 4 * maxSteps * 19 {
+		for range 4 * maxChanges * 19 {
 			run()
 		}
 		assert.Equal(t, testing.AllocsPerRun(1000, run), 0.0, name)
--- a/route/dump.go
+++ b/route/dump.go
@@ -6,35 +6,38 @@
 	"time"
 )
 
-// UpstreamState is what a balancer thinks of an upstream, for operators.
+// UpstreamState is a balancer's state for one upstream, as shown to operators.
 type UpstreamState struct {
-	ID          string  `json:"id"`
-	Incarnation uint64  `json:"incarnation"`
-	Requests    int     `json:"requests_estimated"`
-	InFlight    int     `json:"in_flight"`
-	Slots       int     `json:"slots"`
-	LoadAge     float64 `json:"load_age_seconds"`
+	ID          string `json:"id"`
+	Incarnation uint64 `json:"incarnation"`
+	// Requests is the estimated number of waiting and running requests of all entries.
+	Requests int `json:"requests_estimated"`
+	// InFlight is the number of requests that this entry has in flight.
+	InFlight int `json:"in_flight"`
+	Slots    int `json:"slots"`
+	// LoadAge is the age of the last known load in seconds; -1 if none is known.
+	LoadAge float64 `json:"load_age_seconds"`
 	// Phase is ok, starting, probing, ejected or leaving.
 	Phase string `json:"phase"`
-	// CacheSeq is the last cache event.
+	// CacheSeq is the sequence number of the last cache event.
 	CacheSeq uint64 `json:"cache_seq,omitempty"`
 }
 
-// Dumper is a balancer that shows what it knows.
+// Dumper is implemented by balancers that can show their state.
 type Dumper interface {
 	Dump(now time.Time) []UpstreamState
 }
 
 // Dump implements Dumper.
 func (p *pool) Dump(now time.Time) []UpstreamState {
-	list := make([]UpstreamState, 0, len(p.list))
-	for _, s := range p.list {
+	list := make([]UpstreamState, 0, len(p.candidates))
+	for _, s := range p.candidates {
 		d := UpstreamState{
 			ID: s.ID, Incarnation: s.Incarnation, Requests: s.requests(), InFlight: s.inflight,
-			Slots: s.width(), Phase: s.phase(now), LoadAge: -1,
+			Slots: s.capacity(), Phase: s.phase(now), LoadAge: -1,
 		}
-		if !s.made.IsZero() {
-			d.LoadAge = now.Sub(s.made).Seconds()
+		if !s.loadTime.IsZero() {
+			d.LoadAge = now.Sub(s.loadTime).Seconds()
 		}
 		list = append(list, d)
 	}
@@ -50,7 +53,7 @@
 		return "ejected"
 	case h.probing:
 		return "probing"
-	case h.share(now) < 1:
+	case h.slowStartShare(now) < 1:
 		return "starting"
 	}
 	return "ok"
@@ -60,7 +63,7 @@
 func (b *Prefix) Dump(now time.Time) []UpstreamState {
 	list := b.pool.Dump(now)
 	for i := range list {
-		list[i].CacheSeq = b.seqs[b.byID[list[i].ID].bit]
+		list[i].CacheSeq = b.cacheSeqs[b.byID[list[i].ID].bit]
 	}
 	return list
 }
--- a/route/estimate.go
+++ b/route/estimate.go
@@ -7,147 +7,153 @@
 )
 
 const (
-	// roundTrip covers the way to an agent and back. What was sent this short a
-	// time before an answer came can't be in the answer's load.
-	roundTrip = 4 * time.Millisecond
-	// maxReportAge is how old a report may be. Own work that was sent earlier is
-	// in every report that arrives now.
+	// roundTripTime is the network round-trip time to an agent. A request sent less
+	// than this before a response arrived counts as not included in the response's load.
+	roundTripTime = 4 * time.Millisecond
+	// maxReportAge bounds the age of a load report on arrival: it includes all requests
+	// that were sent earlier than that.
 	maxReportAge = 5 * time.Second
-	// usualReportAge is taken for the age of a report where only bounds are known.
-	usualReportAge = 500 * time.Millisecond
-	// maxSteps bounds the memory of own work for one upstream. Beyond it the
-	// oldest is taken as reported, which is true of all but the oldest reports.
-	maxSteps = 256
+	// assumedReportAge is the assumed age of a load report on arrival.
+	assumedReportAge = 500 * time.Millisecond
+	// maxChanges bounds the in-flight changes remembered per upstream. When it is
+	// reached, the older half is treated as included in the next load.
+	maxChanges = 256
 )
 
-// step is one change of the own work in flight.
-type step struct {
-	at time.Time
-	n  int
+// inflightChange is one change of the number of requests that this entry has in
+// flight at an upstream.
+type inflightChange struct {
+	at    time.Time
+	delta int
 }
 
-// estimate is the number of requests at an upstream: its last report, corrected
-// by own work that the report can't hold.
+// loadEstimate estimates the number of requests at an upstream: its last known load,
+// corrected by the requests of this entry that started or ended since.
 //
-// A report carries no time, and clocks differ between hosts. But reports and
-// answers of one incarnation share a sequence number, and an answer is as old
-// as its way back. So a report that follows an answer in sequence was made
-// after it, and holds all that had arrived by then. Own work since that answer
-// is added. Some of it may be counted twice, which errs towards the other
-// upstreams; leaving it out would send every entry's next requests to whichever
-// upstream looked idle a second ago.
-type estimate struct {
+// Load reports carry no timestamp, and clocks differ between hosts. But loads in
+// reports and in responses of one incarnation share a sequence number, and a load in
+// a response is only as old as the response's way back. So a report that follows a
+// response in sequence was made after it and includes every request that had arrived
+// by then; only the changes since that response are added. Some may be counted
+// twice, which favours the other upstreams. Leaving them out would make all entries
+// send their next requests to whichever upstream last reported a low load.
+type loadEstimate struct {
+	// inflight is the number of requests of this entry.
 	inflight int
-	seq      uint64
+	// seq is the sequence number of the last known load.
+	seq uint64
+	// reported is the number of waiting and running requests in that load.
 	reported int
 	slots    int
-	// run is how long a request runs there; 0 is not known.
-	run   time.Duration
-	steps []step
-	// since is the sum of steps that the report does not hold.
-	since int
-	// answered is when the last answer came.
-	answered time.Time
-	// made is when the reported load was true, as far as that is known.
-	made time.Time
+	// runTime is how long a request usually runs; 0 if unknown.
+	runTime time.Duration
+	changes []inflightChange
+	// unreported is the sum of the changes that the load does not include.
+	unreported int
+	// lastResponse is when a load last came with a response.
+	lastResponse time.Time
+	// loadTime is when the load was true, as far as that is known.
+	loadTime time.Time
 }
 
-// sent counts a request sent now.
-func (e *estimate) sent(now time.Time) {
+// recordStart counts a request sent now.
+func (e *loadEstimate) recordStart(now time.Time) {
 	e.inflight++
-	e.record(now, 1)
+	e.recordChange(now, 1)
 }
 
-// ended counts the end of a request now.
-func (e *estimate) ended(now time.Time) {
+// recordEnd counts a request that ended now.
+func (e *loadEstimate) recordEnd(now time.Time) {
 	if e.inflight == 0 {
 		return
 	}
 	e.inflight--
-	e.record(now, -1)
+	e.recordChange(now, -1)
 }
 
-func (e *estimate) record(now time.Time, n int) {
-	if len(e.steps) == maxSteps {
-		kept := copy(e.steps, e.steps[maxSteps/2:])
-		e.steps = e.steps[:kept]
+func (e *loadEstimate) recordChange(now time.Time, delta int) {
+	if len(e.changes) == maxChanges {
+		kept := copy(e.changes, e.changes[maxChanges/2:])
+		e.changes = e.changes[:kept]
 	}
-	e.steps = append(e.steps, step{now, n})
-	e.since += n
+	e.changes = append(e.changes, inflightChange{now, delta})
+	e.unreported += delta
 }
 
-// answer takes the load that came with an answer.
-func (e *estimate) answer(now time.Time, l *wire.Load) {
-	if e.take(l) {
-		e.answered, e.made = now, now
-		e.forget(now, now)
+// applyResponse applies the load that came with a response.
+func (e *loadEstimate) applyResponse(now time.Time, l *wire.Load) {
+	if e.storeLoad(l) {
+		e.lastResponse, e.loadTime = now, now
+		e.pruneChanges(now, now)
 	}
 }
 
-// report takes a load report of unknown age.
-func (e *estimate) report(now time.Time, l *wire.Load) {
-	if !e.take(l) {
+// applyReport applies a load report of unknown age.
+func (e *loadEstimate) applyReport(now time.Time, l *wire.Load) {
+	if !e.storeLoad(l) {
 		return
 	}
-	e.made = later(e.answered, now.Add(-usualReportAge))
-	e.forget(now, later(e.answered, now.Add(-maxReportAge)))
+	e.loadTime = latest(e.lastResponse, now.Add(-assumedReportAge))
+	e.pruneChanges(now, latest(e.lastResponse, now.Add(-maxReportAge)))
 }
 
-// survey takes a load that was true at a known time.
-func (e *estimate) survey(made, now time.Time, requests int, seq uint64) {
-	if e.made.After(made) {
-		// An answer has told a later one.
+// applySurvey applies a load that was true at loadTime, unless a later one is known.
+func (e *loadEstimate) applySurvey(loadTime, now time.Time, requests int, seq uint64) {
+	if e.loadTime.After(loadTime) {
 		return
 	}
-	if !e.take(&wire.Load{Seq: seq, Running: uint32(requests), Slots: uint32(e.slots), RunUs: uint32(e.run.Microseconds())}) {
+	if !e.storeLoad(&wire.Load{Seq: seq, Running: uint32(requests), Slots: uint32(e.slots), RunUs: uint32(e.runTime.Microseconds())}) {
 		return
 	}
-	e.made = made
-	e.forget(now, made)
+	e.loadTime = loadTime
+	e.pruneChanges(now, loadTime)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// take stores a load unless a later one is known: reports, answers and
-// announcements overtake each other.
-func (e *estimate) take(l *wire.Load) bool {
+// storeLoad stores a load and returns true, unless its sequence number is not above
+// the stored one: loads in reports, responses and the directory may arrive out of
+// order.
+func (e *loadEstimate) storeLoad(l *wire.Load) bool {
 	if l == nil || l.Seq <= e.seq {
 		return false
 	}
 	e.seq = l.Seq
 	e.reported = int(l.Running) + int(l.Waiting)
 	e.slots = int(l.Slots)
-	e.run = time.Duration(l.RunUs) * time.Microsecond
+	e.runTime = time.Duration(l.RunUs) * time.Microsecond
 	return true
 }
 
-// forget drops the steps that a load made at the given time holds: requests
-// that had arrived, and answers that had left.
-func (e *estimate) forget(now, made time.Time) {
-	e.since = 0
-	kept := e.steps[:0]
+// pruneChanges drops the changes that a load of the given time includes: requests
+// that had arrived and responses that had been sent by then. It also drops changes
+// older than maxReportAge.
+func (e *loadEstimate) pruneChanges(now, loadTime time.Time) {
+	e.unreported = 0
+	kept := e.changes[:0]
 	oldest := now.Add(-maxReportAge)
-	for _, s := range e.steps {
-		held := made
-		if s.n > 0 {
-			held = made.Add(-roundTrip)
+	for _, c := range e.changes {
+		included := loadTime
+		if c.delta > 0 {
+			included = loadTime.Add(-roundTripTime)
 		}
-		if !s.at.After(oldest) || !s.at.After(held) {
+		if !c.at.After(oldest) || !c.at.After(included) {
 			continue
 		}
-		kept = append(kept, s)
-		e.since += s.n
+		kept = append(kept, c)
+		e.unreported += c.delta
 	}
-	e.steps = kept
+	e.changes = kept
 }
 
-// requests is the estimated number of requests waiting and running.
-func (e *estimate) requests() int { return max(e.reported+e.since, e.inflight) }
+// requests returns the estimated number of waiting and running requests.
+func (e *loadEstimate) requests() int { return max(e.reported+e.unreported, e.inflight) }
 
-// width is the number of requests that the upstream runs at once.
-func (e *estimate) width() int { return max(e.slots, 1) }
+// capacity returns the number of requests that the upstream runs concurrently; at
+// least 1.
+func (e *loadEstimate) capacity() int { return max(e.slots, 1) }
--- a/route/health.go
+++ b/route/health.go
@@ -8,116 +8,135 @@
 
 // Outlier ejection.
 const (
-	// failuresToEject in a row mean that the upstream fails, not the request.
+	// failuresToEject is the number of consecutive failures that ejects an upstream.
 	failuresToEject = 5
-	// unansweredToEject requests and stallFactor times the usual answer time
-	// without any answer mean a stall.
-	unansweredToEject = 3
-	stallFactor       = 4
-	minStall          = 250 * time.Millisecond
-	firstPatience     = 30 * time.Second
-	// slowFactor times the others' time per unit of work is slow.
-	slowFactor  = 4
-	minAnswers  = 10
-	paceWeight  = 0.1
-	paceElapsed = 0.05
-	// An ejection lasts firstEjection, doubles with each that follows, up to
-	// maxEjection, and starts anew after a calm time.
-	firstEjection = 2 * time.Second
-	maxEjection   = 30 * time.Second
-	calmTime      = time.Minute
+	// An upstream is stalled if at least unansweredToEject requests have been sent
+	// since its last response, the first of them longer ago than the stall timeout:
+	// stallFactor times the pool's usual response time, but at least minStallTimeout,
+	// and initialStallTimeout until the pool's first response.
+	unansweredToEject   = 3
+	stallFactor         = 4
+	minStallTimeout     = 250 * time.Millisecond
+	initialStallTimeout = 30 * time.Second
+	// An upstream is ejected as slow if, after minResponses responses, its time per
+	// unit of work is over slowFactor times the mean of its peers.
+	slowFactor   = 4
+	minResponses = 10
+	// upstreamLatencySmoothing is the smoothing factor of an upstream's time per unit of
+	// work, poolLatencySmoothing that of the pool's response times.
+	upstreamLatencySmoothing = 0.1
+	poolLatencySmoothing     = 0.05
+	// The first ejection lasts firstEjection; each that follows lasts twice as long,
+	// up to maxEjection. An upstream that stays healthy for ejectionResetDelay after a
+	// successful probe starts again at firstEjection.
+	firstEjection      = 2 * time.Second
+	maxEjection        = 30 * time.Second
+	ejectionResetDelay = time.Minute
+	// probeInterval is the minimum time between two requests to an upstream that is
+	// probed after an ejection.
 	probeInterval = time.Second
-	// maxEjectedShare bounds how much of a pool may be ejected: beyond it the
-	// fault lies more likely with the entry, the network or the requests.
+	// maxEjectedShare bounds the share of a pool that may be ejected at once: if more
+	// upstreams seem to fail, the cause is more likely the entry, the network or the
+	// requests.
 	maxEjectedShare = 0.5
 )
 
-// Slow start.
+// Slow start: the share of its slots for which a newly started upstream is used grows
+// linearly from slowStartInitialShare to 1 over slowStartDuration.
 const (
-	slowStart     = 10 * time.Second
-	slowStartFrom = 0.2
+	slowStartDuration     = 10 * time.Second
+	slowStartInitialShare = 0.2
 )
 
-// health is how an upstream has answered.
+// health is the state of passive health checking and slow start of an upstream.
 type health struct {
+	// failures counts consecutive failures.
 	failures int
-	// unanswered counts requests since the last answer; the first of them was
-	// sent at unansweredSince.
+	// unanswered counts the requests sent since the last response, the first of them
+	// at unansweredSince.
 	unanswered      int
 	unansweredSince time.Time
-	answers         int
-	// pace is the smoothed time per unit of work, in seconds.
-	pace float64
+	// responses counts complete responses since the last ejection.
+	responses int
+	// secondsPerUnit is the smoothed time per unit of work.
+	secondsPerUnit float64
 
-	// leaving says that this incarnation takes no new work any more.
+	// leaving is true if this incarnation accepts no new requests.
 	leaving bool
 
-	ejected   bool
-	until     time.Time
+	ejected      bool
+	ejectedUntil time.Time
+	// ejections counts the ejections that lengthen the next one.
 	ejections int
-	// probing lets one request through in each probeInterval after an ejection.
+	// probing is true after an ejection until a request succeeds; meanwhile one
+	// request is allowed per probeInterval.
 	probing bool
-	probed  time.Time
-	calm    time.Time
-	// warmFrom is when the upstream started; zero if before this entry knew it.
-	warmFrom time.Time
+	// lastSent is when the last request was sent.
+	lastSent time.Time
+	// ejectionResetAt is when ejections may be reset.
+	ejectionResetAt time.Time
+	// slowStartBegan is when the slow start began; zero if there was none.
+	slowStartBegan time.Time
 }
 
-func (h *health) sent(now time.Time) {
+func (h *health) recordRequest(now time.Time) {
 	if h.unanswered == 0 {
 		h.unansweredSince = now
 	}
 	h.unanswered++
-	h.probed = now
+	h.lastSent = now
 }
 
-// heard counts a sign of life.
-func (h *health) heard(now time.Time) {
+// recordResponse resets the failure and stall counters: the upstream has responded.
+func (h *health) recordResponse(now time.Time) {
 	h.unanswered = 0
 	h.unansweredSince = now
 	h.failures = 0
 }
 
-// share is the part of its slots that an upstream should be used for. One that
-// has just started has cold caches and looks idle to every entry at once.
-func (h *health) share(now time.Time) float64 {
-	if h.warmFrom.IsZero() {
+// slowStartShare returns the share of its slots for which an upstream should be used.
+// It is below 1 for a newly started upstream, which has cold caches and seems idle to
+// all entries at once.
+func (h *health) slowStartShare(now time.Time) float64 {
+	if h.slowStartBegan.IsZero() {
 		return 1
 	}
-	age := now.Sub(h.warmFrom)
-	if age >= slowStart {
+	age := now.Sub(h.slowStartBegan)
+	if age >= slowStartDuration {
 		return 1
 	}
-	return slowStartFrom + (1-slowStartFrom)*max(age.Seconds(), 0)/slowStart.Seconds()
+	return slowStartInitialShare + (1-slowStartInitialShare)*max(age.Seconds(), 0)/slowStartDuration.Seconds()
 }
 
-// failed says whether a result speaks against the upstream. A full queue, a
-// passed deadline and a planned stop don't.
-func failed(res Result) bool {
+// isUpstreamFailure reports whether a result counts as a failure of the upstream. A
+// full queue, an exceeded deadline and a planned stop don't.
+func isUpstreamFailure(res Result) bool {
 	if res.CallerGone {
 		return false
 	}
 	return res.Reason == wire.Reason_REASON_UPSTREAM_FAILED || res.Reason == wire.Reason_REASON_ANSWER_INVALID
 }
 
-// judge takes a result into account.
-func (p *pool) judge(now time.Time, s *state, units float64, res Result) {
+// recordResult updates the health of an upstream by the result of an attempt; units is
+// the attempt's amount of work.
+func (p *pool) recordResult(now time.Time, s *candidate, units float64, res Result) {
 	switch {
 	case res.Reason == wire.Reason_REASON_UPSTREAM_LEAVING || res.Reason == wire.Reason_REASON_NO_UPSTREAM:
-		// The directory will say so too, some seconds later. Until then every
-		// request sent there would cost a retry from the budget.
+		// The directory removes the upstream only some seconds later. Until then each
+		// request sent to it would have to be retried.
 		s.leaving = true
-	case failed(res):
+	case isUpstreamFailure(res):
 		s.failures++
 		if s.probing || s.failures >= failuresToEject {
 			p.eject(now, s)
 		}
 	case res.Outcome == wire.Outcome_OUTCOME_DONE:
-		p.praise(now, s, units, res)
-	case res.Outcome == wire.Outcome_OUTCOME_NOT_RUN || res.Elapsed < p.patience():
-		// The agent speaks for itself here: it refuses although, or because, the
-		// upstream behind it stands still. And a caller that left early leaves no
-		// proof: impatient callers could take a healthy upstream from all others.
+		p.recordSuccess(now, s, units, res)
+	case res.Outcome == wire.Outcome_OUTCOME_NOT_RUN || res.Elapsed < p.stallTimeout():
+		// The attempt no longer counts as unanswered, but is no response either: a
+		// refusal is the agent's and says nothing about the upstream behind it. A call
+		// that ended before the stall timeout is no evidence of a stall; callers that
+		// cancel early must not get healthy upstreams ejected.
 		s.unanswered = max(s.unanswered-1, 0)
 	}
 }
@@ -128,62 +147,66 @@
 	if s == nil || s.Incarnation != up.Incarnation {
 		return
 	}
-	s.answer(now, l)
-	s.heard(now)
-	if p.head == 0 {
-		p.head = after.Seconds()
+	s.applyResponse(now, l)
+	s.recordResponse(now)
+	if p.meanHeadTime == 0 {
+		p.meanHeadTime = after.Seconds()
 	}
-	p.head += paceElapsed * (after.Seconds() - p.head)
+	p.meanHeadTime += poolLatencySmoothing * (after.Seconds() - p.meanHeadTime)
 }
 
-// patience is how long an upstream may leave requests unanswered. Until a first
-// answer shows what is usual here, it is long: a pool whose answers take seconds
-// would lose half its upstreams as soon as the entry starts.
-func (p *pool) patience() time.Duration {
-	if p.head > 0 {
-		return max(minStall, time.Duration(stallFactor*p.head*float64(time.Second)))
+// stallTimeout returns how long an upstream may leave requests unanswered before it
+// counts as stalled. Until the first response shows what is usual in this pool it is
+// long, so that upstreams whose responses take seconds aren't ejected when the entry
+// starts.
+func (p *pool) stallTimeout() time.Duration {
+	if p.meanHeadTime > 0 {
+		return max(minStallTimeout, time.Duration(stallFactor*p.meanHeadTime*float64(time.Second)))
 	}
-	if p.elapsed == 0 {
-		return firstPatience
+	if p.meanElapsed == 0 {
+		return initialStallTimeout
 	}
-	return max(minStall, time.Duration(stallFactor*p.elapsed*float64(time.Second)))
+	return max(minStallTimeout, time.Duration(stallFactor*p.meanElapsed*float64(time.Second)))
 }
 
-// praise takes an answer in order into account. It ends a probe: the upstream
-// comes back slowly, like one that has just started.
-func (p *pool) praise(now time.Time, s *state, units float64, res Result) {
-	s.heard(now)
+// recordSuccess records a successful response. If the upstream was probed, it ends
+// probing and begins a slow start, as for an upstream that has just started.
+func (p *pool) recordSuccess(now time.Time, s *candidate, units float64, res Result) {
+	s.recordResponse(now)
 	if s.probing {
 		s.probing = false
-		s.calm = now.Add(calmTime)
-		s.warmFrom = now
+		s.ejectionResetAt = now.Add(ejectionResetDelay)
+		s.slowStartBegan = now
 	}
-	p.pace(now, s, units, res.Elapsed)
+	p.updateLatency(now, s, units, res.Elapsed)
 }
 
-// pace compares how fast an upstream answers with the others.
-func (p *pool) pace(now time.Time, s *state, units float64, elapsed time.Duration) {
-	if p.elapsed == 0 {
-		p.elapsed = elapsed.Seconds()
+// updateLatency updates the smoothed response times and ejects the upstream if it is
+// much slower than its peers.
+func (p *pool) updateLatency(now time.Time, s *candidate, units float64, elapsed time.Duration) {
+	if p.meanElapsed == 0 {
+		p.meanElapsed = elapsed.Seconds()
 	}
-	p.elapsed += paceElapsed * (elapsed.Seconds() - p.elapsed)
-	each := elapsed.Seconds() / units
-	if s.answers == 0 {
-		s.health.pace = each
+	p.meanElapsed += poolLatencySmoothing * (elapsed.Seconds() - p.meanElapsed)
+	perUnit := elapsed.Seconds() / units
+	if s.responses == 0 {
+		s.health.secondsPerUnit = perUnit
 	}
-	s.answers++
-	s.health.pace += paceWeight * (each - s.health.pace)
-	others := p.othersPace(s)
-	if s.answers >= minAnswers && others > 0 && s.health.pace > slowFactor*others {
+	s.responses++
+	s.health.secondsPerUnit += upstreamLatencySmoothing * (perUnit - s.health.secondsPerUnit)
+	peers := p.peerSecondsPerUnit(s)
+	if s.responses >= minResponses && peers > 0 && s.health.secondsPerUnit > slowFactor*peers {
 		p.eject(now, s)
 	}
 }
 
-func (p *pool) othersPace(s *state) float64 {
+// peerSecondsPerUnit returns the mean time per unit of work of the other upstreams,
+// without those that have sent too few responses; 0 if there is none.
+func (p *pool) peerSecondsPerUnit(s *candidate) float64 {
 	sum, n := 0.0, 0
-	for _, o := range p.list {
-		if o != s && o.answers >= minAnswers {
-			sum += o.health.pace
+	for _, o := range p.candidates {
+		if o != s && o.responses >= minResponses {
+			sum += o.health.secondsPerUnit
 			n++
 		}
 	}
@@ -193,39 +216,38 @@
 	return sum / float64(n)
 }
 
-// stalled says whether an upstream has kept requests for so long without any
-// answer that it must be taken for stalled. Its reports may go on: its agent is
-// another process.
-func (p *pool) stalled(now time.Time, s *state) bool {
+// stalled reports whether an upstream has not responded for too long. Load reports
+// prove nothing, since the agent that sends them is another process.
+func (p *pool) stalled(now time.Time, s *candidate) bool {
 	if s.unanswered < unansweredToEject {
 		return false
 	}
-	return now.Sub(s.unansweredSince) > p.patience()
+	return now.Sub(s.unansweredSince) > p.stallTimeout()
 }
 
-// eject takes an upstream out of the choice for a while, unless too many are.
-func (p *pool) eject(now time.Time, s *state) {
-	if s.ejected && now.Before(s.until) {
+// eject ejects an upstream for some time, unless too many others are ejected.
+func (p *pool) eject(now time.Time, s *candidate) {
+	if s.ejected && now.Before(s.ejectedUntil) {
 		return
 	}
-	if !s.ejected && p.ejected+1 > int(maxEjectedShare*float64(len(p.list))) {
+	if !s.ejected && p.ejectedCount+1 > int(maxEjectedShare*float64(len(p.candidates))) {
 		return
 	}
-	if now.After(s.calm) && !s.probing {
+	if now.After(s.ejectionResetAt) && !s.probing {
 		s.ejections = 0
 	}
 	if !s.ejected {
-		p.ejected++
+		p.ejectedCount++
 	}
 	s.ejected, s.probing = true, false
-	s.until = now.Add(min(firstEjection<<min(s.ejections, 8), maxEjection))
+	s.ejectedUntil = now.Add(min(firstEjection<<min(s.ejections, 8), maxEjection))
 	s.ejections++
-	s.failures, s.unanswered, s.answers = 0, 0, 0
+	s.failures, s.unanswered, s.responses = 0, 0, 0
 }
 
-// usable says whether an upstream takes part in the choice, and moves it on
-// from ejected to probing.
-func (p *pool) usable(now time.Time, s *state) bool {
+// usable reports whether an upstream may be selected. It also ejects it if it is
+// stalled, and changes its state from ejected to probing once the ejection is over.
+func (p *pool) usable(now time.Time, s *candidate) bool {
 	if s.leaving {
 		return false
 	}
@@ -233,26 +255,27 @@
 		p.eject(now, s)
 	}
 	if s.ejected {
-		if now.Before(s.until) {
+		if now.Before(s.ejectedUntil) {
 			return false
 		}
 		s.ejected = false
 		s.probing = true
-		p.ejected--
+		p.ejectedCount--
 	}
-	return !s.probing || now.Sub(s.probed) >= probeInterval
+	return !s.probing || now.Sub(s.lastSent) >= probeInterval
 }
 
-// release ends ejections beyond the allowed share, after the pool has shrunk.
-func (p *pool) release() {
-	allowed := int(maxEjectedShare * float64(len(p.list)))
-	for _, s := range p.list {
-		if p.ejected <= allowed {
+// endExcessEjections changes ejected upstreams to probing while more than the allowed
+// share is ejected, as happens when a pool shrinks.
+func (p *pool) endExcessEjections() {
+	allowed := int(maxEjectedShare * float64(len(p.candidates)))
+	for _, s := range p.candidates {
+		if p.ejectedCount <= allowed {
 			return
 		}
 		if s.ejected {
 			s.ejected, s.probing = false, true
-			p.ejected--
+			p.ejectedCount--
 		}
 	}
 }
--- a/route/pool.go
+++ b/route/pool.go
@@ -8,167 +8,173 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// state is what the entry knows of one upstream.
-type state struct {
+// candidate is an upstream with its estimated load and health.
+type candidate struct {
 	Upstream
-	estimate
+	loadEstimate
 	health
-	// bit is the upstream's place in prefix masks, unique while it is known;
-	// placed says that it has one.
+	// bit is the upstream's bit in masks of upstreams; hasBit is true once one is
+	// assigned.
 	bit    uint8
-	placed bool
-	// near says that the upstream is in the entry's own failure domain.
-	near bool
-	// tokens of own work in flight.
-	tokens int
-	// surveyed is how many requests the last survey found here.
-	surveyed int
-	// slow says that the upstream takes longer than usual for its work, by the last
-	// survey.
+	hasBit bool
+	// sameDomain is true if the upstream is in the entry's own failure domain.
+	sameDomain bool
+	// inflightTokens is the number of tokens of this entry's requests in flight.
+	inflightTokens int
+	// surveyedRequests is the number of requests in the last survey.
+	surveyedRequests int
+	// slow is true if the upstream was slow in the last survey.
 	slow bool
 }
 
-// pool is what the plug-ins share: the candidates, their estimated load and
-// their health.
+// pool holds the state that the balancers have in common: the candidates with their
+// estimated load and health.
 type pool struct {
-	place Place
-	rnd   *rand.Rand
-	list  []*state
-	byID  map[string]*state
-	// free holds the bits that no upstream has.
-	free uint64
-	// ejected counts the list's ejected upstreams.
-	ejected int
-	// elapsed is the smoothed time of an answer, in seconds.
-	elapsed float64
-	// head is the same for the head of an answer, where that is heard of by itself.
-	head float64
-	// work is the smoothed tokens of a request; 0 for plain services.
-	work float64
-	// order is a permutation of the list that sample draws from.
-	order []*state
-	drawn []*state
-	// known is when the first upstreams were known.
-	known time.Time
+	entry      Place
+	rnd        *rand.Rand
+	candidates []*candidate
+	byID       map[string]*candidate
+	// freeBits is the mask of the bits not assigned to any candidate.
+	freeBits uint64
+	// ejectedCount is the number of ejected candidates.
+	ejectedCount int
+	// meanElapsed is the smoothed response time in seconds.
+	meanElapsed float64
+	// meanHeadTime is the smoothed time to the response head in seconds; 0 if response
+	// heads aren't reported.
+	meanHeadTime float64
+	// meanTokens is the smoothed number of tokens per request; 0 for services that
+	// don't process tokens.
+	meanTokens float64
+	// shuffled is a permutation of the candidates; sample shuffles it further and
+	// returns its choice in sampled.
+	shuffled []*candidate
+	sampled  []*candidate
+	// firstUpdate is when the pool got its first upstreams.
+	firstUpdate time.Time
 }
 
 func newPool() pool {
-	return pool{byID: map[string]*state{}, rnd: rand.New(rand.NewPCG(1, 1)), free: ^uint64(0)}
+	return pool{byID: map[string]*candidate{}, rnd: rand.New(rand.NewPCG(1, 1)), freeBits: ^uint64(0)}
 }
 
 // SetPlace implements Placed.
-func (p *pool) SetPlace(place Place) {
-	p.place = place
-	p.rnd = rand.New(rand.NewPCG(place.Seed, 2))
+func (p *pool) SetPlace(entry Place) {
+	p.entry = entry
+	p.rnd = rand.New(rand.NewPCG(entry.Seed, 2))
 }
 
-// update replaces the candidates. It returns the bits of those that are gone or
-// have started again.
-func (p *pool) update(now time.Time, ups []Upstream) (lost uint64) {
-	ups = Subset(p.place.Entry, ups, MaxCandidates)
+// setUpstreams replaces the candidates. It returns the mask of the bits of upstreams
+// that are gone or have restarted.
+func (p *pool) setUpstreams(now time.Time, ups []Upstream) (released uint64) {
+	ups = Subset(p.entry.Entry, ups, MaxCandidates)
 	old := p.byID
-	p.byID = make(map[string]*state, len(ups))
-	p.list = p.list[:0]
+	p.byID = make(map[string]*candidate, len(ups))
+	p.candidates = p.candidates[:0]
 	for _, u := range ups {
 		s := old[u.ID]
 		delete(old, u.ID)
 		if s == nil || s.Incarnation != u.Incarnation {
 			if s != nil {
-				lost |= p.drop(s)
+				released |= p.releaseBit(s)
 			}
-			again := s != nil
-			s = &state{}
-			if again || p.settled(now) {
-				s.warmFrom = now
+			restarted := s != nil
+			s = &candidate{}
+			if restarted || p.pastStartup(now) {
+				s.slowStartBegan = now
 			}
 		}
 		s.Upstream = u
-		s.near = u.FailureDomain == p.place.FailureDomain
-		s.report(now, u.Load)
+		s.sameDomain = u.FailureDomain == p.entry.FailureDomain
+		s.applyReport(now, u.Load)
 		p.byID[u.ID] = s
-		p.list = append(p.list, s)
+		p.candidates = append(p.candidates, s)
 	}
 	for _, s := range old {
-		lost |= p.drop(s)
+		released |= p.releaseBit(s)
 	}
-	p.placeBits()
-	p.count()
-	return lost
+	p.assignBits()
+	p.resetCandidates()
+	return released
 }
 
-// settled says whether the entry itself has been up for so long that an upstream
-// it hasn't seen before must have just started.
-func (p *pool) settled(now time.Time) bool {
-	if p.known.IsZero() {
-		p.known = now
+// pastStartup reports whether the pool has had upstreams for longer than
+// slowStartDuration, so that an upstream not seen before must have just started. An
+// entry learns of its upstreams one by one when it starts itself.
+func (p *pool) pastStartup(now time.Time) bool {
+	if p.firstUpdate.IsZero() {
+		p.firstUpdate = now
 	}
-	return now.Sub(p.known) > slowStart
+	return now.Sub(p.firstUpdate) > slowStartDuration
 }
 
-// drop gives back the bit of an upstream that is gone.
-func (p *pool) drop(s *state) uint64 {
+// releaseBit makes the bit of an upstream available again and returns its mask.
+func (p *pool) releaseBit(s *candidate) uint64 {
 	mask := uint64(1) << s.bit
-	p.free |= mask
+	p.freeBits |= mask
 	return mask
 }
 
-// placeBits gives each upstream that has none a bit. There are enough: the list
-// is never longer than a mask.
-func (p *pool) placeBits() {
-	for _, s := range p.list {
-		if s.placed {
+// assignBits assigns a bit to each candidate without one. There are enough, since the
+// number of candidates is at most MaxCandidates, the size of the mask.
+func (p *pool) assignBits() {
+	for _, s := range p.candidates {
+		if s.hasBit {
 			continue
 		}
-		s.bit = uint8(bits.TrailingZeros64(p.free))
-		p.free &^= 1 << s.bit
-		s.placed = true
+		s.bit = uint8(bits.TrailingZeros64(p.freeBits))
+		p.freeBits &^= 1 << s.bit
+		s.hasBit = true
 	}
 }
 
-func (p *pool) count() {
-	p.order = append(p.order[:0], p.list...)
-	p.ejected = 0
-	for _, s := range p.list {
+// resetCandidates recomputes the fields that depend on the list of candidates.
+func (p *pool) resetCandidates() {
+	p.shuffled = append(p.shuffled[:0], p.candidates...)
+	p.ejectedCount = 0
+	for _, s := range p.candidates {
 		if s.ejected {
-			p.ejected++
+			p.ejectedCount++
 		}
 	}
-	p.release()
+	p.endExcessEjections()
 }
 
-func (p *pool) report(now time.Time, id string, incarnation uint64, l *wire.Load) {
+func (p *pool) applyReport(now time.Time, id string, incarnation uint64, l *wire.Load) {
 	s := p.byID[id]
 	if s != nil && s.Incarnation == incarnation {
-		s.report(now, l)
+		s.applyReport(now, l)
 	}
 }
 
-// sample draws up to n usable candidates. The slice holds until the next call.
-func (p *pool) sample(now time.Time, r *Request, n int) []*state {
-	p.drawn = p.drawn[:0]
-	for i := range p.order {
-		j := i + p.rnd.IntN(len(p.order)-i)
-		p.order[i], p.order[j] = p.order[j], p.order[i]
-		s := p.order[i]
+// sample returns up to n random usable candidates that the request doesn't exclude.
+// The slice is valid until the next call.
+func (p *pool) sample(now time.Time, r *Request, n int) []*candidate {
+	p.sampled = p.sampled[:0]
+	for i := range p.shuffled {
+		j := i + p.rnd.IntN(len(p.shuffled)-i)
+		p.shuffled[i], p.shuffled[j] = p.shuffled[j], p.shuffled[i]
+		s := p.shuffled[i]
 		if r.Exclude[s.ID] || !p.usable(now, s) {
 			continue
 		}
-		p.drawn = append(p.drawn, s)
-		if len(p.drawn) == n {
+		p.sampled = append(p.sampled, s)
+		if len(p.sampled) == n {
 			break
 		}
 	}
-	return p.drawn
+	return p.sampled
 }
 
-// lastResort is the ejected upstream that comes back first: better than none.
-func (p *pool) lastResort(r *Request) *state {
-	var best *state
-	for _, s := range p.list {
+// lastResort returns the upstream whose ejection ends first, or has ended longest ago,
+// for a request that finds no usable one; nil if the request excludes all.
+func (p *pool) lastResort(r *Request) *candidate {
+	var best *candidate
+	for _, s := range p.candidates {
 		if r.Exclude[s.ID] {
 			continue
 		}
-		if best == nil || s.until.Before(best.until) {
+		if best == nil || s.ejectedUntil.Before(best.ejectedUntil) {
 			best = s
 		}
 	}
@@ -176,138 +182,144 @@
 }
 
 const (
-	// nearBonus decides between upstreams that are equal but for less than one
-	// request in favour of the entry's own failure domain.
-	nearBonus  = 0.5
-	workWeight = 0.02
+	// sameDomainBonus is subtracted from the number of requests at an upstream in the
+	// entry's own failure domain. It is less than one request, so that it only decides
+	// between about equally loaded upstreams.
+	sameDomainBonus = 0.5
+	// tokensSmoothing is the smoothing factor of the number of tokens per request.
+	tokensSmoothing = 0.02
 )
 
-// usual is the mean reported load of some upstreams, per slot.
-func usual(list []*state) float64 {
+// meanLoadPerSlot returns the mean reported number of requests per slot.
+func meanLoadPerSlot(list []*candidate) float64 {
 	reported, width := 0, 0
 	for _, s := range list {
 		reported += s.reported
-		width += s.width()
+		width += s.capacity()
 	}
 	return float64(reported) / float64(max(width, 1))
 }
 
-// expected is the estimated number of requests at an upstream. What others
-// have done since its load was true is unknown; as all of them even out the
-// load, the longer ago it was, the closer it is to the usual. Without this, each
-// entry goes on to send to whichever upstream once reported little.
-func (p *pool) expected(now time.Time, s *state, usual float64) float64 {
+// projectedRequests returns the estimated number of requests at an upstream now. What
+// other entries have sent since its load was true is unknown. As all of them balance
+// the load, the estimate approaches the mean as the load gets older. Without this,
+// entries would keep sending to the upstream that last reported a low load.
+func (p *pool) projectedRequests(now time.Time, s *candidate, meanLoad float64) float64 {
 	n := float64(s.requests())
-	age := now.Sub(s.made).Seconds()
-	if age <= 0 || p.elapsed == 0 {
+	age := now.Sub(s.loadTime).Seconds()
+	if age <= 0 || p.meanElapsed == 0 {
 		return n
 	}
-	drift := age / (age + memory*p.elapsed)
-	return n + drift*(usual*float64(s.width())-float64(s.reported))
+	drift := age / (age + loadHalfLife*p.meanElapsed)
+	return n + drift*(meanLoad*float64(s.capacity())-float64(s.reported))
 }
 
-// memory is how long a load stays half true, in answer times.
-const memory = 0.4
+// loadHalfLife is the age of a load at which the estimate is halfway to the mean, in
+// multiples of the mean response time.
+const loadHalfLife = 0.4
 
-// busy is the share of an upstream's slots in use with one request more; over 1
-// it must wait.
-func (p *pool) busy(now time.Time, s *state, usual float64) float64 {
-	n := p.expected(now, s, usual) + 1
-	if s.near {
-		n -= nearBonus
+// projectedUtilization returns the share of an upstream's slots in use if it gets one
+// more request. Above 1 the request has to queue.
+func (p *pool) projectedUtilization(now time.Time, s *candidate, meanLoad float64) float64 {
+	n := p.projectedRequests(now, s, meanLoad) + 1
+	if s.sameDomain {
+		n -= sameDomainBonus
 	}
-	if p.work > 0 {
-		// Own requests count by their tokens, those of others by the mean.
-		n += ownWorkWeight * (float64(s.tokens)/p.work - float64(s.inflight))
+	if p.meanTokens > 0 {
+		// Requests of this entry are weighted by their tokens.
+		n += ownTokensWeight * (float64(s.inflightTokens)/p.meanTokens - float64(s.inflight))
 	}
-	return n / (float64(s.width()) * s.share(now))
+	return n / (float64(s.capacity()) * s.slowStartShare(now))
 }
 
-// ownWorkWeight is how far own requests count by their tokens rather than as
-// one each: tokens are an estimate, and part of them is done already.
-const ownWorkWeight = 0.5
+// ownTokensWeight is how much the tokens of this entry's requests count, from 0 (each
+// request counts as one) to 1. Token counts are estimates, and part of the work is
+// already done.
+const ownTokensWeight = 0.5
 
-// contest finds the best of several candidates.
-type contest struct {
-	best  *state
-	least float64
-	// others says that there is another candidate.
-	others bool
-	// queue says that a full upstream is not worth leaving.
-	queue bool
+// selection collects the candidate with the lowest score.
+type selection struct {
+	best      *candidate
+	bestScore float64
+	// hasAlternative is true if there is more than one candidate.
+	hasAlternative bool
+	// queueInPlace is true if the request should queue at a full upstream rather than
+	// look for a free slot elsewhere.
+	queueInPlace bool
 }
 
-func (c *contest) enter(s *state, score float64) {
+// add adds a candidate; adding the best one again has no effect.
+func (c *selection) add(s *candidate, score float64) {
 	switch {
 	case s == c.best:
 		return
 	case c.best == nil:
-		c.best, c.least = s, score
+		c.best, c.bestScore = s, score
 		return
-	case score < c.least:
-		c.best, c.least = s, score
+	case score < c.bestScore:
+		c.best, c.bestScore = s, score
 	}
-	c.others = true
+	c.hasAlternative = true
 }
 
-// choose starts an attempt at a contest's best, or at the last resort.
-func (p *pool) choose(now time.Time, r *Request, c *contest) (Choice, bool) {
+// startBest starts an attempt at the best candidate, or at the last resort if there is
+// none.
+func (p *pool) startBest(now time.Time, r *Request, c *selection) (Choice, bool) {
 	if c.best == nil {
 		c.best = p.lastResort(r)
 	}
 	if c.best == nil {
 		return Choice{}, false
 	}
-	p.start(now, c.best, r)
-	return Choice{Upstream: c.best.Upstream, NoWait: c.others && !c.queue}, true
+	p.startAttempt(now, c.best, r)
+	return Choice{Upstream: c.best.Upstream, NoWait: c.hasAlternative && !c.queueInPlace}, true
 }
 
 const (
-	// longRun is how long requests must run to wait at several upstreams at once.
-	// Each slot that is held costs the way to the entry and back, 2 ms today, and
-	// one in six is held in vain: 2% of a run of 100 ms, but 12% of one of 20 ms,
-	// which at 95% load is more than there is.
-	longRun = 100 * time.Millisecond
-	// crowded is the load per slot above which short runs queue where they are: a
-	// free slot is too rare to look for.
-	crowded = 1.1
+	// minReservedRunTime is the minimum mean run time for which requests wait at several
+	// upstreams at once. A reserved slot is idle for a round trip to the entry; for
+	// shorter runs that wastes too much of the capacity.
+	minReservedRunTime = 100 * time.Millisecond
+	// queueInPlaceLoad is the mean load per slot from which short runs queue at the
+	// selected upstream: free slots are too rare to look for.
+	queueInPlaceLoad = 1.1
 )
 
-// short says whether requests are known to run for a short time.
-func short(list []*state) bool {
+// haveShortRuns reports whether the mean known run time is below minReservedRunTime. It
+// is false if no run time is known.
+func haveShortRuns(list []*candidate) bool {
 	sum, known := time.Duration(0), 0
 	for _, s := range list {
-		if s.run > 0 {
-			sum += s.run
+		if s.runTime > 0 {
+			sum += s.runTime
 			known++
 		}
 	}
-	return known > 0 && sum < time.Duration(known)*longRun
+	return known > 0 && sum < time.Duration(known)*minReservedRunTime
 }
 
-// start counts an attempt.
-func (p *pool) start(now time.Time, s *state, r *Request) {
-	s.estimate.sent(now)
-	s.health.sent(now)
-	s.tokens += r.Tokens
+// startAttempt counts an attempt as in flight.
+func (p *pool) startAttempt(now time.Time, s *candidate, r *Request) {
+	s.loadEstimate.recordStart(now)
+	s.health.recordRequest(now)
+	s.inflightTokens += r.Tokens
 	if r.Tokens > 0 {
-		if p.work == 0 {
-			p.work = float64(r.Tokens)
+		if p.meanTokens == 0 {
+			p.meanTokens = float64(r.Tokens)
 		}
-		p.work += workWeight * (float64(r.Tokens) - p.work)
+		p.meanTokens += tokensSmoothing * (float64(r.Tokens) - p.meanTokens)
 	}
 }
 
-// done ends an attempt. The end of one that was sent to an earlier incarnation
-// changes nothing.
-func (p *pool) done(now time.Time, up Upstream, r *Request, res Result) {
+// finishAttempt ends an attempt. It ignores attempts at an earlier incarnation.
+func (p *pool) finishAttempt(now time.Time, up Upstream, r *Request, res Result) {
 	s := p.byID[up.ID]
 	if s == nil || s.Incarnation != up.Incarnation {
 		return
 	}
-	// The agent counts the attempt that ends among the running ones.
-	s.answer(now, res.Load)
-	s.ended(now)
-	s.tokens = max(s.tokens-r.Tokens, 0)
-	p.judge(now, s, float64(max(r.Tokens, 1)), res)
+	// The reported load still includes the attempt that ends.
+	s.applyResponse(now, res.Load)
+	s.recordEnd(now)
+	s.inflightTokens = max(s.inflightTokens-r.Tokens, 0)
+	p.recordResult(now, s, float64(max(r.Tokens, 1)), res)
 }
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -11,65 +11,70 @@
 func init() {
 	kernel.Register(kernel.Module{
 		ID:  "route.prefix",
-		Doc: "the longest cached prefix of the prompt, traded against waiting work",
+		Doc: "the longest cached prefix of the prompt, traded against load",
 		New: func() any { return NewPrefix(DefaultPrefixSettings()) },
 	})
 }
 
-// PrefixSettings of the plug-in "prefix".
+// PrefixSettings are the settings of Prefix.
 type PrefixSettings struct {
-	// Choices is how many random upstreams are compared besides those that
+	// Choices is the number of random upstreams that are compared besides those that
 	// hold a prefix.
 	Choices int
-	// MaxHolders is how many holders of the longest prefixes are compared.
+	// MaxHolders is the maximum number of upstreams with the longest cached prefixes
+	// that are compared.
 	MaxHolders int
-	// MaxBlocks bounds the memory of blocks, over all upstreams.
+	// MaxBlocks is the maximum number of blocks in the prefix index.
 	MaxBlocks int
-	// Worth is how much busier, in shares of its slots, an upstream may be if it
-	// holds the whole prompt.
+	// Worth is the additional utilization, as a share of its slots, that is accepted of
+	// an upstream that holds the whole prompt.
 	Worth float64
 }
 
-// DefaultPrefixSettings are those of a pool row that names the plug-in.
+// DefaultPrefixSettings returns the settings of the plug-in "prefix".
 func DefaultPrefixSettings() PrefixSettings {
 	return PrefixSettings{Choices: defaultChoices, MaxHolders: 4, MaxBlocks: 1 << 17, Worth: 0.5}
 }
 
-// Prefix routes to where a prompt's beginning is cached, unless work waits there.
+// Prefix is a balancer with prefix-cache affinity: it prefers upstreams that hold a long
+// prefix of the prompt in their cache, unless they are too heavily loaded.
 type Prefix struct {
 	pool
 	settings PrefixSettings
 	index    prefixIndex
-	// seqs holds the last cache event of each upstream, by its bit.
-	seqs [MaxCandidates]uint64
-	// depths is how many blocks each upstream holds, by its bit; valid during Pick.
-	depths  [MaxCandidates]int
-	byBit   [MaxCandidates]*state
-	holders []*state
+	// cacheSeqs holds the sequence number of the last cache event, by the upstream's bit.
+	cacheSeqs [MaxCandidates]uint64
+	// depths holds the number of prefix blocks that an upstream holds, by its bit. It is
+	// only valid for the upstreams in the mask that matchPrefix last returned.
+	depths [MaxCandidates]int
+	// byBit holds the candidates by their bits.
+	byBit [MaxCandidates]*candidate
+	// holders is the buffer of longestHolders.
+	holders []*candidate
 }
 
-// NewPrefix makes the plug-in.
+// NewPrefix creates a Prefix balancer.
 func NewPrefix(s PrefixSettings) *Prefix {
 	return &Prefix{pool: newPool(), settings: s, index: newPrefixIndex(s.MaxBlocks)}
 }
 
 // Update implements Balancer.
 func (b *Prefix) Update(now time.Time, ups []Upstream) {
-	if lost := b.update(now, ups); lost != 0 {
-		b.index.forget(lost)
-		for m := lost; m != 0; m &= m - 1 {
-			b.seqs[bits.TrailingZeros64(m)] = 0
+	if released := b.setUpstreams(now, ups); released != 0 {
+		b.index.removeUpstreams(released)
+		for m := released; m != 0; m &= m - 1 {
+			b.cacheSeqs[bits.TrailingZeros64(m)] = 0
 		}
 	}
-	b.byBit = [MaxCandidates]*state{}
-	for _, s := range b.list {
+	b.byBit = [MaxCandidates]*candidate{}
+	for _, s := range b.candidates {
 		b.byBit[s.bit] = s
 	}
 }
 
 // Report implements Balancer.
 func (b *Prefix) Report(now time.Time, id string, incarnation uint64, l *wire.Load) {
-	b.report(now, id, incarnation, l)
+	b.applyReport(now, id, incarnation, l)
 }
 
 // Cache implements Balancer.
@@ -80,17 +85,16 @@
 	}
 	mask := uint64(1) << s.bit
 	for _, e := range events {
-		last := b.seqs[s.bit]
+		last := b.cacheSeqs[s.bit]
 		if e.Seq <= last {
 			continue
 		}
-		b.seqs[s.bit] = e.Seq
-		// An event that was lost may have removed any block. What was known of
-		// the upstream is dropped, own routing included: a wrong hint draws
-		// requests to a busy upstream for nothing, a missing one only costs a
-		// prefill. Answers don't depend on hints.
+		b.cacheSeqs[s.bit] = e.Seq
+		// A lost event may have removed any block, so all blocks of the upstream are
+		// dropped. The index is only a hint: a missing block costs a prefill, a wrong
+		// one may attract requests to a loaded upstream for nothing.
 		if e.Cleared || last != 0 && e.Seq != last+1 {
-			b.index.forget(mask)
+			b.index.removeUpstreams(mask)
 		}
 		for _, block := range e.Removed {
 			b.index.remove(block, mask)
@@ -103,46 +107,47 @@
 
 // Pick implements Balancer.
 func (b *Prefix) Pick(now time.Time, r *Request) (Choice, bool) {
-	held := b.match(r.Prefix)
+	holders := b.matchPrefix(r.Prefix)
 	list := b.sample(now, r, b.settings.Choices)
-	usual := usual(list)
-	c := contest{queue: usual >= crowded && short(list)}
+	mean := meanLoadPerSlot(list)
+	c := selection{queueInPlace: mean >= queueInPlaceLoad && haveShortRuns(list)}
 	for _, s := range list {
-		c.enter(s, b.busy(now, s, usual)-b.worth(r, s, held))
+		c.add(s, b.projectedUtilization(now, s, mean)-b.prefixBonus(r, s, holders))
 	}
-	for _, s := range b.longest(now, r, held) {
-		c.enter(s, b.busy(now, s, usual)-b.worth(r, s, held))
+	for _, s := range b.longestHolders(now, r, holders) {
+		c.add(s, b.projectedUtilization(now, s, mean)-b.prefixBonus(r, s, holders))
 	}
-	choice, ok := b.choose(now, r, &c)
+	choice, ok := b.startBest(now, r, &c)
 	if !ok {
 		return choice, false
 	}
-	// What was sent there will be cached there, whether events tell so or not.
+	// The upstream will cache the prompt, whether or not it sends cache events.
 	for _, block := range r.Prefix {
 		b.index.add(block, 1<<c.best.bit)
 	}
 	return choice, true
 }
 
-// match sets depths and returns the mask of upstreams that hold any prefix.
-func (b *Prefix) match(blocks []uint64) (held uint64) {
+// matchPrefix returns the mask of the upstreams that hold at least the first block, and
+// sets depths for them.
+func (b *Prefix) matchPrefix(blocks []uint64) (holders uint64) {
 	mask := ^uint64(0)
 	for i, block := range blocks {
 		next := mask & b.index.holders(block)
 		if i == 0 {
-			held = next
+			holders = next
 		} else {
 			b.setDepth(mask&^next, i)
 		}
 		mask = next
 		if mask == 0 {
-			return held
+			return holders
 		}
 	}
 	if len(blocks) > 0 {
 		b.setDepth(mask, len(blocks))
 	}
-	return held
+	return holders
 }
 
 func (b *Prefix) setDepth(mask uint64, depth int) {
@@ -151,39 +156,40 @@
 	}
 }
 
-// longest returns the usable upstreams with the longest prefixes.
-func (b *Prefix) longest(now time.Time, r *Request, held uint64) []*state {
+// longestHolders returns the usable upstreams with the longest cached prefixes, at most
+// MaxHolders. The slice is valid until the next call.
+func (b *Prefix) longestHolders(now time.Time, r *Request, holders uint64) []*candidate {
 	b.holders = b.holders[:0]
-	for m := held; m != 0; m &= m - 1 {
+	for m := holders; m != 0; m &= m - 1 {
 		s := b.byBit[bits.TrailingZeros64(m)]
 		if s == nil || r.Exclude[s.ID] || !b.usable(now, s) {
 			continue
 		}
-		b.keepLongest(s)
+		b.addHolder(s)
 	}
 	return b.holders
 }
 
-func (b *Prefix) keepLongest(s *state) {
+func (b *Prefix) addHolder(s *candidate) {
 	if len(b.holders) < b.settings.MaxHolders {
 		b.holders = append(b.holders, s)
 		return
 	}
-	least := 0
+	shortest := 0
 	for i, h := range b.holders {
-		if b.depths[h.bit] < b.depths[b.holders[least].bit] {
-			least = i
+		if b.depths[h.bit] < b.depths[b.holders[shortest].bit] {
+			shortest = i
 		}
 	}
-	if b.depths[s.bit] > b.depths[b.holders[least].bit] {
-		b.holders[least] = s
+	if b.depths[s.bit] > b.depths[b.holders[shortest].bit] {
+		b.holders[shortest] = s
 	}
 }
 
-// worth is how much busier an upstream may be for the part of the prompt that
-// it holds.
-func (b *Prefix) worth(r *Request, s *state, held uint64) float64 {
-	if held&(1<<s.bit) == 0 {
+// prefixBonus returns the additional utilization that is accepted of an upstream for
+// the part of the prompt that it holds.
+func (b *Prefix) prefixBonus(r *Request, s *candidate, holders uint64) float64 {
+	if holders&(1<<s.bit) == 0 {
 		return 0
 	}
 	return b.settings.Worth * float64(b.depths[s.bit]) / float64(len(r.Prefix))
@@ -191,5 +197,5 @@
 
 // Done implements Balancer.
 func (b *Prefix) Done(now time.Time, up Upstream, r *Request, res Result) {
-	b.done(now, up, r, res)
+	b.finishAttempt(now, up, r, res)
 }
--- a/route/prefixindex.go
+++ b/route/prefixindex.go
@@ -1,20 +1,20 @@
 package route
 
-// prefixIndex remembers which upstreams are thought to hold a block of prompts:
-// a mask of bits per block. Its memory is bounded by two generations: when the
-// young one is full it becomes the old one, and what was in the old one and not
-// used since is forgotten.
+// prefixIndex maps prompt blocks to the mask of the upstreams that probably hold them.
+// Its size is bounded by two generations: when the young one is full it becomes the old
+// one, and blocks of the former old generation that were not added again are dropped.
 type prefixIndex struct {
-	limit      int
+	maxBlocks  int
 	young, old map[uint64]uint64
 }
 
-// newPrefixIndex holds between limit/2 and limit blocks once it is full.
-func newPrefixIndex(limit int) prefixIndex {
-	return prefixIndex{limit: limit, young: map[uint64]uint64{}, old: map[uint64]uint64{}}
+// newPrefixIndex creates an index that holds between maxBlocks/2 and maxBlocks blocks
+// once it is full.
+func newPrefixIndex(maxBlocks int) prefixIndex {
+	return prefixIndex{maxBlocks: maxBlocks, young: map[uint64]uint64{}, old: map[uint64]uint64{}}
 }
 
-// holders returns the upstreams thought to hold a block.
+// holders returns the mask of the upstreams that probably hold a block.
 func (x *prefixIndex) holders(block uint64) uint64 {
 	if mask, ok := x.young[block]; ok {
 		return mask
@@ -22,7 +22,7 @@
 	return x.old[block]
 }
 
-// add notes that upstreams hold a block.
+// add records that the upstreams in the mask hold a block.
 func (x *prefixIndex) add(block, mask uint64) {
 	if young, ok := x.young[block]; ok {
 		if young|mask != young {
@@ -30,14 +30,14 @@
 		}
 		return
 	}
-	if len(x.young) >= x.limit/2 {
-		x.old, x.young = x.young, make(map[uint64]uint64, x.limit/2)
+	if len(x.young) >= x.maxBlocks/2 {
+		x.old, x.young = x.young, make(map[uint64]uint64, x.maxBlocks/2)
 	}
 	x.young[block] = x.old[block] | mask
 	delete(x.old, block)
 }
 
-// remove notes that upstreams no longer hold a block.
+// remove records that the upstreams in the mask no longer hold a block.
 func (x *prefixIndex) remove(block, mask uint64) {
 	if young, ok := x.young[block]; ok {
 		x.young[block] = young &^ mask
@@ -48,8 +48,8 @@
 	}
 }
 
-// forget drops all that is known of upstreams.
-func (x *prefixIndex) forget(mask uint64) {
+// removeUpstreams removes the upstreams in the mask from all blocks.
+func (x *prefixIndex) removeUpstreams(mask uint64) {
 	for _, m := range []map[uint64]uint64{x.young, x.old} {
 		for block, holders := range m {
 			if holders&^mask == 0 {
--- a/route/roundrobin.go
+++ b/route/roundrobin.go
@@ -10,12 +10,12 @@
 func init() {
 	kernel.Register(kernel.Module{
 		ID:  "route.round-robin",
-		Doc: "each upstream in turn; the naive baseline",
+		Doc: "each upstream in turn, regardless of load; a baseline",
 		New: func() any { return &RoundRobin{} },
 	})
 }
 
-// RoundRobin takes each upstream in turn, whatever its load.
+// RoundRobin selects the upstreams in turn, regardless of their load and health.
 type RoundRobin struct {
 	ups  []Upstream
 	next int
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,5 @@
-// Package route chooses an upstream for an attempt. The choice is a plug-in in
-// the namespace "route"; the pool's row names it.
+// Package route selects an upstream for each attempt of a request. Balancers are
+// plug-ins in the namespace "route"; the pool's table row names the one to use.
 package route
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrNotBalancer is returned for a plug-in of another kind.
-var ErrNotBalancer = merry.Sentinel("plug-in doesn't route")
+// ErrNotBalancer is returned by New if the named plug-in is not a Balancer.
+var ErrNotBalancer = merry.Sentinel("plug-in is not a balancer")
 
-// Upstream is what a balancer knows of a candidate from the directory.
+// Upstream is a candidate as the directory describes it. Load may be nil.
 type Upstream struct {
 	ID            string
 	Incarnation   uint64
@@ -23,64 +23,69 @@
 	Load          *wire.Load
 }
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that a balancer takes into account.
 type Request struct {
 	Priority wire.Priority
-	// Tokens is the estimated work: prompt and output; 0 for plain services.
+	// Tokens is the estimated number of prompt and output tokens; 0 for services
+	// that don't process tokens.
 	Tokens int
-	// Prefix holds the chained hashes of the prompt's blocks, shortest prefix first.
+	// Prefix holds the chained hashes of the prompt's blocks, as PrefixHashes
+	// returns them.
 	Prefix []uint64
-	// Exclude names upstreams that earlier attempts of the request used.
+	// Exclude holds the IDs of the upstreams of earlier attempts.
 	Exclude map[string]bool
 }
 
-// Result is how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
 	Outcome wire.Outcome
 	Reason  wire.Reason
-	Load    *wire.Load
-	// Elapsed is the time from Pick to the end.
+	// Load is the load that came with the end of the response; nil if none did.
+	Load *wire.Load
+	// Elapsed is the duration of the attempt.
 	Elapsed time.Duration
-	// CallerGone says that the caller left first: the end tells nothing of the
-	// upstream.
+	// CallerGone is true if the caller disconnected before the attempt ended. Such a
+	// result says nothing about the upstream.
 	CallerGone bool
 }
 
-// Choice is the upstream for an attempt.
+// Choice is the upstream selected for an attempt.
 type Choice struct {
 	Upstream
-	// NoWait says that another upstream may have a free slot if this one has none:
-	// its agent is to refuse the attempt at once rather than queue it.
+	// NoWait is true if another upstream may have a free slot: the agent should then
+	// refuse the attempt at once if it has none, instead of queueing it.
 	NoWait bool
 }
 
-// Balancer chooses among the upstreams of one pool, at one entry. It is pure:
-// no goroutine, no clock. It is not safe for use by several goroutines.
+// Balancer selects among the upstreams of one pool on behalf of one entry. It starts
+// no goroutines and reads no clock. It is not safe for concurrent use.
 type Balancer interface {
-	// Update replaces the candidates: those that are up.
+	// Update replaces the candidates with the upstreams that are up.
 	Update(now time.Time, ups []Upstream)
-	// Report takes a load report of one incarnation.
+	// Report applies a load report. Reports of another incarnation are ignored.
 	Report(now time.Time, id string, incarnation uint64, l *wire.Load)
-	// Cache takes cache events of one incarnation.
+	// Cache applies cache events. Events of another incarnation are ignored.
 	Cache(now time.Time, id string, incarnation uint64, events []*wire.CacheEvent)
-	// Pick chooses; the attempt counts as in flight until Done.
+	// Pick selects an upstream, or returns false if there is none. The attempt counts
+	// as in flight until Done.
 	Pick(now time.Time, r *Request) (Choice, bool)
-	// Done ends an attempt that Pick chose.
+	// Done ends an attempt that Pick has started.
 	Done(now time.Time, up Upstream, r *Request, res Result)
 }
 
-// Place says where an entry stands, for plug-ins that prefer what is near.
+// Place describes the entry that a balancer works for.
 type Place struct {
+	// Entry is the entry's ID.
 	Entry         string
 	FailureDomain string
-	// Seed makes the entry's random choices its own.
+	// Seed seeds the balancer's random choices; it differs between entries.
 	Seed uint64
 }
 
-// Placed is a balancer that wants to know its place.
+// Placed is implemented by balancers that depend on the entry they work for.
 type Placed interface{ SetPlace(Place) }
 
-// New makes the balancer that a pool row names.
+// New creates the balancer of the given name for an entry.
 func New(name string, place Place) (Balancer, error) {
 	v, err := kernel.Load("route."+name, nil)
 	if err != nil {
@@ -96,8 +101,11 @@
 	return b, nil
 }
 
-// Answered is a balancer that hears of the head of an answer before its end: of a
-// stream that is a sign of life, and a load, seconds earlier.
+// Answered is implemented by balancers that also use response heads. The head of a
+// streamed response shows that the upstream is alive, and its load, seconds before
+// Done does.
 type Answered interface {
+	// Answered reports that the response head arrived, with its load, the given time
+	// after the request was sent.
 	Answered(now time.Time, up Upstream, l *wire.Load, after time.Duration)
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -12,11 +12,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-var start = time.Unix(1000, 0)
+var testStart = time.Unix(1000, 0)
 
-func at(d time.Duration) time.Time { return start.Add(d) }
+func afterStart(d time.Duration) time.Time { return testStart.Add(d) }
 
-func upstreams(n int) []Upstream {
+func testUpstreams(n int) []Upstream {
 	domains := []string{"hall-a", "hall-b", "hall-c"}
 	ups := make([]Upstream, n)
 	for i := range ups {
@@ -28,41 +28,40 @@
 func newLeastLoaded(n int) *LeastLoaded {
 	b := &LeastLoaded{pool: newPool(), choices: defaultChoices}
 	b.SetPlace(Place{Entry: "entry-1", FailureDomain: "hall-a", Seed: 1})
-	b.Update(start, upstreams(n))
+	b.Update(testStart, testUpstreams(n))
 	return b
 }
 
-func load(seq uint64, requests int) *wire.Load {
+func testLoad(seq uint64, requests int) *wire.Load {
 	return &wire.Load{Seq: seq, Running: uint32(requests), Slots: 8}
 }
 
-func whole(l *wire.Load) Result {
+func success(l *wire.Load) Result {
 	return Result{Outcome: wire.Outcome_OUTCOME_DONE, Load: l, Elapsed: 100 * time.Millisecond}
 }
 
-var broken = Result{Outcome: wire.Outcome_OUTCOME_UNKNOWN, Reason: wire.Reason_REASON_UPSTREAM_FAILED}
+var failure = Result{Outcome: wire.Outcome_OUTCOME_UNKNOWN, Reason: wire.Reason_REASON_UPSTREAM_FAILED}
 
-// A report overtaken by a later one, of an earlier life, or of an unknown
-// upstream would make a busy upstream look idle: it changes nothing.
-func TestLateReportChangesNothing(t *testing.T) {
+// Load reports that are out of order, of another incarnation or of an unknown upstream
+// must be ignored: they would make a busy upstream seem idle.
+func TestStaleLoadReportsAreIgnored(t *testing.T) {
 	b := newLeastLoaded(2)
-	b.Report(start, "up-0", 1, load(5, 7))
-	b.Report(start, "up-0", 1, load(4, 0))
-	b.Report(start, "up-0", 2, load(9, 0))
-	b.Report(start, "up-9", 1, load(9, 0))
+	b.Report(testStart, "up-0", 1, testLoad(5, 7))
+	b.Report(testStart, "up-0", 1, testLoad(4, 0))
+	b.Report(testStart, "up-0", 2, testLoad(9, 0))
+	b.Report(testStart, "up-9", 1, testLoad(9, 0))
 	assert.Equal(t, b.byID["up-0"].requests(), 7)
 }
 
-// The entry sends a burst between two reports. The reports all say "idle",
-// because they are older than the burst. Were they taken as they are, the whole
-// burst would queue at one upstream.
-func TestOldReportsDontHideOwnBurst(t *testing.T) {
+// Load reports that are older than a burst of this entry's requests must not hide it, or
+// the whole burst would queue at one upstream.
+func TestOldLoadReportsDoNotHideOwnRequests(t *testing.T) {
 	b := newLeastLoaded(4)
 	sent := map[string]int{}
 	for i := range 32 {
-		now := at(time.Duration(i) * 10 * time.Millisecond)
+		now := afterStart(time.Duration(i) * 10 * time.Millisecond)
 		for u := range 4 {
-			b.Report(now, fmt.Sprintf("up-%d", u), 1, load(uint64(i+1), 0))
+			b.Report(now, fmt.Sprintf("up-%d", u), 1, testLoad(uint64(i+1), 0))
 		}
 		c, ok := b.Pick(now, &Request{})
 		assert.Assert(t, ok)
@@ -73,47 +72,48 @@
 	}
 }
 
-// An answer's load is as old as its way back: own work that was sent before it
-// stands in it and must not count twice.
-func TestAnswerHoldsOwnWork(t *testing.T) {
+// Requests sent well before a response are included in the response's load and must not
+// be counted twice.
+func TestResponseLoadIncludesEarlierRequests(t *testing.T) {
 	b := newLeastLoaded(1)
 	for range 3 {
-		b.Pick(start, &Request{})
+		b.Pick(testStart, &Request{})
 	}
-	later := at(time.Second)
+	later := afterStart(time.Second)
 	for range 2 {
 		b.Pick(later, &Request{})
 	}
-	b.Done(later.Add(time.Millisecond), upstreams(1)[0], &Request{}, whole(load(1, 9)))
-	// 9 at the answer's time, the one that ended among them, and two on their way.
+	b.Done(later.Add(time.Millisecond), testUpstreams(1)[0], &Request{}, success(testLoad(1, 9)))
+	// 9 requests in the load, minus the one that ended, plus the 2 sent less than a round
+	// trip before the response.
 	assert.Equal(t, b.byID["up-0"].requests(), 10)
 }
 
-// Callers see no difference, but the own failure domain saves a millisecond each
-// way: it wins between equals, and never against a whole request less.
-func TestOwnFailureDomainWinsBetweenEquals(t *testing.T) {
+// Between equally loaded upstreams the one in the entry's own failure domain is chosen,
+// but not if it has more requests.
+func TestOwnFailureDomainBreaksTies(t *testing.T) {
 	b := newLeastLoaded(3)
 	for i, requests := range []int{3, 3, 3} {
-		b.Report(start, fmt.Sprintf("up-%d", i), 1, load(1, requests))
+		b.Report(testStart, fmt.Sprintf("up-%d", i), 1, testLoad(1, requests))
 	}
-	c, _ := b.Pick(start, &Request{})
+	c, _ := b.Pick(testStart, &Request{})
 	assert.Equal(t, c.FailureDomain, "hall-a")
-	b.Report(start, "up-0", 1, load(2, 5))
-	c, _ = b.Pick(start, &Request{})
+	b.Report(testStart, "up-0", 1, testLoad(2, 5))
+	c, _ = b.Pick(testStart, &Request{})
 	assert.Assert(t, c.FailureDomain != "hall-a")
 }
 
-// An upstream starts again while the others are half busy. It reports no load to
-// all entries at once; without a slow start it would get every request of each.
-func TestNewUpstreamStartsSlowly(t *testing.T) {
+// A restarted upstream reports no load to all entries at once. Slow start must keep it
+// from getting all their requests.
+func TestSlowStartAfterRestart(t *testing.T) {
 	b := newLeastLoaded(4)
 	for i := range 4 {
-		b.Report(start, fmt.Sprintf("up-%d", i), 1, load(1, 4))
+		b.Report(testStart, fmt.Sprintf("up-%d", i), 1, testLoad(1, 4))
 	}
-	ups := upstreams(4)
+	ups := testUpstreams(4)
 	ups[1].Incarnation = 2
-	b.Update(start, ups)
-	b.Report(start, "up-1", 2, load(1, 0))
+	b.Update(testStart, ups)
+	b.Report(testStart, "up-1", 2, testLoad(1, 0))
 	picked := func(now time.Time) int {
 		n := 0
 		for range 12 {
@@ -123,28 +123,28 @@
 		}
 		return n
 	}
-	early := picked(at(time.Second))
+	early := picked(afterStart(time.Second))
 	assert.Assert(t, early >= 1 && early <= 3, "%d of 12 in the first second", early)
 }
 
-// An entry starts and hears of its upstreams one after the other: none of them
-// is new. One that turns up much later is.
-func TestEntryStartIsNoUpstreamStart(t *testing.T) {
+// Upstreams that an entry learns of while it starts itself are not new and get no slow
+// start; one that appears much later does.
+func TestNoSlowStartDuringEntryStartup(t *testing.T) {
 	b := newLeastLoaded(1)
-	b.Update(at(time.Second), upstreams(2))
-	b.Update(at(time.Minute), upstreams(3))
-	assert.Equal(t, b.byID["up-1"].share(at(time.Minute)), 1.0)
-	assert.Equal(t, b.byID["up-2"].share(at(time.Minute)), slowStartFrom)
+	b.Update(afterStart(time.Second), testUpstreams(2))
+	b.Update(afterStart(time.Minute), testUpstreams(3))
+	assert.Equal(t, b.byID["up-1"].slowStartShare(afterStart(time.Minute)), 1.0)
+	assert.Equal(t, b.byID["up-2"].slowStartShare(afterStart(time.Minute)), slowStartInitialShare)
 }
 
-// An upstream answers every request with a cut connection. Callers see retries
-// until it is left; it is asked again after a while, and used once it answers.
+// An upstream that fails repeatedly is ejected, probed with a single request after the
+// ejection, and used again once the probe succeeds.
 func TestFailingUpstreamIsEjectedAndProbed(t *testing.T) {
 	b := newLeastLoaded(4)
 	for range failuresToEject {
 		s := b.byID["up-2"]
-		b.start(start, s, &Request{})
-		b.Done(start, s.Upstream, &Request{}, broken)
+		b.startAttempt(testStart, s, &Request{})
+		b.Done(testStart, s.Upstream, &Request{}, failure)
 	}
 	assert.Assert(t, b.byID["up-2"].ejected)
 	pick := func(now time.Time) map[string]int {
@@ -156,85 +156,84 @@
 		}
 		return got
 	}
-	assert.Equal(t, pick(at(firstEjection - time.Millisecond))["up-2"], 0)
-	assert.Equal(t, pick(at(firstEjection))["up-2"], 1)
-	b.Done(at(firstEjection), upstreams(4)[2], &Request{}, whole(load(1, 0)))
-	assert.Assert(t, pick(at(firstEjection + slowStart))["up-2"] > 1)
+	assert.Equal(t, pick(afterStart(firstEjection - time.Millisecond))["up-2"], 0)
+	assert.Equal(t, pick(afterStart(firstEjection))["up-2"], 1)
+	b.Done(afterStart(firstEjection), testUpstreams(4)[2], &Request{}, success(testLoad(1, 0)))
+	assert.Assert(t, pick(afterStart(firstEjection + slowStartDuration))["up-2"] > 1)
 }
 
-// Half of a pool is ejected when its healthy half goes. What is left must not
-// be ejected whole: callers would wait for nobody.
-func TestEjectionsEndWhenThePoolShrinks(t *testing.T) {
+// If the healthy half of a pool disappears, the ejected half must not stay ejected as a
+// whole.
+func TestEjectedShareIsBoundedWhenPoolShrinks(t *testing.T) {
 	b := newLeastLoaded(8)
-	for _, u := range upstreams(4) {
+	for _, u := range testUpstreams(4) {
 		for range failuresToEject {
-			b.start(start, b.byID[u.ID], &Request{})
-			b.Done(start, u, &Request{}, broken)
+			b.startAttempt(testStart, b.byID[u.ID], &Request{})
+			b.Done(testStart, u, &Request{}, failure)
 		}
 	}
-	assert.Equal(t, b.ejected, 4)
-	b.Update(start, upstreams(4))
-	assert.Equal(t, b.ejected, 2)
+	assert.Equal(t, b.ejectedCount, 4)
+	b.Update(testStart, testUpstreams(4))
+	assert.Equal(t, b.ejectedCount, 2)
 }
 
-// A probe fails: the upstream is left for twice as long, and so on up to a bound.
-func TestFailedProbeEjectsForLonger(t *testing.T) {
+// Each failed probe doubles the duration of the ejection, up to maxEjection.
+func TestFailedProbeDoublesEjection(t *testing.T) {
 	b := newLeastLoaded(4)
 	s := b.byID["up-2"]
-	now := start
+	now := testStart
 	for range failuresToEject {
-		b.start(now, s, &Request{})
-		b.Done(now, s.Upstream, &Request{}, broken)
+		b.startAttempt(now, s, &Request{})
+		b.Done(now, s.Upstream, &Request{}, failure)
 	}
 	for want := 2 * firstEjection; want < maxEjection; want *= 2 {
-		now = s.until
+		now = s.ejectedUntil
 		assert.Assert(t, b.usable(now, s))
-		b.start(now, s, &Request{})
-		b.Done(now, s.Upstream, &Request{}, broken)
-		assert.Equal(t, s.until.Sub(now), want)
+		b.startAttempt(now, s, &Request{})
+		b.Done(now, s.Upstream, &Request{}, failure)
+		assert.Equal(t, s.ejectedUntil.Sub(now), want)
 	}
 }
 
-// An engine stands still while its agent goes on reporting a low load. The
-// requests sent there hang until their deadline; no answer in the time in which
-// the others answer many gives it away.
+// A stalled engine must be ejected for not responding, even while its agent keeps
+// reporting a low load.
 func TestStalledUpstreamIsEjected(t *testing.T) {
 	b := newLeastLoaded(3)
 	got := 0
 	for i := range 400 {
-		now := at(time.Duration(i) * 50 * time.Millisecond)
-		b.Report(now, "up-1", 1, load(uint64(i+1), 0))
+		now := afterStart(time.Duration(i) * 50 * time.Millisecond)
+		b.Report(now, "up-1", 1, testLoad(uint64(i+1), 0))
 		c, _ := b.Pick(now, &Request{})
 		if c.ID == "up-1" {
 			got++
 			continue
 		}
-		b.Done(now.Add(20*time.Millisecond), c.Upstream, &Request{}, whole(load(uint64(i+1), 1)))
+		b.Done(now.Add(20*time.Millisecond), c.Upstream, &Request{}, success(testLoad(uint64(i+1), 1)))
 	}
 	assert.Assert(t, b.byID["up-1"].ejections > 0)
 	assert.Assert(t, got < 60, "%d of 400 went to the stalled upstream", got)
 }
 
-// An entry has just started and its engines take many seconds for their first
-// answers. Nothing is known of what is usual: none of them is taken for stalled.
-func TestSlowFirstAnswersAreNoStall(t *testing.T) {
+// Upstreams whose first responses take seconds must not be ejected as stalled before the
+// entry knows the usual response time.
+func TestSlowFirstResponsesDoNotEject(t *testing.T) {
 	b := newLeastLoaded(4)
 	for i := range 100 {
-		b.Pick(at(time.Duration(i)*100*time.Millisecond), &Request{})
+		b.Pick(afterStart(time.Duration(i)*100*time.Millisecond), &Request{})
 	}
-	assert.Equal(t, b.ejected, 0)
+	assert.Equal(t, b.ejectedCount, 0)
 }
 
-// An engine answers all, but ten times slower than the others.
+// An upstream that responds ten times slower than its peers must be ejected.
 func TestSlowUpstreamIsEjected(t *testing.T) {
 	b := newLeastLoaded(4)
 	for i := range 40 {
 		for u, id := range []string{"up-0", "up-1", "up-2", "up-3"} {
-			now := at(time.Duration(i) * time.Second)
+			now := afterStart(time.Duration(i) * time.Second)
 			s := b.byID[id]
 			r := &Request{Tokens: 100}
-			b.start(now, s, r)
-			res := whole(load(uint64(i+1), 1))
+			b.startAttempt(now, s, r)
+			res := success(testLoad(uint64(i+1), 1))
 			if u == 3 {
 				res.Elapsed *= 10
 			}
@@ -245,47 +244,45 @@
 	assert.Equal(t, b.byID["up-0"].ejections, 0)
 }
 
-// A caller leaves before its answer, a queue is full, a deadline passes in the
-// queue: none of these is the upstream's fault. Counted as faults, a few
-// impatient callers could take a healthy pool away from all others.
-func TestCallersDontEjectUpstreams(t *testing.T) {
+// Cancellations by callers, full queues and deadlines exceeded in a queue are not the
+// upstream's fault and must not eject it.
+func TestCancellationsAndRefusalsDoNotEject(t *testing.T) {
 	b := newLeastLoaded(4)
-	gone := broken
+	gone := failure
 	gone.CallerGone = true
 	s := b.byID["up-0"]
 	for i := range 100 {
-		now := at(time.Duration(i) * time.Millisecond)
+		now := afterStart(time.Duration(i) * time.Millisecond)
 		for _, res := range []Result{
 			gone,
-			{Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_QUEUE_FULL, Load: load(uint64(i+1), 72)},
+			{Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_QUEUE_FULL, Load: testLoad(uint64(i+1), 72)},
 			{Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_DEADLINE},
 		} {
-			b.start(now, s, &Request{})
+			b.startAttempt(now, s, &Request{})
 			b.Done(now, s.Upstream, &Request{}, res)
 		}
 	}
-	assert.Assert(t, b.usable(at(time.Second), s))
+	assert.Assert(t, b.usable(afterStart(time.Second), s))
 }
 
-// An upstream refuses because it is leaving, some seconds before the directory
-// says so. Each request sent there again would cost a retry.
+// An upstream that refuses a request because it is leaving must not be picked again while
+// the directory still lists it.
 func TestLeavingUpstreamIsNotPickedAgain(t *testing.T) {
 	b := newLeastLoaded(3)
-	c, _ := b.Pick(start, &Request{})
-	b.Done(start, c.Upstream, &Request{}, Result{
-		Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_UPSTREAM_LEAVING, Load: load(1, 0),
+	c, _ := b.Pick(testStart, &Request{})
+	b.Done(testStart, c.Upstream, &Request{}, Result{
+		Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_UPSTREAM_LEAVING, Load: testLoad(1, 0),
 	})
 	for range 20 {
-		next, ok := b.Pick(start, &Request{})
+		next, ok := b.Pick(testStart, &Request{})
 		assert.Assert(t, ok && next.ID != c.ID)
 	}
 }
 
-// Whatever comes in whatever order: no more than the allowed share is ejected,
-// nothing in flight is negative, the estimate is never below own work, an
-// excluded upstream is never chosen, and there is a choice as long as there is
-// an upstream that is not excluded.
-func TestAnyScheduleKeepsBounds(t *testing.T) {
+// For any sequence of calls: at most the allowed share is ejected, no in-flight count is
+// negative, the estimate is never below the entry's own requests, an excluded upstream
+// is never picked, and Pick succeeds if any upstream is not excluded.
+func TestBalancerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefix := rapid.Bool().Draw(t, "prefix")
 		var b Balancer
@@ -297,14 +294,14 @@
 			x := &LeastLoaded{pool: newPool(), choices: 3}
 			b, p = x, &x.pool
 		}
-		now := start
-		ups := upstreams(rapid.IntRange(0, 8).Draw(t, "upstreams"))
+		now := testStart
+		ups := testUpstreams(rapid.IntRange(0, 8).Draw(t, "upstreams"))
 		b.Update(now, ups)
-		type sent struct {
+		type attempt struct {
 			up Upstream
 			r  *Request
 		}
-		var flying []sent
+		var inflight []attempt
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
@@ -320,52 +317,51 @@
 				assert.Equal(t, ok, len(r.Exclude) < len(ups))
 				if ok {
 					assert.Assert(t, !r.Exclude[c.ID])
-					flying = append(flying, sent{c.Upstream, r})
+					inflight = append(inflight, attempt{c.Upstream, r})
 				}
 			case 2, 3:
-				if len(flying) == 0 {
+				if len(inflight) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(flying)-1).Draw(t, "which")
-				f := flying[i]
-				flying = append(flying[:i], flying[i+1:]...)
-				res := broken
+				i := rapid.IntRange(0, len(inflight)-1).Draw(t, "which")
+				a := inflight[i]
+				inflight = append(inflight[:i], inflight[i+1:]...)
+				res := failure
 				if rapid.IntRange(0, 2).Draw(t, "fails") == 0 {
-					res = whole(load(rapid.Uint64Range(0, 50).Draw(t, "seq"), rapid.IntRange(0, 20).Draw(t, "load")))
+					res = success(testLoad(rapid.Uint64Range(0, 50).Draw(t, "seq"), rapid.IntRange(0, 20).Draw(t, "load")))
 				}
-				b.Done(now, f.up, f.r, res)
+				b.Done(now, a.up, a.r, res)
 			case 4:
 				id := fmt.Sprintf("up-%d", rapid.IntRange(0, 8).Draw(t, "id"))
-				b.Report(now, id, 1, load(rapid.Uint64Range(0, 50).Draw(t, "seq"), rapid.IntRange(0, 20).Draw(t, "load")))
+				b.Report(now, id, 1, testLoad(rapid.Uint64Range(0, 50).Draw(t, "seq"), rapid.IntRange(0, 20).Draw(t, "load")))
 				b.Cache(now, id, 1, []*wire.CacheEvent{{
 					Seq:   rapid.Uint64Range(1, 9).Draw(t, "event"),
 					Added: rapid.SliceOfN(rapid.Uint64Range(0, 9), 0, 4).Draw(t, "added"),
 				}})
 			case 5:
-				ups = upstreams(rapid.IntRange(0, 8).Draw(t, "upstreams"))
+				ups = testUpstreams(rapid.IntRange(0, 8).Draw(t, "upstreams"))
 				if len(ups) > 0 {
 					ups[0].Incarnation = rapid.Uint64Range(1, 3).Draw(t, "incarnation")
 				}
 				b.Update(now, ups)
 			}
 			ejected := 0
-			for _, s := range p.list {
+			for _, s := range p.candidates {
 				if s.ejected {
 					ejected++
 				}
-				assert.Assert(t, s.inflight >= 0 && s.tokens >= 0 && s.requests() >= s.inflight)
+				assert.Assert(t, s.inflight >= 0 && s.inflightTokens >= 0 && s.requests() >= s.inflight)
 			}
-			assert.Equal(t, ejected, p.ejected)
-			assert.Assert(t, ejected <= len(p.list)/2, "%d of %d are ejected", ejected, len(p.list))
+			assert.Equal(t, ejected, p.ejectedCount)
+			assert.Assert(t, ejected <= len(p.candidates)/2, "%d of %d are ejected", ejected, len(p.candidates))
 		}
 	})
 }
 
-// A large pool is cut to a subset. An upstream that few entries use would idle
-// beside others that queue.
+// The subsets of many entries must use all upstreams of a large pool about equally.
 func TestSubsetsCoverUpstreamsEvenly(t *testing.T) {
 	const entries, size = 700, MaxCandidates
-	ups := upstreams(900)
+	ups := testUpstreams(900)
 	covered := map[string]int{}
 	for e := range entries {
 		chosen := Subset(fmt.Sprintf("entry-%d", e), ups, size)
@@ -377,14 +373,14 @@
 	mean := float64(entries*size) / float64(len(ups))
 	assert.Equal(t, len(covered), len(ups))
 	for id, n := range covered {
-		assert.Assert(t, float64(n) > 0.5*mean && float64(n) < 1.6*mean, "%s is used by %d entries, %.0f are usual", id, n, mean)
+		assert.Assert(t, float64(n) > 0.5*mean && float64(n) < 1.6*mean, "%s is used by %d entries, mean %.0f", id, n, mean)
 	}
 }
 
-// One upstream of a large pool goes: each entry replaces at most that one, and
-// keeps its connections to the others.
-func TestSubsetChangesLittle(t *testing.T) {
-	ups := upstreams(500)
+// If an upstream of a large pool disappears, each entry's subset replaces at most that
+// one, whatever the order of the list.
+func TestSubsetReplacesAtMostOneUpstream(t *testing.T) {
+	ups := testUpstreams(500)
 	for e := range 50 {
 		entry := fmt.Sprintf("entry-%d", e)
 		before := map[string]bool{}
@@ -393,12 +389,12 @@
 		}
 		shuffled := append([]Upstream(nil), ups[1:]...)
 		rand.New(rand.NewPCG(1, 2)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		fresh := 0
+		added := 0
 		for _, u := range Subset(entry, shuffled, MaxCandidates) {
 			if !before[u.ID] {
-				fresh++
+				added++
 			}
 		}
-		assert.Assert(t, fresh <= 1)
+		assert.Assert(t, added <= 1)
 	}
 }
--- a/route/subset.go
+++ b/route/subset.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxCandidates is how many upstreams of one pool an entry uses at most. A pool
-// that is larger is cut to a subset, so that connections, reports and memory at
-// an entry don't grow with the pool.
+// MaxCandidates is the maximum number of upstreams of one pool that an entry uses. Of a
+// larger pool it uses a subset, so that its connections, load reports and memory don't
+// grow with the pool. It must not exceed 64, the bits of a mask of upstreams.
 const MaxCandidates = 64
 
-// Subset returns the upstreams of a large pool that an entry uses, by
+// Subset returns the upstreams of a pool that an entry uses, at most size, by
 // rendezvous hashing (Thaler, Ravishankar: A Name-Based Mapping Scheme for
-// Rendezvous, 1996). It depends on the names alone, so that a restart keeps it;
-// an upstream that comes or goes changes at most one place in it.
+// Rendezvous, 1996). It depends only on the names, so that a restarted entry uses the
+// same ones; adding or removing an upstream changes at most one element.
 func Subset(entry string, ups []Upstream, size int) []Upstream {
 	if len(ups) <= size {
 		return ups
