--- a/forward/forward.go
+++ b/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward carries one request through its attempts: which upstream,
-// whether to try again, when an answer is whole, and what may be said of the
-// outcome.
+// Package forward forwards a request to upstreams: it selects an upstream for each
+// attempt, decides on retries, validates responses and determines the outcome of the
+// request.
 package forward
 
 import (
@@ -18,97 +18,104 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
 var (
-	// ErrInvalidAnswer is a late, crossed, cut, oversized or malformed answer.
-	ErrInvalidAnswer = merry.Sentinel("answer is invalid")
-	// ErrCallerGone says that the answer could not be written to the caller.
-	ErrCallerGone = merry.Sentinel("caller is gone")
+	// ErrInvalidAnswer means that a response is malformed, too large or belongs to
+	// another attempt.
+	ErrInvalidAnswer = merry.Sentinel("response is invalid")
+	// ErrCallerGone means that the response could not be written to the caller.
+	ErrCallerGone = merry.Sentinel("caller disconnected")
 )
 
 const (
-	// maxAttempts bounds the attempts of one request, whatever the budget.
+	// maxAttempts bounds the attempts of a request, without reroutes, regardless of the
+	// retry budget.
 	maxAttempts = 4
-	// maxMoves bounds how often a request moves on because an upstream had no free
-	// slot after all. A move is no retry: nothing failed, and nothing ran.
-	maxMoves = 3
+	// maxReroutes bounds how often a request is rerouted because an upstream had no free
+	// slot. A reroute is not a retry: nothing has failed or been executed.
+	maxReroutes = 3
 )
 
-// Call is one request.
+// Call is a request to be forwarded.
 type Call struct {
 	Head     *wire.RunHead
 	Body     []byte
 	Pool     *table.Pool
 	Route    *route.Request
 	Deadline time.Time
-	// MaxAnswer bounds an unstreamed answer, in bytes.
+	// MaxAnswer bounds the body of an unstreamed response in bytes.
 	MaxAnswer int64
-	// Trial follows the request's attempts; nil is nobody.
+	// Trial guards and observes the request's attempts; it may be nil.
 	Trial Trial
 
-	// mayMove lets an agent refuse the next attempt if it has no free slot.
-	mayMove bool
-	// mustQueue says that no queue had a place for a ticket.
-	mustQueue bool
-	// slot is held for the next attempt; nil if none is.
-	slot *slot
+	// mayReroute allows the agent of the next attempt to refuse it if it has no free slot.
+	mayReroute bool
+	// queuesFull is true if the call last tried to wait for a slot and all queues were full.
+	queuesFull bool
+	// reservation is the slot reserved for the next attempt; nil if there is none.
+	reservation *queuedTicket
 }
 
-// Trial follows what a request does to upstreams.
+// Trial limits the attempts of a request and observes the upstreams that die while they
+// run it.
 type Trial interface {
-	// MaySend says whether the request may be sent to an upstream now, after some attempts that
-	// may have run.
+	// MaySend reports whether the request may be sent to an upstream now, given the number
+	// of earlier attempts that may have run.
 	MaySend(ran int) bool
-	// Ended takes that an upstream ended while it ran the request, for a time. The life is the
-	// agent's name of what ended.
+	// Ended records that an upstream ended after it had run the request for the given
+	// time. life is the agent's identifier of the upstream instance that ended.
 	Ended(upstream route.Upstream, life string, ran time.Duration)
 }
 
-// Sink takes an answer. An unstreamed answer reaches it whole, in one Write.
+// Sink receives a response. The body of an unstreamed response is passed in a single
+// Write once it is complete.
 type Sink interface {
 	Begin(h *wire.RunReplyHead) error
 	Write(body []byte) error
 }
 
-// Result is what became of a call.
+// Result is the result of a Call.
 type Result struct {
 	Outcome wire.Outcome
-	// Reason is zero when the answer is whole.
+	// Reason is 0 if the response is complete.
 	Reason wire.Reason
 	Detail string
-	// Begun says that part of a streamed answer has reached the sink: the
-	// caller must be shown a cut, not a refusal.
-	Begun    bool
+	// Begun is true once the head of a streamed response has been passed to the sink. If
+	// Reason is set, the caller must then get a truncated response, not a refusal.
+	Begun bool
+	// Attempts holds the attempts that failed, in order.
 	Attempts []*wire.RefusedAttempt
 }
 
-// Forwarder makes attempts for one entry.
+// Forwarder forwards the requests of one entry. It is safe for concurrent use.
 type Forwarder struct {
 	pool  *transport.Pool
-	place route.Place
+	entry route.Place
 	now   func() time.Time
 
-	mu        sync.Mutex
-	balancers map[string]*balancer
+	mu sync.Mutex
+	// balancers holds the balancers by pool name.
+	balancers map[string]*poolBalancer
 }
 
-type balancer struct {
+// poolBalancer is the balancer of a pool with its plug-in name, retry budget and
+// upstreams.
+type poolBalancer struct {
 	route.Balancer
 	plugin string
 	budget *Budget
 	ups    []route.Upstream
 }
 
-// New makes a forwarder.
-func New(pool *transport.Pool, place route.Place, now func() time.Time) *Forwarder {
-	return &Forwarder{pool: pool, place: place, now: now, balancers: map[string]*balancer{}}
+// New creates a forwarder for an entry, with the clock now.
+func New(pool *transport.Pool, entry route.Place, now func() time.Time) *Forwarder {
+	return &Forwarder{pool: pool, entry: entry, now: now, balancers: map[string]*poolBalancer{}}
 }
 
 // Update sets the upstreams of a pool that are up.
 func (f *Forwarder) Update(p *table.Pool, ups []route.Upstream) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b, err := f.balancer(p)
+	b, err := f.balancerFor(p)
 	if err != nil {
 		return err
 	}
@@ -117,19 +124,19 @@
 	return nil
 }
 
-// balancer returns a pool's balancer and makes it anew when its row names
-// another plug-in. The caller holds mu.
-func (f *Forwarder) balancer(p *table.Pool) (*balancer, error) {
+// balancerFor returns the balancer of a pool. It replaces the balancer if the pool's row
+// names another plug-in. The caller must hold mu.
+func (f *Forwarder) balancerFor(p *table.Pool) (*poolBalancer, error) {
 	b := f.balancers[p.Name]
 	if b != nil && b.plugin == p.Route {
 		b.budget.Configure(float64(p.RetryPercent) / 100)
 		return b, nil
 	}
-	made, err := route.New(p.Route, f.place)
+	created, err := route.New(p.Route, f.entry)
 	if err != nil {
 		return nil, err
 	}
-	next := &balancer{Balancer: made, plugin: p.Route, budget: NewBudget(float64(p.RetryPercent) / 100)}
+	next := &poolBalancer{Balancer: created, plugin: p.Route, budget: NewBudget(float64(p.RetryPercent) / 100)}
 	if b != nil {
 		next.ups = b.ups
 		next.Update(f.now(), b.ups)
@@ -138,7 +145,7 @@
 	return next, nil
 }
 
-// Report hands a load report and cache events to the balancers.
+// Report passes a load report and its cache events to all balancers.
 func (f *Forwarder) Report(r *wire.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,40 +158,40 @@
 	}
 }
 
-// poolDump is what is known of a pool, for operators.
+// poolDump is the state of a pool as shown to operators.
 type poolDump struct {
 	Plugin    string                `json:"plugin"`
 	Upstreams []route.UpstreamState `json:"upstreams,omitempty"`
 }
 
-// Dump returns what the balancers know, by pool.
+// Dump returns the state of the balancers by pool name, for JSON encoding.
 func (f *Forwarder) Dump() any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	pools := make(map[string]poolDump, len(f.balancers))
 	for name, b := range f.balancers {
 		d := poolDump{Plugin: b.plugin}
-		if shown, ok := b.Balancer.(route.Dumper); ok {
-			d.Upstreams = shown.Dump(f.now())
+		if dumper, ok := b.Balancer.(route.Dumper); ok {
+			d.Upstreams = dumper.Dump(f.now())
 		}
 		pools[name] = d
 	}
 	return pools
 }
 
-// Do makes attempts until one is answered, or no more may be made.
+// Do makes attempts until one succeeds or no further one is allowed.
 func (f *Forwarder) Do(ctx context.Context, c *Call, sink Sink) Result {
 	var res Result
-	moves := 0
+	reroutes := 0
 	for n := 1; ; n++ {
-		if c.Trial != nil && !c.Trial.MaySend(res.ran()) {
-			res.Outcome = worst(res)
-			if res.ran() == 0 {
+		if c.Trial != nil && !c.Trial.MaySend(res.possibleRuns()) {
+			res.Outcome = overallOutcome(res)
+			if res.possibleRuns() == 0 {
 				res.Reason, res.Outcome = wire.Reason_REASON_QUARANTINED, wire.Outcome_OUTCOME_NOT_RUN
 			}
 			return res
 		}
-		c.mayMove = moves < maxMoves && !c.mustQueue && len(c.Body) <= transport.BodyFrame
+		c.mayReroute = reroutes < maxReroutes && !c.queuesFull && len(c.Body) <= transport.BodyFrame
 		up, end := f.attempt(ctx, c, sink, n)
 		res.Outcome, res.Reason, res.Detail, res.Begun = end.outcome, end.reason, end.detail, end.begun
 		if end.reason == 0 {
@@ -195,31 +202,31 @@
 				Upstream: up.ID, Outcome: end.outcome, Reason: end.reason, Detail: end.detail,
 			})
 		}
-		if end.upstreamLife != "" && c.Trial != nil {
-			c.Trial.Ended(up, end.upstreamLife, end.took)
+		if end.endedUpstream != "" && c.Trial != nil {
+			c.Trial.Ended(up, end.endedUpstream, end.took)
 		}
-		if end.move && c.mayMove && f.inTime(ctx, c) {
-			moves++
-			// Where all queues are full, what is left is to ask one upstream once
-			// more: it refuses by its row's bound and says so.
-			c.mustQueue = !f.wait(ctx, c, n)
-			if f.inTime(ctx, c) {
+		if end.noSlot && c.mayReroute && f.beforeDeadline(ctx, c) {
+			reroutes++
+			// If all queues are full, one more attempt without rerouting lets the
+			// selected upstream queue or refuse the request itself.
+			c.queuesFull = !f.waitForSlot(ctx, c, n)
+			if f.beforeDeadline(ctx, c) {
 				continue
 			}
-			res.Reason, res.Detail = wire.Reason_REASON_DEADLINE, "no slot became free in time"
-			res.Outcome = worst(res)
+			res.Reason, res.Detail = wire.Reason_REASON_DEADLINE, "no slot became free before the deadline"
+			res.Outcome = overallOutcome(res)
 			return res
 		}
 		c.exclude(up.ID)
-		if !f.again(ctx, c, end, n-moves) {
-			res.Outcome = worst(res)
+		if !f.mayRetry(ctx, c, end, n-reroutes) {
+			res.Outcome = overallOutcome(res)
 			return res
 		}
 	}
 }
 
-// ran counts the attempts that may have run.
-func (r *Result) ran() (n int) {
+// possibleRuns returns the number of attempts that may have been executed.
+func (r *Result) possibleRuns() (n int) {
 	for _, a := range r.Attempts {
 		if a.Outcome != wire.Outcome_OUTCOME_NOT_RUN {
 			n++
@@ -228,7 +235,7 @@
 	return n
 }
 
-func (f *Forwarder) inTime(ctx context.Context, c *Call) bool {
+func (f *Forwarder) beforeDeadline(ctx context.Context, c *Call) bool {
 	return ctx.Err() == nil && f.now().Before(c.Deadline)
 }
 
@@ -239,10 +246,9 @@
 	c.Route.Exclude[upstream] = true
 }
 
-// worst is the outcome of a whole request: "not run" only if no attempt may
-// have run. An idempotent request whose first attempt is in doubt and whose
-// second was certainly not run is in doubt.
-func worst(res Result) wire.Outcome {
+// overallOutcome returns the outcome of a request: that of the last attempt, but
+// "unknown" if any failed attempt may have been executed.
+func overallOutcome(res Result) wire.Outcome {
 	for _, a := range res.Attempts {
 		if a.Outcome != wire.Outcome_OUTCOME_NOT_RUN {
 			return wire.Outcome_OUTCOME_UNKNOWN
@@ -251,19 +257,21 @@
 	return res.Outcome
 }
 
-// again decides whether another attempt is made.
-func (f *Forwarder) again(ctx context.Context, c *Call, e ending, n int) bool {
-	if e.begun || e.final || n >= maxAttempts || !f.inTime(ctx, c) {
+// mayRetry reports whether the request may be retried after its n-th attempt, not
+// counting reroutes. It takes a token from the retry budget if the retry needs one.
+func (f *Forwarder) mayRetry(ctx context.Context, c *Call, e attemptResult, n int) bool {
+	if e.begun || e.final || n >= maxAttempts || !f.beforeDeadline(ctx, c) {
 		return false
 	}
-	// Only a certified "not run" lets a call that is not idempotent go again.
+	// A request that is not idempotent may only be retried if it was certainly not
+	// executed.
 	if e.outcome != wire.Outcome_OUTCOME_NOT_RUN && !c.Head.Idempotent {
 		return false
 	}
-	// The budget keeps retries from multiplying the load on upstreams that are
-	// left. An attempt that put no load on any doesn't count: it would have calls
-	// refused for a dead or leaving agent, although others are up.
-	if e.free() {
+	// The budget keeps retries from multiplying the load. Attempts that put no load on
+	// an upstream don't count, so that a dead or leaving agent doesn't use it up while
+	// other upstreams are available.
+	if e.causedNoLoad() {
 		return true
 	}
 	f.mu.Lock()
@@ -272,65 +280,74 @@
 	return b != nil && b.budget.Take()
 }
 
-// ending is how one attempt ended.
-type ending struct {
+// attemptResult describes how an attempt ended.
+type attemptResult struct {
 	outcome wire.Outcome
-	reason  wire.Reason
-	detail  string
-	begun   bool
-	// final says that another attempt can't help.
+	// reason is 0 if the response is complete.
+	reason wire.Reason
+	detail string
+	// begun is true once the sink has been called with part of a response that is not
+	// known to be complete.
+	begun bool
+	// final is true if a retry is pointless.
 	final bool
-	// ended says that the agent ended the attempt in order: nothing follows.
-	ended bool
-	// unreached says that no agent got any of the request.
+	// streamEnded is true if the agent has properly ended the response, so that nothing
+	// follows on the stream.
+	streamEnded bool
+	// unreached is true if no agent received any of the request.
 	unreached bool
-	// move says that the upstream had no free slot after all.
-	move bool
-	load *wire.Load
-	// upstreamLife names what ended under the attempt; empty if the upstream lives on.
-	upstreamLife string
-	took         time.Duration
+	// noSlot is true if the agent refused the attempt because it had no slot for it.
+	noSlot bool
+	load   *wire.Load
+	// endedUpstream is the agent's identifier of the upstream instance that ended during
+	// the attempt; empty if none did.
+	endedUpstream string
+	// took is the duration of the attempt.
+	took time.Duration
 }
 
-// free says whether the attempt put no load on any upstream: no agent was
-// reached, or one refused at the door because it is leaving or has a new life.
-func (e ending) free() bool {
+// causedNoLoad reports whether the attempt put no load on any upstream: no agent was
+// reached, or one refused it because the upstream is leaving or has been replaced by
+// another incarnation.
+func (e attemptResult) causedNoLoad() bool {
 	if e.unreached {
 		return true
 	}
-	atDoor := e.reason == wire.Reason_REASON_UPSTREAM_LEAVING || e.reason == wire.Reason_REASON_NO_UPSTREAM
-	return atDoor && e.outcome == wire.Outcome_OUTCOME_NOT_RUN
+	gone := e.reason == wire.Reason_REASON_UPSTREAM_LEAVING || e.reason == wire.Reason_REASON_NO_UPSTREAM
+	return gone && e.outcome == wire.Outcome_OUTCOME_NOT_RUN
 }
 
-func (f *Forwarder) attempt(ctx context.Context, c *Call, sink Sink, n int) (route.Upstream, ending) {
-	choice, held, err := f.choose(c, n)
+// attempt makes the n-th attempt, counted from 1 and including reroutes. The upstream is
+// the zero value if none was available.
+func (f *Forwarder) attempt(ctx context.Context, c *Call, sink Sink, n int) (route.Upstream, attemptResult) {
+	choice, ticket, err := f.chooseUpstream(c, n)
 	up := choice.Upstream
 	if err != nil {
-		return up, ending{
+		return up, attemptResult{
 			outcome: wire.Outcome_OUTCOME_NOT_RUN, reason: wire.Reason_REASON_NO_UPSTREAM,
 			detail: err.Error(), final: true,
 		}
 	}
 	began := f.now()
-	head := headFor(c, choice, n, began)
-	head.Ticket = held
+	head := attemptHead(c, choice, n, began)
+	head.Ticket = ticket
 	e := f.exchange(ctx, up, head, c, sink)
-	e.move, e.took = movedOn(head, e), f.now().Sub(began)
-	f.done(ctx, c, up, e, began)
+	e.noSlot, e.took = refusedForSlot(head, e), f.now().Sub(began)
+	f.reportDone(ctx, c, up, e, began)
 	return up, e
 }
 
-// movedOn says whether an agent refused because it had no free slot, or held the
-// attempt's no longer.
-func movedOn(h *wire.RunHead, e ending) bool {
+// refusedForSlot reports whether an agent refused an attempt because it had no free slot
+// or no longer held the reserved one. The attempt may then be rerouted.
+func refusedForSlot(h *wire.RunHead, e attemptResult) bool {
 	if e.reason != wire.Reason_REASON_QUEUE_FULL || e.outcome != wire.Outcome_OUTCOME_NOT_RUN {
 		return false
 	}
 	return h.NoWait || h.Ticket != ""
 }
 
-// headFor makes the head of one attempt.
-func headFor(c *Call, up route.Choice, n int, now time.Time) *wire.RunHead {
+// attemptHead returns the head of the n-th attempt.
+func attemptHead(c *Call, up route.Choice, n int, now time.Time) *wire.RunHead {
 	h := c.Head
 	head := &wire.RunHead{
 		RequestId: h.RequestId, AttemptId: h.RequestId + "." + strconv.Itoa(n),
@@ -339,27 +356,29 @@
 		Method: h.Method, Path: h.Path, Headers: h.Headers, Tokens: h.Tokens,
 		Incarnation: up.Incarnation,
 	}
-	head.NoWait = up.NoWait && c.mayMove
+	head.NoWait = up.NoWait && c.mayReroute
 	return head
 }
 
-var errNoUpstream = merry.Sentinel("no upstream is up")
+var errNoUpstream = merry.Sentinel("no upstream is available")
 
-// choose takes the slot that is held for the call, if there is one, or else picks
-// an upstream.
-func (f *Forwarder) choose(c *Call, n int) (choice route.Choice, ticket string, err error) {
-	if held := c.slot; held != nil {
-		c.slot = nil
-		return route.Choice{Upstream: held.up}, held.ticket, nil
+// chooseUpstream returns the upstream that holds a reserved slot for the call and the
+// slot's ticket, or else an upstream picked by the balancer.
+func (f *Forwarder) chooseUpstream(c *Call, n int) (choice route.Choice, ticket string, err error) {
+	if reserved := c.reservation; reserved != nil {
+		c.reservation = nil
+		return route.Choice{Upstream: reserved.up}, reserved.ticket, nil
 	}
 	choice, err = f.pick(c, n)
 	return choice, "", err
 }
 
+// pick picks an upstream for the n-th attempt and counts the first one in the retry
+// budget.
 func (f *Forwarder) pick(c *Call, n int) (route.Choice, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b, err := f.balancer(c.Pool)
+	b, err := f.balancerFor(c.Pool)
 	if err != nil {
 		return route.Choice{}, err
 	}
@@ -373,7 +392,8 @@
 	return choice, nil
 }
 
-func (f *Forwarder) done(ctx context.Context, c *Call, up route.Upstream, e ending, began time.Time) {
+// reportDone reports the end of an attempt to the balancer.
+func (f *Forwarder) reportDone(ctx context.Context, c *Call, up route.Upstream, e attemptResult, began time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -385,37 +405,37 @@
 	}
 }
 
-// exchange runs one attempt over drpc.
-func (f *Forwarder) exchange(ctx context.Context, up route.Upstream, head *wire.RunHead, c *Call, sink Sink) ending {
+// exchange sends the request to an agent over DRPC and reads the response.
+func (f *Forwarder) exchange(ctx context.Context, up route.Upstream, head *wire.RunHead, c *Call, sink Sink) attemptResult {
 	ctx, cancel := context.WithDeadline(ctx, c.Deadline)
 	defer cancel()
-	stream, err := f.open(ctx, up.Address)
+	stream, err := f.openStream(ctx, up.Address)
 	if err != nil {
-		e := notRun(wire.Reason_REASON_UPSTREAM_FAILED, err)
+		e := notRunResult(wire.Reason_REASON_UPSTREAM_FAILED, err)
 		e.unreached = true
 		return e
 	}
 	defer stream.Close()
-	if handed, err := send(stream, head, c.Body); err != nil {
-		if handed {
-			return inDoubt(ctx, err)
+	if complete, err := sendRequest(stream, head, c.Body); err != nil {
+		if complete {
+			return unknownResult(ctx, err)
 		}
-		return notRun(wire.Reason_REASON_UPSTREAM_FAILED, err)
+		return notRunResult(wire.Reason_REASON_UPSTREAM_FAILED, err)
 	}
-	rd := &reader{stream: stream, head: head, sink: sink, max: c.MaxAnswer}
+	rd := &responseReader{stream: stream, head: head, sink: sink, maxBody: c.MaxAnswer}
 	e := rd.read(ctx)
-	if e.reason != 0 && !e.ended {
-		// The rest of an answer that is no longer wanted must not reach the
-		// next call on the connection: the call is cancelled with it.
+	if e.reason != 0 && !e.streamEnded {
+		// Cancelling the call keeps the rest of the response from reaching the next
+		// call on the connection.
 		cancel()
 	}
 	return e
 }
 
-// open begins a call. A pooled connection may be on its way down, because the
-// call before it was cancelled; beginning a call there fails although the agent
-// is well. Nothing has been sent then, so that another connection can be taken.
-func (f *Forwarder) open(ctx context.Context, addr string) (wire.DRPCAgent_RunClient, error) {
+// openStream opens a Run stream. On a pooled connection that is being closed because its
+// last call was cancelled, that fails although the agent is up. As nothing has been sent
+// then, it is tried once more, on another connection.
+func (f *Forwarder) openStream(ctx context.Context, addr string) (wire.DRPCAgent_RunClient, error) {
 	stream, err := wire.NewDRPCAgentClient(f.pool.CallConn(ctx, addr)).Run(ctx)
 	if err != nil && ctx.Err() == nil {
 		return wire.NewDRPCAgentClient(f.pool.CallConn(ctx, addr)).Run(ctx)
@@ -423,9 +443,10 @@
 	return stream, err
 }
 
-// send hands the request over, and the end of sending with it. handed is true once
-// the last frame may have left: the agent runs nothing before it.
-func send(stream wire.DRPCAgent_RunClient, head *wire.RunHead, body []byte) (handed bool, err error) {
+// sendRequest sends the request and closes the sending side of the stream. complete is
+// true if the last frame may have been sent; the agent executes nothing before it has
+// received that.
+func sendRequest(stream wire.DRPCAgent_RunClient, head *wire.RunHead, body []byte) (complete bool, err error) {
 	frame := &wire.RunFrame{Head: head}
 	for {
 		n := min(len(body), transport.BodyFrame)
@@ -441,14 +462,16 @@
 	}
 }
 
-func notRun(r wire.Reason, err error) ending {
-	return ending{outcome: wire.Outcome_OUTCOME_NOT_RUN, reason: r, detail: err.Error()}
+// notRunResult is the result of an attempt that was certainly not executed.
+func notRunResult(r wire.Reason, err error) attemptResult {
+	return attemptResult{outcome: wire.Outcome_OUTCOME_NOT_RUN, reason: r, detail: err.Error()}
 }
 
-func inDoubt(ctx context.Context, err error) ending {
+// unknownResult is the result of an attempt that may have been executed.
+func unknownResult(ctx context.Context, err error) attemptResult {
 	reason := wire.Reason_REASON_UPSTREAM_FAILED
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		reason = wire.Reason_REASON_DEADLINE
 	}
-	return ending{outcome: wire.Outcome_OUTCOME_UNKNOWN, reason: reason, detail: err.Error()}
+	return attemptResult{outcome: wire.Outcome_OUTCOME_UNKNOWN, reason: reason, detail: err.Error()}
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -17,20 +17,21 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// fakeAgent ends each attempt as the test says.
+// fakeAgent is an agent without an upstream.
 type fakeAgent struct {
 	wire.DRPCAgentUnimplementedServer
-	id  string
+	id string
+	// end returns the end of an attempt; nil breaks the stream.
 	end func(id string, h *wire.RunHead) *wire.RunEnd
-	// queue answers tickets; nil is an agent that knows none.
+	// queue handles tickets; if it is nil, the agent does not support them.
 	queue *busyAgents
 
 	mu    sync.Mutex
 	heads []*wire.RunHead
 }
 
-// errDead cuts the stream of an agent that dies.
-var errDead = errors.New("agent is dead")
+// errCrashed breaks the stream of an agent that crashes.
+var errCrashed = errors.New("agent crashed")
 
 func (a *fakeAgent) Run(stream wire.DRPCAgent_RunStream) error {
 	f, err := stream.Recv()
@@ -42,7 +43,7 @@
 	a.mu.Unlock()
 	e := a.end(a.id, f.Head)
 	if e == nil {
-		return errDead
+		return errCrashed
 	}
 	e.RequestId, e.AttemptId = f.Head.RequestId, f.Head.AttemptId
 	if e.Outcome == wire.Outcome_OUTCOME_DONE {
@@ -74,31 +75,32 @@
 	return len(a.heads)
 }
 
-// rig is a forwarder before fake agents.
-type rig struct {
+// harness is a forwarder with a pool of fake agents.
+type harness struct {
 	fwd    *Forwarder
 	pool   *table.Pool
 	agents []*fakeAgent
-	// ahead is how far the forwarder's clock is ahead of the real one.
-	mu    sync.Mutex
-	ahead time.Duration
+
+	mu sync.Mutex
+	// clockOffset is added to the real time by the forwarder's clock.
+	clockOffset time.Duration
 }
 
-func (r *rig) now() time.Time {
+func (r *harness) now() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Add(r.ahead)
+	return time.Now().Add(r.clockOffset)
 }
 
-func (r *rig) advance(d time.Duration) {
+func (r *harness) advance(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ahead += d
+	r.clockOffset += d
 }
 
-func newRig(t *testing.T, plugin string, retryPercent, agents int, end func(id string, h *wire.RunHead) *wire.RunEnd) *rig {
+func newHarness(t *testing.T, plugin string, retryPercent, agents int, end func(id string, h *wire.RunHead) *wire.RunEnd) *harness {
 	t.Helper()
-	r := &rig{pool: &table.Pool{Name: "lm", Route: plugin, RetryPercent: retryPercent}}
+	r := &harness{pool: &table.Pool{Name: "lm", Route: plugin, RetryPercent: retryPercent}}
 	sec := transport.Security{Secret: []byte("forward test")}
 	conns := transport.NewPool(sec)
 	r.fwd = New(conns, route.Place{Entry: "entry-1", Seed: 1}, r.now)
@@ -126,17 +128,18 @@
 	return r
 }
 
-// call sends one request and returns what became of it and what the caller got.
-func (r *rig) call(idempotent bool) (Result, *caller) {
-	c := &caller{}
+// call forwards a request and returns its result and the response that the sink received.
+func (r *harness) call(idempotent bool) (Result, *recordingSink) {
+	sink := &recordingSink{}
 	res := r.fwd.Do(context.Background(), &Call{
 		Head: &wire.RunHead{RequestId: "q", Idempotent: idempotent, Method: "POST", Path: "/"},
 		Pool: r.pool, Route: &route.Request{}, Deadline: r.now().Add(time.Minute), MaxAnswer: 1000,
-	}, c)
-	return res, c
+	}, sink)
+	return res, sink
 }
 
-func (r *rig) attempts() int {
+// attempts returns the number of attempts at all agents.
+func (r *harness) attempts() int {
 	n := 0
 	for _, a := range r.agents {
 		n += a.attempts()
@@ -144,29 +147,28 @@
 	return n
 }
 
-func failing(o wire.Outcome) func(string, *wire.RunHead) *wire.RunEnd {
+func failWith(o wire.Outcome) func(string, *wire.RunHead) *wire.RunEnd {
 	return func(string, *wire.RunHead) *wire.RunEnd {
 		return &wire.RunEnd{Outcome: o, Reason: wire.Reason_REASON_UPSTREAM_FAILED}
 	}
 }
 
-func done() *wire.RunEnd {
+func doneEnd() *wire.RunEnd {
 	return &wire.RunEnd{Outcome: wire.Outcome_OUTCOME_DONE, Load: &wire.Load{Slots: 8}}
 }
 
-// Every upstream fails every request. Callers get refusals; were each request
-// tried again and again, the upstreams would get several times the load just
-// when they come back. Both kinds of failure are tried, with each plug-in.
-func TestFullOutageIsNoRetryStorm(t *testing.T) {
+// If all upstreams fail, the retry budget must bound the number of attempts, for both
+// outcomes of a failure and all balancers.
+func TestRetriesAreBoundedDuringOutage(t *testing.T) {
 	const requests = 500
 	for _, plugin := range []string{"round-robin", "least-loaded", "prefix"} {
 		for _, o := range []wire.Outcome{wire.Outcome_OUTCOME_NOT_RUN, wire.Outcome_OUTCOME_UNKNOWN} {
-			r := newRig(t, plugin, 10, 4, failing(o))
+			r := newHarness(t, plugin, 10, 4, failWith(o))
 			for range requests {
-				res, c := r.call(true)
+				res, sink := r.call(true)
 				assert.Equal(t, res.Reason, wire.Reason_REASON_UPSTREAM_FAILED)
 				assert.Equal(t, res.Outcome, o, "%s", res.Detail)
-				assert.Equal(t, c.writes, 0)
+				assert.Equal(t, sink.writes, 0)
 			}
 			got := r.attempts()
 			assert.Assert(t, got >= requests && got <= requests*11/10, "%s: %d attempts for %d requests", plugin, got, requests)
@@ -174,20 +176,20 @@
 	}
 }
 
-// One upstream fails a request that may be repeated: it goes to another one, and
-// the caller sees only the answer.
-func TestIdempotentRequestGoesToAnotherUpstream(t *testing.T) {
+// An idempotent request that fails must be retried at another upstream, and the caller
+// must only see the response to the retry.
+func TestIdempotentRequestIsRetriedElsewhere(t *testing.T) {
 	var first string
-	r := newRig(t, "least-loaded", 100, 3, func(id string, _ *wire.RunHead) *wire.RunEnd {
+	r := newHarness(t, "least-loaded", 100, 3, func(id string, _ *wire.RunHead) *wire.RunEnd {
 		if first == "" {
 			first = id
 			return &wire.RunEnd{Outcome: wire.Outcome_OUTCOME_UNKNOWN, Reason: wire.Reason_REASON_UPSTREAM_FAILED}
 		}
-		return done()
+		return doneEnd()
 	})
-	res, c := r.call(true)
+	res, sink := r.call(true)
 	assert.Equal(t, res.Reason, wire.Reason(0))
-	assert.Equal(t, c.status, uint32(200))
+	assert.Equal(t, sink.status, uint32(200))
 	for _, a := range r.agents {
 		if a.id == first {
 			assert.Equal(t, a.attempts(), 1)
@@ -196,20 +198,20 @@
 	assert.Equal(t, r.attempts(), 2)
 }
 
-// A bid confirmation fails after it may have run. Sent again it might run twice:
-// the caller is told "unknown" and nothing else is asked.
-func TestDoubtfulRequestIsNotRepeated(t *testing.T) {
-	r := newRig(t, "least-loaded", 100, 3, failing(wire.Outcome_OUTCOME_UNKNOWN))
+// A non-idempotent request that may have been executed must not be retried; its outcome
+// is unknown.
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
+	r := newHarness(t, "least-loaded", 100, 3, failWith(wire.Outcome_OUTCOME_UNKNOWN))
 	res, _ := r.call(false)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_UNKNOWN)
 	assert.Equal(t, r.attempts(), 1)
 }
 
-// An agent certifies that a bid confirmation was not run: it goes elsewhere. The
-// next agent fails after it may have run: there it ends, in doubt.
-func TestCertifiedNotRunGoesElsewhere(t *testing.T) {
+// A non-idempotent request that was certainly not executed must be retried at another
+// upstream, but not once it may have been executed there.
+func TestNotRunAttemptIsRetriedElsewhere(t *testing.T) {
 	n := 0
-	r := newRig(t, "least-loaded", 100, 3, func(string, *wire.RunHead) *wire.RunEnd {
+	r := newHarness(t, "least-loaded", 100, 3, func(string, *wire.RunHead) *wire.RunEnd {
 		n++
 		if n == 1 {
 			return &wire.RunEnd{Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_UPSTREAM_LEAVING}
@@ -222,11 +224,10 @@
 	assert.Assert(t, res.Attempts[0].Upstream != res.Attempts[1].Upstream)
 }
 
-// The deadline passes during the first attempt. The caller has given up: another
-// attempt would be work for nobody.
-func TestNoAttemptAfterTheDeadline(t *testing.T) {
-	var r *rig
-	r = newRig(t, "least-loaded", 100, 3, func(string, *wire.RunHead) *wire.RunEnd {
+// A request must not be retried after its deadline.
+func TestNoRetryAfterDeadline(t *testing.T) {
+	var r *harness
+	r = newHarness(t, "least-loaded", 100, 3, func(string, *wire.RunHead) *wire.RunEnd {
 		r.advance(2 * time.Minute)
 		return &wire.RunEnd{Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_QUEUE_FULL}
 	})
@@ -235,12 +236,10 @@
 	assert.Equal(t, r.attempts(), 1)
 }
 
-// All agents are busier than the entry believed. The request moves on some
-// times, then waits where it is least busy: it is not refused, and no retry is
-// taken from the budget, which is empty here. It is not idempotent: a move is
-// certified not run.
-func TestBusierUpstreamIsLeftWithoutARetry(t *testing.T) {
-	r := newRig(t, "least-loaded", 0, 4, func(_ string, h *wire.RunHead) *wire.RunEnd {
+// A request that finds no free slots must be rerouted and then queue, even if it is not
+// idempotent and the retry budget is empty: the refused attempts were not executed.
+func TestReroutesNeedNoRetryBudget(t *testing.T) {
+	r := newHarness(t, "least-loaded", 0, 4, func(_ string, h *wire.RunHead) *wire.RunEnd {
 		l := &wire.Load{Seq: 100, Running: 8, Slots: 8}
 		if h.NoWait {
 			return &wire.RunEnd{Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_QUEUE_FULL, Load: l}
@@ -250,16 +249,16 @@
 	for _, a := range r.agents {
 		r.fwd.Report(&wire.Report{Upstream: a.id, Incarnation: 1, Load: &wire.Load{Seq: 1, Running: 2, Slots: 8}})
 	}
-	res, c := r.call(false)
+	res, sink := r.call(false)
 	assert.Equal(t, res.Reason, wire.Reason(0))
-	assert.Equal(t, c.status, uint32(200))
-	assert.Assert(t, r.attempts() > 1 && r.attempts() <= 1+maxMoves, "%d attempts", r.attempts())
+	assert.Equal(t, sink.status, uint32(200))
+	assert.Assert(t, r.attempts() > 1 && r.attempts() <= 1+maxReroutes, "%d attempts", r.attempts())
 }
 
-// An agent that answers "busier" whatever it is asked can't make a request go
-// round for ever, nor around the budget.
-func TestMovesAreBounded(t *testing.T) {
-	r := newRig(t, "least-loaded", 0, 8, func(_ string, h *wire.RunHead) *wire.RunEnd {
+// Agents that refuse every attempt for lack of a slot must not cause an unbounded number
+// of attempts.
+func TestReroutesAreBounded(t *testing.T) {
+	r := newHarness(t, "least-loaded", 0, 8, func(_ string, h *wire.RunHead) *wire.RunEnd {
 		return &wire.RunEnd{
 			Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_QUEUE_FULL,
 			Load: &wire.Load{Seq: 1, Running: 1000, Slots: 8},
@@ -271,34 +270,33 @@
 	res, _ := r.call(true)
 	assert.Equal(t, res.Reason, wire.Reason_REASON_QUEUE_FULL)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
-	assert.Assert(t, r.attempts() <= 1+maxMoves, "%d attempts", r.attempts())
+	assert.Assert(t, r.attempts() <= 1+maxReroutes, "%d attempts", r.attempts())
 }
 
-// heldTrial is a request under which upstreams have ended.
-type heldTrial struct {
+// recordingTrial records the upstream instances that ended.
+type recordingTrial struct {
 	mu sync.Mutex
-	// may says whether it may be sent after so many runs.
-	may   func(ran int) bool
-	lives []string
+	// maySend implements MaySend.
+	maySend func(ran int) bool
+	lives   []string
 }
 
-func (h *heldTrial) MaySend(ran int) bool { return h.may(ran) }
+func (h *recordingTrial) MaySend(ran int) bool { return h.maySend(ran) }
 
-func (h *heldTrial) Ended(_ route.Upstream, life string, _ time.Duration) {
+func (h *recordingTrial) Ended(_ route.Upstream, life string, _ time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lives = append(h.lives, life)
 }
 
-// Each upstream ends under a request that may be repeated. Its caller is told "in doubt" after the
-// one attempt that is left to it; before, four upstreams ended for one sending. One that may be
-// sent nowhere reaches no agent and is refused as not run.
-func TestRequestThatEndsUpstreamsIsNotSentOn(t *testing.T) {
-	ends := func(id string, _ *wire.RunHead) *wire.RunEnd {
+// A request during which upstreams end must make only as many attempts as its Trial allows. Its
+// outcome is then unknown, or "not run" with the reason "quarantined" if no attempt was allowed.
+func TestTrialLimitsAttempts(t *testing.T) {
+	crash := func(id string, _ *wire.RunHead) *wire.RunEnd {
 		return &wire.RunEnd{Outcome: wire.Outcome_OUTCOME_UNKNOWN, Reason: wire.Reason_REASON_UPSTREAM_FAILED, EndedUpstream: id + "/1/0"}
 	}
 	for _, c := range []struct {
-		may      func(ran int) bool
+		maySend  func(ran int) bool
 		attempts int
 		outcome  wire.Outcome
 		reason   wire.Reason
@@ -307,12 +305,12 @@
 		{func(ran int) bool { return ran == 0 }, 1, wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_UPSTREAM_FAILED},
 		{func(ran int) bool { return ran < 2 }, 2, wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_UPSTREAM_FAILED},
 	} {
-		r := newRig(t, "least-loaded", 100, 4, ends)
-		trial := &heldTrial{may: c.may}
+		r := newHarness(t, "least-loaded", 100, 4, crash)
+		trial := &recordingTrial{maySend: c.maySend}
 		res := r.fwd.Do(context.Background(), &Call{
 			Head: &wire.RunHead{RequestId: "q", Idempotent: true, Method: "POST", Path: "/"},
 			Pool: r.pool, Route: &route.Request{}, Deadline: r.now().Add(time.Minute), MaxAnswer: 1000, Trial: trial,
-		}, &caller{})
+		}, &recordingSink{})
 		assert.Equal(t, r.attempts(), c.attempts)
 		assert.Equal(t, len(trial.lives), c.attempts)
 		assert.Equal(t, res.Outcome, c.outcome)
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -10,89 +10,95 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// replies is the part of a Run stream that a reader needs.
-type replies interface {
+// replyStream is the receiving side of a Run stream.
+type replyStream interface {
 	Recv() (*wire.RunReply, error)
 }
 
-// reader takes one attempt's answer and lets through only what belongs to it.
-type reader struct {
-	stream replies
-	head   *wire.RunHead
-	sink   Sink
-	max    int64
+// responseReader reads and validates the response to an attempt.
+type responseReader struct {
+	stream replyStream
+	// head is the head of the attempt.
+	head *wire.RunHead
+	sink Sink
+	// maxBody bounds the body of an unstreamed response in bytes.
+	maxBody int64
 
+	// reply is the head of the response; nil before it has been received.
 	reply *wire.RunReplyHead
-	held  []byte
-	got   uint64
+	// body buffers the body of an unstreamed response.
+	body []byte
+	// received is the number of body bytes received.
+	received uint64
+	// begun is true once the sink has been called.
 	begun bool
 }
 
-// read returns how the attempt ended; an unstreamed answer reaches the sink
-// only when it is whole.
-func (r *reader) read(ctx context.Context) ending {
+// read reads the response and returns the result of the attempt. It passes an unstreamed
+// response to the sink only once it is complete, a streamed one as it arrives.
+func (r *responseReader) read(ctx context.Context) attemptResult {
 	for {
 		m, err := r.stream.Recv()
 		if err != nil {
-			e := inDoubt(ctx, err)
+			e := unknownResult(ctx, err)
 			e.begun = r.begun
 			return e
 		}
-		end, err := r.take(m)
+		end, err := r.handleReply(m)
 		switch {
 		case errors.Is(err, ErrCallerGone):
-			return ending{outcome: wire.Outcome_OUTCOME_UNKNOWN, reason: wire.Reason_REASON_UPSTREAM_FAILED, detail: err.Error(), begun: true, final: true}
+			return attemptResult{outcome: wire.Outcome_OUTCOME_UNKNOWN, reason: wire.Reason_REASON_UPSTREAM_FAILED, detail: err.Error(), begun: true, final: true}
 		case err != nil:
-			return ending{outcome: wire.Outcome_OUTCOME_UNKNOWN, reason: wire.Reason_REASON_ANSWER_INVALID, detail: err.Error(), begun: r.begun}
+			return attemptResult{outcome: wire.Outcome_OUTCOME_UNKNOWN, reason: wire.Reason_REASON_ANSWER_INVALID, detail: err.Error(), begun: r.begun}
 		case end != nil:
 			e := r.finish(end)
-			// A call whose answer does not add up is cancelled all the same.
-			e.ended = e.reason != wire.Reason_REASON_ANSWER_INVALID
+			// The stream of an invalid response is still cancelled.
+			e.streamEnded = e.reason != wire.Reason_REASON_ANSWER_INVALID
 			return e
 		}
 	}
 }
 
-// take takes one reply: a head, a piece of the body, an end, or several of them
-// in this order.
-func (r *reader) take(m *wire.RunReply) (*wire.RunEnd, error) {
+// handleReply handles a reply with a head, a part of the body, an end, or several of
+// them, which are handled in this order. It returns the end if there is one.
+func (r *responseReader) handleReply(m *wire.RunReply) (*wire.RunEnd, error) {
 	if m.Head != nil {
-		if err := r.takeHead(m.Head); err != nil {
+		if err := r.handleHead(m.Head); err != nil {
 			return nil, err
 		}
 	}
 	if len(m.Body) > 0 || m.Head == nil && m.End == nil {
-		if err := r.takeBody(m.Body); err != nil {
+		if err := r.handleBody(m.Body); err != nil {
 			return nil, err
 		}
 	}
 	if m.End == nil {
 		return nil, nil
 	}
-	if err := r.mine(m.End.RequestId, m.End.AttemptId); err != nil {
+	if err := r.checkAttempt(m.End.RequestId, m.End.AttemptId); err != nil {
 		return nil, err
 	}
 	return m.End, nil
 }
 
-// mine refuses a frame of another request. It would hand one caller a part of
-// another's answer; the connection is dropped with the call.
-func (r *reader) mine(request, attempt string) error {
+// checkAttempt returns an error for a frame of another attempt, so that no caller gets a
+// part of another's response.
+func (r *responseReader) checkAttempt(request, attempt string) error {
 	if request == r.head.RequestId && attempt == r.head.AttemptId {
 		return nil
 	}
-	return merry.Prependf(ErrInvalidAnswer, "frame of attempt %q in the answer to %q", attempt, r.head.AttemptId)
+	return merry.Prependf(ErrInvalidAnswer, "frame of attempt %q in the response to attempt %q", attempt, r.head.AttemptId)
 }
 
-func (r *reader) takeHead(h *wire.RunReplyHead) error {
-	if err := r.mine(h.RequestId, h.AttemptId); err != nil {
+func (r *responseReader) handleHead(h *wire.RunReplyHead) error {
+	if err := r.checkAttempt(h.RequestId, h.AttemptId); err != nil {
 		return err
 	}
 	if r.reply != nil {
-		return merry.Prepend(ErrInvalidAnswer, "second head")
+		return merry.Prepend(ErrInvalidAnswer, "more than one head")
 	}
 	if h.Status < 200 || h.Status > 599 {
-		return merry.Prependf(ErrInvalidAnswer, "status %d", h.Status)
+		return merry.Prependf(ErrInvalidAnswer, "status %d is out of range", h.Status)
 	}
 	r.reply = h
 	if !h.Streaming {
@@ -102,25 +108,26 @@
 	return callerErr(r.sink.Begin(h))
 }
 
-func (r *reader) takeBody(b []byte) error {
+func (r *responseReader) handleBody(b []byte) error {
 	if r.reply == nil {
 		return merry.Prepend(ErrInvalidAnswer, "body before head")
 	}
-	r.got += uint64(len(b))
+	r.received += uint64(len(b))
 	if r.reply.Streaming {
 		return callerErr(r.sink.Write(b))
 	}
-	if int64(r.got) > r.max {
-		return merry.Prependf(ErrInvalidAnswer, "answer is over %d bytes", r.max)
+	if int64(r.received) > r.maxBody {
+		return merry.Prependf(ErrInvalidAnswer, "body exceeds %d bytes", r.maxBody)
 	}
-	if r.held == nil {
-		r.held = b
+	if r.body == nil {
+		r.body = b
 		return nil
 	}
-	r.held = append(r.held, b...)
+	r.body = append(r.body, b...)
 	return nil
 }
 
+// callerErr marks an error of the sink as ErrCallerGone.
 func callerErr(err error) error {
 	if err == nil {
 		return nil
@@ -128,18 +135,20 @@
 	return merry.Prepend(ErrCallerGone, err.Error())
 }
 
-func (r *reader) finish(end *wire.RunEnd) ending {
-	e := ending{outcome: end.Outcome, reason: end.Reason, detail: end.Detail, load: end.Load, begun: r.begun, upstreamLife: end.EndedUpstream}
+// finish returns the result of an attempt that the agent has ended, and passes a complete
+// unstreamed response to the sink.
+func (r *responseReader) finish(end *wire.RunEnd) attemptResult {
+	e := attemptResult{outcome: end.Outcome, reason: end.Reason, detail: end.Detail, load: end.Load, begun: r.begun, endedUpstream: end.EndedUpstream}
 	if end.Outcome != wire.Outcome_OUTCOME_DONE {
 		if e.reason == 0 {
 			e.reason = wire.Reason_REASON_UPSTREAM_FAILED
 		}
 		return e
 	}
-	if r.reply == nil || end.BodyBytes != r.got {
+	if r.reply == nil || end.BodyBytes != r.received {
 		e.outcome = wire.Outcome_OUTCOME_UNKNOWN
 		e.reason = wire.Reason_REASON_ANSWER_INVALID
-		e.detail = fmt.Sprintf("answer has %d bytes of body, %d were sent", r.got, end.BodyBytes)
+		e.detail = fmt.Sprintf("received %d bytes of body, agent sent %d", r.received, end.BodyBytes)
 		return e
 	}
 	e.reason = 0
@@ -153,9 +162,9 @@
 	return e
 }
 
-func (r *reader) deliver() error {
+func (r *responseReader) deliver() error {
 	if err := r.sink.Begin(r.reply); err != nil {
 		return err
 	}
-	return r.sink.Write(r.held)
+	return r.sink.Write(r.body)
 }
--- a/forward/wait.go
+++ b/forward/wait.go
@@ -10,16 +10,18 @@
 )
 
 const (
-	// maxTickets is at how many upstreams a call waits at once; an urgent one at
-	// more, since few slots are kept for it anywhere. See docs/design/route.md.
+	// maxTickets is the maximum number of upstreams at which a call waits at once,
+	// maxUrgentTickets that of an urgent one: each upstream keeps only few slots for
+	// urgent requests.
 	maxTickets       = 4
 	maxUrgentTickets = 8
-	// withdrawTimeout bounds how long a ticket is taken back. One that an agent
-	// doesn't hear of gives its slot back by itself, a moment after its turn.
+	// withdrawTimeout bounds the withdrawal of a ticket. If it fails, the agent itself
+	// releases the slot soon after it has reserved it.
 	withdrawTimeout = time.Second
 )
 
-// Tickets is at how many upstreams a call of a class waits at once.
+// Tickets returns the maximum number of upstreams at which a call of a priority waits at
+// once.
 func Tickets(p wire.Priority) int {
 	if p == wire.Priority_PRIORITY_URGENT {
 		return maxUrgentTickets
@@ -27,58 +29,60 @@
 	return maxTickets
 }
 
-// slot is a ticket's place at an upstream.
-type slot struct {
+// queuedTicket is a ticket in the queue of an upstream.
+type queuedTicket struct {
 	up     route.Upstream
 	ticket string
-	// of is how many tickets the call has.
-	of int
+	// total is the number of tickets of the call.
+	total int
 }
 
-// answer is what became of one ticket.
-type answer struct {
-	slot
+// ticketResult is the result of a ticket.
+type ticketResult struct {
+	queuedTicket
+	// held is true if the agent holds a slot for the ticket.
 	held bool
-	// full says that the agent's queue had no place for the ticket.
+	// full is true if the agent's queue was full.
 	full bool
 }
 
-// wait queues at several upstreams, without the request, until one holds a slot
-// for it; the others are told to forget it. It returns false if all queues are
-// full. Without a slot for any other reason the call goes on as if it had not
-// waited.
-func (f *Forwarder) wait(ctx context.Context, c *Call, n int) bool {
-	waiter, slots := f.places(c, n)
-	// The other tickets are still on their way back when the caller has its
-	// answer: cut then, they would each cost a connection.
-	queued, stop := context.WithDeadline(context.WithoutCancel(ctx), c.Deadline)
-	unhook := context.AfterFunc(ctx, stop)
-	defer unhook()
-	answers := make(chan answer, len(slots))
-	for _, s := range slots {
-		go func() { answers <- f.queue(queued, s, c) }()
+// waitForSlot queues a ticket for the call at several upstreams until one of them holds
+// a slot for it, and withdraws the others. It sets the call's reservation if it gets a
+// slot. It returns false if all queues are full, or else true, also without a slot: the
+// next attempt then goes to an upstream picked by the balancer.
+func (f *Forwarder) waitForSlot(ctx context.Context, c *Call, n int) bool {
+	waiter, tickets := f.newTickets(c, n)
+	// The context of the tickets outlives ctx: cancelling the other tickets before
+	// their replies arrive would cost a connection each.
+	queueCtx, stop := context.WithDeadline(context.WithoutCancel(ctx), c.Deadline)
+	detach := context.AfterFunc(ctx, stop)
+	defer detach()
+	results := make(chan ticketResult, len(tickets))
+	for _, t := range tickets {
+		go func() { results <- f.queueTicket(queueCtx, t, c) }()
 	}
 	full := 0
-	for left := len(slots); left > 0; left-- {
-		a := <-answers
-		if a.held && f.take(waiter, a.up, c) {
-			c.slot = &a.slot
-			go f.forget(stop, slots, a.slot, answers, left-1)
+	for left := len(tickets); left > 0; left-- {
+		r := <-results
+		if r.held && f.startReserved(waiter, r.up, c) {
+			c.reservation = &r.queuedTicket
+			go f.withdrawOthers(stop, tickets, r.queuedTicket, results, left-1)
 			return true
 		}
-		if a.held {
-			go f.withdraw(a.slot)
+		if r.held {
+			go f.withdraw(r.queuedTicket)
 		}
-		if a.full {
+		if r.full {
 			full++
 		}
 	}
 	stop()
-	return len(slots) == 0 || full < len(slots)
+	return len(tickets) == 0 || full < len(tickets)
 }
 
-// places says where a call waits; nowhere if its plug-in can't tell.
-func (f *Forwarder) places(c *Call, n int) (route.Waiter, []slot) {
+// newTickets returns the tickets to queue for a call; none if the balancer does not
+// support waiting at several upstreams.
+func (f *Forwarder) newTickets(c *Call, n int) (route.Waiter, []queuedTicket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := f.balancers[c.Pool.Name]
@@ -90,53 +94,55 @@
 		return nil, nil
 	}
 	ups := waiter.Places(f.now(), c.Route, Tickets(c.Head.Priority))
-	slots := make([]slot, len(ups))
+	tickets := make([]queuedTicket, len(ups))
 	for i, up := range ups {
-		slots[i] = slot{up: up, ticket: c.Head.RequestId + ".w" + strconv.Itoa(n) + "." + strconv.Itoa(i), of: len(ups)}
+		tickets[i] = queuedTicket{up: up, ticket: c.Head.RequestId + ".w" + strconv.Itoa(n) + "." + strconv.Itoa(i), total: len(ups)}
 	}
-	return waiter, slots
+	return waiter, tickets
 }
 
-// take counts the attempt at an upstream that holds a slot. It returns false if
-// the upstream has left meanwhile.
-func (f *Forwarder) take(w route.Waiter, up route.Upstream, c *Call) bool {
+// startReserved counts the attempt as in flight at an upstream that holds a slot. It
+// returns false if the upstream is gone.
+func (f *Forwarder) startReserved(w route.Waiter, up route.Upstream, c *Call) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return w.Take(f.now(), up, c.Route)
 }
 
-// queue waits at one upstream.
-func (f *Forwarder) queue(ctx context.Context, s slot, c *Call) answer {
+// queueTicket queues a ticket and waits for its result.
+func (f *Forwarder) queueTicket(ctx context.Context, t queuedTicket, c *Call) ticketResult {
 	h := c.Head
-	got, err := wire.NewDRPCAgentClient(f.pool.Conn(ctx, s.up.Address)).Wait(ctx, &wire.Ticket{
-		Id: s.ticket, Team: h.Team, Weight: h.Weight, Priority: h.Priority, Tokens: h.Tokens,
-		TimeoutUs: c.Deadline.Sub(f.now()).Microseconds(), Incarnation: s.up.Incarnation, Tickets: uint32(s.of),
+	reply, err := wire.NewDRPCAgentClient(f.pool.Conn(ctx, t.up.Address)).Wait(ctx, &wire.Ticket{
+		Id: t.ticket, Team: h.Team, Weight: h.Weight, Priority: h.Priority, Tokens: h.Tokens,
+		TimeoutUs: c.Deadline.Sub(f.now()).Microseconds(), Incarnation: t.up.Incarnation, Tickets: uint32(t.total),
 	})
 	if err != nil {
-		return answer{slot: s}
+		return ticketResult{queuedTicket: t}
 	}
-	return answer{slot: s, held: got.Held, full: got.Reason == wire.Reason_REASON_QUEUE_FULL}
+	return ticketResult{queuedTicket: t, held: reply.Held, full: reply.Reason == wire.Reason_REASON_QUEUE_FULL}
 }
 
-// forget takes back the tickets that were not needed, and waits for their answers.
-// A ticket may be overtaken by its withdrawal, or get its turn at the same time:
-// the slot that it holds then is given back when the answer shows it.
-func (f *Forwarder) forget(stop func(), slots []slot, won slot, answers <-chan answer, left int) {
+// withdrawOthers withdraws all tickets but the used one and waits for their results. A
+// withdrawal may arrive before its ticket, or when the agent has just reserved a slot;
+// a ticket whose result shows a held slot is therefore withdrawn again.
+func (f *Forwarder) withdrawOthers(stop func(), tickets []queuedTicket, used queuedTicket, results <-chan ticketResult, left int) {
 	defer stop()
-	for _, s := range slots {
-		if s.ticket != won.ticket {
-			go f.withdraw(s)
+	for _, t := range tickets {
+		if t.ticket != used.ticket {
+			go f.withdraw(t)
 		}
 	}
 	for range left {
-		if a := <-answers; a.held {
-			go f.withdraw(a.slot)
+		if r := <-results; r.held {
+			go f.withdraw(r.queuedTicket)
 		}
 	}
 }
 
-func (f *Forwarder) withdraw(s slot) {
+// withdraw withdraws a ticket and releases the slot that is held for it, if any. Errors
+// are ignored: the agent releases an unused slot by itself.
+func (f *Forwarder) withdraw(t queuedTicket) {
 	ctx, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
-	_, _ = wire.NewDRPCAgentClient(f.pool.Conn(ctx, s.up.Address)).Withdraw(ctx, &wire.WithdrawRequest{Ticket: s.ticket})
+	_, _ = wire.NewDRPCAgentClient(f.pool.Conn(ctx, t.up.Address)).Withdraw(ctx, &wire.WithdrawRequest{Ticket: t.ticket})
 }
--- a/forward/wait_test.go
+++ b/forward/wait_test.go
@@ -12,64 +12,66 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// busyAgents are agents without a free slot. Tickets wait until the test lets one
-// agent hold a slot; a Run with a ticket is answered there once.
+// busyAgents simulates the queues of agents without free slots. A ticket waits until the
+// test gives its agent a free slot; a Run is accepted only with the ticket of a slot.
 type busyAgents struct {
-	mu        sync.Mutex
-	tickets   map[string]string
+	mu sync.Mutex
+	// tickets holds the agent IDs of all tickets, by ticket.
+	tickets map[string]string
+	// ran holds the IDs of the agents that have run a request, in order.
 	ran       []string
 	withdrawn map[string]bool
-	// held is whose turn each held slot was.
+	// held holds the value of freeSlots that each held slot was taken for, by ticket.
 	held map[string]string
-	// turn yields the agents that get a free slot, in order.
-	turn chan string
-	// then gets a free slot once the first Run with a ticket has come.
-	then string
-	// lost agents refuse the Run of a slot that they held.
+	// freeSlots yields the IDs of the agents that get a free slot; "any" is any agent.
+	freeSlots chan string
+	// nextFree is added to freeSlots at the first Run with a ticket.
+	nextFree string
+	// lost holds the agents that refuse the Run for a slot that they held.
 	lost map[string]bool
-	// dies is the agent that dies with a Run in its hands.
-	dies string
-	// full agents refuse tickets.
+	// crashing is the agent that crashes during a Run.
+	crashing string
+	// full makes all agents refuse tickets because their queues are full.
 	full bool
-	// late lets the deadlines of tickets pass.
-	late func()
+	// onWait, if not nil, is called for each ticket, which then exceeds its deadline.
+	onWait func()
 }
 
 func newBusyAgents() *busyAgents {
 	return &busyAgents{
-		tickets: map[string]string{}, withdrawn: map[string]bool{}, held: map[string]string{}, lost: map[string]bool{}, turn: make(chan string, 32),
+		tickets: map[string]string{}, withdrawn: map[string]bool{}, held: map[string]string{}, lost: map[string]bool{}, freeSlots: make(chan string, 32),
 	}
 }
 
-func notNow() *wire.RunEnd {
+func noFreeSlot() *wire.RunEnd {
 	return &wire.RunEnd{Outcome: wire.Outcome_OUTCOME_NOT_RUN, Reason: wire.Reason_REASON_QUEUE_FULL, Load: &wire.Load{Slots: 8, Running: 8}}
 }
 
 func (b *busyAgents) end(id string, h *wire.RunHead) *wire.RunEnd {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h.Ticket != "" && b.then != "" {
-		b.turn <- b.then
-		b.then = ""
+	if h.Ticket != "" && b.nextFree != "" {
+		b.freeSlots <- b.nextFree
+		b.nextFree = ""
 	}
 	if h.Ticket == "" || b.tickets[h.Ticket] != id || b.lost[id] {
-		return notNow()
+		return noFreeSlot()
 	}
-	if b.dies == id {
+	if b.crashing == id {
 		return nil
 	}
 	b.ran = append(b.ran, id)
-	return done()
+	return doneEnd()
 }
 
-// wait implements Wait for one agent: its turn comes when the test names it.
+// wait implements Wait for the given agent.
 func (b *busyAgents) wait(ctx context.Context, id string, t *wire.Ticket) (*wire.Slot, error) {
 	b.mu.Lock()
 	b.tickets[t.Id] = id
 	full := b.full
 	b.mu.Unlock()
-	if b.late != nil {
-		b.late()
+	if b.onWait != nil {
+		b.onWait()
 		return &wire.Slot{Reason: wire.Reason_REASON_DEADLINE}, nil
 	}
 	if full {
@@ -79,25 +81,25 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case next := <-b.turn:
-			if next == id || next == "any" {
-				b.hold(t.Id, next)
+		case free := <-b.freeSlots:
+			if free == id || free == "any" {
+				b.hold(t.Id, free)
 				return &wire.Slot{Held: true}, nil
 			}
-			b.turn <- next
+			b.freeSlots <- free
 		case <-time.After(time.Millisecond):
 		}
 		b.mu.Lock()
-		over := b.withdrawn[t.Id]
+		withdrawn := b.withdrawn[t.Id]
 		b.mu.Unlock()
-		if over {
+		if withdrawn {
 			return &wire.Slot{Reason: wire.Reason_REASON_DEADLINE}, nil
 		}
 	}
 }
 
-// taken is how many tickets there were.
-func (b *busyAgents) taken() int {
+// ticketCount returns the number of tickets queued so far.
+func (b *busyAgents) ticketCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.tickets)
@@ -109,77 +111,74 @@
 	return slices.Clone(b.ran)
 }
 
-func (b *busyAgents) hold(ticket, turn string) {
+func (b *busyAgents) hold(ticket, slot string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.held[ticket] = turn
+	b.held[ticket] = slot
 }
 
-// withdraw gives the turn of a held slot to the next ticket.
+// withdraw implements Withdraw. A slot held for the ticket becomes free again.
 func (b *busyAgents) withdraw(ticket string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.withdrawn[ticket] = true
-	if turn := b.held[ticket]; turn != "" {
+	if slot := b.held[ticket]; slot != "" {
 		delete(b.held, ticket)
-		b.turn <- turn
+		b.freeSlots <- slot
 	}
 }
 
-func newBusyRig(t *testing.T, b *busyAgents, retryPercent, agents int) *rig {
-	r := newRig(t, "least-loaded", retryPercent, agents, b.end)
+func newBusyHarness(t *testing.T, b *busyAgents, retryPercent, agents int) *harness {
+	r := newHarness(t, "least-loaded", retryPercent, agents, b.end)
 	for _, a := range r.agents {
 		a.queue = b
 	}
 	return r
 }
 
-// No upstream has a free slot. The request waits at several, and the first that
-// has one runs it. It runs once, and every other ticket is taken back: left there
-// it would hold a slot for nobody.
-func TestFirstFreeSlotWins(t *testing.T) {
+// A request that finds no free slot must run once, at the first upstream that holds a slot
+// for it, and all its other tickets must be withdrawn.
+func TestFirstHeldSlotRunsRequest(t *testing.T) {
 	b := newBusyAgents()
-	r := newBusyRig(t, b, 0, 4)
-	b.turn <- "up-2"
+	r := newBusyHarness(t, b, 0, 4)
+	b.freeSlots <- "up-2"
 	res, _ := r.call(false)
 	assert.Equal(t, res.Reason, wire.Reason(0), "%s", res.Detail)
 	assert.DeepEqual(t, b.runs(), []string{"up-2"})
 	assert.Equal(t, r.attempts(), 2)
 	for {
 		b.mu.Lock()
-		n, over := len(b.tickets), len(b.withdrawn)
+		tickets, withdrawn := len(b.tickets), len(b.withdrawn)
 		b.mu.Unlock()
-		if over == n-1 {
+		if withdrawn == tickets-1 {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// The agent that promised a slot no longer holds it when the Run comes: the Run
-// was late, or the agent has started again. Its refusal is certified, so even a
-// request that may run once waits for the next slot, and runs there once.
-func TestLostSlotIsWaitedForAgain(t *testing.T) {
+// If an agent no longer holds the slot when the Run arrives, the request was certainly not
+// executed. It must wait for the next slot, even if it is not idempotent, and run there.
+func TestLostSlotIsReplaced(t *testing.T) {
 	b := newBusyAgents()
 	b.lost["up-1"] = true
-	r := newBusyRig(t, b, 0, 3)
-	b.turn <- "up-1"
-	b.then = "up-0"
+	r := newBusyHarness(t, b, 0, 3)
+	b.freeSlots <- "up-1"
+	b.nextFree = "up-0"
 	res, _ := r.call(false)
 	assert.Equal(t, res.Reason, wire.Reason(0), "%s", res.Detail)
 	assert.DeepEqual(t, b.runs(), []string{"up-0"})
 }
 
-// The agent that promised a slot dies with the Run in its hands. It may have run:
-// a request that may run once ends in doubt and is asked of nobody else, and one
-// that may be repeated waits for no second slot either, but takes a retry.
-func TestAgentDiesAfterItsPromise(t *testing.T) {
+// If an agent crashes during the Run for a held slot, the request may have been executed:
+// an idempotent one must be retried, any other must end with an unknown outcome.
+func TestAgentCrashesWithHeldSlot(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		b := newBusyAgents()
-		b.dies = "up-1"
-		r := newBusyRig(t, b, 100, 3)
-		b.turn <- "up-1"
-		b.then = "up-2"
+		b.crashing = "up-1"
+		r := newBusyHarness(t, b, 100, 3)
+		b.freeSlots <- "up-1"
+		b.nextFree = "up-2"
 		res, _ := r.call(idempotent)
 		if !idempotent {
 			assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_UNKNOWN)
@@ -191,40 +190,40 @@
 	}
 }
 
-// Every agent promises slots and refuses every Run. The request may not go round
-// for ever: it ends as not run after a bounded number of messages.
-func TestBrokenPromisesAreBounded(t *testing.T) {
+// If all agents hold slots but refuse every Run, the request must end as "not run" after a
+// bounded number of attempts and tickets.
+func TestLostSlotsAreBounded(t *testing.T) {
 	b := newBusyAgents()
-	r := newBusyRig(t, b, 0, 2)
+	r := newBusyHarness(t, b, 0, 2)
 	for range 8 {
-		b.turn <- "any"
+		b.freeSlots <- "any"
 	}
 	b.lost["up-0"], b.lost["up-1"] = true, true
 	res, _ := r.call(true)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
 	assert.Equal(t, res.Reason, wire.Reason_REASON_QUEUE_FULL)
-	assert.Assert(t, r.attempts() <= 1+maxMoves, "%d attempts", r.attempts())
-	assert.Assert(t, b.taken() <= maxMoves*maxTickets, "%d tickets", b.taken())
+	assert.Assert(t, r.attempts() <= 1+maxReroutes, "%d attempts", r.attempts())
+	assert.Assert(t, b.ticketCount() <= maxReroutes*maxTickets, "%d tickets", b.ticketCount())
 }
 
-// All queues are full. The caller is refused after one round of tickets, not three.
-func TestFullQueuesRefuseAtOnce(t *testing.T) {
+// If all queues are full, the request must be refused after a single round of tickets.
+func TestFullQueuesRefuseAfterOneRound(t *testing.T) {
 	b := newBusyAgents()
 	b.full = true
-	r := newBusyRig(t, b, 0, 4)
+	r := newBusyHarness(t, b, 0, 4)
 	res, _ := r.call(true)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
 	assert.Equal(t, res.Reason, wire.Reason_REASON_QUEUE_FULL)
 	assert.Equal(t, r.attempts(), 2)
-	assert.Equal(t, b.taken(), maxTickets)
+	assert.Equal(t, b.ticketCount(), maxTickets)
 }
 
-// No slot becomes free before the deadline. The caller is told so, and that nothing
-// was run: no attempt was ever in an agent's hands.
-func TestDeadlinePassesWhileWaiting(t *testing.T) {
+// If no slot becomes free before the deadline, the request must end as "not run" with the
+// reason "deadline".
+func TestDeadlineExceededWhileWaiting(t *testing.T) {
 	b := newBusyAgents()
-	r := newBusyRig(t, b, 0, 2)
-	b.late = func() { r.advance(2 * time.Minute) }
+	r := newBusyHarness(t, b, 0, 2)
+	b.onWait = func() { r.advance(2 * time.Minute) }
 	res, _ := r.call(true)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
 	assert.Equal(t, res.Reason, wire.Reason_REASON_DEADLINE, "%s", res.Detail)
