--- a/direct/client_test.go
+++ b/direct/client_test.go
@@ -146,7 +146,7 @@
 		"chunk":       head + "Transfer-Encoding: chunked\r\n\r\n5\r\nabFIN",
 		"no last one": head + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\nFIN",
 		"head":        "HTTP/1.1 200 OK\r\nIdFIN",
-		"no answer":   "FIN",
+		"no response": "FIN",
 		"no HTTP":     "+OK ready\r\nFIN",
 	} {
 		_, err := call(t, newClient(), newTestUpstream(t, script), "1")
--- a/route/pool.go
+++ b/route/pool.go
@@ -192,12 +192,12 @@
 
 // meanLoadPerSlot returns the mean reported number of requests per slot.
 func meanLoadPerSlot(list []*candidate) float64 {
-	reported, width := 0, 0
+	reported, slots := 0, 0
 	for _, s := range list {
 		reported += s.reported
-		width += s.capacity()
+		slots += s.capacity()
 	}
-	return float64(reported) / float64(max(width, 1))
+	return float64(reported) / float64(max(slots, 1))
 }
 
 // projectedRequests returns the estimated number of requests at an upstream now. What
@@ -219,7 +219,8 @@
 const loadHalfLife = 0.4
 
 // projectedUtilization returns the share of an upstream's slots in use if it gets one
-// more request. Above 1 the request has to queue.
+// more request, less the bonus for the entry's own failure domain. It is the score by
+// which candidates are compared; lower is better.
 func (p *pool) projectedUtilization(now time.Time, s *candidate, meanLoad float64) float64 {
 	n := p.projectedRequests(now, s, meanLoad) + 1
 	if s.sameDomain {
