--- a/gateway/entering_test.go
+++ b/gateway/admission_test.go
@@ -12,7 +12,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// fullFleet has one plain service with a single place, which is taken.
+// fullServiceManager returns a manager with one plain service whose single permit is taken.
 func fullFleet(t *testing.T) *fleet {
 	f := newFleet(&Settings{ID: "e"})
 	f.entries = func() int { return 5 }
@@ -23,23 +23,23 @@
 	return f
 }
 
-// free gives one place of the service back.
-func (f *fleet) free() { f.leave(f.services["plain"].order[0], time.Second) }
+// releaseOne releases one permit of the service.
+func (f *fleet) free() { f.leave(f.services["plain"].sorted[0], time.Second) }
 
 func soon() *waiter {
 	now := time.Now()
-	return &waiter{inTime: now.Add(10 * time.Second), until: now.Add(10 * time.Second), granted: make(chan struct{})}
+	return &waiter{onTimeBy: now.Add(10 * time.Second), giveUpAt: now.Add(10 * time.Second), admitted: make(chan struct{})}
 }
 
 func (f *fleet) waiting() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.services["plain"].line.list)
+	return len(f.services["plain"].queue.waiters)
 }
 
-// Three callers wait for the only place of a service. One leaves, one's time ends, and the
-// third is let in as soon as the place is free. The place of a caller that leaves just as
-// its turn comes is given to the next one, and nothing is sent for it.
+// A queued request leaves the queue when its caller leaves or its giveUpAt passes, and is
+// admitted when a permit is released. If the caller leaves at that moment, the permit goes to the
+// next request.
 func TestWaitingRequestsGetFreePlaces(t *testing.T) {
 	f := fullFleet(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,13 +47,13 @@
 	results := make(chan admission, 3)
 	go func() { results <- f.enter(ctx, "plain", soon()) }()
 	brief := soon()
-	brief.until = time.Now().Add(50 * time.Millisecond)
+	brief.giveUpAt = time.Now().Add(50 * time.Millisecond)
 	go func() { results <- f.enter(context.Background(), "plain", brief) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if f.waiting() == 2 {
 			return poll.Success()
 		}
-		return poll.Continue("%d wait", f.waiting())
+		return poll.Continue("%d queued", f.waiting())
 	}, poll.WithDelay(time.Millisecond))
 	cancel()
 	for range 2 {
@@ -66,7 +66,7 @@
 		if f.waiting() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("%d wait", f.waiting())
+		return poll.Continue("%d queued", f.waiting())
 	}, poll.WithDelay(time.Millisecond))
 	f.free()
 	a := <-results
@@ -76,5 +76,5 @@
 	gone, leave := context.WithCancel(context.Background())
 	leave()
 	assert.Assert(t, !f.enter(gone, "plain", soon()).ok)
-	assert.Assert(t, f.enter(context.Background(), "plain", soon()).ok, "its place is free")
+	assert.Assert(t, f.enter(context.Background(), "plain", soon()).ok, "the permit was not released")
 }
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -9,7 +9,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// announceLoop makes the gateway known to the control replicas.
+// announceLoop announces the gateway to the control replicas.
 func (g *Gateway) announceLoop(ctx context.Context) {
 	announcer := directory.NewAnnouncer(g.targets, g.pool.Conn, g.now)
 	for {
@@ -25,7 +25,7 @@
 	}
 }
 
-// wakeAnnouncer makes news known at once.
+// triggerAnnounce has an announcement sent without waiting for the interval.
 func (g *Gateway) wakeAnnouncer() {
 	select {
 	case g.announceNow <- struct{}{}:
@@ -33,6 +33,7 @@
 	}
 }
 
+// handleReply takes a higher incarnation if an earlier process with this ID had a higher one.
 func (g *Gateway) announced(reply *wire.AnnounceReply) {
 	if reply.Superseded && g.life.Supersede(reply.KnownIncarnation) {
 		kernel.Warn(g.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "incarnation", g.life.Number())
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -17,57 +17,59 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// maxAnswer bounds a whole answer that is held before it is passed on.
+// maxBufferedBody bounds the body of a response that is buffered before it is passed on, in
+// bytes.
 const maxAnswer = 16 << 20
 
-// call is one request of a caller on its way.
+// call is one request of a caller.
 type call struct {
 	*Gateway
 	w http.ResponseWriter
 	r *http.Request
-	// ctx ends when the caller leaves or the time is over.
+	// ctx ends when the caller leaves or at the deadline.
 	ctx     context.Context
 	route   *wire.Route
 	service string
-	// at is the group at which it has its place.
+	// group is the group whose permit the request holds.
 	at       *groupPool
 	team     *wire.KeyedTeam
 	asked    dialect.Request
 	body     []byte
 	began    time.Time
 	deadline time.Time
-	// warmUntil is how long it may wait for a gateway that starts, by the gateway's
+	// warmUntil is how long the call may wait for a gateway that is starting, by the gateway's
 	// clock.
 	warmUntil time.Time
-	history   history
-	// sent is history.sent for the watch of an attempt.
+	history   attemptHistory
+	// sent is a copy of history.sent for the watchdog of an attempt.
 	sent atomic.Int64
-	// paid says that the next attempt was taken from the budget when the one before
+	// retryReserved says that the budget was charged for the next attempt when the previous one
 	// was given up.
 	paid  atomic.Bool
 	tried map[string]bool
-	// trial is what is held against the request.
+	// trial is the request's standing in quarantine.
 	trial  quarantine.Trial
 	last   outcome
 	reason string
-	// why are the inputs of a decision to refuse.
+	// cause describes the inputs of a refusal.
 	why      string
 	attempts []attemptNote
-	// age is how long ago the caller sent the request first, and waited how long it
-	// waited here for its turn.
+	// age is how long ago the caller first sent the request. waited is how long it was queued
+	// here.
 	age, waited time.Duration
-	// fixedPass is the part of a pass of its service's groups that doesn't depend on what they run.
+	// fixedPass is the part of a pass of the service's groups that doesn't depend on the running
+	// requests.
 	fixedPass time.Duration
 	// firstEvent is the time to the first event of a stream.
 	firstEvent time.Duration
-	// longestPause is the longest between two events of a stream, and pauseEnded when
-	// the later of the two left.
+	// longestGap is the longest gap between two events of a stream, and longestGapEnded when the
+	// later of the two was sent.
 	longestPause time.Duration
 	pauseEnded   time.Time
 }
 
-// contentFirst is the time to a first event, and contentPause the pause between two
-// events, that callers are content with; 0 if the route tells none.
+// targetFirstEvent is the route's target for the time to the first event, and targetGap that for
+// the gap between two events; 0 if the route has none.
 func (c *call) contentFirst() time.Duration {
 	return time.Duration(c.route.GetTargetLatencyMs()) * time.Millisecond
 }
@@ -76,14 +78,13 @@
 	return time.Duration(c.route.GetTargetGapMs()) * time.Millisecond
 }
 
-// Why an answered stream was late.
+// Reasons why a completed stream was late, as logs and metrics show them.
 const (
 	lateFirstEvent = "first-event"
 	latePause      = "pause"
 )
 
-// late says why a stream that was answered came later than callers are content with;
-// empty if it didn't.
+// late returns why a completed stream missed the targets of its route; empty if it didn't.
 func (c *call) late() string {
 	switch {
 	case c.contentFirst() > 0 && c.firstEvent > c.contentFirst():
@@ -94,7 +95,7 @@
 	return ""
 }
 
-// attemptNote is what a log line says of one attempt.
+// attemptRecord is what the request log shows of one attempt.
 type attemptNote struct {
 	upstream string
 	outcome  outcome
@@ -102,31 +103,31 @@
 	took     time.Duration
 }
 
-// answer is a whole answer of an upstream.
+// bufferedResponse is a complete response of an upstream.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// attempt is one send of a request.
+// attempt is one try of a request at an upstream.
 type attempt struct {
 	up    route.Upstream
 	at    *groupPool
 	req   *route.Request
 	began time.Time
-	// ctx ends with the request's, or when the attempt is given up.
+	// ctx ends with the context of the call, or when the attempt is given up.
 	ctx    context.Context
 	cancel context.CancelFunc
 	watch  *attemptWatch
-	// head is what the answer's header said, once there was one.
+	// head is what the header of the response says, once it has arrived.
 	head   dialect.Answer
 	status int
-	// broken says that the upstream ended the connection before a whole answer.
+	// cut says that the upstream closed the connection before the end of the response.
 	broken bool
 }
 
-// begin chooses an upstream for the next attempt; nil if there is none.
+// beginAttempt chooses an upstream for the next attempt; it returns nil if there is none.
 func (c *call) begin() *attempt {
 	req := &route.Request{Exclude: c.tried, Tokens: c.asked.PromptTokens + c.asked.MaxTokens}
 	now := time.Now()
@@ -141,13 +142,13 @@
 	return a
 }
 
-// end notes the outcome of an attempt.
+// endAttempt records the outcome of an attempt.
 func (c *call) end(a *attempt, o outcome) {
 	a.watch.stop()
 	a.cancel()
 	now := time.Now()
 	c.fleet.done(now, a.at, a.up, a.req, a.result(o, now))
-	c.history.note(o)
+	c.history.record(o)
 	c.sent.Store(int64(c.history.sent))
 	c.last = o
 	if c.tried == nil {
@@ -157,7 +158,7 @@
 	c.attempts = append(c.attempts, attemptNote{upstream: a.up.ID, outcome: o, status: a.status, took: now.Sub(a.began)})
 }
 
-// result tells the balancer how an attempt ended.
+// result returns the attempt's outcome for the balancer.
 func (a *attempt) result(o outcome, now time.Time) route.Result {
 	res := route.Result{Elapsed: now.Sub(a.began)}
 	switch o {
@@ -178,7 +179,7 @@
 	return res
 }
 
-// send calls the attempt's upstream and reads the head of its answer.
+// send calls the attempt's upstream and reads the head of its response.
 func (c *call) send(a *attempt, lastEventID string) (*direct.Response, error) {
 	header := forwardHeader(c.r.Header)
 	c.dialect.SetSend(header, dialect.Send{
@@ -201,12 +202,12 @@
 	return resp, nil
 }
 
-// belongs says whether an answer is one to this request.
+// matches reports whether a response is one to this request.
 func (c *call) belongs(status int, h http.Header) bool {
 	return c.dialect.ReadAnswer(status, h).ID == c.asked.ID
 }
 
-// failed classifies an attempt that brought no head, or whose body broke off.
+// classifyError returns the outcome of an attempt that got no head, or whose body ended early.
 func (c *call) failed(a *attempt, err error) outcome {
 	a.broken = errors.Is(err, direct.ErrBroken) || errors.Is(err, direct.ErrPartialEvent)
 	switch {
@@ -221,7 +222,7 @@
 	}
 }
 
-// classify says what an answer's head means for the request.
+// classifyHead returns the outcome that the head of a response stands for.
 func (a *attempt) classify(h http.Header) outcome {
 	switch {
 	case a.status == http.StatusMisdirectedRequest:
@@ -229,14 +230,14 @@
 	case a.head.NotRun:
 		return outcomeNotRun
 	case !a.head.Signed || h.Get("Content-Encoding") != "":
-		// Not the answer of the upstream's program, or not as it gave it.
+		// The response is not from the upstream's program, or was changed on the way.
 		return outcomeInDoubt
 	default:
 		return outcomeAnswered
 	}
 }
 
-// exchange makes one attempt and reads its answer whole.
+// exchange makes one attempt and reads the whole response.
 func (c *call) exchange(a *attempt) (*answer, outcome) {
 	resp, err := c.send(a, c.asked.LastEventID)
 	if err != nil {
@@ -246,22 +247,22 @@
 	return c.readWhole(a, resp)
 }
 
-// readWhole reads an answer to its end. Half of one must never look complete, and a
-// request whose answer broke off may still be tried elsewhere.
+// readWhole reads a response to its end. A truncated response is never passed on as complete, and
+// the request may still be retried.
 func (c *call) readWhole(a *attempt, resp *direct.Response) (*answer, outcome) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	o := a.classify(resp.Header)
 	if err == nil && len(body) <= maxAnswer {
 		return &answer{status: resp.Status, header: resp.Header, body: body}, o
 	}
-	if o.ranNothing() {
+	if o.certainlyNotRun() {
 		return nil, o
 	}
 	return nil, c.failed(a, err)
 }
 
-// eachAttempt makes one attempt after the other until one has served the request, or
-// none may follow; it says whether one has.
+// runAttempts makes attempts until one has served the request or no other may follow. It reports
+// whether one has.
 func (c *call) eachAttempt(once func(*attempt) (o outcome, served bool)) bool {
 	for {
 		a := c.begin()
@@ -286,7 +287,7 @@
 	}
 }
 
-// servePlain answers a request that has one whole answer.
+// serveBuffered serves a request whose response is buffered as a whole.
 func (c *call) servePlain() {
 	var held *answer
 	c.eachAttempt(func(a *attempt) (outcome, bool) {
@@ -304,71 +305,71 @@
 	c.fail()
 }
 
-// waiter is how the request waits for its turn.
+// newWaiter returns the waiter of the request with its admission deadlines.
 func (c *call) waiter() *waiter {
 	head := c.fleet.head(c.service)
-	c.age = c.times.age(c.began, c.route, c.asked.Deadline)
-	w := &waiter{returned: c.age > 0, granted: make(chan struct{})}
-	w.until = c.deadline.Add(-head)
+	c.age = c.timeouts.age(c.began, c.route, c.asked.Deadline)
+	w := &waiter{retried: c.age > 0, admitted: make(chan struct{})}
+	w.giveUpAt = c.deadline.Add(-head)
 	if c.route.Kind == wire.RouteKind_ROUTE_KIND_STREAMING {
-		if leaves := c.began.Add(callerPatience - patienceMargin - head); leaves.Before(w.until) {
-			w.until = leaves
+		if leaves := c.began.Add(firstEventTimeout - firstEventMargin - head); leaves.Before(w.giveUpAt) {
+			w.giveUpAt = leaves
 		}
 	}
 	if c.draining.Load() {
-		if ends := time.Now().Add(c.mayWait()); ends.Before(w.until) {
-			w.until = ends
+		if ends := time.Now().Add(c.mayWait()); ends.Before(w.giveUpAt) {
+			w.giveUpAt = ends
 		}
 	}
 	if c.trial.Verdict().Standing == quarantine.LastTrial {
-		// It is let in now or not at all: see heldBack.
-		w.until = c.began
+		// A request on its last trial is admitted now or not at all; see quarantineRefusal.
+		w.giveUpAt = c.began
 	}
-	w.inTime = w.until
+	w.onTimeBy = w.giveUpAt
 	if content := c.contentFirst(); content > 0 {
-		w.inTime = c.began.Add(content - c.age - time.Duration(headSpread*float64(head)))
+		w.onTimeBy = c.began.Add(content - c.age - time.Duration(headTimeFactor*float64(head)))
 	}
-	if w.until.Before(w.inTime) {
-		w.inTime = w.until
+	if w.giveUpAt.Before(w.onTimeBy) {
+		w.onTimeBy = w.giveUpAt
 	}
 	return w
 }
 
-// turnedAway answers a request that found no place.
+// refuseUnadmitted answers a request that was not admitted.
 func (c *call) turnedAway(wait time.Duration) {
 	if c.r.Context().Err() != nil {
 		c.done(0, "caller-gone", nil)
 		return
 	}
-	f := refusal{status: http.StatusServiceUnavailable, reason: reasonBusy, wait: wait}
+	f := refusal{status: http.StatusServiceUnavailable, reason: reasonUpstreamsBusy, retryAfter: wait}
 	if c.draining.Load() {
-		f = refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, wait: drainWait}
+		f = refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, retryAfter: drainWait}
 	}
 	c.turnDown(&f)
 }
 
-// retry says whether another attempt is made.
+// takeRetry reports whether another attempt may be made, and charges it to the retry budget.
 func (c *call) retry() bool {
-	c.reason = reasonBusy
-	if !c.history.mayTry(c.route) || time.Until(c.deadline) <= 0 {
+	c.reason = reasonUpstreamsBusy
+	if !c.history.mayRetry(c.route) || time.Until(c.deadline) <= 0 {
 		return false
 	}
 	if reason, only := c.oneAttempt(); only {
 		c.reason = reason
 		return false
 	}
-	// An attempt that never left is no arrival at an upstream.
+	// An attempt of which no byte was sent puts no load on an upstream.
 	if c.last == outcomeNotSent || c.paid.Swap(false) {
 		return true
 	}
-	if !c.budgets.take(c.service) {
+	if !c.retryBudgets.takeToken(c.service) {
 		c.reason = reasonRetryBudget
 		return false
 	}
 	return true
 }
 
-// deliver passes a whole answer on unchanged.
+// writeResponse passes a buffered response on unchanged.
 func (c *call) deliver(a *answer) {
 	copyAnswerHeader(c.w.Header(), a.header)
 	c.closeIfLeaving()
@@ -378,7 +379,7 @@
 	c.done(a.status, "", err)
 }
 
-// fail ends a request that was not answered.
+// refuseFailed answers a request that no attempt has served.
 func (c *call) fail() {
 	if c.last == outcomeCallerGone {
 		c.done(0, "caller-gone", nil)
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,8 +1,8 @@
-// Package gateway is an entry for callers that name a service by host and path. It
-// answers each request once: it finds the route and the team, chooses an upstream,
-// calls it by HTTP and passes the answer on, whole or event by event.
+// Package gateway implements the HTTP gateway. It finds the route and the team of a request by
+// host, path and key, chooses an upstream, calls it by HTTP and passes the response on, whole or
+// event by event.
 //
-// What decides is in packages without network: routing (which route), route (which
-// upstream), forward.Budget (how many retries), and Policy here (what becomes of a
-// request after an attempt).
+// Decisions are made by code without network access: package routing matches routes, package
+// route chooses upstreams, and here groupLimiter, servicePool and waitQueue decide on admission,
+// retryBudgets and attemptHistory on retries.
 package gateway
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// drainPoll is how often a gateway that leaves looks whether it is idle.
+	// drainPollInterval is how often a draining gateway checks whether it is idle.
 	drainPoll = 50 * time.Millisecond
-	// drainMargin is left of the stop limit for what is in progress: a request that
-	// is on its way when the listener closes.
+	// drainMargin is subtracted from the stop limit for requests that are on their way when the
+	// listener closes.
 	drainMargin = 300 * time.Millisecond
-	// keepFactor covers callers that keep the list of entries longer than they
-	// were told.
+	// listLifetimeFactor allows for callers that keep the list of gateways longer than they were
+	// told.
 	keepFactor = 2
-	// streamTime is how long a stream is expected to take at most: a long answer of
-	// some sixty events at passes of eighty milliseconds.
+	// maxStreamTime is the longest expected duration of a stream.
 	streamTime = 5 * time.Second
-	// plainTime is the same for a whole answer, unless its caller waits for less.
+	// maxPlainTime is the longest expected duration of a plain response, unless its caller's
+	// deadline is earlier.
 	plainTime = 1200 * time.Millisecond
-	// drainWait is when a caller may come back that is refused for the stop: at once,
-	// as another entry takes it.
+	// retryAfterDrain is the Retry-After of a request that is refused because of draining:
+	// another gateway can serve it at once.
 	drainWait = 50 * time.Millisecond
 )
 
-// endsInTime says whether a request that comes now can end before a gateway that
-// leaves is stopped by force. One that can't is refused as not run, and its caller
-// goes elsewhere; taken, it would be cut in the middle of its answer.
+// finishesBeforeStop reports whether a request that arrives now can end before a draining gateway
+// is stopped by force. A request that can't is refused as not run, so that its caller can retry
+// elsewhere; otherwise its response would be cut.
 func (g *Gateway) endsInTime(c *call) bool {
 	if !g.draining.Load() {
 		return true
@@ -37,12 +37,12 @@
 	return g.drainLeft() >= c.expectedTime()
 }
 
-// drainLeft is how much time a gateway that leaves has for what is in progress.
+// drainTimeLeft returns how much time a draining gateway has for requests in progress.
 func (g *Gateway) drainLeft() time.Duration {
 	return g.settings.StopLimit.D() - drainMargin - g.now().Sub(*g.drainBegan.Load())
 }
 
-// expectedTime is how long an answer is expected to take at most.
+// maxResponseTime returns the longest expected duration of the response.
 func (c *call) expectedTime() time.Duration {
 	if c.route.Kind == wire.RouteKind_ROUTE_KIND_STREAMING {
 		return streamTime
@@ -50,13 +50,13 @@
 	return min(plainTime, time.Until(c.deadline))
 }
 
-// mayWait is how long a request may wait for its turn at a gateway that leaves: its answer
-// must end before the stop, or its caller sees it cut in the middle.
+// maxQueueTime returns how long a request may be queued at a draining gateway, so that its
+// response still ends before the stop.
 func (c *call) mayWait() time.Duration { return max(c.drainLeft()-c.expectedTime(), 0) }
 
-// Drain implements kernel.Daemon. The gateway leaves the list of entries at once
-// and goes on answering: callers keep the list for a while, and come here until
-// they ask again.
+// Drain implements kernel.Daemon. The gateway leaves the list of gateways at once and continues
+// to serve requests, as callers keep the list for a while. It returns when the gateway has been
+// idle for long enough, or at the stop limit.
 func (g *Gateway) Drain(ctx context.Context) error {
 	began := g.now()
 	g.drainBegan.CompareAndSwap(nil, &began)
--- a/gateway/fetches.go
+++ b/gateway/fetchgroup.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// fetchHead is how long a watch leaves a version to another that fetches it: a fetch
-// takes some milliseconds, and a replica that fell silent must not hold up the others.
+// fetchHeadStart is how long a watch waits for another one that fetches the same version or a
+// later one. It is longer than a normal fetch, and bounds the delay by an unresponsive replica.
 const fetchHead = 200 * time.Millisecond
 
-// fetches keeps the watches of several replicas from fetching one version each. All of
-// them tell a new version within milliseconds; with five replicas and forty entries
-// a configuration of 400 routes was sent 200 times instead of forty.
+// fetchGroup keeps the watches of several replicas from fetching the same version each, as all of
+// them report a new version at nearly the same time.
 type fetches struct {
 	mu sync.Mutex
-	// version is being fetched until ended is closed; ended is nil if none is.
+	// version is being fetched until done is closed; done is nil if there is no fetch.
 	version uint64
 	ended   chan struct{}
 }
 
 func newFetches() *fetches { return &fetches{} }
 
-// begin waits while another watch fetches a version or a higher one, for a while, and
-// then notes that the caller fetches it; the function returned ends that.
+// begin waits, for fetchHeadStart at most, while another watch fetches the same version or a
+// later one, and then registers the caller's own fetch. The caller must call the returned
+// function when its fetch has ended.
 func (f *fetches) begin(ctx context.Context, version uint64) (done func()) {
 	patience := time.After(fetchHead)
 	for {
@@ -44,7 +44,7 @@
 	}
 }
 
-// start notes a fetch. It unlocks.
+// start registers a fetch. It unlocks f.mu, which the caller has locked.
 func (f *fetches) start(version uint64) (done func()) {
 	defer f.mu.Unlock()
 	ended := make(chan struct{})
--- a/gateway/fetches_test.go
+++ b/gateway/fetchgroup_test.go
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// fetchAll plays watches of some replicas that all tell one version at once. A fetch
-// takes a while and may fail; it returns how many were made.
+// simulateFetches simulates watches of several replicas that report the same version at once.
+// takes and fails describe the nth fetch. It returns the number of fetches and the version that
+// was applied.
 func fetchAll(watches int, takes func(n int32) time.Duration, fails func(n int32) bool) (made int32, held uint64) {
 	const version = 7
 	f := newFetches()
@@ -40,9 +41,8 @@
 	return fetched.Load(), uint64(applied.Load())
 }
 
-// Five replicas tell a new version at once: it is fetched from one of them, so that a
-// large configuration doesn't cross the network five times for each entry. If that
-// fetch fails, or takes long because the replica has fallen silent, the others fetch it.
+// A version that several replicas report at once is fetched from one of them. If that fetch fails
+// or takes too long, the other watches fetch it.
 func TestOneWatchFetchesAVersion(t *testing.T) {
 	quick := func(int32) time.Duration { return 10 * time.Millisecond }
 	synctest.Test(t, func(t *testing.T) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,48 +27,45 @@
 )
 
 const (
-	// dialUpstream bounds the opening of a connection to an upstream, beside the
-	// request's own time: one in the same region answers in milliseconds, and a
-	// lost packet is sent again after a second.
+	// upstreamDialTimeout bounds the opening of a connection to an upstream, in addition to the
+	// deadline of the request. It leaves time for one TCP retransmission after a second.
 	dialUpstream = 1200 * time.Millisecond
-	// retryNoConfig is what a caller is told to wait that comes before the first
-	// configuration.
+	// retryAfterNoConfig is the Retry-After before the first routing configuration.
 	retryNoConfig = 300 * time.Millisecond
-	// retryBusy is what a caller is told to wait when no upstream can take its
-	// request.
+	// retryAfterBusy is the default Retry-After of refused requests.
 	retryBusy = 500 * time.Millisecond
 )
 
-// Gateway answers callers. It implements kernel.Daemon.
+// Gateway serves the requests of callers. It implements kernel.Daemon.
 type Gateway struct {
-	settings *Settings
-	log      log.Logger
-	dialect  dialect.Dialect
-	now      func() time.Time
-	certs    *transport.Certificates
-	pool     *transport.Pool
-	client   *direct.Client
-	node     *directory.Node
-	targets  *directory.Targets
-	life     *directory.Life
-	fleet    *fleet
-	movable  *movable
-	fetches  *fetches
-	warmup   *warmup
-	times    *callerTimes
-	budgets  *budgets
-	requests *requestLog
-	metrics  *gatewayMetrics
-	// beliefs bounds the lines about what the gateway believes of others.
+	settings     *Settings
+	log          log.Logger
+	dialect      dialect.Dialect
+	now          func() time.Time
+	certs        *transport.Certificates
+	pool         *transport.Pool
+	client       *direct.Client
+	node         *directory.Node
+	targets      *directory.Targets
+	life         *directory.Life
+	fleet        *fleet
+	movable      *movable
+	fetches      *fetches
+	warmup       *warmup
+	timeouts     *callerTimeouts
+	retryBudgets *retryBudgets
+	requests     *requestLog
+	metrics      *gatewayMetrics
+	// stateLog limits the log lines about the state of other processes.
 	beliefs *kernel.LineBudget
 	dumps   kernel.Dumps
 
 	table    atomic.Pointer[routing.Table]
 	draining atomic.Bool
-	// drainBegan is when the gateway began to leave.
+	// drainBegan is when the gateway began to drain.
 	drainBegan atomic.Pointer[time.Time]
 	active     atomic.Int64
-	// lastCame is when the last request came, in nanoseconds of now.
+	// lastRequestAt is when the last request arrived, in Unix nanoseconds of now.
 	lastCame    atomic.Int64
 	announceNow chan struct{}
 	seq         atomic.Uint64
@@ -77,13 +74,13 @@
 	callers net.Listener
 	servers []*http.Server
 	cancel  context.CancelFunc
-	// known are the upstreams that were told of last.
+	// knownUpstreams are the upstreams that were last logged, by ID.
 	known    map[string]*directory.Instance
 	ends     upstreamEnds
 	suspects *quarantine.Node
 }
 
-// New makes a gateway from checked settings.
+// New creates a Gateway. It returns an error if the settings are invalid.
 func New(s *Settings, l log.Logger) (*Gateway, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -101,7 +98,7 @@
 		settings: s, log: kernel.PartLog(l, "gateway"), dialect: d, now: now, certs: certs,
 		pool:   transport.NewPool(sec),
 		client: direct.NewClient(transport.NewDialer(dialUpstream).DialContext),
-		life:   directory.NewLife(s.ID, now()), fleet: newFleet(s), movable: newMovable(), fetches: newFetches(), warmup: newWarmup(now()), times: newCallerTimes(),
+		life:   directory.NewLife(s.ID, now()), fleet: newFleet(s), movable: newMovable(), fetches: newFetches(), warmup: newWarmup(now()), timeouts: newCallerTimeouts(),
 		targets:     directory.NewTargets(s.ID, s.FailureDomain, s.Replicas).Grow(),
 		announceNow: make(chan struct{}, 1),
 	}
@@ -111,15 +108,15 @@
 	g.fleet.told, g.fleet.passes, g.fleet.entries = g.tellGate, g.tellPasses, g.entries
 	g.metrics.register(g)
 	g.node = directory.NewNode(directorySettings(), now, g.directoryChanged)
-	g.budgets = newBudgets(s.Retries, g.entries, now)
+	g.retryBudgets = newRetryBudgets(s.Retries, g.entries, now)
 	g.dumps.Add("directory", g.node.Dump)
 	g.dumps.Add("gateway", g.dump)
 	g.dumps.Add("quarantine", g.suspects.Dump)
 	return g, nil
 }
 
-// directorySettings lets a gateway go on with the upstreams that it knows while
-// no control replica is heard.
+// directorySettings lets the gateway go on with the upstreams it knows while no control replica
+// responds.
 func directorySettings() directory.Settings {
 	s := directory.DefaultSettings()
 	s.SilentHold = 10 * time.Minute
@@ -164,10 +161,10 @@
 	go kernel.ServeHTTP(g.log, srv, lis)
 }
 
-// CallerAddress is where callers connect.
+// CallerAddress returns the address of the listener for callers.
 func (g *Gateway) CallerAddress() string { return g.callers.Addr().String() }
 
-// ready says whether callers may come.
+// ready reports whether the gateway accepts requests: it has a configuration and isn't draining.
 func (g *Gateway) ready() bool { return g.table.Load() != nil && !g.draining.Load() }
 
 func (g *Gateway) readiness() http.Handler {
@@ -184,12 +181,14 @@
 	})
 }
 
-// entries is how many entries are up, this one too.
+// gatewayCount returns the number of instances that are up with the role of entry, at least 1 for
+// this one.
 func (g *Gateway) entries() int {
 	return max(len(g.node.Instances(wire.Role_ROLE_ENTRY)), 1)
 }
 
-// entryPlace is this entry's place among those that are up, by their names.
+// gatewayPosition is the index of this gateway among those that are up, ordered by ID, and their
+// number.
 type entryPlace struct {
 	index, entries int
 }
@@ -205,19 +204,19 @@
 	return p
 }
 
-// directoryChanged takes what the directory knows of upstreams.
+// directoryChanged applies a change of the known upstreams.
 func (g *Gateway) directoryChanged() {
 	known := g.node.Instances(wire.Role_ROLE_UPSTREAM)
 	g.tellUpstreams(known)
 	if err := g.fleet.update(time.Now(), known); err != nil {
-		kernel.Warn(g.log, "Upstreams can't be taken up.", "err", err)
+		kernel.Warn(g.log, "Updating the upstreams failed.", "err", err)
 	}
 	g.explainCuts(known)
 	g.client.Forget(g.fleet.addresses())
 	g.warmup.learned()
 }
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
@@ -249,7 +248,7 @@
 		return
 	}
 	defer c.trial.Done()
-	g.budgets.offer(c.service)
+	g.retryBudgets.recordRequest(c.service)
 	if c.route.Kind == wire.RouteKind_ROUTE_KIND_STREAMING {
 		c.serveStream()
 		return
@@ -257,7 +256,8 @@
 	c.servePlain()
 }
 
-// admit finds the route and the team of a request and reads its body.
+// prepare finds the route and the team of a request and reads its body. It returns a refusal if
+// the request can't be served.
 func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, began time.Time) (*call, *refusal) {
 	c := &call{Gateway: g, w: w, r: r, began: began}
 	c.trial.Init(g.suspects, c)
@@ -280,24 +280,24 @@
 	}
 	if t.NeedsKey(c.route) {
 		if c.team = t.TeamOf(c.asked.Key); c.team == nil {
-			return c, &refusal{status: http.StatusUnauthorized, reason: reasonKey}
+			return c, &refusal{status: http.StatusUnauthorized, reason: reasonUnknownKey}
 		}
 	}
 	c.service = routing.Choose(c.route, rand.Float64())
-	c.fixedPass = fixedPass(t.Service(c.service).GetEngine())
+	c.fixedPass = fixedPassTime(t.Service(c.service).GetEngine())
 	c.waitForService(r.Context())
 	c.deadline = began.Add(time.Duration(c.route.TimeoutMs) * time.Millisecond)
 	if c.asked.Deadline > 0 && began.Add(c.asked.Deadline).Before(c.deadline) {
 		c.deadline = began.Add(c.asked.Deadline)
 	}
 	if !g.endsInTime(c) {
-		return c, &refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, wait: drainWait}
+		return c, &refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, retryAfter: drainWait}
 	}
 	return c, c.readBody(limits.bodyBytes)
 }
 
-// readBody reads the body whole, so that a request may be sent a second time and
-// no upstream waits for a slow caller.
+// readBody reads the whole body, so that the request can be retried and no upstream waits for a
+// slow caller. limit is in bytes.
 func (c *call) readBody(limit int64) *refusal {
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -311,18 +311,18 @@
 	return nil
 }
 
-// turnDown refuses a request and ends it.
+// refuseAndEnd writes a refusal and ends the request.
 func (c *call) turnDown(f *refusal) {
 	c.refuse(c.w, *f)
 	c.done(f.status, f.reason, nil)
 }
 
-// refuse answers for the gateway itself.
+// writeRefusal writes a response by the gateway itself.
 func (g *Gateway) refuse(w http.ResponseWriter, f refusal) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if f.status == http.StatusServiceUnavailable {
-		wait := cmp.Or(f.wait, retryBusy)
+		wait := cmp.Or(f.retryAfter, retryBusy)
 		if f.reason == reasonNoConfig {
 			wait = retryNoConfig
 		}
@@ -332,18 +332,18 @@
 		h.Set("Connection", "close")
 	}
 	w.WriteHeader(f.status)
-	// A caller that doesn't read the refusal has left; there is nothing else to do.
+	// A write error means that the caller has left; there is nothing to do then.
 	_, _ = w.Write(g.dialect.EncodeError(f.reason))
 }
 
-// closeIfLeaving tells the caller to open its next connection elsewhere.
+// closeIfDraining tells the caller to open its next connection elsewhere.
 func (c *call) closeIfLeaving() {
 	if c.draining.Load() {
 		c.w.Header().Set("Connection", "close")
 	}
 }
 
-// startMetrics serves metrics and the state dump.
+// startMetrics serves the metrics and the state dump, if they have an address.
 func (g *Gateway) startMetrics(ctx context.Context) error {
 	if g.settings.Metrics == "" {
 		return nil
@@ -360,7 +360,7 @@
 	return nil
 }
 
-// routingVersion is that of the configuration in force, 0 before the first.
+// routingVersion returns the version of the configuration in force; 0 before the first one.
 func (g *Gateway) routingVersion() uint64 {
 	if t := g.table.Load(); t != nil {
 		return t.Config.Version
--- a/gateway/groups_test.go
+++ b/gateway/groups_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// shiftsEach is a group for which other experts come into demand once in a period, as the leader of three groups of 24
-// ranks told it: a skew of 3.4 that is seen after a quarter of a second, and three switches that bring it to 1.6.
+// periodicShifts returns the skew of a group whose expert demand shifts once per period: it rises
+// to 3.4, and three steps of replication reduce it to 1.6.
 func shiftsEach(period time.Duration) func(int, time.Duration) (float64, bool) {
 	return func(_ int, at time.Duration) (float64, bool) {
 		switch since := at % period; {
@@ -28,12 +28,9 @@
 	}
 }
 
-// What callers see: four of five streams are late by one pause of 121 to 145 ms, of 120 that they are content with; few are refused.
-// What happens: other experts come into demand each two seconds, and until copies are made the passes of all three groups of
-// a service take as long as that, with the requests that their slots allow; each stream lives through one such second.
-// Why: entries took the passes of three groups for those of one, each read prompts for a part of a slot at once, and fewer slots
-// were used only if passes were long most of the time. A fifth to two fifths of them were; the lines showed all slots in use.
-// Bound: the mark of a full score on the day whose load this is, a worth of 0.53 of all that is wanted.
+// Three groups whose expert demand shifts every two seconds serve enough streams on time. Guards
+// against treating the passes of three groups as one, against all gateways admitting at once, and
+// against using all slots while passes after each shift are too long.
 func TestGroupsWhoseDemandShiftsServeInTime(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -48,11 +45,9 @@
 	}
 }
 
-// What callers see: their streams wait at entries for 0.9 s and are late, and some are refused, while a third of the slots is free.
-// What happens: two of five entries have callers; the others have none. Passes are short enough, and no entry is at its limit.
-// Why: each entry kept to the pace of an even part of the slots, so that three fifths of the pace at which the groups can take
-// requests stayed with entries that had none.
-// Bound: callers are served as well as if they came to all entries, but for 0.03.
+// Callers that use some of the gateways only are served about as well as callers that use all of
+// them. Guards against shares of the slots and of the admission rate being left with idle
+// gateways.
 func TestCallersAtFewEntriesAreServedAsWell(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -66,9 +61,9 @@
 				return s
 			}
 			all, few := play(147), play(64)
-			t.Logf("at all: %s", all)
-			t.Logf("at 64: %s", few)
-			assert.Assert(t, few.worth() > all.worth()-0.03, "at all entries: %s; at 64 of 147: %s", all, few)
+			t.Logf("all gateways: %s", all)
+			t.Logf("64 gateways: %s", few)
+			assert.Assert(t, few.worth() > all.worth()-0.03, "all gateways: %s; 64 of 147: %s", all, few)
 		})
 	}
 }
--- a/gateway/groupsim_test.go
+++ b/gateway/groupsim_test.go
@@ -13,53 +13,56 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// groupSim plays the entries of a service whose upstreams form several groups, in virtual time.
-// Entries are real; a group is a model of its passes: a fixed part, and one that grows with the
-// requests that run and the prompts that are read, of which the experts' part grows with the skew.
+// groupSim simulates, in virtual time, the gateways of a service whose upstreams form several
+// groups. The gateways run the real code; a group is a model of its passes: a fixed part, and a
+// part that grows with the running requests and the prompts, whose expert share grows with the
+// skew.
 type groupSim struct {
 	simProfile
 	rnd     *rand.Rand
 	now     time.Time
 	groups  []*simGroup
 	entries []*simEntry
-	// skew is that of a group at a time since the start, and copies whether its ranks copy experts.
+	// skew returns the skew of a group at a time since the start, and whether its ranks are
+	// replicating experts.
 	skew func(group int, at time.Duration) (skew float64, copies bool)
-	// perSecond is how many new callers come to all entries together.
+	// perSecond is the arrival rate of new callers over all gateways.
 	perSecond float64
 	queue     []*simCaller
 
 	came, inTime, late, refused int
-	// lateFirst are those of the late ones whose first event was late.
+	// lateFirst counts the late streams whose first event was late.
 	lateFirst int
 }
 
 const (
 	simService = "pool"
-	// Experts have simExpertShare of the work for requests and prompts, and a rank keeps the rest.
+	// simExpertShare is the fraction of the work for requests and prompts done by experts.
 	simExpertShare = 0.85
-	// simReadRate is how many tokens of prompts a rank reads in a millisecond.
+	// simReadRate is the number of prompt tokens that a rank reads per millisecond.
 	simReadRate = 74.8
-	// The busiest rank has twice the requests and prompts of the mean one, and passes take 15 in 100
-	// longer while ranks copy experts.
+	// simBusiest is the load of the busiest rank relative to the mean. simCopying is the factor
+	// by which passes are longer while ranks replicate experts.
 	simBusiest, simCopying = 2, 1.15
 )
 
-// simProfile is what a service's groups are like, and what its callers want.
+// simProfile describes the groups of a service and its callers.
 type simProfile struct {
 	ranks, slots int
-	// A step takes step ms, and perRequest ms for each request that runs on a rank; a pass has stride of them.
+	// A pass has stride steps. A step takes step ms, plus perRequest ms for each request that
+	// runs on a rank.
 	stride           float64
 	step, perRequest float64
-	// prompt is in tokens, and events is how many a stream has.
+	// prompt is the length of a prompt in tokens, events the mean number of events of a stream.
 	prompt, events float64
-	// content is the pause between events that callers are content with, first the time to the first event.
+	// content is the target gap, first the target for the first event.
 	content, first time.Duration
-	// lateWorth is what a late answer is worth of one in time.
+	// lateWorth is the worth of a late response, relative to one on time.
 	lateWorth float64
 }
 
-// smallGroups are groups of 24 ranks with many slots each, whose passes are near the pause that callers are
-// content with if all slots are in use; largeGroup one of 192 with fewer slots.
+// smallGroups are groups of 24 ranks with many slots, whose passes come close to the target gap
+// if all slots are in use. largeGroup is a group of 192 ranks with fewer slots each.
 var (
 	smallGroups = simProfile{
 		ranks: 24, slots: 10, stride: 7, step: 4.84, perRequest: 0.435, prompt: 800, events: 22.7,
@@ -71,12 +74,12 @@
 	}
 )
 
-// fixed is the part of a pass that doesn't depend on what runs, as the service's profile tells it.
+// fixed returns the part of a pass that doesn't depend on the running requests.
 func (p *simProfile) fixed() time.Duration {
 	return time.Duration(p.stride * p.step * float64(time.Millisecond))
 }
 
-// simGroup is the model of one group.
+// simGroup models one group.
 type simGroup struct {
 	running []*simCaller
 	waiting []*simCaller
@@ -84,7 +87,7 @@
 	passes  []time.Duration
 }
 
-// simCaller is one request, over both of its tries.
+// simCaller is one request over both of its tries.
 type simCaller struct {
 	first     time.Time
 	came      time.Time
@@ -100,7 +103,7 @@
 	at        *groupPool
 }
 
-// simEntry drives a real entry in virtual time.
+// simGateway drives the real code of a gateway in virtual time.
 type simEntry struct {
 	fleet   *fleet
 	weight  float64
@@ -133,7 +136,7 @@
 	return s
 }
 
-// onlyAt has callers come to the first entries only, so many.
+// limitCallersTo sends callers to the first gateways only.
 func (s *groupSim) onlyAt(entries int) {
 	sum := 0.0
 	for i, e := range s.entries {
@@ -151,7 +154,7 @@
 
 func (s *groupSim) since() time.Duration { return s.now.Sub(start) }
 
-// run plays some time. What is due first comes first.
+// run simulates a duration, in order of the events' times.
 func (s *groupSim) run(d time.Duration) {
 	end := s.now.Add(d)
 	arrival, survey, turn := s.now, s.now, s.now
@@ -186,7 +189,7 @@
 	return s.entries[0]
 }
 
-// arrive is a try of a caller.
+// arrive simulates one try of a caller.
 func (s *groupSim) arrive(c *simCaller) {
 	c.came = s.now
 	c.tries++
@@ -195,15 +198,15 @@
 	}
 	c.waiter = comes(s.now)
 	if c.tries > 1 {
-		c.waiter.returned, c.waiter.inTime = true, c.first.Add(s.first-leastHead)
+		c.waiter.retried, c.waiter.onTimeBy = true, c.first.Add(s.first-defaultHeadTime)
 	}
 	v, wait := c.entry.ask(s.now, c.waiter)
 	switch v {
-	case letIn:
+	case decisionAdmit:
 		s.send(c)
-	case letWait:
+	case decisionQueue:
 		c.entry.waiting = append(c.entry.waiting, c)
-	case turnAway:
+	case decisionRefuse:
 		s.turnAway(c, wait)
 	}
 }
@@ -217,14 +220,14 @@
 	s.queue = append(s.queue, c)
 }
 
-// send gives a request to the rank that its entry chooses.
+// send sends a request to the rank that its gateway chooses.
 func (s *groupSim) send(c *simCaller) {
 	c.sentAt, c.up = s.now, c.entry.pick(s.now, c)
 	g := s.groups[c.up.ID[0]-'0']
 	g.waiting = append(g.waiting, c)
 }
 
-// turns looks after those that wait at entries, and those that come back.
+// tick admits queued requests and lets refused callers retry.
 func (s *groupSim) turns() {
 	for _, e := range s.entries {
 		e.turns(s.now)
@@ -242,7 +245,7 @@
 	}
 }
 
-// granted sends what an entry has let in of those that waited there.
+// sendAdmitted sends the queued requests that a gateway has admitted.
 func (s *groupSim) granted(e *simEntry) {
 	left := e.waiting
 	e.waiting = nil
@@ -250,7 +253,7 @@
 		switch {
 		case granted(c.waiter):
 			s.send(c)
-		case s.now.After(c.waiter.until):
+		case s.now.After(c.waiter.giveUpAt):
 			s.turnAway(c, e.giveUp(s.now, c.waiter))
 		default:
 			e.waiting = append(e.waiting, c)
@@ -282,7 +285,7 @@
 	for _, c := range slices.Clone(g.running) {
 		s.event(g, c)
 	}
-	// Those that came meanwhile are read in the next pass, and have their first event at its end.
+	// New requests are read in the next pass and get their first event at its end.
 	read := 0
 	for len(g.waiting) > 0 && len(g.running) < s.ranks*s.slots {
 		g.running = append(g.running, g.waiting[0])
@@ -328,7 +331,7 @@
 	s.granted(c.entry)
 }
 
-// forget begins to count anew: what came before the load was there tells nothing.
+// resetCounts drops the counts of the warm-up phase.
 func (s *groupSim) forget() {
 	s.came, s.inTime, s.late, s.lateFirst, s.refused = 0, 0, 0, 0, 0
 	for _, g := range s.groups {
@@ -336,12 +339,12 @@
 	}
 }
 
-// worth is what those that came got, of all that they wanted.
+// worth returns the mean worth of the requests that ended.
 func (s *groupSim) worth() float64 {
 	return (float64(s.inTime) + s.lateWorth*float64(s.late)) / float64(s.inTime+s.late+s.refused)
 }
 
-// String tells what became of callers, for failures.
+// String summarizes the results.
 func (s *groupSim) String() string {
 	var all []time.Duration
 	for _, g := range s.groups {
@@ -357,19 +360,19 @@
 
 func (e *simEntry) pool() *servicePool { return e.fleet.services[simService] }
 
-func (e *simEntry) ask(now time.Time, w *waiter) (verdict, time.Duration) {
-	return e.pool().ask(now, e.fleet.entries(), w)
+func (e *simEntry) ask(now time.Time, w *waiter) (decision, time.Duration) {
+	return e.pool().decide(now, e.fleet.entries(), w)
 }
 
-func (e *simEntry) turns(now time.Time) { e.pool().turns(now, e.fleet.entries()) }
+func (e *simEntry) turns(now time.Time) { e.pool().admitQueued(now, e.fleet.entries()) }
 
 func (e *simEntry) giveUp(now time.Time, w *waiter) time.Duration {
-	e.pool().line.remove(w)
-	return e.pool().turnAway(now)
+	e.pool().queue.remove(w)
+	return e.pool().refused(now)
 }
 
 func (e *simEntry) pick(now time.Time, c *simCaller) route.Upstream {
-	up, at, ok := e.fleet.pick(now, c.waiter.at, &route.Request{})
+	up, at, ok := e.fleet.pick(now, c.waiter.group, &route.Request{})
 	if !ok {
 		panic("no upstream")
 	}
@@ -388,7 +391,7 @@
 
 func (e *simEntry) leave(now time.Time, c *simCaller) {
 	e.fleet.done(now, c.at, c.up, &route.Request{}, route.Result{Elapsed: now.Sub(c.sentAt)})
-	c.at.gate.leave()
-	e.pool().stayedFor(now.Sub(c.sentAt))
-	e.pool().turns(now, e.fleet.entries())
+	c.at.limiter.release()
+	e.pool().recordHoldTime(now.Sub(c.sentAt))
+	e.pool().admitQueued(now, e.fleet.entries())
 }
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -9,16 +9,16 @@
 	"github.com/snipereach/snipereach/transport"
 )
 
-// forwardHeader copies what is passed on to an upstream.
+// forwardHeader returns a copy of a request's header for an upstream.
 func forwardHeader(h http.Header) http.Header {
 	out := h.Clone()
 	removeHopByHop(out)
 	return out
 }
 
-// removeHopByHop takes out what concerns one connection only, also what it names
-// itself. Content-Length is written anew on each connection, and an upstream is sent
-// the whole body without being asked whether it expects it.
+// removeHopByHop removes the hop-by-hop headers, including those named by Connection.
+// Content-Length is set anew on each connection, and Expect isn't needed as the body is sent at
+// once.
 func removeHopByHop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
@@ -32,8 +32,8 @@
 	}
 }
 
-// copyAnswerHeader copies an upstream's header into an answer. What is missing is
-// left out, and not guessed from the body.
+// copyResponseHeader copies an upstream's header into a response. A missing Content-Type stays
+// missing; the nil value keeps net/http from guessing it from the body.
 func copyAnswerHeader(to, from http.Header) {
 	removeHopByHop(from)
 	for name, values := range from {
@@ -44,7 +44,7 @@
 	}
 }
 
-// seconds is a duration as Retry-After takes it.
+// seconds formats a duration for Retry-After.
 func seconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
 }
--- a/gateway/helpers_test.go
+++ b/gateway/helpers_test.go
@@ -12,7 +12,7 @@
 
 func durationOf(d time.Duration) kernel.Duration { return kernel.Duration(d) }
 
-// Headers of one connection stay on it, also those that "Connection" names.
+// Hop-by-hop headers, including those that Connection names, aren't forwarded.
 func TestHopByHopHeadersStay(t *testing.T) {
 	h := http.Header{
 		"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "X-Other": {"2"}, "Te": {"trailers"},
--- a/gateway/gate_test.go
+++ b/gateway/limiter_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ranks registers a group of n ranks with 12 slots each.
+// registeredRanks returns the registrations of a group of n ranks with 12 slots each.
 func ranks(n int, epoch uint64, broken bool) []*directory.Instance {
 	var list []*directory.Instance
 	for i := range n {
@@ -26,29 +26,30 @@
 
 var start = time.Unix(1000, 0)
 
-// slotsOf is a part of an entry's even share of 16 ranks with 12 slots, of six entries.
+// evenShare returns part times the even share that one of six gateways has of 16 ranks with 12
+// slots.
 func slotsOf(part float64) int { return int(part * 192 / 6) }
 
-// onlyGroup is the pool of a service with one group, and that group's gate.
-func onlyGroup(insts []*directory.Instance) (*servicePool, *gate) {
+// singleGroup returns the pool of a service with one group, and that group's limiter.
+func onlyGroup(insts []*directory.Instance) (*servicePool, *groupLimiter) {
 	p := newServicePool(route.Place{Entry: "e"})
 	if err := p.update(start, route.Place{Entry: "e"}, insts); err != nil {
 		panic(err)
 	}
-	return p, &p.order[0].gate
+	return p, &p.sorted[0].limiter
 }
 
-// enter lets a request in that doesn't wait, or says when its caller may come back.
+// tryAdmit admits a request without queueing it, or returns its Retry-After.
 func (p *servicePool) enter(now time.Time, entries int) (wait time.Duration, ok bool) {
-	g := p.order[0]
-	if g.gate.inflight >= g.gate.limit(now, entries) || !g.gate.passes(now, false) {
-		return p.turnAway(now), false
+	g := p.sorted[0]
+	if g.limiter.inflight >= g.limiter.limit(now, entries) || !g.limiter.mayAdmit(now, false) {
+		return p.refused(now), false
 	}
 	p.admit(now, g, &waiter{})
 	return 0, true
 }
 
-// fill lets requests in until one is refused.
+// fillGroup admits requests until one is refused, and returns their number.
 func fill(g *servicePool, now time.Time, entries int) int {
 	n := 0
 	for n < 10_000 {
@@ -60,91 +61,87 @@
 	return n
 }
 
-// The load: a group of 16 ranks is slow while six entries go on to get requests. Each entry takes its part of the 192 slots and some more, because
-// callers don't spread evenly, and refuses the rest at once: nothing is left in the
-// upstreams' queues that makes all that follow late.
+// Without a load report each gateway uses its even share of the slots plus evenShareMargin, and
+// refuses the rest, so that upstreams don't queue requests.
 func TestFullGroupGetsNoMoreThanTheSlots(t *testing.T) {
 	p, g := onlyGroup(ranks(16, 1, false))
 	n := fill(p, start, 6)
-	assert.Equal(t, n, slotsOf(shareMargin))
+	assert.Equal(t, n, slotsOf(evenShareMargin))
 	wait, ok := p.enter(start, 6)
-	assert.Assert(t, !ok && wait >= fullWait && wait < fullWait+200*time.Millisecond)
-	g.leave()
+	assert.Assert(t, !ok && wait >= retryAfterMin && wait < retryAfterMin+200*time.Millisecond)
+	g.release()
 	_, ok = p.enter(start, 6)
 	assert.Assert(t, ok)
 }
 
-// The load: three times as many requests as there are slots, for seconds. Callers that
-// find none are told to come back later the more are refused, and again as before once
-// slots are free.
+// Retry-After grows while requests are refused and returns to its minimum when they are admitted
+// again.
 func TestCrowdIsToldToComeBackLater(t *testing.T) {
 	p, g := onlyGroup(ranks(16, 1, false))
 	fill(p, start, 6)
-	last := fullWait
+	last := retryAfterMin
 	for range 100 {
 		wait, ok := p.enter(start, 6)
-		assert.Assert(t, !ok && wait >= last && wait <= crowdWait)
+		assert.Assert(t, !ok && wait >= last && wait <= retryAfterMax)
 		last = wait
 	}
-	assert.Assert(t, last > crowdWait-50*time.Millisecond)
+	assert.Assert(t, last > retryAfterMax-50*time.Millisecond)
 	for range 100 {
-		g.leave()
+		g.release()
 		_, ok := p.enter(start, 6)
 		assert.Assert(t, ok)
 	}
-	assert.Assert(t, p.crowd.comeBack() < fullWait+50*time.Millisecond)
+	assert.Assert(t, p.retryAfter.delay() < retryAfterMin+50*time.Millisecond)
 }
 
-// The load: callers use some entries more than others, and one entry none at all. By even
-// parts the busy ones would refuse callers while a quarter of the slots is empty; told how
-// many are taken, each keeps what it has and takes its part of those that are free. Once
-// all are taken none adds to them, and an old load tells nothing.
+// With a load report a gateway keeps what it has and takes its share of the free slots, however
+// many requests the others have. If all slots are in use none adds to them, and a stale report is
+// ignored.
 func TestBusyEntryTakesItsPartOfTheFreeSlots(t *testing.T) {
 	const entries = 6
-	taken := func(part float64, held int) gate {
-		g := gate{inflight: held}
-		g.formed(start, ranks(16, 1, false))
-		g.occupied(start, &dialect.Load{Running: int(part * 120), Slots: 120})
+	taken := func(part float64, held int) groupLimiter {
+		g := groupLimiter{inflight: held}
+		g.setUpstreams(start, ranks(16, 1, false))
+		g.recordLoad(start, &dialect.Load{Running: int(part * 120), Slots: 120})
 		return g
 	}
-	rounded := func(part float64) int { return int(part + evenRounding) }
+	rounded := func(part float64) int { return int(part + defaultRounding) }
 	busy := taken(0.75, 40)
-	free := (fillPart - 0.75) * 192
-	assert.Equal(t, busy.limit(start, entries), rounded(40+freeMargin*free/entries))
+	free := (maxFill - 0.75) * 192
+	assert.Equal(t, busy.limit(start, entries), rounded(40+freeSlotMargin*free/entries))
 	idle := taken(0.75, 0)
-	assert.Equal(t, idle.limit(start, entries), rounded(freeMargin*free/entries), "one that has none gets as many, and not its even part at once")
+	assert.Equal(t, idle.limit(start, entries), rounded(freeSlotMargin*free/entries), "an idle gateway gets as many, not its even share at once")
 	full := taken(1, 40)
-	assert.Equal(t, full.limit(start, entries), rounded(40*fillPart))
-	assert.Equal(t, busy.limit(start.Add(occupancyLife), entries), slotsOf(shareMargin))
+	assert.Equal(t, full.limit(start, entries), rounded(40*maxFill))
+	assert.Equal(t, busy.limit(start.Add(occupancyStaleness), entries), slotsOf(evenShareMargin))
 }
 
-// What callers see: each fifth of a second, as entries are told the load anew, a pass is long that reads up to a prompt for each
-// of 28 entries at once, though few slots were free.
-// Each entry had a part of a slot to take, rounded up. Rounded at another place at each, all together take what is free.
+// When fewer slots are free than there are gateways, all together admit as many requests as are
+// free. If each rounded its share up, the next pass would read a prompt for each gateway.
 func TestFewFreeSlotsAreSharedOut(t *testing.T) {
 	const entries, held, slots = 28, 6, 192
-	free := fillPart*slots - entries*held
+	free := maxFill*slots - entries*held
 	for number := range uint64(50) {
 		sum := 0
 		for i := range entries {
 			sum += toldGate(entries*held, held, i, entries, number).limit(start, entries) - held
 		}
-		assert.Assert(t, float64(sum) <= freeMargin*free+1 && float64(sum) >= freeMargin*free-1, "%d of %f", sum, free)
+		assert.Assert(t, float64(sum) <= freeSlotMargin*free+1 && float64(sum) >= freeSlotMargin*free-1, "%d of %f", sum, free)
 	}
 }
 
-// toldGate is the gate of an entry that holds some of the requests that were told in a survey.
-func toldGate(total, held, index, entries int, number uint64) *gate {
-	g := &gate{inflight: held}
-	g.formed(start, ranks(16, 1, false))
-	g.occupancy, g.told, g.held = float64(total)/192, start, held
+// reportedLimiter returns the limiter of a gateway that has held of the total requests of a
+// survey in flight.
+func toldGate(total, held, index, entries int, number uint64) *groupLimiter {
+	g := &groupLimiter{inflight: held}
+	g.setUpstreams(start, ranks(16, 1, false))
+	g.occupancy, g.occupancyAt, g.reportedInflight = float64(total)/192, start, held
 	g.rounding = (&route.Survey{Index: index, Entries: entries, Number: number}).Turn()
 	return g
 }
 
-// All entries together, told the same load, leave no more requests than there are slots
-// but for what their margin of the free ones adds until they are told again, and for the one
-// that an entry without any may always have.
+// All gateways with the same load report together stay within the slots, plus freeSlotMargin of
+// the free ones and one request for each idle gateway.
 func TestEntriesTogetherStayWithinTheSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 40).Draw(t, "entries")
@@ -162,23 +159,22 @@
 		for i := range held {
 			sum += max(toldGate(total, held[i], i, entries, number).limit(start, entries), held[i])
 		}
-		free := max(fillPart*192-float64(total), 0)
-		if most := float64(total) + freeMargin*free + 1 + float64(idle); float64(sum) > most {
-			t.Fatalf("%d entries with %d requests may have %d, more than %.0f", entries, total, sum, most)
+		free := max(maxFill*192-float64(total), 0)
+		if most := float64(total) + freeSlotMargin*free + 1 + float64(idle); float64(sum) > most {
+			t.Fatalf("%d gateways with %d requests may have %d, more than %.0f", entries, total, sum, most)
 		}
 	})
 }
 
-// However callers are spread over the entries, and wherever they move to, the parts that all entries may take of a group
-// add up to two at most: even parts of all, and what they have of the requests that run. An entry with many callers has its part of these
-// after some seconds of surveys.
+// The shares of all gateways add up to at most 2, however callers are spread and wherever they
+// move. A gateway with many callers gets its fraction of the running requests after some surveys.
 func TestOwnPartsOfAllEntriesAddUp(t *testing.T) {
 	const slots = 192
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 60).Draw(t, "entries")
-		gates := make([]*gate, entries)
+		gates := make([]*groupLimiter, entries)
 		for i := range gates {
-			gates[i] = &gate{slots: slots, grouped: true}
+			gates[i] = &groupLimiter{slots: slots, lockstep: true}
 		}
 		ups := map[string]*directory.Instance{"u": {Announcement: &wire.Announcement{Direct: &wire.DirectUpstream{Slots: slots}}}}
 		busy, sum := 0, 0.0
@@ -194,88 +190,85 @@
 			}
 			for range 40 {
 				for _, g := range gates {
-					g.surveyed(start, &route.Survey{Loads: []route.SurveyedLoad{{ID: "u", Requests: total}}}, ups)
+					g.applySurvey(start, &route.Survey{Loads: []route.SurveyedLoad{{ID: "u", Requests: total}}}, ups)
 				}
 			}
 			sum = 0
 			for _, g := range gates {
-				sum += g.ownPart(entries)
+				sum += g.share(entries)
 			}
 			if sum < 0.999 || sum > 2.001 {
-				t.Fatalf("%d entries may take %.2f of the group together", entries, sum)
+				t.Fatalf("the shares of %d gateways add up to %.2f", entries, sum)
 			}
-			if want := float64(gates[busy].inflight) / float64(total); gates[busy].ownPart(entries) < 0.95*want {
-				t.Fatalf("the busy one has %.2f of what runs, and may take %.2f", want, gates[busy].ownPart(entries))
+			if want := float64(gates[busy].inflight) / float64(total); gates[busy].share(entries) < 0.95*want {
+				t.Fatalf("the busy gateway has %.2f of the running requests but a share of %.2f", want, gates[busy].share(entries))
 			}
 		}
 	})
 }
 
-// The load: a rank has crashed, and the group refuses everything until it forms again.
-// Callers are refused at once; a request now and then finds out that it is back, and
-// its answer, or a registration of the next epoch, opens the gate for all.
+// A group that is down gets only probes, until a response or a registration of a later epoch
+// marks it up. A registration of an earlier epoch doesn't mark it down again.
 func TestGroupThatIsDownIsProbed(t *testing.T) {
 	p, g := onlyGroup(ranks(16, 1, false))
-	g.broke(start)
+	g.markDown(start)
 	through := 0
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(20 * time.Millisecond) {
 		wait, ok := p.enter(now, 6)
 		if ok {
 			through++
-			g.leave()
+			g.release()
 			continue
 		}
-		assert.Equal(t, wait, downWait)
+		assert.Equal(t, wait, retryAfterDown)
 	}
-	assert.Assert(t, through >= 8 && through <= 10, "%d requests went through", through)
-	g.back()
+	assert.Assert(t, through >= 8 && through <= 10, "%d requests were admitted", through)
+	g.markUp()
 	assert.Assert(t, fill(p, start.Add(2*time.Second), 6) > 10)
 
-	g = &gate{}
-	g.formed(start, ranks(16, 1, true))
-	assert.Assert(t, g.down, "a rank says that the group is broken")
-	g.formed(start, ranks(16, 2, false))
+	g = &groupLimiter{}
+	g.setUpstreams(start, ranks(16, 1, true))
+	assert.Assert(t, g.down, "a rank reports the group as broken")
+	g.setUpstreams(start, ranks(16, 2, false))
 	assert.Assert(t, !g.down)
-	g.formed(start, ranks(16, 1, true))
-	assert.Assert(t, !g.down, "an old registration doesn't close the gate again")
+	g.setUpstreams(start, ranks(16, 1, true))
+	assert.Assert(t, !g.down, "a registration of an earlier epoch marks the group down")
 }
 
-// The load: a group is held for seconds because one rank's host is frozen. After some
-// tenths of a second without any event, requests are refused at once but for a probe;
-// the first event opens the gate again. One slow answer alone doesn't close it.
+// A group without any event for stallTimeout gets only probes until the next event. A single slow
+// response is no stall.
 func TestGroupThatStandsStillGetsProbesOnly(t *testing.T) {
 	p, g := onlyGroup(ranks(16, 1, false))
 	_, ok := p.enter(start, 6)
 	assert.Assert(t, ok)
 	later := start.Add(10 * time.Second)
-	assert.Assert(t, !g.standsStill(later), "one request may be slow")
-	for range standstillStreams {
+	assert.Assert(t, !g.stalled(later), "one request may be slow")
+	for range stallMinRequests {
 		_, _ = p.enter(start, 6)
 	}
-	g.alive(later)
-	assert.Assert(t, !g.standsStill(later.Add(standstill)))
-	still := later.Add(standstill + time.Millisecond)
-	assert.Assert(t, g.standsStill(still))
+	g.recordProgress(later)
+	assert.Assert(t, !g.stalled(later.Add(stallTimeout)))
+	still := later.Add(stallTimeout + time.Millisecond)
+	assert.Assert(t, g.stalled(still))
 	_, ok = p.enter(still, 6)
 	assert.Assert(t, ok, "a probe")
 	wait, ok := p.enter(still, 6)
-	assert.Assert(t, !ok && wait == downWait)
-	g.alive(still)
+	assert.Assert(t, !ok && wait == retryAfterDown)
+	g.recordProgress(still)
 	_, ok = p.enter(still, 6)
 	assert.Assert(t, ok)
 }
 
-// All entries together stay within the allowance of second attempts, in any window,
-// whatever requests come.
+// All gateways together stay within the retry budget in any window.
 func TestRetryBudgetOfAllEntries(t *testing.T) {
 	s := RetrySettings{Ratio: 0.2, Slack: 88}
 	s.Window = durationOf(10 * time.Second)
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 40).Draw(t, "entries")
 		now := start
-		var all []*budgets
+		var all []*retryBudgets
 		for range entries {
-			all = append(all, newBudgets(s, func() int { return entries }, func() time.Time { return now }))
+			all = append(all, newRetryBudgets(s, func() int { return entries }, func() time.Time { return now }))
 		}
 		type tick struct{ requests, retries int }
 		var ticks []tick
@@ -284,8 +277,8 @@
 			k := tick{requests: offered}
 			for i := range offered {
 				b := all[i%entries]
-				b.offer("pool")
-				for b.take("pool") {
+				b.recordRequest("pool")
+				for b.takeToken("pool") {
 					k.retries++
 				}
 			}
@@ -305,8 +298,8 @@
 	})
 }
 
-// An unsafe request goes to another upstream only while it has certainly not run, and
-// 503 is said only of one that has run nowhere.
+// A request that isn't repeatable is retried only while it has certainly not run, and 503 is
+// returned only for a request that has run nowhere.
 func TestWhatBecomesOfARequest(t *testing.T) {
 	once := &wire.Route{Kind: wire.RouteKind_ROUTE_KIND_UNSAFE, MaxAttempts: 2}
 	often := &wire.Route{Kind: wire.RouteKind_ROUTE_KIND_SAFE, MaxAttempts: 2}
@@ -328,13 +321,13 @@
 		{often, []outcome{outcomeInDoubt, outcomeNotRun}, false, 502},
 		{often, nil, true, 503},
 	} {
-		var h history
+		var h attemptHistory
 		last := outcomeNotRun
 		for _, o := range c.outcomes {
-			h.note(o)
+			h.record(o)
 			last = o
 		}
-		assert.Equal(t, h.mayTry(c.route), c.may, "%v", c.outcomes)
-		assert.Equal(t, h.failure(last, reasonBusy).status, c.status, "%v", c.outcomes)
+		assert.Equal(t, h.mayRetry(c.route), c.may, "%v", c.outcomes)
+		assert.Equal(t, h.failure(last, reasonUpstreamsBusy).status, c.status, "%v", c.outcomes)
 	}
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -9,35 +9,35 @@
 )
 
 const (
-	// defaultHeadTimeout, defaultIdleTimeout, defaultHeaderBytes and
-	// defaultBodyBytes hold until a configuration says more.
+	// defaultHeadTimeout, defaultIdleTimeout, defaultHeaderBytes and defaultBodyBytes apply
+	// unless the configuration sets the limit.
 	defaultHeadTimeout = 10 * time.Second
 	defaultIdleTimeout = 30 * time.Second
 	defaultHeaderBytes = 64 << 10
 	defaultBodyBytes   = 4 << 20
-	// mostHeaderBytes is what a gateway reads of a head whatever the configuration
-	// allows: a caller's connection may hold no more memory than this.
+	// maxHeaderBytes bounds the request head whatever the configuration allows, to bound the
+	// memory of a connection.
 	mostHeaderBytes = 1 << 20
 
-	// headMark and idleMark are what the server is given for its two limits of time,
-	// so that callerConn knows which of them a deadline stands for. They lie so far
-	// apart from each other and from any limit that none is taken for another.
+	// headSentinel and idleSentinel are passed to the HTTP server as its header and idle
+	// timeouts, so that callerConn can tell which of the two a deadline stands for. They differ
+	// enough from each other and from any real timeout not to be confused.
 	headMark = 10_000 * time.Hour
 	idleMark = 30_000 * time.Hour
 )
 
-// callerLimits bound what a caller may send, and how long it may take or be idle.
+// callerLimits bounds what a caller may send, and how long it may take or be idle.
 type callerLimits struct {
 	header, idle time.Duration
-	// headerBytes counts names, values and what separates them; bodyBytes the body.
+	// headerBytes bounds the sum of the header names and values and the host, bodyBytes the body.
 	headerBytes, bodyBytes int64
 }
 
-// limits are those of the configuration in force now.
+// limits returns the limits of the configuration in force.
 func (g *Gateway) limits() callerLimits { return limitsOf(g.table.Load()) }
 
-// limitsOf are a configuration's; what it leaves out, or all if there is none yet, has
-// a default.
+// limitsOf returns the limits of a configuration, with defaults for those it doesn't set. t may
+// be nil.
 func limitsOf(t *routing.Table) callerLimits {
 	l := callerLimits{
 		header: defaultHeadTimeout, idle: defaultIdleTimeout,
@@ -62,8 +62,8 @@
 	return l
 }
 
-// headerSize is at most what the fields of a request's head took on the wire: what
-// a caller sent within the limit is never counted as more.
+// headerSize returns the size of a request's host and header fields in bytes, without separators.
+// It never exceeds the size on the wire, so that a request within the limit is accepted.
 func headerSize(r *http.Request) int64 {
 	n := len(r.Host)
 	for name, values := range r.Header {
@@ -74,10 +74,9 @@
 	return int64(n)
 }
 
-// limitedListener gives each connection the limits of time of the configuration in
-// force whenever the server sets one, so a connection that outlives a change obeys
-// the new one. With limits fixed at the start, a configuration that lets callers
-// stay idle for longer would have them send into connections that are just closed.
+// limitedListener applies the timeouts of the configuration in force each time the server sets a
+// read deadline, so that open connections follow a change. With fixed timeouts, callers that are
+// allowed to stay idle for longer would send into connections that are just being closed.
 type limitedListener struct {
 	net.Listener
 	limits func() callerLimits
@@ -98,7 +97,7 @@
 	limits func() callerLimits
 }
 
-// SetReadDeadline implements net.Conn: the server's marks become limits.
+// SetReadDeadline implements net.Conn. It replaces the sentinels by the configured timeouts.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	switch left := time.Until(t); {
 	case left > (headMark+idleMark)/2:
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// deadlineConn keeps the last deadline that was set.
+// deadlineConn records the last read deadline.
 type deadlineConn struct {
 	net.Conn
 	last time.Time
@@ -30,14 +30,13 @@
 	return g
 }
 
-// A caller keeps a connection idle for as long as the configuration lets it, longer
-// than any default. Closed sooner, its next request would end without an answer,
-// and one that may run once only could not be sent again.
+// Open connections follow changes of the timeouts. A connection that is closed before its idle
+// timeout could lose a request that must not be retried.
 func TestConnectionsObeyTheLimitsInForce(t *testing.T) {
 	g := &Gateway{}
 	var under deadlineConn
 	c := &callerConn{Conn: &under, limits: g.limits}
-	// The limit counts from some moment within the call.
+	// The timeout counts from some moment within the call.
 	becomes := func(mark, want time.Duration) {
 		t.Helper()
 		before := time.Now()
@@ -56,8 +55,8 @@
 	becomes(headMark, defaultHeadTimeout)
 }
 
-// What else the server sets goes through: none, and one in the past, by which it
-// ends a read that waits for a caller to leave.
+// Other deadlines pass through unchanged: none, and one in the past, with which the server ends a
+// pending read.
 func TestOtherDeadlinesGoThrough(t *testing.T) {
 	var under deadlineConn
 	c := &callerConn{Conn: &under, limits: (&Gateway{}).limits}
@@ -67,8 +66,7 @@
 	}
 }
 
-// A head that takes exactly the limit on the wire is let in: what the fields are
-// counted as is never more than what the caller sent.
+// A request head is never counted as larger than it was on the wire.
 func TestHeadsWithinTheLimitAreNeverCountedAsMore(t *testing.T) {
 	r, err := http.NewRequest(http.MethodGet, "http://h.example/tick", http.NoBody)
 	assert.NilError(t, err)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// gatewayMetrics counts what became of requests.
+// gatewayMetrics counts requests by outcome and records their latencies.
 type gatewayMetrics struct {
 	*kernel.Metrics
 	answer, firstEvent, plain, pause, waited *kernel.Latency
@@ -25,7 +25,7 @@
 	}
 }
 
-// register adds what is read when the metrics are asked for.
+// register adds the gauges, which are read when the metrics are requested.
 func (m *gatewayMetrics) register(g *Gateway) {
 	for name, value := range map[string]func() int64{
 		"gateway.active":             g.active.Load,
--- a/gateway/passes_test.go
+++ b/gateway/passstats_test.go
@@ -7,15 +7,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// A pass is known in full when the next one has ended: until then another stream may show that it
-// was shorter. Long ones are counted, and each second is told once.
+// A pass is counted once the next one has begun, with the shortest gap as its duration. The
+// counts are flushed once per second.
 func TestPassesOfASecondAreCounted(t *testing.T) {
 	const content = 120 * time.Millisecond
-	c := &passCount{}
-	g := &gate{}
+	c := &passStats{}
+	g := &groupLimiter{}
 	event := func(now time.Time, pause time.Duration) {
-		if pass, over := g.paused(now, 1, pause, content, 0); over {
-			c.passed(pass, content)
+		if pass, over := g.observeGap(now, 1, pause, content, 0); over {
+			c.record(pass, content)
 		}
 	}
 	now := start
@@ -29,9 +29,9 @@
 		event(now, pass+3*time.Millisecond)
 		event(now, pass)
 		event(now.Add(time.Millisecond), 4*pass)
-		if seen, ok := c.due(now); ok {
+		if seen, ok := c.flush(now); ok {
 			told++
-			assert.Assert(t, seen.n >= 11 && seen.n <= 13, "%d", seen.n)
+			assert.Assert(t, seen.count >= 11 && seen.count <= 13, "%d", seen.count)
 			assert.Equal(t, seen.long, 1)
 			assert.Equal(t, seen.longest, 130*time.Millisecond)
 			assert.Assert(t, seen.mean() > 80*time.Millisecond && seen.mean() < 90*time.Millisecond)
--- a/gateway/policy.go
+++ b/gateway/policy.go
@@ -8,104 +8,104 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// outcome is what is known of a request after one attempt.
+// outcome is the result of one attempt.
 type outcome int
 
 const (
-	// outcomeAnswered: a whole answer came, of the upstream's own program.
+	// outcomeAnswered means that the upstream's program gave a complete response.
 	outcomeAnswered outcome = iota
-	// outcomeNotSent: no byte has left.
+	// outcomeNotSent means that no byte was sent.
 	outcomeNotSent
-	// outcomeNotRun: the upstream certifies that it has not run the request.
+	// outcomeNotRun means that the upstream certifies that it has not run the request.
 	outcomeNotRun
-	// outcomeMisdirected: another upstream has the address; it has not run it.
+	// outcomeMisdirected means that another upstream has the address; it has not run the request.
 	outcomeMisdirected
-	// outcomeInDoubt: it was sent, and no whole answer came.
+	// outcomeInDoubt means that the request was sent and no complete response came, so it may
+	// have run.
 	outcomeInDoubt
-	// outcomeCallerGone: the caller left first.
+	// outcomeCallerGone means that the caller left first.
 	outcomeCallerGone
-	// outcomeExpired: the time was over first.
+	// outcomeExpired means that the deadline passed first.
 	outcomeExpired
 )
 
 var outcomeNames = [...]string{"answered", "not-sent", "not-run", "misdirected", "in-doubt", "caller-gone", "expired"}
 
-// String returns the outcome as logs show it.
+// String returns the outcome as shown in logs and metrics.
 func (o outcome) String() string { return outcomeNames[o] }
 
-// ranNothing says whether an attempt has certainly not run.
-func (o outcome) ranNothing() bool {
+// certainlyNotRun reports whether the request has certainly not run in the attempt.
+func (o outcome) certainlyNotRun() bool {
 	return o == outcomeNotSent || o == outcomeNotRun || o == outcomeMisdirected
 }
 
-// maxUnsent bounds the upstreams that one request tries to reach in vain: each
-// costs a connection's time.
+// maxUnsent bounds the failed connection attempts of one request; each may take as long as the
+// dial timeout.
 const maxUnsent = 3
 
-// history is what has become of a request so far.
-type history struct {
-	// sent counts attempts of which a byte has left, unsent the others.
+// attemptHistory summarizes the attempts of a request so far.
+type attemptHistory struct {
+	// sent counts attempts in which a byte was sent, unsent the others.
 	sent, unsent int
-	// inDoubt says that an attempt may have run.
+	// inDoubt says that the request may have run.
 	inDoubt bool
 }
 
-// note takes an attempt's outcome.
-func (h *history) note(o outcome) {
+// record adds the outcome of an attempt.
+func (h *attemptHistory) record(o outcome) {
 	if o == outcomeNotSent {
 		h.unsent++
 		return
 	}
 	h.sent++
-	h.inDoubt = h.inDoubt || !o.ranNothing()
+	h.inDoubt = h.inDoubt || !o.certainlyNotRun()
 }
 
-// mayTry says whether a request may go to another upstream. One that may run at
-// most once does so only while it has certainly not run: a lost answer may be one
-// to a request that was carried out.
-func (h *history) mayTry(r *wire.Route) bool {
+// mayRetry reports whether the request may be sent to another upstream. A request that isn't
+// repeatable may be sent again only while it has certainly not run.
+func (h *attemptHistory) mayRetry(r *wire.Route) bool {
 	if h.sent >= int(r.MaxAttempts) || h.unsent >= maxUnsent {
 		return false
 	}
 	return routing.Repeatable(r) || !h.inDoubt
 }
 
-// refusal is an answer of the gateway's own.
+// refusal is a response by the gateway itself.
 type refusal struct {
 	status int
 	// reason is one of the constants below.
 	reason string
 	detail string
-	// wait is when the caller may come back; 0 is the default.
-	wait time.Duration
+	// retryAfter is when the caller may retry; 0 selects the default.
+	retryAfter time.Duration
 }
 
-// Reasons of refusals, as logs and metrics name them.
+// Reasons of refusals and failures, as logs and metrics show them.
 const (
-	reasonNoConfig       = "no-configuration"
-	reasonNoRoute        = "no-route"
-	reasonKey            = "unknown-key"
-	reasonBadRequest     = "bad-request"
-	reasonHeaderTooLarge = "header-too-large"
-	reasonBodyTooLarge   = "body-too-large"
-	reasonNoUpstream     = "no-upstream"
-	reasonBusy           = "upstreams-busy"
-	reasonDraining       = "draining"
-	reasonRetryBudget    = "retry-budget"
-	reasonInDoubt        = "in-doubt"
-	reasonTimeout        = "timeout"
-	reasonBrokenOff      = "stream-broken-off"
-	// reasonQuarantined: upstreams have ended under the request, and it is sent to none.
+	reasonNoConfig        = "no-configuration"
+	reasonNoRoute         = "no-route"
+	reasonUnknownKey      = "unknown-key"
+	reasonBadRequest      = "bad-request"
+	reasonHeaderTooLarge  = "header-too-large"
+	reasonBodyTooLarge    = "body-too-large"
+	reasonNoUpstream      = "no-upstream"
+	reasonUpstreamsBusy   = "upstreams-busy"
+	reasonDraining        = "draining"
+	reasonRetryBudget     = "retry-budget"
+	reasonInDoubt         = "in-doubt"
+	reasonTimeout         = "timeout"
+	reasonStreamBrokenOff = "stream-broken-off"
+	// reasonQuarantined means that upstreams have crashed while running the request, and it is
+	// sent to none.
 	reasonQuarantined = "quarantined"
-	// reasonLastTrial: upstreams have ended under the request, and one more trial is all that
-	// is left; a copy of it runs, or there is no place for it now.
+	// reasonLastTrial means that upstreams have crashed while running the request, and it may be
+	// tried once more, but not now: a copy of it is running, or it would have to be queued.
 	reasonLastTrial = "last-trial"
 )
 
-// failure is the answer to a request for which nothing more is tried. Only a
-// request that has not run anywhere is refused with 503, which promises that; one
-// in doubt gets 502, or 504 when its time is over.
-func (h *history) failure(last outcome, reason string) refusal {
+// failure returns the response to a request that isn't tried again. 503 promises that the request
+// has not run anywhere; one in doubt gets 502, or 504 after its deadline.
+func (h *attemptHistory) failure(last outcome, reason string) refusal {
 	switch {
 	case !h.inDoubt:
 		return refusal{status: http.StatusServiceUnavailable, reason: reason}
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -14,49 +14,49 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// servicePool is what an entry knows of one service: who waits for it, and its groups.
+// servicePool is the state of one service at a gateway: its groups and its queue.
 type servicePool struct {
 	groups map[string]*groupPool
-	// order is the groups by name.
-	order []*groupPool
-	line  waitingLine
-	late  lateTurns
-	crowd crowd
-	// head is the usual time to the head of an answer, 0 before the first; stayed is how
-	// long requests usually keep their place.
-	head, stayed time.Duration
-	// entries is how many there were when it was asked last; ticking says that a look at
-	// those that wait is due.
-	entries int
-	ticking bool
-	rnd     *rand.Rand
-}
-
-// groupPool is what an entry knows of one group: upstreams that run in lock-step with each other.
-// Upstreams of a service that run each for itself are one of these too, without a name.
+	// sorted holds the groups sorted by name.
+	sorted     []*groupPool
+	queue      waitQueue
+	late       lateAdmissions
+	retryAfter retryAfterEstimator
+	// headTime is the EWMA of the time to a response headTime, holdTime that of the time that a
+	// request holds its permit; 0 before the first.
+	headTime, holdTime time.Duration
+	// gateways is the number of gateways at the last request or timer tick. timerPending says
+	// that the timer that admits queued requests is set.
+	gateways     int
+	timerPending bool
+	rng          *rand.Rand
+}
+
+// groupPool is the state of one group at a gateway: upstreams that run in lock-step with each
+// other. The upstreams of a plain service, which run independently, form one groupPool without a
+// name.
 //
-// All that says whether a request may be sent is a group's own. A service may have several, whose
-// passes end at different times and of which one may be down: taken together, the shorter pass of
-// two groups passed for that of both, so that passes which made every stream of a group late were
-// not seen, and one lost rank closed the other groups too.
+// Admission is decided for each group separately. Groups of a service pass at different times,
+// and one may be down: combined, the shorter passes of one group would hide the long ones of
+// another, and one lost rank would close all groups.
 type groupPool struct {
-	service  *servicePool
-	name     string
-	balancer route.Balancer
-	ups      map[string]*directory.Instance
-	gate     gate
-	// state is the gate's when a request came last.
-	state gateState
-	pace  pacer
-	// seen counts its passes, for logs.
-	seen passCount
+	service   *servicePool
+	name      string
+	balancer  route.Balancer
+	upstreams map[string]*directory.Instance
+	limiter   groupLimiter
+	// lastState is the lastState of the limiter that was last logged.
+	lastState groupState
+	pacer     pacer
+	// stats counts the passes, for logs.
+	stats passStats
 }
 
 func newServicePool(place route.Place) *servicePool {
-	return &servicePool{groups: map[string]*groupPool{}, rnd: rand.New(rand.NewPCG(place.Seed, 3))}
+	return &servicePool{groups: map[string]*groupPool{}, rng: rand.New(rand.NewPCG(place.Seed, 3))}
 }
 
-// update takes the upstreams that are up.
+// update replaces the upstreams that are up.
 func (p *servicePool) update(now time.Time, place route.Place, insts []*directory.Instance) error {
 	byGroup := map[string][]*directory.Instance{}
 	for _, i := range insts {
@@ -74,96 +74,96 @@
 	}
 	for name, g := range p.groups {
 		g.update(now, byGroup[name])
-		if len(g.ups) == 0 && g.gate.inflight == 0 {
+		if len(g.upstreams) == 0 && g.limiter.inflight == 0 {
 			delete(p.groups, name)
 		}
 	}
-	p.order = slices.SortedFunc(maps.Values(p.groups), func(a, b *groupPool) int { return cmp.Compare(a.name, b.name) })
+	p.sorted = slices.SortedFunc(maps.Values(p.groups), func(a, b *groupPool) int { return cmp.Compare(a.name, b.name) })
 	return nil
 }
 
 func (g *groupPool) update(now time.Time, insts []*directory.Instance) {
-	g.ups = map[string]*directory.Instance{}
+	g.upstreams = map[string]*directory.Instance{}
 	var ups []route.Upstream
 	for _, i := range insts {
-		g.ups[i.Id] = i
+		g.upstreams[i.Id] = i
 		ups = append(ups, route.Upstream{
 			ID: i.Id, Incarnation: i.Incarnation, Address: i.Address, FailureDomain: i.FailureDomain,
 			Load: &wire.Load{Seq: firstLoad, Slots: i.Direct.Slots},
 		})
 	}
 	g.balancer.Update(now, ups)
-	g.gate.formed(now, insts)
+	g.limiter.setUpstreams(now, insts)
 }
 
-// survey takes what the leader of the group has read of its ranks, those that the entry knows.
-func (g *groupPool) survey(now time.Time, v *route.Survey) {
+// applySurvey applies a applySurvey of the group's ranks that are known here.
+func (g *groupPool) applySurvey(now time.Time, v *route.Survey) {
 	if b, ok := g.balancer.(route.Surveyed); ok {
 		b.Survey(now, v)
 	}
-	g.gate.surveyed(now, v, g.ups)
+	g.limiter.applySurvey(now, v, g.upstreams)
 }
 
-// answering is how many groups answer, as far as is known.
-func (p *servicePool) answering(now time.Time) (n int) {
-	for _, g := range p.order {
-		if g.gate.opens(now) {
+// availableGroups returns the number of available groups.
+func (p *servicePool) availableGroups(now time.Time) (n int) {
+	for _, g := range p.sorted {
+		if g.limiter.available(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// opens says whether any group answers.
-func (p *servicePool) opens(now time.Time) bool { return p.answering(now) > 0 }
+// available reports whether any group is available.
+func (p *servicePool) available(now time.Time) bool { return p.availableGroups(now) > 0 }
 
-// serves says whether there is a group that isn't down.
-func (p *servicePool) serves() bool {
-	return slices.ContainsFunc(p.order, func(g *groupPool) bool { return len(g.ups) > 0 && !g.gate.down })
+// hasLiveGroup reports whether any group has upstreams and isn't down. A stalled group counts.
+func (p *servicePool) hasLiveGroup() bool {
+	return slices.ContainsFunc(p.sorted, func(g *groupPool) bool { return len(g.upstreams) > 0 && !g.limiter.down })
 }
 
-// grouped says whether its upstreams run in lock-step.
-func (p *servicePool) grouped() bool {
-	return slices.ContainsFunc(p.order, func(g *groupPool) bool { return g.gate.grouped })
+// lockstep reports whether the upstreams run in lock-step.
+func (p *servicePool) lockstep() bool {
+	return slices.ContainsFunc(p.sorted, func(g *groupPool) bool { return g.limiter.lockstep })
 }
 
-// limit is how many requests the entry may have at the groups that answer, and inflight how
-// many it has there.
+// limit returns how many requests the gateway may have in flight at the available groups, and how
+// many it has.
 func (p *servicePool) limit(now time.Time, entries int) (limit, inflight int) {
-	for _, g := range p.order {
-		if g.gate.opens(now) {
-			limit += g.gate.limit(now, entries)
-			inflight += g.gate.inflight
+	for _, g := range p.sorted {
+		if g.limiter.available(now) {
+			limit += g.limiter.limit(now, entries)
+			inflight += g.limiter.inflight
 		}
 	}
 	return limit, inflight
 }
 
-// share is the entry's part of the slots of groups that answer.
-func (p *servicePool) share(now time.Time, entries int) (share float64) {
-	for _, g := range p.order {
-		if g.gate.opens(now) {
-			share += g.share(entries)
+// slotShare returns the number of slots of available groups that the gateway may use.
+func (p *servicePool) slotShare(now time.Time, entries int) (share float64) {
+	for _, g := range p.sorted {
+		if g.limiter.available(now) {
+			share += g.slotShare(entries)
 		}
 	}
 	return share
 }
 
-// place is the group that a request may be let into now; nil if there is none. Of several, each is
-// taken as often as it has places for this entry: all entries know the same loads, and if each
-// took the emptiest group, that one would get all requests until they are told again.
-func (p *servicePool) place(now time.Time, entries int, late bool) *groupPool {
-	places := make([]int, len(p.order))
+// pickGroup returns a group that a request may be admitted to now, or nil. It picks at random,
+// weighted by permits: all gateways know the same loads, and if each took the emptiest group it
+// would get all requests until the next report.
+func (p *servicePool) pickGroup(now time.Time, entries int, late bool) *groupPool {
+	places := make([]int, len(p.sorted))
 	sum := 0
-	for i, g := range p.order {
-		places[i] = g.places(now, entries, late)
+	for i, g := range p.sorted {
+		places[i] = g.permits(now, entries, late)
 		sum += places[i]
 	}
 	if sum == 0 {
 		return nil
 	}
-	n := p.rnd.IntN(sum)
-	for i, g := range p.order {
+	n := p.rng.IntN(sum)
+	for i, g := range p.sorted {
 		if n -= places[i]; n < 0 {
 			return g
 		}
@@ -171,65 +171,64 @@
 	return nil
 }
 
-// elsewhere is the group to which a request that has its place at one may go instead, as that
-// doesn't answer; nil if there is none.
-func (p *servicePool) elsewhere(now time.Time, from *groupPool) *groupPool {
+// alternative returns the least occupied available group other than from, or nil.
+func (p *servicePool) alternative(now time.Time, from *groupPool) *groupPool {
 	var best *groupPool
-	for _, g := range p.order {
-		if g != from && len(g.ups) > 0 && g.gate.opens(now) && (best == nil || g.gate.occupancy < best.gate.occupancy) {
+	for _, g := range p.sorted {
+		if g != from && len(g.upstreams) > 0 && g.limiter.available(now) && (best == nil || g.limiter.occupancy < best.limiter.occupancy) {
 			best = g
 		}
 	}
 	return best
 }
 
-// turnAway is when a caller that is refused may come back.
-func (p *servicePool) turnAway(now time.Time) time.Duration {
-	if !p.opens(now) {
-		return downWait
+// refused records a refused request and returns its Retry-After.
+func (p *servicePool) refused(now time.Time) time.Duration {
+	if !p.available(now) {
+		return retryAfterDown
 	}
-	return p.crowd.turnAway()
+	return p.retryAfter.refused()
 }
 
-func (p *servicePool) stay() time.Duration { return cmp.Or(p.stayed, usualStay) }
+func (p *servicePool) meanHoldTime() time.Duration { return cmp.Or(p.holdTime, defaultHoldTime) }
 
-// headAfter takes the time to an answer's head.
-func (p *servicePool) headAfter(d time.Duration) {
-	if p.head == 0 {
-		p.head = d
+// recordHeadTime records the time to the head of a response.
+func (p *servicePool) recordHeadTime(d time.Duration) {
+	if p.headTime == 0 {
+		p.headTime = d
 	}
-	p.head += time.Duration(headWeight * float64(d-p.head))
+	p.headTime += time.Duration(latencySmoothing * float64(d-p.headTime))
 }
 
-// stayedFor takes how long a request has kept its place.
-func (p *servicePool) stayedFor(d time.Duration) {
-	if p.stayed == 0 {
-		p.stayed = d
+// recordHoldTime records how long a request has held its permit.
+func (p *servicePool) recordHoldTime(d time.Duration) {
+	if p.holdTime == 0 {
+		p.holdTime = d
 	}
-	p.stayed += time.Duration(headWeight * float64(d-p.stayed))
+	p.holdTime += time.Duration(latencySmoothing * float64(d-p.holdTime))
 }
 
-// silence is how long one upstream may say nothing.
-func (p *servicePool) silence() time.Duration {
-	if p.head == 0 {
+// silenceLimit returns how long an upstream may be silent.
+func (p *servicePool) silenceLimit() time.Duration {
+	if p.headTime == 0 {
 		return mostSilence
 	}
-	return min(max(silenceFactor*p.head, leastSilence), mostSilence)
+	return min(max(silenceFactor*p.headTime, leastSilence), mostSilence)
 }
 
-// inputs are what a decision depends on, with their age, for logs.
-func (p *servicePool) inputs(now time.Time) string {
+// describe returns the describe of admission decisions with their ages, for logs.
+func (p *servicePool) describe(now time.Time) string {
 	var b strings.Builder
-	for _, g := range p.order {
-		fmt.Fprintf(&b, "%s, pace %.1f; ", g.inputs(now, p.entries), g.pace.tokens)
+	for _, g := range p.sorted {
+		fmt.Fprintf(&b, "%s, tokens %.1f; ", g.describe(now, p.gateways), g.pacer.tokens)
 	}
-	fmt.Fprintf(&b, "%d wait, head %d ms, stay %d ms", len(p.line.list), p.head.Milliseconds(), p.stay().Milliseconds())
+	fmt.Fprintf(&b, "%d queued, head time %d ms, hold time %d ms", len(p.queue.waiters), p.headTime.Milliseconds(), p.meanHoldTime().Milliseconds())
 	return b.String()
 }
 
-func (g *groupPool) inputs(now time.Time, entries int) string {
+func (g *groupPool) describe(now time.Time, entries int) string {
 	if g.name == "" {
-		return g.gate.inputs(now, entries)
+		return g.limiter.describe(now, entries)
 	}
-	return g.name + " " + g.gate.inputs(now, entries)
+	return g.name + " " + g.limiter.describe(now, entries)
 }
--- a/gateway/pool_test.go
+++ b/gateway/pool_test.go
@@ -11,7 +11,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// twoGroups is a fleet with one service whose 24 ranks form the groups a and b.
+// twoGroups returns a manager with one service whose 24 ranks form the groups a and b.
 func twoGroups(t *testing.T, broken bool) (*fleet, *groupPool, *groupPool) {
 	f := newFleet(&Settings{ID: "e"})
 	f.place.Seed = 1
@@ -29,51 +29,47 @@
 	return f, p.groups["a"], p.groups["b"]
 }
 
-// What callers saw: all of a service's requests are refused for as long as one of its groups is down.
-// What happens: a rank of group a is lost; it says that its group is broken, and requests that go there are refused.
-// Group b runs as before: all requests go there, and only when it is down too are callers told to come back.
+// If one group of a service is down, requests go to the other one. They are refused only when
+// both are down.
 func TestLostRankClosesItsOwnGroupOnly(t *testing.T) {
 	_, a, b := twoGroups(t, true)
 	p := a.service
-	assert.Assert(t, a.gate.down && !b.gate.down)
+	assert.Assert(t, a.limiter.down && !b.limiter.down)
 	for range 2 {
 		w := comes(start)
-		v, _ := p.ask(start, 4, w)
-		assert.Assert(t, v == letIn && w.at == b)
+		v, _ := p.decide(start, 4, w)
+		assert.Assert(t, v == decisionAdmit && w.group == b)
 	}
-	assert.Assert(t, p.serves())
-	b.gate.broke(start)
-	v, wait := p.ask(start, 4, comes(start))
-	assert.Assert(t, v == turnAway && wait == downWait)
-	assert.Assert(t, !p.serves())
+	assert.Assert(t, p.hasLiveGroup())
+	b.limiter.markDown(start)
+	v, wait := p.decide(start, 4, comes(start))
+	assert.Assert(t, v == decisionRefuse && wait == retryAfterDown)
+	assert.Assert(t, !p.hasLiveGroup())
 }
 
-// A request whose group goes down before it is sent, or sent again, goes to the other group, and takes its place along. With
-// no other group that answers it stays.
+// An attempt goes to the other group if its own is down, and its permit moves there. Without
+// another available group it stays.
 func TestRequestTakesItsPlaceToAnotherGroup(t *testing.T) {
 	f, a, b := twoGroups(t, false)
-	a.gate.admit(start)
+	a.limiter.acquire(start)
 	up, at, ok := f.pick(start, a, &route.Request{})
 	assert.Assert(t, ok && at == a && up.ID[0] == 'a')
 	f.done(start, at, up, &route.Request{}, route.Result{})
 	f.refusedByGroup(start, a)
 	up, at, ok = f.pick(start, a, &route.Request{Exclude: map[string]bool{up.ID: true}})
 	assert.Assert(t, ok && at == b && up.ID[0] == 'b')
-	assert.Equal(t, a.gate.inflight, 0)
-	assert.Equal(t, b.gate.inflight, 1)
+	assert.Equal(t, a.limiter.inflight, 0)
+	assert.Equal(t, b.limiter.inflight, 1)
 	f.done(start, at, up, &route.Request{}, route.Result{})
-	a.gate.back()
+	a.limiter.markUp()
 	f.refusedByGroup(start, b)
-	a.gate.broke(start)
+	a.limiter.markDown(start)
 	_, at, ok = f.pick(start, b, &route.Request{})
 	assert.Assert(t, ok && at == b)
 }
 
-// What callers saw: a request that may be in time within 150 ms is held for 0.8 s and refused, though nearly all slots of its
-// plain service are free.
-// What happens: one of six upstreams says nothing for a second, with one request of the entry; another comes meanwhile.
-// Why: the entry's part of 36 slots, and of the queue behind each, is less than two where there are a hundred and fifty of them.
-// A few requests go in any case: callers come to some entries only, and an upstream whose queue is full says so at once.
+// One unresponsive upstream of a plain service doesn't block the other requests of a gateway
+// whose share of the slots is less than two requests.
 func TestSilentUpstreamDoesNotCloseItsService(t *testing.T) {
 	f := newFleet(&Settings{ID: "e"})
 	f.entries = func() int { return 150 }
@@ -86,19 +82,17 @@
 	assert.NilError(t, f.update(start, insts))
 	p := f.services["clock"]
 	for range 2 {
-		v, _ := p.ask(start, 150, comes(start))
-		assert.Equal(t, v, letIn)
+		v, _ := p.decide(start, 150, comes(start))
+		assert.Equal(t, v, decisionAdmit)
 	}
 	for range 100 {
-		_, _ = p.ask(start, 150, comes(start))
+		_, _ = p.decide(start, 150, comes(start))
 	}
-	assert.Assert(t, p.groups[""].gate.inflight < 6, "%d in flight", p.groups[""].gate.inflight)
+	assert.Assert(t, p.groups[""].limiter.inflight < 6, "%d in flight", p.groups[""].limiter.inflight)
 }
 
-// What callers saw: streams late by passes of 130 ms, while entries went on to fill the slots.
-// What happens: group a has passes of 130 ms and group b, whose passes end in between, of 70. Taken for those of one group, the
-// pause of a that follows one of b within half a pass counts as the shorter of the two.
-// Each group's passes are its own: a takes no new requests, b does.
+// Passes are tracked for each group. If the gaps of two groups were mixed, the long passes of one
+// would be hidden by the short ones of the other.
 func TestPassesAreAGroupsOwn(t *testing.T) {
 	f, a, b := twoGroups(t, false)
 	const content = 120 * time.Millisecond
@@ -115,36 +109,37 @@
 			nextB = nextB.Add(70 * time.Millisecond)
 		}
 	}
-	assert.Equal(t, a.gate.brake.pass, 130*time.Millisecond)
-	assert.Equal(t, b.gate.brake.pass, 70*time.Millisecond)
-	assert.Equal(t, a.gate.brake.room(now), 0.0)
-	assert.Equal(t, b.gate.brake.room(now), 1.0)
-	assert.Assert(t, a.service.place(now, 4, false) == b)
+	assert.Equal(t, a.limiter.throttle.lastPass, 130*time.Millisecond)
+	assert.Equal(t, b.limiter.throttle.lastPass, 70*time.Millisecond)
+	assert.Equal(t, a.limiter.throttle.admitFraction(now), 0.0)
+	assert.Equal(t, b.limiter.throttle.admitFraction(now), 1.0)
+	assert.Assert(t, a.service.pickGroup(now, 4, false) == b)
 }
 
-// The load: an entry's callers come in a burst as it is told what is free, to a service of two groups. All groups together get
-// no more at once than a single one would: 28 entries do the same in that moment.
+// The burst of a gateway is shared by all groups of a service, as all gateways may use theirs at
+// the same moment.
 func TestBurstIsOfAllGroupsTogether(t *testing.T) {
 	_, a, _ := twoGroups(t, false)
 	let := 0
 	for range 10 {
-		if v, _ := a.service.ask(start, 4, comes(start)); v == letIn {
+		if v, _ := a.service.decide(start, 4, comes(start)); v == decisionAdmit {
 			let++
 		}
 	}
 	assert.Assert(t, let >= 2 && let <= int(paceBurst), "%d", let)
 }
 
-// All entries are told the same loads. Requests go to each group as often as it has places, not all to the emptier one.
+// Groups are picked in proportion to their permits. All gateways know the same loads, so picking
+// the emptiest would overload it.
 func TestGroupsAreTakenAsOftenAsTheyHavePlaces(t *testing.T) {
 	_, a, b := twoGroups(t, false)
-	a.gate.alive(start)
-	a.gate.inflight = a.gate.limit(start, 4) - 5
+	a.limiter.recordProgress(start)
+	a.limiter.inflight = a.limiter.limit(start, 4) - 5
 	taken := map[*groupPool]int{}
 	for range 3000 {
-		taken[a.service.place(start, 4, false)]++
+		taken[a.service.pickGroup(start, 4, false)]++
 	}
-	free := b.gate.limit(start, 4) - b.gate.inflight
+	free := b.limiter.limit(start, 4) - b.limiter.inflight
 	share := float64(taken[a]) / 3000
 	want := 5 / float64(5+free)
 	assert.Assert(t, share > want-0.05 && share < want+0.05, "%f, not %f", share, want)
--- a/gateway/suspects.go
+++ b/gateway/quarantine.go
@@ -11,27 +11,29 @@
 	return &quarantine.Request{Team: c.team.GetName(), Method: c.r.Method, Host: c.r.Host, URI: c.r.RequestURI, Body: c.body}
 }
 
-// heldBack is the refusal of a request that is sent to no upstream; nil for any other.
+// quarantineRefusal returns the refusal of a request that must not be sent to any upstream, or
+// nil.
 //
-// It is refused as not run, with the time at which it may be tried again: it stands in nobody's
-// way, and a caller whose harmless request only ran beside others that end upstreams is told
-// nothing false.
+// A quarantined request is refused as not run, with the time after which it may be retried. It
+// blocks no other request, and the answer is true also for a harmless request that only ran
+// beside one that crashes upstreams.
 func (c *call) heldBack() *refusal {
 	v := c.trial.Verdict()
 	switch {
 	case v.Standing == quarantine.Quarantined:
 		c.why = c.trial.Why(v)
-		return &refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, wait: v.Left}
+		return &refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, retryAfter: v.Left}
 	case v.Standing == quarantine.LastTrial && c.waited > 0:
-		// Copies that waited at all gateways until the group was open again would be let in side
-		// by side, and end an upstream each.
+		// Copies of the request could be queued at all gateways, be admitted together when the
+		// group is available again, and crash an upstream each.
 		c.why = c.trial.Why(v)
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonLastTrial}
 	}
 	return nil
 }
 
-// beginTrial notes that the request is about to be sent, and refuses what must not be sent now.
+// beginTrial records that the request is about to be sent, or returns the refusal of one that
+// must not be sent now.
 func (c *call) beginTrial() *refusal {
 	if f := c.heldBack(); f != nil {
 		return f
@@ -43,8 +45,8 @@
 	return nil
 }
 
-// oneAttempt says whether the request must not be sent to another upstream: the end of one more
-// puts it in quarantine, or it is there.
+// retryForbidden reports whether the request must not be sent to another upstream, with the
+// reason: it is in quarantine, or one more crash would put it there.
 func (c *call) oneAttempt() (reason string, only bool) {
 	switch c.trial.Verdict().Standing {
 	case quarantine.Quarantined:
@@ -55,7 +57,8 @@
 	return "", false
 }
 
-// answeredWhole takes that an upstream answered the request whole.
+// recordSuccess records that an upstream has answered the request completely, which clears it of
+// suspicion.
 func (c *call) answeredWhole() {
 	if c.trial.Answered(c.asked.ID) {
 		c.metrics.Count("gateway.suspects_cleared")
--- /dev/null
+++ b/gateway/queue.go
@@ -0,0 +1,143 @@
+package gateway
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// maxQueued bounds the requests of one service that are queued at a gateway, to bound its
+	// memory.
+	maxQueued = 500
+	// lateLimitFraction is the fraction of a gateway's concurrency limit that late requests may
+	// fill. The rest is reserved for new requests that can still be answered in time.
+	lateLimitFraction = 0.85
+	// headTimeFactor allows for response heads that take longer than the usual head time.
+	headTimeFactor = 1.5
+	// defaultHeadTime is used as the usual time to a response head before the first response.
+	defaultHeadTime = 150 * time.Millisecond
+	// expiringWindow is the time before a late request has to be refused in which it is admitted
+	// also while passes are long, as a refusal would cost it the whole answer.
+	expiringWindow = 600 * time.Millisecond
+	// firstEventTimeout is how long callers wait for the first event of a stream before they
+	// leave.
+	firstEventTimeout = 2 * time.Second
+	// firstEventMargin allows for the network path between caller and gateway, and for a slow
+	// pass.
+	firstEventMargin = 150 * time.Millisecond
+)
+
+// waiter is a request that is queued until its service can admit it.
+type waiter struct {
+	// onTimeBy is the latest admission at which the request can be answered in time. giveUpAt is
+	// the latest admission at all; it is refused after that.
+	onTimeBy, giveUpAt time.Time
+	// retried says that the caller has sent the request before, and may not send it again.
+	retried bool
+	// admitted is closed when the request is admitted; group is then the group that it may go to.
+	admitted chan struct{}
+	group    *groupPool
+}
+
+// canBeOnTime reports whether the request can still be answered in time.
+func (w *waiter) canBeOnTime(now time.Time) bool { return !now.After(w.onTimeBy) }
+
+// waitQueue holds the queued requests of one service.
+//
+// After a stall of the group, the callers of several seconds are queued while new ones arrive. In
+// order of arrival, each would wait behind the whole backlog and be late too. Requests that can
+// still be answered in time therefore go first; late ones lose little by waiting longer.
+type waitQueue struct {
+	waiters []*waiter
+}
+
+func (l *waitQueue) add(w *waiter) { l.waiters = append(l.waiters, w) }
+
+func (l *waitQueue) remove(w *waiter) {
+	if i := slices.Index(l.waiters, w); i >= 0 {
+		l.waiters = slices.Delete(l.waiters, i, i+1)
+	}
+}
+
+// next returns the request to admit first, or nil if there is none. Requests that can be on time
+// come first, by earliest onTimeBy; then, if lateAllowed, late ones by earliest giveUpAt. Late
+// requests past giveUpAt are skipped.
+func (l *waitQueue) next(now time.Time, lateMayGo bool) *waiter {
+	var inTime, late *waiter
+	for _, w := range l.waiters {
+		switch {
+		case w.canBeOnTime(now):
+			if inTime == nil || w.onTimeBy.Before(inTime.onTimeBy) {
+				inTime = w
+			}
+		case now.Before(w.giveUpAt):
+			if late == nil || w.giveUpAt.Before(late.giveUpAt) {
+				late = w
+			}
+		}
+	}
+	if inTime == nil && lateMayGo {
+		return late
+	}
+	return inTime
+}
+
+// hasExpiring reports whether a late request will have to be refused within expiringWindow.
+func (l *waitQueue) hasExpiring(now time.Time) bool {
+	return slices.ContainsFunc(l.waiters, func(w *waiter) bool {
+		left := w.giveUpAt.Sub(now)
+		return !w.canBeOnTime(now) && left > 0 && left < expiringWindow
+	})
+}
+
+// hasLate reports whether a queued request can't be on time any more.
+func (l *waitQueue) hasLate(now time.Time) bool {
+	return slices.ContainsFunc(l.waiters, func(w *waiter) bool { return !w.canBeOnTime(now) })
+}
+
+// ahead returns how many queued requests would be admitted before one that arrives now; onTime
+// says that this one can be on time, so that late ones don't count.
+func (l *waitQueue) ahead(now time.Time, inTime bool) int {
+	n := 0
+	for _, w := range l.waiters {
+		if !inTime || w.canBeOnTime(now) {
+			n++
+		}
+	}
+	return n
+}
+
+// pacer is a token bucket that spreads the requests that a gateway admits to a group.
+//
+// It guards against admitting a whole backlog into an empty group at once: reading all prompts in
+// the same few passes would make these longer than the target gap for every stream.
+type pacer struct {
+	tokens     float64
+	refilledAt time.Time
+}
+
+const (
+	// minFillTime is the shortest time in which all gateways together fill all slots of a group.
+	// It limits the share of a rank's time that is spent on reading prompts.
+	minFillTime = 900 * time.Millisecond
+	// paceBurst is how many requests a gateway may admit at once to all groups of a service
+	// together. It must exceed 1 as requests don't arrive evenly, and be small as all gateways
+	// learn of free slots at the same moment.
+	paceBurst = 3.0
+)
+
+// refill adds the tokens earned since the last call, up to burst. share is the number of slots
+// that the gateway may fill within minFillTime.
+func (p *pacer) refill(now time.Time, share, burst float64) {
+	if p.refilledAt.IsZero() {
+		p.tokens = burst
+	} else {
+		p.tokens = min(p.tokens+share*now.Sub(p.refilledAt).Seconds()/minFillTime.Seconds(), burst)
+	}
+	p.refilledAt = now
+}
+
+// hasToken reports whether a request may be admitted now.
+func (p *pacer) hasToken() bool { return p.tokens >= 1 }
+
+func (p *pacer) takeToken() { p.tokens-- }
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -11,17 +11,16 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// Bounds of the request log, in lines a second. A request that failed, or that needed
-// more than one attempt, is never left out for another, and one that was late not for one
-// in time: each kind has an allowance.
+// Limits of the request log, in lines per second. Each kind of request has its own limit, so that
+// lines of failed or retried requests aren't crowded out by late ones, nor these by others.
 const (
 	failedLines   = 40
 	lateLines     = 10
 	answeredLines = 2
 )
 
-// requestLog writes a line for each request that was not answered, and for a sample
-// of the others, within an allowance; what is left out is counted.
+// requestLog writes a line for each request, within separate limits for failed or retried, late
+// and other requests. Lines left out are counted.
 type requestLog struct {
 	log      log.Logger
 	failed   *kernel.LineBudget
@@ -36,7 +35,7 @@
 	}
 }
 
-// done ends a request: it writes its line and counts it.
+// finish ends a request: it counts it and writes its log line.
 func (c *call) done(status int, reason string, err error) {
 	c.metrics.ended(c, status, reason, err)
 	late := c.late()
@@ -88,7 +87,7 @@
 	kernel.Info(c.requests.log, "Request ended.", kv...)
 }
 
-// attemptText is the attempts as UPSTREAM:OUTCOME:STATUS:MILLISECONDS.
+// attemptText formats the attempts as UPSTREAM:OUTCOME:STATUS:MILLISECONDS, separated by commas.
 func (c *call) attemptText() string {
 	var parts []string
 	for _, a := range c.attempts {
--- /dev/null
+++ b/gateway/retryafter.go
@@ -0,0 +1,37 @@
+package gateway
+
+import "time"
+
+const (
+	// retryAfterDown is the Retry-After while no group of the service is available. A group
+	// usually forms again within it once its rank is back.
+	retryAfterDown = 1500 * time.Millisecond
+	// retryAfterMin is the Retry-After when few requests are refused for lack of slots, and
+	// retryAfterMax when nearly all are.
+	retryAfterMin = 600 * time.Millisecond
+	retryAfterMax = 2500 * time.Millisecond
+	// refusedSmoothing is the EWMA smoothing factor of the refused fraction, per request.
+	refusedSmoothing = 0.05
+)
+
+// retryAfterEstimator computes Retry-After for requests that find no slot. It grows with the
+// fraction of requests that are refused, as a caller that retries during the same overload is
+// refused again.
+type retryAfterEstimator struct {
+	// refusedFraction is the EWMA of the fraction of requests that found no slot.
+	refusedFraction float64
+}
+
+// admitted records an admitted request.
+func (c *retryAfterEstimator) admitted() { c.refusedFraction -= refusedSmoothing * c.refusedFraction }
+
+// refused records a refused request and returns its Retry-After.
+func (c *retryAfterEstimator) refused() time.Duration {
+	c.refusedFraction += refusedSmoothing * (1 - c.refusedFraction)
+	return c.delay()
+}
+
+// delay returns the Retry-After for the current refused fraction.
+func (c *retryAfterEstimator) delay() time.Duration {
+	return retryAfterMin + time.Duration(c.refusedFraction*float64(retryAfterMax-retryAfterMin))
+}
--- a/gateway/follow.go
+++ b/gateway/routingwatch.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// rewatch is the pause before a watch that has ended is opened again.
+	// rewatchDelay is the pause before a watch that has ended is opened again.
 	rewatch = 150 * time.Millisecond
-	// silentRouting is how long a watch may say nothing, as long as its sender doesn't say
-	// when it speaks again: behind a silent cut a connection doesn't break.
+	// watchSilenceTimeout is how long a watch may be silent before it is closed, unless the
+	// replica has announced a longer interval. It detects partitions in which the connection
+	// doesn't break.
 	silentRouting = 2 * time.Second
-	// silentParts is how many of the times that the sender tells it may be silent.
+	// silentIntervals is how many announced intervals a replica may be silent.
 	silentParts = 4
-	// fetchSpread is the time within which a watch begins to fetch a new version. The
-	// leader tells of it first; were it fetched at once, all entries would get it from
-	// there, and the leader has the most to do.
+	// fetchJitter is the maximum random delay before a watch fetches a new version. The leader
+	// reports it first; without jitter all gateways would fetch it from the leader.
 	fetchSpread = 25 * time.Millisecond
 	// fetchTimeout bounds one fetch of a configuration.
 	fetchTimeout = 1500 * time.Millisecond
-	// staleReplica is the age beyond which a replica's word isn't enough for a
-	// gateway that has just started: a newer version may be in force.
+	// maxConfirmedAge is the age of a replica's confirmation from which a gateway that has just
+	// started doesn't rely on its version: a newer one may be in force.
 	staleReplica = 1500 * time.Millisecond
-	// firstPatience is how long such a gateway waits for a replica that is current
-	// before it serves what an older one knows.
+	// freshReplicaTimeout is how long such a gateway waits for a current replica before it uses
+	// the version of a stale one.
 	firstPatience = 3 * time.Second
 )
 
-// followRouting watches the version at each replica, and fetches a configuration
-// from the first that has a higher one. A replica on the far side of a partition
-// knows no news, so one watch is not enough.
+// followRouting watches the configuration version at each replica, and fetches a configuration
+// from the first one that has a newer version. One watch isn't enough, as a partitioned replica
+// learns of no new version.
 func (g *Gateway) followRouting(ctx context.Context) {
 	started := g.now()
 	directory.FollowList(ctx, g.targets.Addresses, func(ctx context.Context, addr string) {
@@ -54,28 +54,28 @@
 	}
 }
 
-// routingWatch is the watch of one replica.
+// routingWatch is the watch of one control replica.
 type routingWatch struct {
 	*Gateway
 	addr    string
 	started time.Time
-	// hears says that the replica has spoken since the watch was lost last.
+	// connected says that the replica has sent a version since the watch was last lost.
 	hears bool
 }
 
-// heard notes that the replica speaks.
+// recordVersion records that the replica has sent a version.
 func (w *routingWatch) heard(v *wire.RoutingVersion) {
 	if !w.hears {
-		w.believe("Control replica is heard.", "replica", w.addr, "version", v.Version, "confirmed_age_ms", v.ConfirmedAgeMs)
+		w.believe("Control replica connected.", "replica", w.addr, "version", v.Version, "confirmed_age_ms", v.ConfirmedAgeMs)
 		w.suspects.TellAgain(w.addr)
 	}
 	w.hears = true
 }
 
-// ended notes the end of a watch.
+// recordEnd records the end of a watch.
 func (w *routingWatch) ended(ctx context.Context, err error) {
 	if w.hears && ctx.Err() == nil {
-		w.believe("Control replica is lost.", "replica", w.addr, "err", err)
+		w.believe("Control replica disconnected.", "replica", w.addr, "err", err)
 	}
 	w.hears = false
 }
@@ -105,7 +105,7 @@
 	}
 }
 
-// fetchWanted fetches a version that is wanted, unless another watch brings it.
+// fetchIfNewer fetches a version if it is wanted and no other watch brings it.
 func (w *routingWatch) fetchWanted(ctx context.Context, v *wire.RoutingVersion) error {
 	if !w.wantsVersion(v, w.started) {
 		return nil
@@ -123,9 +123,8 @@
 	return w.fetchRouting(ctx, w.addr)
 }
 
-// wantsVersion says whether a replica's configuration is to be fetched. The first
-// one must be current: an entry that has just started would otherwise bring back
-// what others have long replaced.
+// wantsVersion reports whether a replica's configuration is to be fetched. The first one must be
+// current, or a gateway that has just started would bring back an outdated configuration.
 func (g *Gateway) wantsVersion(v *wire.RoutingVersion, started time.Time) bool {
 	if t := g.table.Load(); t != nil {
 		return v.Version > t.Config.Version
@@ -152,7 +151,7 @@
 	return nil
 }
 
-// takeRouting brings a configuration into force unless a higher one is.
+// applyRouting puts a configuration into force unless its version is in force or older.
 func (g *Gateway) takeRouting(c *wire.RoutingConfig, from string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -161,7 +160,7 @@
 		return
 	}
 	g.table.Store(routing.NewTable(c))
-	g.times.keep(c.Routes)
+	g.timeouts.retain(c.Routes)
 	kernel.Info(g.log, "Routing configuration in force.", "version", c.Version, "from", from, "routes", len(c.Routes), "teams", len(c.Teams))
 	if old == nil {
 		g.wakeAnnouncer()
--- a/gateway/fleet.go
+++ b/gateway/services.go
@@ -13,27 +13,27 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// balancerName is the routing plug-in: upstreams tell their load with each answer, and
-// the leader of a group in lock-step tells that of its ranks.
+// balancerName selects the balancer plug-in. It uses the loads that come with responses, and for
+// groups in lock-step the surveys of their leader.
 const balancerName = "load-interpretation"
 
-// firstLoad numbers the load of an upstream that has answered nothing yet.
+// firstLoad is the sequence number of the load of an upstream that has not responded yet.
 const firstLoad = 1
 
-// fleet holds what is known of each service, over the upstreams that are up.
+// serviceManager holds the state of each service over the upstreams that are up.
 type fleet struct {
 	place route.Place
 
 	mu       sync.Mutex
 	services map[string]*servicePool
-	// loads counts the loads that came with answers: the order in which they came
-	// is all that is known of their age.
+	// loadSeq numbers the loads that come with responses. Their order of arrival is all that is
+	// known of their age.
 	loads uint64
-	// told is called, without the lock, when a group's gate has changed.
+	// onStateChange is called, without the lock, when the state of a group has changed.
 	told func(service string, c gateChange)
-	// passes is called, without the lock, with what was seen of a group's passes in a second.
-	passes func(service, group string, seen passCount, inputs string)
-	// entries counts the entries that are up; it is called without the lock.
+	// onPasses is called, without the lock, with the passes of a group since the last call.
+	passes func(service, group string, seen passStats, inputs string)
+	// gateways returns the number of gateways that are up. It is called without the lock.
 	entries func() int
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// update takes the upstreams that the directory knows and that aren't gone.
+// update replaces the upstreams by those of insts that are up.
 func (f *fleet) update(now time.Time, insts []*directory.Instance) error {
 	byService := map[string][]*directory.Instance{}
 	for _, i := range insts {
@@ -70,19 +70,19 @@
 	return nil
 }
 
-// survey takes the states of ranks that the leader of their groups has read. It returns
-// the upstreams that are to be left because they are slow.
+// survey applies the states of ranks that the leader of their groups has read. It returns the
+// upstreams that running requests should leave because they are slow.
 func (f *fleet) survey(now time.Time, number uint64, ranks []*wire.RankState, place entryPlace) (slow []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loads++
 	for _, p := range f.services {
-		for _, g := range p.order {
-			known := slices.DeleteFunc(slices.Clone(ranks), func(r *wire.RankState) bool { return g.ups[r.Upstream] == nil })
+		for _, g := range p.sorted {
+			known := slices.DeleteFunc(slices.Clone(ranks), func(r *wire.RankState) bool { return g.upstreams[r.Upstream] == nil })
 			if len(known) == 0 {
 				continue
 			}
-			g.survey(now, &route.Survey{
+			g.applySurvey(now, &route.Survey{
 				Entries: place.entries, Index: place.index, Number: number,
 				Seq: f.loads, Loads: surveyedLoads(known),
 			})
@@ -103,27 +103,27 @@
 	return loads
 }
 
-// paceOf is how many times as long as usual a rank takes for its work.
+// paceOf returns how many times as long as usual a rank takes for its work.
 func paceOf(r *wire.RankState) float64 { return float64(r.PacePercent) / 100 }
 
-// alive takes an event of a stream.
+// recordProgress records an event of a stream.
 func (f *fleet) alive(now time.Time, at *groupPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at.gate.alive(now)
+	at.limiter.recordProgress(now)
 }
 
-// paused takes the pause between two events of a stream, what its caller is content with, and
-// the fixed part of a pass.
+// observeGap records the gap between two events of a stream, the target gap, and the fixed part
+// of a pass.
 func (f *fleet) paused(now time.Time, service string, at *groupPool, pause, content, fixed time.Duration) {
 	f.mu.Lock()
-	if pass, over := at.gate.paused(now, at.service.entries, pause, content, fixed); over {
-		at.seen.passed(pass, content)
+	if pass, over := at.limiter.observeGap(now, at.service.gateways, pause, content, fixed); over {
+		at.stats.record(pass, content)
 	}
-	told, ok := at.seen.due(now)
+	told, ok := at.stats.flush(now)
 	inputs := ""
 	if ok {
-		inputs = at.gate.inputs(now, at.service.entries)
+		inputs = at.limiter.describe(now, at.service.gateways)
 	}
 	f.mu.Unlock()
 	if ok && f.passes != nil {
@@ -131,40 +131,40 @@
 	}
 }
 
-// head is the usual time to the head of an answer of a service.
+// headTime returns the usual time to the head of a service's response.
 func (f *fleet) head(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if p := f.services[service]; p != nil && p.head > 0 {
-		return p.head
+	if p := f.services[service]; p != nil && p.headTime > 0 {
+		return p.headTime
 	}
-	return leastHead
+	return defaultHeadTime
 }
 
-// silence is how long an upstream of a group may say nothing.
+// silenceLimit returns how long an upstream of a group may be silent.
 func (f *fleet) silence(at *groupPool) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return at.service.silence()
+	return at.service.silenceLimit()
 }
 
-// goesOn says whether a group as a whole answers.
+// progressing reports whether a group has made progress lately.
 func (f *fleet) goesOn(now time.Time, at *groupPool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return at.gate.goesOn(now)
+	return at.limiter.progressing(now)
 }
 
-// refusedByGroup notes that a rank refused a request because its group is down.
+// recordGroupDown records that a rank refused a request because its group is down.
 func (f *fleet) refusedByGroup(now time.Time, at *groupPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at.gate.broke(now)
+	at.limiter.markDown(now)
 }
 
-// pick chooses an upstream for a request that has its place at a group: there, or at
-// another group if that doesn't answer or has no upstream left, to which the place moves
-// then. done must be called with the result.
+// pick chooses an upstream for a request that holds a permit of a group. If the group is
+// unavailable or has no upstream left, another group is used and the permit moves there. finish
+// must be called with the result.
 func (f *fleet) pick(now time.Time, at *groupPool, r *route.Request) (up route.Upstream, where *groupPool, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,35 +174,35 @@
 			continue
 		}
 		if g != at {
-			at.gate.leave()
-			g.gate.admit(now)
+			at.limiter.release()
+			g.limiter.acquire(now)
 		}
 		return c.Upstream, g, true
 	}
 	return route.Upstream{}, at, false
 }
 
-// choices are the groups at which an attempt may be made, the best first.
+// candidates returns the groups at which an attempt may be made, the best first.
 func (g *groupPool) choices(now time.Time) []*groupPool {
-	other := g.service.elsewhere(now, g)
+	other := g.service.alternative(now, g)
 	switch {
 	case other == nil:
 		return []*groupPool{g}
-	case g.gate.opens(now):
+	case g.limiter.available(now):
 		return []*groupPool{g, other}
 	}
 	return []*groupPool{other, g}
 }
 
-// done ends an attempt that pick chose.
+// finish ends an attempt at an upstream that pick chose.
 func (f *fleet) done(now time.Time, at *groupPool, up route.Upstream, r *route.Request, res route.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at.balancer.Done(now, up, r, res)
 }
 
-// answered takes the head of an answer: a sign of life, and the upstream's load. ran
-// says that the request was begun.
+// recordHead records the head of a response after the given time, with the upstream's load if it
+// tells it. ran says that the upstream has begun to run the request.
 func (f *fleet) answered(now time.Time, at *groupPool, up route.Upstream, load *dialect.Load, after time.Duration, ran bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,26 +212,26 @@
 		l = &wire.Load{
 			Seq: f.loads, Running: uint32(load.Running), Waiting: uint32(load.Waiting), Slots: uint32(load.Slots),
 		}
-		at.gate.occupied(now, load)
+		at.limiter.recordLoad(now, load)
 	}
 	if ran {
-		at.gate.back()
-		at.gate.alive(now)
-		at.service.headAfter(after)
+		at.limiter.markUp()
+		at.limiter.recordProgress(now)
+		at.service.recordHeadTime(after)
 	}
 	if b, ok := at.balancer.(route.Answered); ok {
 		b.Answered(now, up, l, after)
 	}
 }
 
-// addresses of all upstreams that are up.
+// addresses returns the set of addresses of all upstreams that are up.
 func (f *fleet) addresses() map[string]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := map[string]bool{}
 	for _, p := range f.services {
-		for _, g := range p.order {
-			for _, i := range g.ups {
+		for _, g := range p.sorted {
+			for _, i := range g.upstreams {
 				list[i.Address] = true
 			}
 		}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -10,50 +10,49 @@
 	"github.com/snipereach/snipereach/transport"
 )
 
-// Errors of this layer.
 var (
-	// ErrStart is returned when the daemon can't come up.
+	// ErrStart is returned by Start if an address can't be listened on.
 	ErrStart = merry.Sentinel("gateway can't start")
 )
 
-// Settings are those of snipereach-gateway.
+// Settings are the settings of snipereach-gateway.
 type Settings struct {
 	ID            string                `toml:"id"`
 	FailureDomain string                `toml:"failure_domain"`
 	ClusterSecret string                `toml:"cluster_secret"`
 	TLS           transport.TLSSettings `toml:"tls"`
-	// Listen is the address for callers; Ready answers whether they may come.
+	// Listen is the address for callers. Ready is the address of the readiness check.
 	Listen string `toml:"listen"`
 	Ready  string `toml:"ready_listen"`
-	// Metrics is the address of metrics and the state dump; empty is off.
+	// Metrics is the address of the metrics and the state dump; empty disables them.
 	Metrics string `toml:"metrics_listen"`
-	// Dialect names the plug-in that knows the callers' and upstreams' names.
+	// Dialect names the plug-in that defines the headers and calls of callers and upstreams.
 	Dialect string `toml:"dialect"`
-	// Replicas are control replicas to ask first, by any address of their hosts if
-	// PeerPort is set.
+	// Replicas are the control replicas to contact first. If PeerPort is set, any address of
+	// their hosts will do.
 	Replicas []string `toml:"replicas"`
 	PeerPort int      `toml:"peer_port"`
-	// AnnounceInterval and Lease are how the gateway makes itself known.
+	// AnnounceInterval is the interval of the announcements to the control replicas, and Lease
+	// how long each is valid.
 	AnnounceInterval kernel.Duration `toml:"announce_interval"`
 	Lease            kernel.Duration `toml:"lease"`
-	// Keep is how long callers may keep the list of entries.
+	// Keep is how long callers may keep the list of gateways.
 	Keep kernel.Duration `toml:"keep"`
-	// StopLimit is the time between the signal to stop and the end by force.
+	// StopLimit is the time between the stop signal and the forced stop.
 	StopLimit kernel.Duration `toml:"stop_limit"`
 	Retries   RetrySettings   `toml:"retries"`
 }
 
-// RetrySettings is the [retries] section: how many second attempts all entries
-// together may make at one service.
+// RetrySettings is the [retries] section: the retry budget of a service, shared by all gateways.
 type RetrySettings struct {
-	// Ratio is second attempts for each request.
+	// Ratio is the number of retries allowed for each request.
 	Ratio float64 `toml:"ratio"`
-	// Slack is how many more there may be in one window, over all entries.
+	// Slack is the number of retries allowed in each Window in addition.
 	Slack  float64         `toml:"slack"`
 	Window kernel.Duration `toml:"window"`
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() *Settings {
 	return &Settings{
 		Listen:           "127.0.0.1:0",
@@ -69,7 +68,7 @@
 // SetDefaults implements kernel.Defaulter.
 func (s *Settings) SetDefaults() { s.Replicas = transport.WithPort(s.Replicas, s.PeerPort) }
 
-// Check names the first key that is wrong.
+// Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
 	bad := kernel.BadKey
 	switch {
--- a/gateway/slowrank.go
+++ b/gateway/slowrank.go
@@ -8,21 +8,17 @@
 )
 
 const (
-	// leavePace is the pace of a rank from which on running requests leave it. The pass
-	// of a group takes as long as that of its slowest rank, also if that has one request
-	// only: with a pace of five, passes of 55 ms took 170 to 200 ms for as long as a
-	// stream ran there. Below it, reading a prompt again elsewhere costs as much.
+	// leavePace is the pace of a rank from which running requests leave it. A single request at a
+	// slow rank makes the passes of the whole group as long as that rank's. Below leavePace,
+	// reading the prompt again elsewhere costs as much as staying.
 	leavePace = 1.7
-	// mostLeft is the part of the ranks that may be left: beyond it the others would be
-	// filled up, and what is slow is the group.
+	// maxLeftFraction is the fraction of the ranks that may be left. With more slow ranks the
+	// others would be overloaded, and the group as a whole is slow.
 	mostLeft = 0.25
 )
 
-// toLeave returns the upstreams that running requests should leave.
-//
-// The load that it answers: one rank of a group turns slow while all run streams. No new
-// requests go there, but those that run go on for the longer the slower the rank is,
-// and hold up the streams of all the others.
+// ranksToLeave returns the upstreams that running requests should leave. No new requests go to a
+// slow rank, but those that run there hold up the streams of the whole group.
 func toLeave(ranks []*wire.RankState) (slow []string) {
 	for _, r := range ranks {
 		if paceOf(r) >= leavePace {
@@ -35,7 +31,7 @@
 	return slow
 }
 
-// movable holds the attempts that may be given up for another upstream.
+// movableAttempts holds the attempts that may be given up for another upstream.
 type movable struct {
 	mu         sync.Mutex
 	byUpstream map[string]map[*attemptWatch]struct{}
@@ -72,7 +68,7 @@
 	return list
 }
 
-// takeSurvey takes the states of ranks, and has running requests leave the slow ones.
+// applySurvey applies the states of ranks, and has running requests leave the slow ones.
 func (g *Gateway) takeSurvey(number uint64, ranks []*wire.RankState) {
 	if len(ranks) == 0 {
 		return
--- a/gateway/slowrank_test.go
+++ b/gateway/slowrank_test.go
@@ -13,13 +13,15 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// slowCase is a gateway that knows six ranks, with streams that run at rank r2.
+// slowRankGateway is a gateway that knows six ranks, with streams that run at rank r2. left lists
+// the streams that were told to leave.
 type slowCase struct {
 	*Gateway
 	left []int
 }
 
-// newSlowCase gives the service some second attempts.
+// newSlowRankGateway returns a gateway with so many streams at r2 and a budget of so many
+// retries.
 func newSlowCase(t *testing.T, streams int, attempts float64) *slowCase {
 	set := DefaultSettings()
 	set.ID = "entry-1"
@@ -28,8 +30,8 @@
 		settings: set, movable: newMovable(), metrics: newGatewayMetrics(), log: log.NewNopLogger(),
 		beliefs: kernel.NewLineBudget(beliefLines, time.Now), fleet: newFleet(set), node: directory.NewNode(directory.DefaultSettings(), time.Now, nil),
 	}}
-	retries := RetrySettings{Slack: attempts / budgetMargin / budgetDepthShare, Window: durationOf(10 * time.Second)}
-	c.budgets = newBudgets(retries, func() int { return 1 }, func() time.Time { return now })
+	retries := RetrySettings{Slack: attempts / budgetMargin / budgetBurstFraction, Window: durationOf(10 * time.Second)}
+	c.retryBudgets = newRetryBudgets(retries, func() int { return 1 }, func() time.Time { return now })
 	var ranks []*directory.Instance
 	for _, id := range []string{"r0", "r1", "r2", "r3", "r4", "r5"} {
 		ranks = append(ranks, &directory.Instance{Announcement: &wire.Announcement{
@@ -37,7 +39,7 @@
 		}})
 	}
 	assert.NilError(t, c.fleet.update(now, ranks))
-	at := c.fleet.services["llm"].order[0]
+	at := c.fleet.services["llm"].sorted[0]
 	c.fleet.alive(now, at)
 	for i := range streams {
 		s := &call{
@@ -57,20 +59,18 @@
 	return list
 }
 
-// One rank turns slow while streams run there. What all callers of the group see is
-// that each event takes three times as long, until the last of these streams is over.
-// They go on at other ranks instead, as far as second attempts are left; the others
-// stay where they are and aren't broken off.
+// Streams leave a rank that becomes slow, as it delays the whole group, but no more of them than
+// the retry budget allows.
 func TestStreamsLeaveASlowRankWithinTheBudget(t *testing.T) {
 	c := newSlowCase(t, 5, 3)
 	c.takeSurvey(1, survey(100, 100, 100, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
 	c.takeSurvey(1, survey(100, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 3)
-	assert.Assert(t, !c.budgets.take("llm"), "a second attempt was given twice")
+	assert.Assert(t, !c.retryBudgets.takeToken("llm"), "the retry budget was exceeded")
 }
 
-// A stream that has used its attempts stays: leaving would end it.
+// A stream without another attempt stays, as leaving would end it.
 func TestStreamWithoutAnotherAttemptStays(t *testing.T) {
 	c := newSlowCase(t, 1, 3)
 	for _, w := range c.movable.at("r2") {
@@ -80,7 +80,7 @@
 	assert.Equal(t, len(c.left), 0)
 }
 
-// Where a good part of the ranks is slow the others have no room for what they run.
+// If too many ranks are slow, the others have no room for their requests, so none leaves.
 func TestSlowGroupIsNotLeft(t *testing.T) {
 	c := newSlowCase(t, 2, 3)
 	c.takeSurvey(1, survey(500, 100, 500, 100, 100, 100))
@@ -88,7 +88,7 @@
 	assert.Equal(t, len(toLeave([]*wire.RankState{{Upstream: "r0", PacePercent: 500}})), 0)
 }
 
-// An attempt that has ended is no longer known, and nor is its upstream.
+// An attempt that has ended is removed, and its upstream if it was the last.
 func TestEndedAttemptsAreForgotten(t *testing.T) {
 	c := newSlowCase(t, 1, 3)
 	ws := c.movable.at("r2")
--- a/gateway/beliefs.go
+++ b/gateway/statelog.go
@@ -8,10 +8,11 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// beliefLines bounds the lines about upstreams, gates and replicas, a second.
+// stateLogLines bounds the log lines per second about the state of upstreams, groups and control
+// replicas.
 const beliefLines = 20
 
-// believe writes a line about what the gateway believes of others.
+// logState writes a line about the state of another process, unless the limit is reached.
 func (g *Gateway) believe(msg string, kv ...any) {
 	ok, leftOut := g.beliefs.Take()
 	if !ok {
@@ -23,7 +24,7 @@
 	kernel.Info(g.log, msg, kv...)
 }
 
-// tellUpstreams tells which upstreams came, changed or are gone.
+// logUpstreams logs which upstreams appeared, changed or are gone.
 func (g *Gateway) tellUpstreams(now []*directory.Instance) {
 	g.mu.Lock()
 	before := g.known
@@ -38,7 +39,7 @@
 		if old != nil && old.Phase == i.Phase && old.Direct.GetGroupEpoch() == i.Direct.GetGroupEpoch() && old.Direct.GetGroupBroken() == i.Direct.GetGroupBroken() {
 			continue
 		}
-		g.believe("Upstream.", "upstream", id, "phase", i.Phase, "pools", strings.Join(i.Pools, ","), "addr", i.Address, "failure_domain", i.FailureDomain,
+		g.believe("Upstream changed.", "upstream", id, "phase", i.Phase, "pools", strings.Join(i.Pools, ","), "addr", i.Address, "failure_domain", i.FailureDomain,
 			"seq", i.Seq, "group", i.Group, "rank", i.Rank, "epoch", i.Direct.GetGroupEpoch(), "broken", i.Direct.GetGroupBroken())
 	}
 	for id, old := range before {
@@ -48,14 +49,13 @@
 	}
 }
 
-// tellGate tells that the gate of a group of a service has changed.
+// logStateChange logs that the state of a group of a service has changed.
 func (g *Gateway) tellGate(service string, c gateChange) {
-	g.believe("Service.", "service", service, "group", c.group, "before", c.before, "now", c.after, "why", c.inputs)
+	g.believe("Group state changed.", "service", service, "group", c.group, "before", c.before, "now", c.after, "why", c.inputs)
 }
 
-// tellPasses tells how long the passes of a group were in the last second, and what the entry
-// made of them.
-func (g *Gateway) tellPasses(service, group string, seen passCount, inputs string) {
-	g.believe("Group's passes.", "service", service, "group", group, "passes", seen.n, "long", seen.long, "mean", seen.mean().Round(time.Millisecond),
-		"longest", seen.longest.Round(time.Millisecond), "content", seen.content, "gate", inputs)
+// logPasses logs the durations of a group's passes, and the inputs of admission decisions.
+func (g *Gateway) tellPasses(service, group string, seen passStats, inputs string) {
+	g.believe("Group pass statistics.", "service", service, "group", group, "passes", seen.count, "long", seen.long, "mean", seen.mean().Round(time.Millisecond),
+		"longest", seen.longest.Round(time.Millisecond), "content", seen.targetGap, "gate", inputs)
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -10,21 +10,20 @@
 	"github.com/snipereach/snipereach/direct"
 )
 
-// stream is the state of one answer that is passed on event by event.
+// stream is the state of one response that is passed on event by event.
 type stream struct {
 	*call
-	// started says that the head of the answer has left.
+	// started says that the head of the response was sent.
 	started bool
-	// lastID is the ID of the last event that has left, or where the caller wants
-	// to go on.
+	// lastID is the ID of the last event that was sent, or the one from which the caller resumes.
 	lastID string
 	events int
-	// sentAt is when the last event left.
+	// sentAt is when the last event was sent.
 	sentAt time.Time
 }
 
-// serveStream answers a request with a stream of events. It may go on at another
-// upstream inside one answer, after the last event that was passed on.
+// serveStream answers a request with a stream of events. After a failed attempt it may resume the
+// stream at another upstream, after the last event that was passed on.
 func (c *call) serveStream() {
 	s := &stream{call: c, lastID: c.asked.LastEventID}
 	var held *answer
@@ -42,7 +41,7 @@
 	}
 }
 
-// run makes one attempt. An answer that is no stream is returned whole.
+// run makes one attempt. A response that isn't a stream is returned whole.
 func (s *stream) run(a *attempt) (*answer, outcome) {
 	resp, err := s.send(a, s.lastID)
 	if err != nil {
@@ -55,7 +54,7 @@
 	if resp.Status != http.StatusOK {
 		ans, o := s.readWhole(a, resp)
 		if s.started && o == outcomeAnswered {
-			// The head of a stream has left; a failure can't follow it.
+			// An error response can't follow the head of a stream.
 			return nil, outcomeInDoubt
 		}
 		return ans, o
@@ -63,8 +62,8 @@
 	return nil, s.forward(a, resp)
 }
 
-// forward passes on events as they come. It returns outcomeAnswered only if the
-// stream came to its own end.
+// forward passes events on as they arrive. It returns outcomeAnswered only if the upstream
+// completed the stream.
 func (s *stream) forward(a *attempt, resp *direct.Response) outcome {
 	events := direct.NewEvents(resp.Body)
 	for {
@@ -91,9 +90,9 @@
 	}
 }
 
-// follows says whether an event may come after the last one that was passed on.
-// IDs grow by one where they are numbers: after a resumption an upstream that
-// began again, or further on, would double or drop a piece.
+// follows reports whether an event may follow the last one that was passed on. Numeric IDs grow
+// by one; after a resumption, an upstream that restarted the stream or skipped ahead would
+// duplicate or drop events.
 func (s *stream) follows(ev direct.Event) bool {
 	if ev.ID == "" || s.lastID == "" {
 		return true
@@ -106,11 +105,11 @@
 	return id == last+1
 }
 
-// start sends the head of the first upstream's answer.
+// start sends the head of the first upstream's response.
 func (s *stream) start(resp *direct.Response) {
 	copyAnswerHeader(s.w.Header(), resp.Header)
 	s.closeIfLeaving()
-	// The length isn't known: another upstream may go on with the stream.
+	// The length isn't known, as another upstream may continue the stream.
 	s.w.Header().Del("Content-Length")
 	s.w.WriteHeader(resp.Status)
 	s.started = true
@@ -137,7 +136,7 @@
 	return true
 }
 
-// paused takes the time between two events.
+// recordGap records the gap before the event that was just sent.
 func (s *stream) paused(now time.Time, at *groupPool) {
 	pause := now.Sub(s.sentAt)
 	s.metrics.pause.Record(pause)
@@ -147,7 +146,7 @@
 	s.fleet.paused(now, s.service, at, pause, s.contentPause(), s.fixedPass)
 }
 
-// finish ends an answer that is complete.
+// complete ends a complete response.
 func (s *stream) finish(held *answer) {
 	if held != nil {
 		s.deliver(held)
@@ -156,14 +155,14 @@
 	s.done(http.StatusOK, "", nil)
 }
 
-// breakOff ends an answer that is not complete so that the caller sees it: the
-// connection is closed before the body's end.
+// abort ends an incomplete response so that the caller notices: the connection is closed before
+// the end of the body.
 func (s *stream) breakOff() {
 	if s.last == outcomeCallerGone {
 		s.done(http.StatusOK, "caller-gone", nil)
 	} else {
 		s.why = "not resumed: " + s.reason
-		s.done(http.StatusOK, reasonBrokenOff, nil)
+		s.done(http.StatusOK, reasonStreamBrokenOff, nil)
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/gateway/surveysource.go
+++ b/gateway/surveysource.go
@@ -3,44 +3,45 @@
 import "time"
 
 const (
-	// silentSurvey is how long a replica may tell nothing of ranks that another may know: it
-	// speaks each 0.4 s, and tells five times a second while their leader does.
+	// surveySilenceTimeout is how long a replica may send no survey while surveys are expected,
+	// or nothing at all otherwise. Replicas send a message at least every 0.4 s, and a survey
+	// every 0.2 s while the leader of the groups sends them.
 	silentSurvey = 1200 * time.Millisecond
-	// mostSilentSurvey bounds that time, which doubles with each replica that was tried in
-	// vain: without a leader nobody can tell, and hundreds of entries that went from one
-	// replica to the next would be one more load on the next leader.
+	// maxSurveySilence bounds that time, which doubles with each replica that was tried in vain.
+	// Without a leader no replica has surveys, and many gateways that switch replicas often would
+	// load the next leader.
 	mostSilentSurvey = 10 * time.Second
 	// surveyMemory is how long after the last survey another one is expected.
 	surveyMemory = 10 * time.Second
 )
 
-// surveySource says which replica to hear surveys of ranks from, one at a time. Replicas
-// pass on what the leader of the groups tells; one that is cut off from the leader is there,
-// but tells nothing, and another is taken then.
+// surveySource selects the replica from which surveys of ranks are received, one at a time.
+// Replicas relay what the leader of the groups sends; a replica that is cut off from the leader
+// responds but sends no surveys, so another one is selected.
 type surveySource struct {
 	at       int
 	patience time.Duration
-	// heardAt is when a survey came last; zero before the first.
+	// lastSurveyAt is when the last survey arrived; zero before the first.
 	heardAt time.Time
 }
 
-// pick is the replica to use, of a list in this entry's order of preference.
+// pick returns the replica to use from a list in this gateway's order of preference.
 func (s *surveySource) pick(replicas []string) string { return replicas[s.at%len(replicas)] }
 
-// heard notes a survey.
+// recordSurvey records that a survey has arrived.
 func (s *surveySource) heard(now time.Time) {
 	s.heardAt, s.patience = now, 0
 }
 
-// expects says whether a replica that is there should tell something.
+// expectsSurvey reports whether a connected replica should send a survey.
 func (s *surveySource) expects(now time.Time) bool {
 	return !s.heardAt.IsZero() && now.Sub(s.heardAt) < surveyMemory
 }
 
-// limit is how long to wait for the next word.
+// silenceTimeout returns how long to wait for the next message.
 func (s *surveySource) limit() time.Duration { return max(s.patience, silentSurvey) }
 
-// lost goes to the next replica.
+// next selects the next replica.
 func (s *surveySource) lost() {
 	s.at++
 	s.patience = min(2*s.limit(), mostSilentSurvey)
--- a/gateway/surveysource_test.go
+++ b/gateway/surveysource_test.go
@@ -7,15 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// The replica that an entry hears surveys from is cut off from the leader of the groups, and
-// goes on saying that it is there. The entry goes to the next one; were it to stay, it would
-// know the load of ranks from answers alone for as long as the cut lasts.
+// If surveys stop while the replica is still connected, as when it is partitioned from the
+// leader, the next replica is selected.
 func TestSurveysAreHeardFromTheNextReplica(t *testing.T) {
 	var s surveySource
 	replicas := []string{"a", "b", "c"}
 	now := time.Unix(100, 0)
 	assert.Equal(t, s.pick(replicas), "a")
-	assert.Assert(t, !s.expects(now), "nobody may lead a group at all")
+	assert.Assert(t, !s.expects(now), "no survey has arrived yet")
 	s.heard(now)
 	now = now.Add(silentSurvey)
 	assert.Assert(t, s.expects(now))
@@ -25,8 +24,8 @@
 	assert.Equal(t, s.limit(), silentSurvey)
 }
 
-// No replica knows of a survey while there is no leader. Entries try them more and more
-// seldom, and stay with one after ten seconds.
+// While no replica has surveys, replicas are tried at growing intervals, and no longer after
+// surveyMemory.
 func TestSurveysAreSoughtMoreAndMoreSeldom(t *testing.T) {
 	var s surveySource
 	now := time.Unix(100, 0)
--- a/gateway/surveyfollow.go
+++ b/gateway/surveywatch.go
@@ -9,14 +9,14 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// followSurveys hears how busy the ranks of groups are.
+// followSurveys receives the load of the ranks of groups from one control replica at a time.
 func (g *Gateway) followSurveys(ctx context.Context) {
 	var src surveySource
 	for ctx.Err() == nil {
 		addr := src.pick(g.targets.Addresses())
 		err := g.followSurvey(ctx, addr, &src)
 		if ctx.Err() == nil && src.expects(g.now()) {
-			g.believe("Surveys are sought at another replica.", "replica", addr, "since", g.now().Sub(src.heardAt).Round(time.Millisecond), "err", err)
+			g.believe("No surveys from control replica; switching to another one.", "replica", addr, "since", g.now().Sub(src.heardAt).Round(time.Millisecond), "err", err)
 		}
 		src.lost()
 		select {
@@ -26,8 +26,8 @@
 	}
 }
 
-// followSurvey hears surveys from one replica, until it is silent or tells nothing though
-// surveys are expected.
+// followSurvey receives surveys from one replica until it is silent, or sends none though surveys
+// are expected.
 func (g *Gateway) followSurvey(ctx context.Context, addr string, src *surveySource) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -56,7 +56,7 @@
 	}
 }
 
-// hearSurvey takes the states of ranks, which have grown older on their way.
+// receiveSurvey applies the states of ranks, whose ages include the time on their way.
 func (g *Gateway) hearSurvey(msg *wire.RankSurvey) error {
 	states := &wire.RankStates{}
 	if err := proto.Unmarshal(msg.States, states); err != nil {
--- a/gateway/ended.go
+++ b/gateway/upstreamexit.go
@@ -13,54 +13,56 @@
 )
 
 const (
-	// probeTimeout bounds the question whether an upstream is still there: within a region it
-	// is answered in milliseconds, and a request that may be tried elsewhere waits for it.
+	// exitProbeTimeout bounds the probe whether an upstream still listens. A request that may be
+	// retried waits for it.
 	probeTimeout = 150 * time.Millisecond
-	// pendingFor is how long after an attempt was cut off another incarnation at the address
-	// shows that the upstream ended: it starts again within seconds.
+	// pendingExitTTL is how long after an attempt was cut a new incarnation at the address is
+	// taken as evidence that the upstream has exited; it restarts within seconds.
 	pendingFor = 10 * time.Second
-	// mostPending bounds the cut attempts that wait to be explained.
+	// maxPendingExits bounds the cut attempts without evidence yet.
 	mostPending = 256
 )
 
-// Signs that an upstream has ended while it ran a request.
+// Evidence that an upstream exited while it ran a request, in addition to the cut connection.
 const (
-	// signRefused: it cut the request off, and nothing listens at its address.
+	// signRefused means that connections to its address are refused.
 	signRefused = "refused"
-	// signReplaced: it cut the request off, and another incarnation has its address.
+	// signReplaced means that another incarnation has its address.
 	signReplaced = "replaced"
 )
 
-// pendingEnd is an attempt that was cut off, until it is known whether its upstream ended.
+// pendingExit is an attempt that was cut, until it is known whether its upstream exited.
 type pendingEnd struct {
 	quarantine.End
-	// known are the instances that were known at the address when it was cut off.
+	// known holds the IDs of the instances that were known at the address when the attempt was
+	// cut.
 	known []string
-	// cutAt is when it was cut off, by the gateway's clock.
+	// cutAt is the time of the cut, by the gateway's clock.
 	cutAt time.Time
 }
 
-// replacedBy says whether an instance has come to the address since. One that was known there
-// before may be an earlier incarnation, whose lease hasn't run out yet.
+// replacedBy reports whether an instance has appeared at the address since the cut. One that was
+// known there before may be an earlier incarnation whose lease hasn't expired yet.
 func (p *pendingEnd) replacedBy(i *directory.Instance) bool {
 	return i.Up() && i.Address == p.Address && i.Id != p.Upstream && !slices.Contains(p.known, i.Id)
 }
 
-// upstreamEnds finds out which cut attempts were cut because their upstream ended.
+// exitDetector finds out which attempts were cut because their upstream exited.
 type upstreamEnds struct {
 	probes  singleflight.Group
 	pending []pendingEnd
 }
 
-// looksEnded says whether an attempt may have been cut off because its upstream ended: the
-// upstream broke it off, nobody here did, and it hasn't said that it leaves.
+// mayHaveExited reports whether an attempt may have been cut because its upstream exited: the
+// upstream closed the connection, the attempt wasn't given up here, and the upstream hasn't
+// announced that it leaves.
 func (c *call) looksEnded(a *attempt, o outcome) bool {
 	return o == outcomeInDoubt && a.broken && a.ctx.Err() == nil && !c.node.Leaves(a.up.ID)
 }
 
-// noteCut looks after an attempt that was cut off. Whether the upstream ended is asked at its
-// address first; a host that says nothing, or that takes connections already again, shows it
-// by the incarnation that registers.
+// recordCut looks for evidence that the upstream of a cut attempt exited. It first probes the
+// address. A host that doesn't respond, or that already accepts connections again, is resolved by
+// the incarnation that registers next.
 func (c *call) noteCut(a *attempt) {
 	p := c.cutOff(a)
 	if c.upstreamRefuses(p.Address) {
@@ -76,9 +78,9 @@
 	c.explainCuts(c.node.Instances(wire.Role_ROLE_UPSTREAM))
 }
 
-// cutOff is an attempt that was cut off just now. Who is known at the address is taken down before
-// anything is asked there: an incarnation that registers while the answer is awaited would pass for
-// one that was known all along, and the end would be told to nobody.
+// newPendingExit returns the record of an attempt that was cut just now. The instances known at
+// the address must be recorded before the probe: an incarnation that registers during the probe
+// would pass for one that was known before, and the exit would never be reported.
 func (c *call) cutOff(a *attempt) pendingEnd {
 	p := pendingEnd{cutAt: c.now()}
 	p.End = quarantine.End{Subject: c.Identity().Subject(c.route.GetName()), RequestID: c.asked.ID, Upstream: a.up.ID, Address: a.up.Address, Ran: time.Since(a.began)}
@@ -92,8 +94,8 @@
 	return p
 }
 
-// upstreamRefuses asks at an upstream's address whether anything listens there. Many requests
-// are cut off at once when it ends; one question is asked for all of them.
+// connectionRefused reports whether nothing listens at an upstream's address. An exit cuts many
+// requests at once; they share one probe.
 func (g *Gateway) upstreamRefuses(address string) bool {
 	refuses, _, _ := g.ends.probes.Do(address, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
@@ -103,7 +105,7 @@
 	return refuses.(bool)
 }
 
-// explainCuts finds the cut attempts whose upstream's address has another incarnation now.
+// resolvePendingExits reports the pending exits whose address has another incarnation now.
 func (g *Gateway) explainCuts(known []*directory.Instance) {
 	g.mu.Lock()
 	if len(g.ends.pending) == 0 {
@@ -127,7 +129,7 @@
 	}
 }
 
-// upstreamEnded takes that an upstream has ended while it ran a request.
+// reportExit reports that an upstream exited while it ran a request.
 func (g *Gateway) upstreamEnded(e quarantine.End, sign string) {
 	e.Sign = sign
 	g.metrics.Count("gateway.upstream_ended." + sign)
--- a/gateway/warmup.go
+++ b/gateway/warmup.go
@@ -10,32 +10,29 @@
 )
 
 const (
-	// warmupLimit is how long after its start a gateway may let requests wait for its
-	// first configuration and the upstreams: a leader is there and has told both 1.2 to
-	// 1.6 s after all processes of a system have lost power.
+	// warmupLimit is how long after its start a gateway may let requests wait for its first
+	// configuration and for upstreams. It covers a start of all processes at once, including the
+	// election of a leader.
 	warmupLimit = 2500 * time.Millisecond
-	// warmupPart is the part of the time a caller has left that it may wait: the rest
-	// must do for the answer.
+	// warmupDivisor limits the wait to a fraction of the time that a caller has left; the rest is
+	// for the response.
 	warmupPart = 3
-	// mostWarming bounds the requests that wait: some kilobytes each, on hosts of less
-	// than 200 MB.
+	// maxWarming bounds the waiting requests, to bound the gateway's memory.
 	mostWarming = 1000
 )
 
-// warmup lets requests wait until a gateway that has just started knows enough to serve
-// them.
+// warmup lets requests wait until a gateway that has just started can serve them.
 //
-// The load that it answers: all processes of the system lose power at once. Callers whose
-// streams are cut come back as soon as they can connect, and many of them have no try
-// left after that; refused because nobody has told the gateway its configuration yet,
-// they are lost a second before they could be served.
+// It guards against a power loss of all processes. Callers of interrupted streams reconnect at
+// once and may have no other try left; refused because the gateway has no configuration yet, they
+// would be lost a second before they could be served.
 type warmup struct {
-	// until is when the start is over.
+	// until is the end of the start phase.
 	until   time.Time
 	waiting atomic.Int64
 
 	mu sync.Mutex
-	// changed is closed when the gateway has learned something, and replaced.
+	// changed is closed and replaced when the gateway has learned something.
 	changed chan struct{}
 }
 
@@ -43,7 +40,7 @@
 	return &warmup{until: started.Add(warmupLimit), changed: make(chan struct{})}
 }
 
-// learned wakes those that wait.
+// notify wakes the waiting requests.
 func (w *warmup) learned() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,8 +54,8 @@
 	return w.changed
 }
 
-// limit is how long a caller may wait that comes now and has some time left; 0 left is
-// not known.
+// limit returns how long a request that arrives now may wait, with left until its deadline; 0
+// means that no deadline is known.
 func (w *warmup) limit(now time.Time, left time.Duration) time.Duration {
 	limit := max(w.until.Sub(now), 0)
 	if left > 0 {
@@ -67,8 +64,8 @@
 	return limit
 }
 
-// wait waits until the gateway knows enough, for a time at most, and says whether it
-// does.
+// wait waits until enough returns true, the limit has passed or ctx is done, and reports whether
+// enough is true. It returns false at once if maxWarming requests wait already.
 func (w *warmup) wait(ctx context.Context, limit time.Duration, enough func() bool) bool {
 	if enough() {
 		return true
@@ -94,25 +91,23 @@
 	}
 }
 
-// waitForTable lets a call wait for the first configuration.
+// waitForTable waits for the first configuration. It returns nil if there is none in time.
 func (c *call) waitForTable(ctx context.Context) *routing.Table {
 	c.warmUntil = c.now().Add(c.warmup.limit(c.now(), c.asked.Deadline))
 	c.warmup.wait(ctx, c.warmUntil.Sub(c.now()), func() bool { return c.table.Load() != nil })
 	return c.table.Load()
 }
 
-// waitForService lets a call wait for an upstream of its service, for what is left of
-// the same time.
+// waitForService waits for an upstream of the call's service, for what is left of the same time.
 func (c *call) waitForService(ctx context.Context) {
 	c.warmup.wait(ctx, c.warmUntil.Sub(c.now()), func() bool { return c.fleet.serves(c.service) })
 }
 
-// serves says whether a service has an upstream and, if its upstreams are groups, one that
-// isn't down: ranks that lost power with the rest form their group again some tenths of
-// a second after they have registered.
+// serves reports whether a service has an upstream and, if its upstreams form groups, one group
+// that isn't down. After a power loss ranks register before their group has formed again.
 func (f *fleet) serves(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.services[service]
-	return p != nil && p.serves()
+	return p != nil && p.hasLiveGroup()
 }
--- a/gateway/warmup_test.go
+++ b/gateway/warmup_test.go
@@ -13,10 +13,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// All processes of the system have lost power. A caller comes back to a gateway that has
-// no configuration yet, and has no other try left: it waits, and is served as soon as
-// the gateway knows what to do. It waits for a third of its time at most, never beyond
-// the time that a start takes, and not at all once that is over.
+// A request at a gateway without configuration waits until the gateway is ready: for a third of
+// its time at most, and not beyond the start phase.
 func TestCallersWaitForAGatewayThatStarts(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -25,13 +23,13 @@
 		served      bool
 		waitsAtMost time.Duration
 	}{
-		{"served once it knows", 0, 8 * time.Second, time.Second, true, time.Second},
-		{"a third of a short time", 0, 600 * time.Millisecond, time.Second, false, 200 * time.Millisecond},
-		{"the start takes too long", 0, 30 * time.Second, time.Minute, false, warmupLimit},
-		{"a time that isn't known", 0, 0, time.Minute, false, warmupLimit},
-		{"came late", 2 * time.Second, 8 * time.Second, time.Minute, false, 500 * time.Millisecond},
-		{"came after the start", 3 * time.Second, 8 * time.Second, time.Minute, false, 0},
-		{"knows it already", 3 * time.Second, 8 * time.Second, time.Second, true, 0},
+		{"served once ready", 0, 8 * time.Second, time.Second, true, time.Second},
+		{"a third of a short deadline", 0, 600 * time.Millisecond, time.Second, false, 200 * time.Millisecond},
+		{"start takes too long", 0, 30 * time.Second, time.Minute, false, warmupLimit},
+		{"unknown deadline", 0, 0, time.Minute, false, warmupLimit},
+		{"late arrival", 2 * time.Second, 8 * time.Second, time.Minute, false, 500 * time.Millisecond},
+		{"arrival after the start phase", 3 * time.Second, 8 * time.Second, time.Minute, false, 0},
+		{"already ready", 3 * time.Second, 8 * time.Second, time.Second, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -53,8 +51,8 @@
 	}
 }
 
-// A crowd that comes back at once must not fill the memory: beyond a bound callers are
-// refused as before. One that leaves makes room.
+// Beyond maxWarming waiting requests others are refused at once. A request that leaves makes
+// room.
 func TestWaitingCallersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWarmup(time.Now())
@@ -77,12 +75,11 @@
 	})
 }
 
-// A caller waits for its own service only: another one without upstreams is no reason.
-// With a group that is still down, those that waited would be refused together half a
-// second before it is back.
+// A request waits for upstreams of its own service only, and while its group is down: admitted
+// before, all waiting requests would be refused together.
 func TestServiceCanBeCalledOnceItsGroupIsBack(t *testing.T) {
 	c := newSlowCase(t, 0, 1)
-	assert.Assert(t, !c.fleet.serves("clock"), "nobody has registered for it")
+	assert.Assert(t, !c.fleet.serves("clock"), "no upstream has registered")
 	now := time.Now()
 	known := func(epoch uint64, broken bool) []*directory.Instance {
 		return []*directory.Instance{
--- a/gateway/silence.go
+++ b/gateway/watchdog.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// silenceFactor times the usual time to an answer's head is how long one upstream
-	// may say nothing before a request that may run twice goes elsewhere.
+	// silenceFactor times the usual head time is how long an upstream may be silent before a
+	// repeatable request is retried elsewhere.
 	silenceFactor = 6
-	// leastSilence is above the slowest hundredth of short answers, mostSilence half
-	// of the time after which callers leave a stream.
+	// minSilence and maxSilence bound that time: minSilence is longer than nearly all short
+	// responses take, maxSilence is half of firstEventTimeout.
 	leastSilence = 200 * time.Millisecond
 	mostSilence  = time.Second
 )
 
-// attemptWatch ends an attempt whose upstream has fallen silent while its service goes
-// on: a host that is frozen, or a connection that is dead without a word. Its caller
-// would wait until it leaves, and the upstream would work for nobody when it wakes. An
-// attempt at an upstream that has turned slow is given up by the same means.
+// silenceWatchdog cancels an attempt whose upstream has become silent while its group makes
+// progress, as with a frozen host or a dead connection. Otherwise the caller would wait until it
+// leaves, and the upstream would later run the request for nobody. Attempts at slow upstreams are
+// cancelled through it too.
 type attemptWatch struct {
 	call     *call
 	upstream string
@@ -29,13 +29,12 @@
 	cancel   context.CancelFunc
 	limit    time.Duration
 	timer    *time.Timer
-	// heard is when the upstream said something last, in nanoseconds since began.
+	// lastHeard is when the upstream last sent something, in nanoseconds since startedAt.
 	heard atomic.Int64
 	began time.Time
 }
 
-// watchAttempt begins to watch an attempt at an upstream; nil if the request must not
-// run twice.
+// watchAttempt starts the watchdog of an attempt. It returns nil if the request isn't repeatable.
 func (c *call) watchAttempt(upstream string, cancel context.CancelFunc) *attemptWatch {
 	if !routing.Repeatable(c.route) {
 		return nil
@@ -46,7 +45,7 @@
 	return w
 }
 
-// hear notes a sign of life.
+// recordProgress records that the upstream has sent something.
 func (w *attemptWatch) hear() {
 	if w != nil {
 		w.heard.Store(int64(time.Since(w.began)))
@@ -60,8 +59,8 @@
 	}
 }
 
-// look ends the attempt if it has been silent for long, another one may follow, and it
-// isn't the whole service that stands still.
+// check cancels the attempt if it has been silent for too long, another attempt may follow, and
+// the group as a whole makes progress.
 func (w *attemptWatch) look() {
 	now := time.Now()
 	left := w.limit - now.Sub(w.began) + time.Duration(w.heard.Load())
@@ -75,16 +74,16 @@
 	}
 }
 
-// takeMove says whether a request that waits at one upstream may go to another, and if
-// so takes the second attempt from the budget. Were it taken only when the first one
-// has ended, several requests would give up their upstreams for the same one, and all
-// but one would be broken off.
+// reserveRetry reports whether a running attempt may be given up for another one, and if so
+// charges the retry budget. The budget is charged before the attempt is cancelled: otherwise
+// several requests could give up their upstreams for a single remaining retry, and all but one
+// would fail.
 func (c *call) takeMove(now time.Time, at *groupPool) bool {
 	another := c.sent.Load()+1 < int64(c.route.MaxAttempts)
 	if !another || !c.fleet.goesOn(now, at) || c.deadline.Sub(now) <= leastSilence {
 		return false
 	}
-	if _, only := c.oneAttempt(); only || !c.budgets.take(c.service) {
+	if _, only := c.oneAttempt(); only || !c.retryBudgets.takeToken(c.service) {
 		return false
 	}
 	c.paid.Store(true)
