--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -13,25 +13,25 @@
 )
 
 // fullServiceManager returns a manager with one plain service whose single permit is taken.
-func fullFleet(t *testing.T) *fleet {
-	f := newFleet(&Settings{ID: "e"})
-	f.entries = func() int { return 5 }
+func fullServiceManager(t *testing.T) *serviceManager {
+	f := newServiceManager(&Settings{ID: "e"})
+	f.gateways = func() int { return 5 }
 	assert.NilError(t, f.update(time.Now(), []*directory.Instance{{Announcement: &wire.Announcement{
 		Id: "u", Address: "127.0.0.1:1", Pools: []string{"plain"}, Phase: wire.Phase_PHASE_UP, Direct: &wire.DirectUpstream{Slots: 1},
 	}}}))
-	assert.Assert(t, f.enter(context.Background(), "plain", soon()).ok)
+	assert.Assert(t, f.acquire(context.Background(), "plain", soon()).ok)
 	return f
 }
 
 // releaseOne releases one permit of the service.
-func (f *fleet) free() { f.leave(f.services["plain"].sorted[0], time.Second) }
+func (f *serviceManager) free() { f.release(f.services["plain"].sorted[0], time.Second) }
 
 func soon() *waiter {
 	now := time.Now()
 	return &waiter{onTimeBy: now.Add(10 * time.Second), giveUpAt: now.Add(10 * time.Second), admitted: make(chan struct{})}
 }
 
-func (f *fleet) waiting() int {
+func (f *serviceManager) waiting() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.services["plain"].queue.waiters)
@@ -40,15 +40,15 @@
 // A queued request leaves the queue when its caller leaves or its giveUpAt passes, and is
 // admitted when a permit is released. If the caller leaves at that moment, the permit goes to the
 // next request.
-func TestWaitingRequestsGetFreePlaces(t *testing.T) {
-	f := fullFleet(t)
+func TestQueuedRequestsGetReleasedPermits(t *testing.T) {
+	f := fullServiceManager(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	results := make(chan admission, 3)
-	go func() { results <- f.enter(ctx, "plain", soon()) }()
+	go func() { results <- f.acquire(ctx, "plain", soon()) }()
 	brief := soon()
 	brief.giveUpAt = time.Now().Add(50 * time.Millisecond)
-	go func() { results <- f.enter(context.Background(), "plain", brief) }()
+	go func() { results <- f.acquire(context.Background(), "plain", brief) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if f.waiting() == 2 {
 			return poll.Success()
@@ -61,7 +61,7 @@
 	}
 	assert.Equal(t, f.waiting(), 0)
 
-	go func() { results <- f.enter(context.Background(), "plain", soon()) }()
+	go func() { results <- f.acquire(context.Background(), "plain", soon()) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if f.waiting() == 1 {
 			return poll.Success()
@@ -75,6 +75,6 @@
 
 	gone, leave := context.WithCancel(context.Background())
 	leave()
-	assert.Assert(t, !f.enter(gone, "plain", soon()).ok)
-	assert.Assert(t, f.enter(context.Background(), "plain", soon()).ok, "the permit was not released")
+	assert.Assert(t, !f.acquire(gone, "plain", soon()).ok)
+	assert.Assert(t, f.acquire(context.Background(), "plain", soon()).ok, "the permit was not released")
 }
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -14,7 +14,7 @@
 	announcer := directory.NewAnnouncer(g.targets, g.pool.Conn, g.now)
 	for {
 		for _, reply := range announcer.Announce(ctx, g.announcement()) {
-			g.announced(reply)
+			g.handleReply(reply)
 		}
 		select {
 		case <-ctx.Done():
@@ -26,7 +26,7 @@
 }
 
 // triggerAnnounce has an announcement sent without waiting for the interval.
-func (g *Gateway) wakeAnnouncer() {
+func (g *Gateway) triggerAnnounce() {
 	select {
 	case g.announceNow <- struct{}{}:
 	default:
@@ -34,10 +34,10 @@
 }
 
 // handleReply takes a higher incarnation if an earlier process with this ID had a higher one.
-func (g *Gateway) announced(reply *wire.AnnounceReply) {
+func (g *Gateway) handleReply(reply *wire.AnnounceReply) {
 	if reply.Superseded && g.life.Supersede(reply.KnownIncarnation) {
 		kernel.Warn(g.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "incarnation", g.life.Number())
-		g.wakeAnnouncer()
+		g.triggerAnnounce()
 	}
 }
 
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -19,7 +19,7 @@
 
 // maxBufferedBody bounds the body of a response that is buffered before it is passed on, in
 // bytes.
-const maxAnswer = 16 << 20
+const maxBufferedBody = 16 << 20
 
 // call is one request of a caller.
 type call struct {
@@ -31,12 +31,12 @@
 	route   *wire.Route
 	service string
 	// group is the group whose permit the request holds.
-	at       *groupPool
-	team     *wire.KeyedTeam
-	asked    dialect.Request
-	body     []byte
-	began    time.Time
-	deadline time.Time
+	group      *groupPool
+	team       *wire.KeyedTeam
+	params     dialect.Request
+	body       []byte
+	receivedAt time.Time
+	deadline   time.Time
 	// warmUntil is how long the call may wait for a gateway that is starting, by the gateway's
 	// clock.
 	warmUntil time.Time
@@ -45,15 +45,15 @@
 	sent atomic.Int64
 	// retryReserved says that the budget was charged for the next attempt when the previous one
 	// was given up.
-	paid  atomic.Bool
-	tried map[string]bool
+	retryReserved atomic.Bool
+	tried         map[string]bool
 	// trial is the request's standing in quarantine.
-	trial  quarantine.Trial
-	last   outcome
-	reason string
+	trial       quarantine.Trial
+	lastOutcome outcome
+	reason      string
 	// cause describes the inputs of a refusal.
-	why      string
-	attempts []attemptNote
+	cause    string
+	attempts []attemptRecord
 	// age is how long ago the caller first sent the request. waited is how long it was queued
 	// here.
 	age, waited time.Duration
@@ -64,17 +64,17 @@
 	firstEvent time.Duration
 	// longestGap is the longest gap between two events of a stream, and longestGapEnded when the
 	// later of the two was sent.
-	longestPause time.Duration
-	pauseEnded   time.Time
+	longestGap      time.Duration
+	longestGapEnded time.Time
 }
 
 // targetFirstEvent is the route's target for the time to the first event, and targetGap that for
 // the gap between two events; 0 if the route has none.
-func (c *call) contentFirst() time.Duration {
+func (c *call) targetFirstEvent() time.Duration {
 	return time.Duration(c.route.GetTargetLatencyMs()) * time.Millisecond
 }
 
-func (c *call) contentPause() time.Duration {
+func (c *call) targetGap() time.Duration {
 	return time.Duration(c.route.GetTargetGapMs()) * time.Millisecond
 }
 
@@ -87,16 +87,16 @@
 // late returns why a completed stream missed the targets of its route; empty if it didn't.
 func (c *call) late() string {
 	switch {
-	case c.contentFirst() > 0 && c.firstEvent > c.contentFirst():
+	case c.targetFirstEvent() > 0 && c.firstEvent > c.targetFirstEvent():
 		return lateFirstEvent
-	case c.contentPause() > 0 && c.longestPause > c.contentPause():
+	case c.targetGap() > 0 && c.longestGap > c.targetGap():
 		return latePause
 	}
 	return ""
 }
 
 // attemptRecord is what the request log shows of one attempt.
-type attemptNote struct {
+type attemptRecord struct {
 	upstream string
 	outcome  outcome
 	status   int
@@ -104,7 +104,7 @@
 }
 
 // bufferedResponse is a complete response of an upstream.
-type answer struct {
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
@@ -112,55 +112,55 @@
 
 // attempt is one try of a request at an upstream.
 type attempt struct {
-	up    route.Upstream
-	at    *groupPool
-	req   *route.Request
-	began time.Time
+	upstream  route.Upstream
+	group     *groupPool
+	request   *route.Request
+	startedAt time.Time
 	// ctx ends with the context of the call, or when the attempt is given up.
-	ctx    context.Context
-	cancel context.CancelFunc
-	watch  *attemptWatch
+	ctx      context.Context
+	cancel   context.CancelFunc
+	watchdog *silenceWatchdog
 	// head is what the header of the response says, once it has arrived.
 	head   dialect.Answer
 	status int
 	// cut says that the upstream closed the connection before the end of the response.
-	broken bool
+	cut bool
 }
 
 // beginAttempt chooses an upstream for the next attempt; it returns nil if there is none.
-func (c *call) begin() *attempt {
-	req := &route.Request{Exclude: c.tried, Tokens: c.asked.PromptTokens + c.asked.MaxTokens}
+func (c *call) beginAttempt() *attempt {
+	req := &route.Request{Exclude: c.tried, Tokens: c.params.PromptTokens + c.params.MaxTokens}
 	now := time.Now()
-	up, at, ok := c.fleet.pick(now, c.at, req)
+	up, at, ok := c.services.pick(now, c.group, req)
 	if !ok {
 		return nil
 	}
-	c.at = at
-	a := &attempt{up: up, at: at, req: req, began: now}
+	c.group = at
+	a := &attempt{upstream: up, group: at, request: req, startedAt: now}
 	a.ctx, a.cancel = context.WithCancel(c.ctx)
-	a.watch = c.watchAttempt(up.ID, a.cancel)
+	a.watchdog = c.watchAttempt(up.ID, a.cancel)
 	return a
 }
 
 // endAttempt records the outcome of an attempt.
-func (c *call) end(a *attempt, o outcome) {
-	a.watch.stop()
+func (c *call) endAttempt(a *attempt, o outcome) {
+	a.watchdog.stop()
 	a.cancel()
 	now := time.Now()
-	c.fleet.done(now, a.at, a.up, a.req, a.result(o, now))
+	c.services.finish(now, a.group, a.upstream, a.request, a.result(o, now))
 	c.history.record(o)
 	c.sent.Store(int64(c.history.sent))
-	c.last = o
+	c.lastOutcome = o
 	if c.tried == nil {
 		c.tried = map[string]bool{}
 	}
-	c.tried[a.up.ID] = true
-	c.attempts = append(c.attempts, attemptNote{upstream: a.up.ID, outcome: o, status: a.status, took: now.Sub(a.began)})
+	c.tried[a.upstream.ID] = true
+	c.attempts = append(c.attempts, attemptRecord{upstream: a.upstream.ID, outcome: o, status: a.status, took: now.Sub(a.startedAt)})
 }
 
 // result returns the attempt's outcome for the balancer.
 func (a *attempt) result(o outcome, now time.Time) route.Result {
-	res := route.Result{Elapsed: now.Sub(a.began)}
+	res := route.Result{Elapsed: now.Sub(a.startedAt)}
 	switch o {
 	case outcomeAnswered:
 		res.Outcome = wire.Outcome_OUTCOME_DONE
@@ -183,33 +183,33 @@
 func (c *call) send(a *attempt, lastEventID string) (*direct.Response, error) {
 	header := forwardHeader(c.r.Header)
 	c.dialect.SetSend(header, dialect.Send{
-		Left: time.Until(c.deadline), Instance: a.up.ID, Team: c.team.GetName(), LastEventID: lastEventID,
+		Left: time.Until(c.deadline), Instance: a.upstream.ID, Team: c.team.GetName(), LastEventID: lastEventID,
 	})
 	req := &direct.Request{Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: header, Body: c.body}
-	resp, err := c.client.Do(a.ctx, a.up.Address, req, func(status int, h http.Header) bool {
-		return c.belongs(status, h)
+	resp, err := c.client.Do(a.ctx, a.upstream.Address, req, func(status int, h http.Header) bool {
+		return c.matches(status, h)
 	})
 	if err != nil {
 		return nil, err
 	}
 	a.head, a.status = c.dialect.ReadAnswer(resp.Status, resp.Header), resp.Status
-	a.watch.hear()
+	a.watchdog.recordProgress()
 	now := time.Now()
-	c.fleet.answered(now, a.at, a.up, a.head.Load, now.Sub(a.began), resp.Status == http.StatusOK)
+	c.services.recordHead(now, a.group, a.upstream, a.head.Load, now.Sub(a.startedAt), resp.Status == http.StatusOK)
 	if a.head.GroupDown {
-		c.fleet.refusedByGroup(now, a.at)
+		c.services.recordGroupDown(now, a.group)
 	}
 	return resp, nil
 }
 
 // matches reports whether a response is one to this request.
-func (c *call) belongs(status int, h http.Header) bool {
-	return c.dialect.ReadAnswer(status, h).ID == c.asked.ID
+func (c *call) matches(status int, h http.Header) bool {
+	return c.dialect.ReadAnswer(status, h).ID == c.params.ID
 }
 
 // classifyError returns the outcome of an attempt that got no head, or whose body ended early.
-func (c *call) failed(a *attempt, err error) outcome {
-	a.broken = errors.Is(err, direct.ErrBroken) || errors.Is(err, direct.ErrPartialEvent)
+func (c *call) classifyError(a *attempt, err error) outcome {
+	a.cut = errors.Is(err, direct.ErrBroken) || errors.Is(err, direct.ErrPartialEvent)
 	switch {
 	case errors.Is(err, direct.ErrNotSent) && c.ctx.Err() == nil:
 		return outcomeNotSent
@@ -223,7 +223,7 @@
 }
 
 // classifyHead returns the outcome that the head of a response stands for.
-func (a *attempt) classify(h http.Header) outcome {
+func (a *attempt) classifyHead(h http.Header) outcome {
 	switch {
 	case a.status == http.StatusMisdirectedRequest:
 		return outcomeMisdirected
@@ -238,10 +238,10 @@
 }
 
 // exchange makes one attempt and reads the whole response.
-func (c *call) exchange(a *attempt) (*answer, outcome) {
-	resp, err := c.send(a, c.asked.LastEventID)
+func (c *call) exchange(a *attempt) (*bufferedResponse, outcome) {
+	resp, err := c.send(a, c.params.LastEventID)
 	if err != nil {
-		return nil, c.failed(a, err)
+		return nil, c.classifyError(a, err)
 	}
 	defer resp.Body.Close()
 	return c.readWhole(a, resp)
@@ -249,23 +249,23 @@
 
 // readWhole reads a response to its end. A truncated response is never passed on as complete, and
 // the request may still be retried.
-func (c *call) readWhole(a *attempt, resp *direct.Response) (*answer, outcome) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
-	o := a.classify(resp.Header)
-	if err == nil && len(body) <= maxAnswer {
-		return &answer{status: resp.Status, header: resp.Header, body: body}, o
+func (c *call) readWhole(a *attempt, resp *direct.Response) (*bufferedResponse, outcome) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody+1))
+	o := a.classifyHead(resp.Header)
+	if err == nil && len(body) <= maxBufferedBody {
+		return &bufferedResponse{status: resp.Status, header: resp.Header, body: body}, o
 	}
 	if o.certainlyNotRun() {
 		return nil, o
 	}
-	return nil, c.failed(a, err)
+	return nil, c.classifyError(a, err)
 }
 
 // runAttempts makes attempts until one has served the request or no other may follow. It reports
 // whether one has.
-func (c *call) eachAttempt(once func(*attempt) (o outcome, served bool)) bool {
+func (c *call) runAttempts(once func(*attempt) (o outcome, served bool)) bool {
 	for {
-		a := c.begin()
+		a := c.beginAttempt()
 		if a == nil {
 			c.reason = reasonNoUpstream
 			return false
@@ -273,24 +273,24 @@
 		o, served := once(a)
 		switch {
 		case o == outcomeAnswered:
-			c.answeredWhole()
-		case c.looksEnded(a, o):
-			c.noteCut(a)
+			c.recordSuccess()
+		case c.mayHaveExited(a, o):
+			c.recordCut(a)
 		}
-		c.end(a, o)
+		c.endAttempt(a, o)
 		if served {
 			return true
 		}
-		if o == outcomeCallerGone || o == outcomeExpired || !c.retry() {
+		if o == outcomeCallerGone || o == outcomeExpired || !c.takeRetry() {
 			return false
 		}
 	}
 }
 
 // serveBuffered serves a request whose response is buffered as a whole.
-func (c *call) servePlain() {
-	var held *answer
-	c.eachAttempt(func(a *attempt) (outcome, bool) {
+func (c *call) serveBuffered() {
+	var held *bufferedResponse
+	c.runAttempts(func(a *attempt) (outcome, bool) {
 		ans, o := c.exchange(a)
 		if o != outcomeAnswered {
 			return o, false
@@ -299,35 +299,35 @@
 		return o, ans.status < http.StatusInternalServerError || !routing.Repeatable(c.route)
 	})
 	if held != nil {
-		c.deliver(held)
+		c.writeResponse(held)
 		return
 	}
-	c.fail()
+	c.refuseFailed()
 }
 
-// newWaiter returns the waiter of the request with its admission deadlines.
-func (c *call) waiter() *waiter {
-	head := c.fleet.head(c.service)
-	c.age = c.timeouts.age(c.began, c.route, c.asked.Deadline)
+// newWaiter returns the newWaiter of the request with its admission deadlines.
+func (c *call) newWaiter() *waiter {
+	head := c.services.headTime(c.service)
+	c.age = c.timeouts.age(c.receivedAt, c.route, c.params.Deadline)
 	w := &waiter{retried: c.age > 0, admitted: make(chan struct{})}
 	w.giveUpAt = c.deadline.Add(-head)
 	if c.route.Kind == wire.RouteKind_ROUTE_KIND_STREAMING {
-		if leaves := c.began.Add(firstEventTimeout - firstEventMargin - head); leaves.Before(w.giveUpAt) {
+		if leaves := c.receivedAt.Add(firstEventTimeout - firstEventMargin - head); leaves.Before(w.giveUpAt) {
 			w.giveUpAt = leaves
 		}
 	}
 	if c.draining.Load() {
-		if ends := time.Now().Add(c.mayWait()); ends.Before(w.giveUpAt) {
+		if ends := time.Now().Add(c.maxQueueTime()); ends.Before(w.giveUpAt) {
 			w.giveUpAt = ends
 		}
 	}
 	if c.trial.Verdict().Standing == quarantine.LastTrial {
 		// A request on its last trial is admitted now or not at all; see quarantineRefusal.
-		w.giveUpAt = c.began
+		w.giveUpAt = c.receivedAt
 	}
 	w.onTimeBy = w.giveUpAt
-	if content := c.contentFirst(); content > 0 {
-		w.onTimeBy = c.began.Add(content - c.age - time.Duration(headTimeFactor*float64(head)))
+	if content := c.targetFirstEvent(); content > 0 {
+		w.onTimeBy = c.receivedAt.Add(content - c.age - time.Duration(headTimeFactor*float64(head)))
 	}
 	if w.giveUpAt.Before(w.onTimeBy) {
 		w.onTimeBy = w.giveUpAt
@@ -336,30 +336,30 @@
 }
 
 // refuseUnadmitted answers a request that was not admitted.
-func (c *call) turnedAway(wait time.Duration) {
+func (c *call) refuseUnadmitted(wait time.Duration) {
 	if c.r.Context().Err() != nil {
-		c.done(0, "caller-gone", nil)
+		c.finish(0, "caller-gone", nil)
 		return
 	}
 	f := refusal{status: http.StatusServiceUnavailable, reason: reasonUpstreamsBusy, retryAfter: wait}
 	if c.draining.Load() {
-		f = refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, retryAfter: drainWait}
+		f = refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, retryAfter: retryAfterDrain}
 	}
-	c.turnDown(&f)
+	c.refuseAndEnd(&f)
 }
 
-// takeRetry reports whether another attempt may be made, and charges it to the retry budget.
-func (c *call) retry() bool {
+// takeRetry reports whether another attempt may be made, and charges it to the takeRetry budget.
+func (c *call) takeRetry() bool {
 	c.reason = reasonUpstreamsBusy
 	if !c.history.mayRetry(c.route) || time.Until(c.deadline) <= 0 {
 		return false
 	}
-	if reason, only := c.oneAttempt(); only {
+	if reason, only := c.retryForbidden(); only {
 		c.reason = reason
 		return false
 	}
 	// An attempt of which no byte was sent puts no load on an upstream.
-	if c.last == outcomeNotSent || c.paid.Swap(false) {
+	if c.lastOutcome == outcomeNotSent || c.retryReserved.Swap(false) {
 		return true
 	}
 	if !c.retryBudgets.takeToken(c.service) {
@@ -370,21 +370,21 @@
 }
 
 // writeResponse passes a buffered response on unchanged.
-func (c *call) deliver(a *answer) {
-	copyAnswerHeader(c.w.Header(), a.header)
-	c.closeIfLeaving()
+func (c *call) writeResponse(a *bufferedResponse) {
+	copyResponseHeader(c.w.Header(), a.header)
+	c.closeIfDraining()
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	c.w.WriteHeader(a.status)
 	_, err := c.w.Write(a.body)
-	c.done(a.status, "", err)
+	c.finish(a.status, "", err)
 }
 
 // refuseFailed answers a request that no attempt has served.
-func (c *call) fail() {
-	if c.last == outcomeCallerGone {
-		c.done(0, "caller-gone", nil)
+func (c *call) refuseFailed() {
+	if c.lastOutcome == outcomeCallerGone {
+		c.finish(0, "caller-gone", nil)
 		return
 	}
-	f := c.history.failure(c.last, c.reason)
-	c.turnDown(&f)
+	f := c.history.failure(c.lastOutcome, c.reason)
+	c.refuseAndEnd(&f)
 }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -10,49 +10,49 @@
 
 const (
 	// drainPollInterval is how often a draining gateway checks whether it is idle.
-	drainPoll = 50 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
 	// drainMargin is subtracted from the stop limit for requests that are on their way when the
 	// listener closes.
 	drainMargin = 300 * time.Millisecond
 	// listLifetimeFactor allows for callers that keep the list of gateways longer than they were
 	// told.
-	keepFactor = 2
+	listLifetimeFactor = 2
 	// maxStreamTime is the longest expected duration of a stream.
-	streamTime = 5 * time.Second
+	maxStreamTime = 5 * time.Second
 	// maxPlainTime is the longest expected duration of a plain response, unless its caller's
 	// deadline is earlier.
-	plainTime = 1200 * time.Millisecond
+	maxPlainTime = 1200 * time.Millisecond
 	// retryAfterDrain is the Retry-After of a request that is refused because of draining:
 	// another gateway can serve it at once.
-	drainWait = 50 * time.Millisecond
+	retryAfterDrain = 50 * time.Millisecond
 )
 
 // finishesBeforeStop reports whether a request that arrives now can end before a draining gateway
 // is stopped by force. A request that can't is refused as not run, so that its caller can retry
 // elsewhere; otherwise its response would be cut.
-func (g *Gateway) endsInTime(c *call) bool {
+func (g *Gateway) finishesBeforeStop(c *call) bool {
 	if !g.draining.Load() {
 		return true
 	}
-	return g.drainLeft() >= c.expectedTime()
+	return g.drainTimeLeft() >= c.maxResponseTime()
 }
 
 // drainTimeLeft returns how much time a draining gateway has for requests in progress.
-func (g *Gateway) drainLeft() time.Duration {
+func (g *Gateway) drainTimeLeft() time.Duration {
 	return g.settings.StopLimit.D() - drainMargin - g.now().Sub(*g.drainBegan.Load())
 }
 
 // maxResponseTime returns the longest expected duration of the response.
-func (c *call) expectedTime() time.Duration {
+func (c *call) maxResponseTime() time.Duration {
 	if c.route.Kind == wire.RouteKind_ROUTE_KIND_STREAMING {
-		return streamTime
+		return maxStreamTime
 	}
-	return min(plainTime, time.Until(c.deadline))
+	return min(maxPlainTime, time.Until(c.deadline))
 }
 
 // maxQueueTime returns how long a request may be queued at a draining gateway, so that its
 // response still ends before the stop.
-func (c *call) mayWait() time.Duration { return max(c.drainLeft()-c.expectedTime(), 0) }
+func (c *call) maxQueueTime() time.Duration { return max(c.drainTimeLeft()-c.maxResponseTime(), 0) }
 
 // Drain implements kernel.Daemon. The gateway leaves the list of gateways at once and continues
 // to serve requests, as callers keep the list for a while. It returns when the gateway has been
@@ -63,14 +63,14 @@
 	if g.draining.CompareAndSwap(false, true) {
 		kernel.Info(g.log, "Leaving the list of entries.", "active", g.active.Load())
 	}
-	g.wakeAnnouncer()
-	linger := keepFactor * g.settings.Keep.D()
+	g.triggerAnnounce()
+	linger := listLifetimeFactor * g.settings.Keep.D()
 	limit := g.settings.StopLimit.D() - drainMargin
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for {
 		waited := g.now().Sub(began)
-		quiet := g.now().UnixNano()-g.lastCame.Load() > int64(g.settings.Keep.D())
+		quiet := g.now().UnixNano()-g.lastRequestAt.Load() > int64(g.settings.Keep.D())
 		if g.active.Load() == 0 && waited >= linger && quiet || waited >= limit {
 			return nil
 		}
--- a/gateway/fetchgroup_test.go
+++ b/gateway/fetchgroup_test.go
@@ -14,9 +14,9 @@
 // simulateFetches simulates watches of several replicas that report the same version at once.
 // takes and fails describe the nth fetch. It returns the number of fetches and the version that
 // was applied.
-func fetchAll(watches int, takes func(n int32) time.Duration, fails func(n int32) bool) (made int32, held uint64) {
+func simulateFetches(watches int, takes func(n int32) time.Duration, fails func(n int32) bool) (made int32, held uint64) {
 	const version = 7
-	f := newFetches()
+	f := newFetchGroup()
 	var fetched, applied atomic.Int32
 	var wg sync.WaitGroup
 	for range watches {
@@ -43,15 +43,15 @@
 
 // A version that several replicas report at once is fetched from one of them. If that fetch fails
 // or takes too long, the other watches fetch it.
-func TestOneWatchFetchesAVersion(t *testing.T) {
+func TestVersionIsFetchedOnce(t *testing.T) {
 	quick := func(int32) time.Duration { return 10 * time.Millisecond }
 	synctest.Test(t, func(t *testing.T) {
-		made, held := fetchAll(5, quick, func(int32) bool { return false })
+		made, held := simulateFetches(5, quick, func(int32) bool { return false })
 		assert.Equal(t, made, int32(1))
 		assert.Equal(t, held, uint64(7))
 	})
 	synctest.Test(t, func(t *testing.T) {
-		_, held := fetchAll(5, quick, func(n int32) bool { return n < 3 })
+		_, held := simulateFetches(5, quick, func(n int32) bool { return n < 3 })
 		assert.Equal(t, held, uint64(7))
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			}
 			return quick(n)
 		}
-		_, held := fetchAll(5, silent, func(n int32) bool { return n == 1 })
+		_, held := simulateFetches(5, silent, func(n int32) bool { return n == 1 })
 		assert.Equal(t, held, uint64(7))
 		assert.Assert(t, time.Since(began) < 5500*time.Millisecond, "took %s", time.Since(began))
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -29,11 +29,11 @@
 const (
 	// upstreamDialTimeout bounds the opening of a connection to an upstream, in addition to the
 	// deadline of the request. It leaves time for one TCP retransmission after a second.
-	dialUpstream = 1200 * time.Millisecond
+	upstreamDialTimeout = 1200 * time.Millisecond
 	// retryAfterNoConfig is the Retry-After before the first routing configuration.
-	retryNoConfig = 300 * time.Millisecond
+	retryAfterNoConfig = 300 * time.Millisecond
 	// retryAfterBusy is the default Retry-After of refused requests.
-	retryBusy = 500 * time.Millisecond
+	retryAfterBusy = 500 * time.Millisecond
 )
 
 // Gateway serves the requests of callers. It implements kernel.Daemon.
@@ -48,17 +48,17 @@
 	node         *directory.Node
 	targets      *directory.Targets
 	life         *directory.Life
-	fleet        *fleet
-	movable      *movable
-	fetches      *fetches
+	services     *serviceManager
+	movable      *movableAttempts
+	fetches      *fetchGroup
 	warmup       *warmup
 	timeouts     *callerTimeouts
 	retryBudgets *retryBudgets
-	requests     *requestLog
+	requestLog   *requestLog
 	metrics      *gatewayMetrics
 	// stateLog limits the log lines about the state of other processes.
-	beliefs *kernel.LineBudget
-	dumps   kernel.Dumps
+	stateLog *kernel.LineBudget
+	dumps    kernel.Dumps
 
 	table    atomic.Pointer[routing.Table]
 	draining atomic.Bool
@@ -66,18 +66,18 @@
 	drainBegan atomic.Pointer[time.Time]
 	active     atomic.Int64
 	// lastRequestAt is when the last request arrived, in Unix nanoseconds of now.
-	lastCame    atomic.Int64
-	announceNow chan struct{}
-	seq         atomic.Uint64
+	lastRequestAt atomic.Int64
+	announceNow   chan struct{}
+	seq           atomic.Uint64
 
-	mu      sync.Mutex
-	callers net.Listener
-	servers []*http.Server
-	cancel  context.CancelFunc
+	mu             sync.Mutex
+	callerListener net.Listener
+	servers        []*http.Server
+	cancel         context.CancelFunc
 	// knownUpstreams are the upstreams that were last logged, by ID.
-	known    map[string]*directory.Instance
-	ends     upstreamEnds
-	suspects *quarantine.Node
+	knownUpstreams map[string]*directory.Instance
+	exits          exitDetector
+	quarantine     *quarantine.Node
 }
 
 // New creates a Gateway. It returns an error if the settings are invalid.
@@ -97,21 +97,21 @@
 	g := &Gateway{
 		settings: s, log: kernel.PartLog(l, "gateway"), dialect: d, now: now, certs: certs,
 		pool:   transport.NewPool(sec),
-		client: direct.NewClient(transport.NewDialer(dialUpstream).DialContext),
-		life:   directory.NewLife(s.ID, now()), fleet: newFleet(s), movable: newMovable(), fetches: newFetches(), warmup: newWarmup(now()), timeouts: newCallerTimeouts(),
+		client: direct.NewClient(transport.NewDialer(upstreamDialTimeout).DialContext),
+		life:   directory.NewLife(s.ID, now()), services: newServiceManager(s), movable: newMovableAttempts(), fetches: newFetchGroup(), warmup: newWarmup(now()), timeouts: newCallerTimeouts(),
 		targets:     directory.NewTargets(s.ID, s.FailureDomain, s.Replicas).Grow(),
 		announceNow: make(chan struct{}, 1),
 	}
-	g.requests, g.metrics = newRequestLog(g.log, now), newGatewayMetrics()
-	g.beliefs = kernel.NewLineBudget(beliefLines, now)
-	g.suspects = quarantine.NewNode(s.ID, g.log, now, g.pool.Conn)
-	g.fleet.told, g.fleet.passes, g.fleet.entries = g.tellGate, g.tellPasses, g.entries
+	g.requestLog, g.metrics = newRequestLog(g.log, now), newGatewayMetrics()
+	g.stateLog = kernel.NewLineBudget(stateLogLines, now)
+	g.quarantine = quarantine.NewNode(s.ID, g.log, now, g.pool.Conn)
+	g.services.onStateChange, g.services.onPasses, g.services.gateways = g.logStateChange, g.logPasses, g.gatewayCount
 	g.metrics.register(g)
 	g.node = directory.NewNode(directorySettings(), now, g.directoryChanged)
-	g.retryBudgets = newRetryBudgets(s.Retries, g.entries, now)
+	g.retryBudgets = newRetryBudgets(s.Retries, g.gatewayCount, now)
 	g.dumps.Add("directory", g.node.Dump)
 	g.dumps.Add("gateway", g.dump)
-	g.dumps.Add("quarantine", g.suspects.Dump)
+	g.dumps.Add("quarantine", g.quarantine.Dump)
 	return g, nil
 }
 
@@ -127,14 +127,14 @@
 func (g *Gateway) Start(ctx context.Context) error {
 	ctx, g.cancel = context.WithCancel(ctx)
 	var err error
-	if g.callers, err = transport.Listen(ctx, g.settings.Listen); err != nil {
+	if g.callerListener, err = transport.Listen(ctx, g.settings.Listen); err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
 	ready, err := transport.Listen(ctx, g.settings.Ready)
 	if err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
-	g.serve(g.callers, g)
+	g.serve(g.callerListener, g)
 	g.serve(ready, g.readiness())
 	if err := g.startMetrics(ctx); err != nil {
 		return err
@@ -143,16 +143,16 @@
 	g.node.FollowEach(ctx, g.targets.Addresses, g.pool.Conn, &wire.DirectoryWatchRequest{Watcher: g.settings.ID})
 	go g.followRouting(ctx)
 	go g.followSurveys(ctx)
-	go g.suspects.Run(ctx, g.targets.Addresses)
+	go g.quarantine.Run(ctx, g.targets.Addresses)
 	go g.announceLoop(ctx)
-	kernel.Info(g.log, "Started.", "id", g.settings.ID, "failure_domain", g.settings.FailureDomain, "addr", g.callers.Addr(), "version", kernel.Version)
+	kernel.Info(g.log, "Started.", "id", g.settings.ID, "failure_domain", g.settings.FailureDomain, "addr", g.callerListener.Addr(), "version", kernel.Version)
 	return nil
 }
 
 func (g *Gateway) serve(lis net.Listener, h http.Handler) {
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: headMark, IdleTimeout: idleMark,
-		MaxHeaderBytes: mostHeaderBytes,
+		Handler: h, ReadHeaderTimeout: headSentinel, IdleTimeout: idleSentinel,
+		MaxHeaderBytes: maxHeaderBytes,
 	}
 	lis = limitedListener{Listener: lis, limits: g.limits}
 	g.mu.Lock()
@@ -162,7 +162,7 @@
 }
 
 // CallerAddress returns the address of the listener for callers.
-func (g *Gateway) CallerAddress() string { return g.callers.Addr().String() }
+func (g *Gateway) CallerAddress() string { return g.callerListener.Addr().String() }
 
 // ready reports whether the gateway accepts requests: it has a configuration and isn't draining.
 func (g *Gateway) ready() bool { return g.table.Load() != nil && !g.draining.Load() }
@@ -183,19 +183,19 @@
 
 // gatewayCount returns the number of instances that are up with the role of entry, at least 1 for
 // this one.
-func (g *Gateway) entries() int {
+func (g *Gateway) gatewayCount() int {
 	return max(len(g.node.Instances(wire.Role_ROLE_ENTRY)), 1)
 }
 
 // gatewayPosition is the index of this gateway among those that are up, ordered by ID, and their
 // number.
-type entryPlace struct {
-	index, entries int
+type gatewayPosition struct {
+	index, count int
 }
 
-func (g *Gateway) placeAmongEntries() entryPlace {
+func (g *Gateway) position() gatewayPosition {
 	known := g.node.Instances(wire.Role_ROLE_ENTRY)
-	p := entryPlace{entries: max(len(known), 1)}
+	p := gatewayPosition{count: max(len(known), 1)}
 	for _, i := range known {
 		if i.Id < g.settings.ID {
 			p.index++
@@ -207,13 +207,13 @@
 // directoryChanged applies a change of the known upstreams.
 func (g *Gateway) directoryChanged() {
 	known := g.node.Instances(wire.Role_ROLE_UPSTREAM)
-	g.tellUpstreams(known)
-	if err := g.fleet.update(time.Now(), known); err != nil {
+	g.logUpstreams(known)
+	if err := g.services.update(time.Now(), known); err != nil {
 		kernel.Warn(g.log, "Updating the upstreams failed.", "err", err)
 	}
-	g.explainCuts(known)
-	g.client.Forget(g.fleet.addresses())
-	g.warmup.learned()
+	g.resolvePendingExits(known)
+	g.client.Forget(g.services.addresses())
+	g.warmup.notify()
 }
 
 // ServeHTTP serves one request of a caller.
@@ -221,30 +221,30 @@
 	g.active.Add(1)
 	defer g.active.Add(-1)
 	began := time.Now()
-	g.lastCame.Store(int64(g.now().UnixNano()))
-	c, f := g.admit(w, r, began)
+	g.lastRequestAt.Store(int64(g.now().UnixNano()))
+	c, f := g.prepare(w, r, began)
 	if f == nil {
-		f = c.heldBack()
+		f = c.quarantineRefusal()
 	}
 	if f != nil {
-		c.turnDown(f)
+		c.refuseAndEnd(f)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
 	c.ctx = ctx
-	adm := g.fleet.enter(ctx, c.service, c.waiter())
+	adm := g.services.acquire(ctx, c.service, c.newWaiter())
 	c.waited = adm.waited
 	if !adm.ok {
-		c.why = adm.why
-		c.turnedAway(adm.wait)
+		c.cause = adm.cause
+		c.refuseUnadmitted(adm.retryAfter)
 		return
 	}
 	entered := time.Now()
-	c.at = adm.at
-	defer func() { g.fleet.leave(c.at, time.Since(entered)) }()
+	c.group = adm.group
+	defer func() { g.services.release(c.group, time.Since(entered)) }()
 	if f := c.beginTrial(); f != nil {
-		c.turnDown(f)
+		c.refuseAndEnd(f)
 		return
 	}
 	defer c.trial.Done()
@@ -253,16 +253,16 @@
 		c.serveStream()
 		return
 	}
-	c.servePlain()
+	c.serveBuffered()
 }
 
 // prepare finds the route and the team of a request and reads its body. It returns a refusal if
 // the request can't be served.
-func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, began time.Time) (*call, *refusal) {
-	c := &call{Gateway: g, w: w, r: r, began: began}
-	c.trial.Init(g.suspects, c)
+func (g *Gateway) prepare(w http.ResponseWriter, r *http.Request, began time.Time) (*call, *refusal) {
+	c := &call{Gateway: g, w: w, r: r, receivedAt: began}
+	c.trial.Init(g.quarantine, c)
 	var err error
-	c.asked, err = g.dialect.ReadRequest(r.Header)
+	c.params, err = g.dialect.ReadRequest(r.Header)
 	t := c.waitForTable(r.Context())
 	if t == nil {
 		return c, &refusal{status: http.StatusServiceUnavailable, reason: reasonNoConfig}
@@ -279,7 +279,7 @@
 		return c, &refusal{status: http.StatusNotFound, reason: reasonNoRoute}
 	}
 	if t.NeedsKey(c.route) {
-		if c.team = t.TeamOf(c.asked.Key); c.team == nil {
+		if c.team = t.TeamOf(c.params.Key); c.team == nil {
 			return c, &refusal{status: http.StatusUnauthorized, reason: reasonUnknownKey}
 		}
 	}
@@ -287,11 +287,11 @@
 	c.fixedPass = fixedPassTime(t.Service(c.service).GetEngine())
 	c.waitForService(r.Context())
 	c.deadline = began.Add(time.Duration(c.route.TimeoutMs) * time.Millisecond)
-	if c.asked.Deadline > 0 && began.Add(c.asked.Deadline).Before(c.deadline) {
-		c.deadline = began.Add(c.asked.Deadline)
+	if c.params.Deadline > 0 && began.Add(c.params.Deadline).Before(c.deadline) {
+		c.deadline = began.Add(c.params.Deadline)
 	}
-	if !g.endsInTime(c) {
-		return c, &refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, retryAfter: drainWait}
+	if !g.finishesBeforeStop(c) {
+		return c, &refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, retryAfter: retryAfterDrain}
 	}
 	return c, c.readBody(limits.bodyBytes)
 }
@@ -312,21 +312,21 @@
 }
 
 // refuseAndEnd writes a refusal and ends the request.
-func (c *call) turnDown(f *refusal) {
-	c.refuse(c.w, *f)
-	c.done(f.status, f.reason, nil)
+func (c *call) refuseAndEnd(f *refusal) {
+	c.writeRefusal(c.w, *f)
+	c.finish(f.status, f.reason, nil)
 }
 
 // writeRefusal writes a response by the gateway itself.
-func (g *Gateway) refuse(w http.ResponseWriter, f refusal) {
+func (g *Gateway) writeRefusal(w http.ResponseWriter, f refusal) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if f.status == http.StatusServiceUnavailable {
-		wait := cmp.Or(f.retryAfter, retryBusy)
+		wait := cmp.Or(f.retryAfter, retryAfterBusy)
 		if f.reason == reasonNoConfig {
-			wait = retryNoConfig
+			wait = retryAfterNoConfig
 		}
-		h.Set("Retry-After", seconds(wait))
+		h.Set("Retry-After", retryAfterSeconds(wait))
 	}
 	if g.draining.Load() {
 		h.Set("Connection", "close")
@@ -337,7 +337,7 @@
 }
 
 // closeIfDraining tells the caller to open its next connection elsewhere.
-func (c *call) closeIfLeaving() {
+func (c *call) closeIfDraining() {
 	if c.draining.Load() {
 		c.w.Header().Set("Connection", "close")
 	}
--- a/gateway/groups_test.go
+++ b/gateway/groups_test.go
@@ -10,7 +10,7 @@
 
 // periodicShifts returns the skew of a group whose expert demand shifts once per period: it rises
 // to 3.4, and three steps of replication reduce it to 1.6.
-func shiftsEach(period time.Duration) func(int, time.Duration) (float64, bool) {
+func periodicShifts(period time.Duration) func(int, time.Duration) (float64, bool) {
 	return func(_ int, at time.Duration) (float64, bool) {
 		switch since := at % period; {
 		case at < period:
@@ -31,11 +31,11 @@
 // Three groups whose expert demand shifts every two seconds serve enough streams on time. Guards
 // against treating the passes of three groups as one, against all gateways admitting at once, and
 // against using all slots while passes after each shift are too long.
-func TestGroupsWhoseDemandShiftsServeInTime(t *testing.T) {
+func TestGroupsWithDemandShiftsMeetTargets(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			s := newGroupSim(smallGroups, seed, 3, 28, 298)
-			s.skew = shiftsEach(2130 * time.Millisecond)
+			s.skew = periodicShifts(2130 * time.Millisecond)
 			s.run(4 * time.Second)
 			s.forget()
 			s.run(30 * time.Second)
@@ -48,7 +48,7 @@
 // Callers that use some of the gateways only are served about as well as callers that use all of
 // them. Guards against shares of the slots and of the admission rate being left with idle
 // gateways.
-func TestCallersAtFewEntriesAreServedAsWell(t *testing.T) {
+func TestUnevenCallersAreServedAsWell(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			play := func(withCallers int) *groupSim {
--- a/gateway/groupsim_test.go
+++ b/gateway/groupsim_test.go
@@ -22,7 +22,7 @@
 	rnd     *rand.Rand
 	now     time.Time
 	groups  []*simGroup
-	entries []*simEntry
+	entries []*simGateway
 	// skew returns the skew of a group at a time since the start, and whether its ranks are
 	// replicating experts.
 	skew func(group int, at time.Duration) (skew float64, copies bool)
@@ -92,7 +92,7 @@
 	first     time.Time
 	came      time.Time
 	tries     int
-	entry     *simEntry
+	entry     *simGateway
 	waiter    *waiter
 	up        route.Upstream
 	sentAt    time.Time
@@ -104,8 +104,8 @@
 }
 
 // simGateway drives the real code of a gateway in virtual time.
-type simEntry struct {
-	fleet   *fleet
+type simGateway struct {
+	fleet   *serviceManager
 	weight  float64
 	waiting []*simCaller
 }
@@ -123,13 +123,13 @@
 		}
 	}
 	for i := range entries {
-		f := newFleet(&Settings{ID: fmt.Sprint("entry-", i)})
+		f := newServiceManager(&Settings{ID: fmt.Sprint("entry-", i)})
 		f.place.Seed = seed*1000 + uint64(i)
-		f.entries = func() int { return entries }
+		f.gateways = func() int { return entries }
 		if err := f.update(s.now, insts); err != nil {
 			panic(err)
 		}
-		e := &simEntry{fleet: f, weight: 0.6 + 0.8*s.rnd.Float64()}
+		e := &simGateway{fleet: f, weight: 0.6 + 0.8*s.rnd.Float64()}
 		s.entries = append(s.entries, e)
 	}
 	s.onlyAt(entries)
@@ -171,7 +171,7 @@
 			survey = survey.Add(200 * time.Millisecond)
 		case s.now.Equal(turn):
 			s.turns()
-			turn = turn.Add(turnPeriod)
+			turn = turn.Add(admitInterval)
 		default:
 			s.arrive(&simCaller{first: s.now, entry: s.anyEntry()})
 			arrival = arrival.Add(time.Duration(s.rnd.ExpFloat64() / s.perSecond * float64(time.Second)))
@@ -179,7 +179,7 @@
 	}
 }
 
-func (s *groupSim) anyEntry() *simEntry {
+func (s *groupSim) anyEntry() *simGateway {
 	x := s.rnd.Float64()
 	for _, e := range s.entries {
 		if x -= e.weight; x < 0 {
@@ -246,7 +246,7 @@
 }
 
 // sendAdmitted sends the queued requests that a gateway has admitted.
-func (s *groupSim) granted(e *simEntry) {
+func (s *groupSim) granted(e *simGateway) {
 	left := e.waiting
 	e.waiting = nil
 	for _, c := range left {
@@ -275,7 +275,7 @@
 		}
 	}
 	for i, e := range s.entries {
-		e.fleet.survey(s.now, number, states, entryPlace{index: i, entries: len(s.entries)})
+		e.fleet.applySurvey(s.now, number, states, gatewayPosition{index: i, count: len(s.entries)})
 	}
 }
 
@@ -358,20 +358,20 @@
 		s.came, s.inTime, s.late, s.lateFirst, s.refused, s.worth(), at(0.5), at(0.9), at(0.99))
 }
 
-func (e *simEntry) pool() *servicePool { return e.fleet.services[simService] }
+func (e *simGateway) pool() *servicePool { return e.fleet.services[simService] }
 
-func (e *simEntry) ask(now time.Time, w *waiter) (decision, time.Duration) {
-	return e.pool().decide(now, e.fleet.entries(), w)
+func (e *simGateway) ask(now time.Time, w *waiter) (decision, time.Duration) {
+	return e.pool().decide(now, e.fleet.gateways(), w)
 }
 
-func (e *simEntry) turns(now time.Time) { e.pool().admitQueued(now, e.fleet.entries()) }
+func (e *simGateway) turns(now time.Time) { e.pool().admitQueued(now, e.fleet.gateways()) }
 
-func (e *simEntry) giveUp(now time.Time, w *waiter) time.Duration {
+func (e *simGateway) giveUp(now time.Time, w *waiter) time.Duration {
 	e.pool().queue.remove(w)
 	return e.pool().refused(now)
 }
 
-func (e *simEntry) pick(now time.Time, c *simCaller) route.Upstream {
+func (e *simGateway) pick(now time.Time, c *simCaller) route.Upstream {
 	up, at, ok := e.fleet.pick(now, c.waiter.group, &route.Request{})
 	if !ok {
 		panic("no upstream")
@@ -380,18 +380,18 @@
 	return up
 }
 
-func (e *simEntry) head(now time.Time, c *simCaller, after time.Duration) {
-	e.fleet.answered(now, c.at, c.up, nil, after, true)
+func (e *simGateway) head(now time.Time, c *simCaller, after time.Duration) {
+	e.fleet.recordHead(now, c.at, c.up, nil, after, true)
 }
 
-func (e *simEntry) paused(now time.Time, c *simCaller, pause time.Duration, p *simProfile) {
-	e.fleet.alive(now, c.at)
-	e.fleet.paused(now, simService, c.at, pause, p.content, p.fixed())
+func (e *simGateway) paused(now time.Time, c *simCaller, pause time.Duration, p *simProfile) {
+	e.fleet.recordProgress(now, c.at)
+	e.fleet.observeGap(now, simService, c.at, pause, p.content, p.fixed())
 }
 
-func (e *simEntry) leave(now time.Time, c *simCaller) {
-	e.fleet.done(now, c.at, c.up, &route.Request{}, route.Result{Elapsed: now.Sub(c.sentAt)})
+func (e *simGateway) leave(now time.Time, c *simCaller) {
+	e.fleet.finish(now, c.at, c.up, &route.Request{}, route.Result{Elapsed: now.Sub(c.sentAt)})
 	c.at.limiter.release()
 	e.pool().recordHoldTime(now.Sub(c.sentAt))
-	e.pool().admitQueued(now, e.fleet.entries())
+	e.pool().admitQueued(now, e.fleet.gateways())
 }
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -34,7 +34,7 @@
 
 // copyResponseHeader copies an upstream's header into a response. A missing Content-Type stays
 // missing; the nil value keeps net/http from guessing it from the body.
-func copyAnswerHeader(to, from http.Header) {
+func copyResponseHeader(to, from http.Header) {
 	removeHopByHop(from)
 	for name, values := range from {
 		to[name] = values
@@ -44,7 +44,7 @@
 	}
 }
 
-// seconds formats a duration for Retry-After.
-func seconds(d time.Duration) string {
+// retryAfterSeconds formats a duration for Retry-After.
+func retryAfterSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
 }
--- a/gateway/helpers_test.go
+++ b/gateway/helpers_test.go
@@ -13,19 +13,19 @@
 func durationOf(d time.Duration) kernel.Duration { return kernel.Duration(d) }
 
 // Hop-by-hop headers, including those that Connection names, aren't forwarded.
-func TestHopByHopHeadersStay(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	h := http.Header{
 		"Connection": {"close, X-Mine"}, "X-Mine": {"1"}, "X-Other": {"2"}, "Te": {"trailers"},
 		"Transfer-Encoding": {"chunked"}, "Content-Length": {"3"}, "Expect": {"100-continue"},
 	}
 	assert.DeepEqual(t, forwardHeader(h), http.Header{"X-Other": {"2"}})
 	to := http.Header{}
-	copyAnswerHeader(to, http.Header{"Keep-Alive": {"timeout=3"}, "X-Other": {"2"}})
+	copyResponseHeader(to, http.Header{"Keep-Alive": {"timeout=3"}, "X-Other": {"2"}})
 	assert.DeepEqual(t, to, http.Header{"X-Other": {"2"}, "Content-Type": nil})
-	assert.Equal(t, seconds(1500*time.Millisecond), "1.5")
+	assert.Equal(t, retryAfterSeconds(1500*time.Millisecond), "1.5")
 }
 
-func TestSettingsNameWhatIsWrong(t *testing.T) {
+func TestSettingsCheckNamesInvalidKey(t *testing.T) {
 	valid := func() *Settings {
 		s := DefaultSettings()
 		s.ID, s.FailureDomain, s.Dialect, s.Replicas = "a", "x", "platform", []string{"10.0.0.1:80"}
--- a/gateway/lateadmissions_test.go
+++ b/gateway/lateadmissions_test.go
@@ -8,7 +8,7 @@
 )
 
 // newLateRetry returns a retried request that can't be on time any more.
-func lateAgain(at time.Time) *waiter {
+func newLateRetry(at time.Time) *waiter {
 	w := comes(at)
 	w.onTimeBy, w.retried = at.Add(-time.Second), true
 	return w
@@ -17,44 +17,44 @@
 // Late requests are refused at once when others have been queued for a while and none was
 // admitted. They are queued while the rate is unknown, while slots are free, while late ones are
 // admitted, and when none is queued any more.
-func TestLateRequestsAreToldAtOnceWhereNoneGetsAPlace(t *testing.T) {
-	p, g := poolOf(144)
+func TestLateRequestsAreRefusedWhenNoneIsAdmitted(t *testing.T) {
+	p, g := poolWithSlots(144)
 	g.inflight = g.limit(start, 8)
 	now := start
 	g.recordProgress(now)
-	first := lateAgain(now)
+	first := newLateRetry(now)
 	v, _ := p.decide(now, 8, first)
 	assert.Equal(t, v, decisionQueue, "the rate is unknown")
 	now = now.Add(lateRateMinWait)
 	g.recordProgress(now)
-	v, wait := p.decide(now, 8, lateAgain(now))
+	v, wait := p.decide(now, 8, newLateRetry(now))
 	assert.Assert(t, v == decisionRefuse && wait >= retryAfterMin)
 
 	g.inflight--
-	v, _ = p.decide(now, 8, lateAgain(now))
+	v, _ = p.decide(now, 8, newLateRetry(now))
 	assert.Equal(t, v, decisionQueue, "a slot is free, the request is only held back by long passes")
 	g.inflight++
 	for range 6 {
 		p.late.recordAdmission(now)
 	}
-	v, _ = p.decide(now, 8, lateAgain(now))
+	v, _ = p.decide(now, 8, newLateRetry(now))
 	assert.Equal(t, v, decisionQueue, "late requests are admitted")
 
 	p.queue = waitQueue{}
 	p.admitQueued(now, 8)
 	now = now.Add(lateRateWindow)
 	g.recordProgress(now)
-	v, _ = p.decide(now, 8, lateAgain(now))
+	v, _ = p.decide(now, 8, newLateRetry(now))
 	assert.Equal(t, v, decisionQueue, "no late request is queued")
 }
 
 // The rate follows the recent admissions and is known only while late requests are queued.
-func TestRateOfPlacesForLateRequests(t *testing.T) {
+func TestLateAdmissionRate(t *testing.T) {
 	var l lateAdmissions
 	line := &waitQueue{}
 	_, known := l.rate(start)
 	assert.Assert(t, !known)
-	line.add(lateAgain(start))
+	line.add(newLateRetry(start))
 	l.observeQueue(start, line)
 	now := start
 	for now.Before(start.Add(6 * time.Second)) {
--- a/gateway/limiter_test.go
+++ b/gateway/limiter_test.go
@@ -28,10 +28,10 @@
 
 // evenShare returns part times the even share that one of six gateways has of 16 ranks with 12
 // slots.
-func slotsOf(part float64) int { return int(part * 192 / 6) }
+func evenShare(part float64) int { return int(part * 192 / 6) }
 
 // singleGroup returns the pool of a service with one group, and that group's limiter.
-func onlyGroup(insts []*directory.Instance) (*servicePool, *groupLimiter) {
+func singleGroup(insts []*directory.Instance) (*servicePool, *groupLimiter) {
 	p := newServicePool(route.Place{Entry: "e"})
 	if err := p.update(start, route.Place{Entry: "e"}, insts); err != nil {
 		panic(err)
@@ -63,10 +63,10 @@
 
 // Without a load report each gateway uses its even share of the slots plus evenShareMargin, and
 // refuses the rest, so that upstreams don't queue requests.
-func TestFullGroupGetsNoMoreThanTheSlots(t *testing.T) {
-	p, g := onlyGroup(ranks(16, 1, false))
+func TestEvenShareLimitWithoutLoadReport(t *testing.T) {
+	p, g := singleGroup(ranks(16, 1, false))
 	n := fill(p, start, 6)
-	assert.Equal(t, n, slotsOf(evenShareMargin))
+	assert.Equal(t, n, evenShare(evenShareMargin))
 	wait, ok := p.enter(start, 6)
 	assert.Assert(t, !ok && wait >= retryAfterMin && wait < retryAfterMin+200*time.Millisecond)
 	g.release()
@@ -76,8 +76,8 @@
 
 // Retry-After grows while requests are refused and returns to its minimum when they are admitted
 // again.
-func TestCrowdIsToldToComeBackLater(t *testing.T) {
-	p, g := onlyGroup(ranks(16, 1, false))
+func TestRetryAfterGrowsWithRefusals(t *testing.T) {
+	p, g := singleGroup(ranks(16, 1, false))
 	fill(p, start, 6)
 	last := retryAfterMin
 	for range 100 {
@@ -97,7 +97,7 @@
 // With a load report a gateway keeps what it has and takes its share of the free slots, however
 // many requests the others have. If all slots are in use none adds to them, and a stale report is
 // ignored.
-func TestBusyEntryTakesItsPartOfTheFreeSlots(t *testing.T) {
+func TestLimitFollowsFreeSlots(t *testing.T) {
 	const entries = 6
 	taken := func(part float64, held int) groupLimiter {
 		g := groupLimiter{inflight: held}
@@ -113,18 +113,18 @@
 	assert.Equal(t, idle.limit(start, entries), rounded(freeSlotMargin*free/entries), "an idle gateway gets as many, not its even share at once")
 	full := taken(1, 40)
 	assert.Equal(t, full.limit(start, entries), rounded(40*maxFill))
-	assert.Equal(t, busy.limit(start.Add(occupancyStaleness), entries), slotsOf(evenShareMargin))
+	assert.Equal(t, busy.limit(start.Add(occupancyStaleness), entries), evenShare(evenShareMargin))
 }
 
 // When fewer slots are free than there are gateways, all together admit as many requests as are
 // free. If each rounded its share up, the next pass would read a prompt for each gateway.
-func TestFewFreeSlotsAreSharedOut(t *testing.T) {
+func TestFewFreeSlotsAreShared(t *testing.T) {
 	const entries, held, slots = 28, 6, 192
 	free := maxFill*slots - entries*held
 	for number := range uint64(50) {
 		sum := 0
 		for i := range entries {
-			sum += toldGate(entries*held, held, i, entries, number).limit(start, entries) - held
+			sum += reportedLimiter(entries*held, held, i, entries, number).limit(start, entries) - held
 		}
 		assert.Assert(t, float64(sum) <= freeSlotMargin*free+1 && float64(sum) >= freeSlotMargin*free-1, "%d of %f", sum, free)
 	}
@@ -132,7 +132,7 @@
 
 // reportedLimiter returns the limiter of a gateway that has held of the total requests of a
 // survey in flight.
-func toldGate(total, held, index, entries int, number uint64) *groupLimiter {
+func reportedLimiter(total, held, index, entries int, number uint64) *groupLimiter {
 	g := &groupLimiter{inflight: held}
 	g.setUpstreams(start, ranks(16, 1, false))
 	g.occupancy, g.occupancyAt, g.reportedInflight = float64(total)/192, start, held
@@ -142,7 +142,7 @@
 
 // All gateways with the same load report together stay within the slots, plus freeSlotMargin of
 // the free ones and one request for each idle gateway.
-func TestEntriesTogetherStayWithinTheSlots(t *testing.T) {
+func TestGatewaysTogetherStayWithinSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 40).Draw(t, "entries")
 		number := rapid.Uint64().Draw(t, "number")
@@ -157,7 +157,7 @@
 		}
 		sum := 0
 		for i := range held {
-			sum += max(toldGate(total, held[i], i, entries, number).limit(start, entries), held[i])
+			sum += max(reportedLimiter(total, held[i], i, entries, number).limit(start, entries), held[i])
 		}
 		free := max(maxFill*192-float64(total), 0)
 		if most := float64(total) + freeSlotMargin*free + 1 + float64(idle); float64(sum) > most {
@@ -168,7 +168,7 @@
 
 // The shares of all gateways add up to at most 2, however callers are spread and wherever they
 // move. A gateway with many callers gets its fraction of the running requests after some surveys.
-func TestOwnPartsOfAllEntriesAddUp(t *testing.T) {
+func TestSharesOfAllGatewaysAddUp(t *testing.T) {
 	const slots = 192
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.IntRange(1, 60).Draw(t, "entries")
@@ -210,7 +210,7 @@
 // A group that is down gets only probes, until a response or a registration of a later epoch
 // marks it up. A registration of an earlier epoch doesn't mark it down again.
 func TestGroupThatIsDownIsProbed(t *testing.T) {
-	p, g := onlyGroup(ranks(16, 1, false))
+	p, g := singleGroup(ranks(16, 1, false))
 	g.markDown(start)
 	through := 0
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(20 * time.Millisecond) {
@@ -237,8 +237,8 @@
 
 // A group without any event for stallTimeout gets only probes until the next event. A single slow
 // response is no stall.
-func TestGroupThatStandsStillGetsProbesOnly(t *testing.T) {
-	p, g := onlyGroup(ranks(16, 1, false))
+func TestStalledGroupGetsProbesOnly(t *testing.T) {
+	p, g := singleGroup(ranks(16, 1, false))
 	_, ok := p.enter(start, 6)
 	assert.Assert(t, ok)
 	later := start.Add(10 * time.Second)
@@ -260,7 +260,7 @@
 }
 
 // All gateways together stay within the retry budget in any window.
-func TestRetryBudgetOfAllEntries(t *testing.T) {
+func TestRetryBudgetOfAllGateways(t *testing.T) {
 	s := RetrySettings{Ratio: 0.2, Slack: 88}
 	s.Window = durationOf(10 * time.Second)
 	rapid.Check(t, func(t *rapid.T) {
@@ -300,7 +300,7 @@
 
 // A request that isn't repeatable is retried only while it has certainly not run, and 503 is
 // returned only for a request that has run nowhere.
-func TestWhatBecomesOfARequest(t *testing.T) {
+func TestAttemptHistory(t *testing.T) {
 	once := &wire.Route{Kind: wire.RouteKind_ROUTE_KIND_UNSAFE, MaxAttempts: 2}
 	often := &wire.Route{Kind: wire.RouteKind_ROUTE_KIND_SAFE, MaxAttempts: 2}
 	for _, c := range []struct {
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -17,18 +17,18 @@
 	defaultBodyBytes   = 4 << 20
 	// maxHeaderBytes bounds the request head whatever the configuration allows, to bound the
 	// memory of a connection.
-	mostHeaderBytes = 1 << 20
+	maxHeaderBytes = 1 << 20
 
 	// headSentinel and idleSentinel are passed to the HTTP server as its header and idle
 	// timeouts, so that callerConn can tell which of the two a deadline stands for. They differ
 	// enough from each other and from any real timeout not to be confused.
-	headMark = 10_000 * time.Hour
-	idleMark = 30_000 * time.Hour
+	headSentinel = 10_000 * time.Hour
+	idleSentinel = 30_000 * time.Hour
 )
 
 // callerLimits bounds what a caller may send, and how long it may take or be idle.
 type callerLimits struct {
-	header, idle time.Duration
+	headerTimeout, idleTimeout time.Duration
 	// headerBytes bounds the sum of the header names and values and the host, bodyBytes the body.
 	headerBytes, bodyBytes int64
 }
@@ -40,7 +40,7 @@
 // be nil.
 func limitsOf(t *routing.Table) callerLimits {
 	l := callerLimits{
-		header: defaultHeadTimeout, idle: defaultIdleTimeout,
+		headerTimeout: defaultHeadTimeout, idleTimeout: defaultIdleTimeout,
 		headerBytes: defaultHeaderBytes, bodyBytes: defaultBodyBytes,
 	}
 	if t == nil {
@@ -48,10 +48,10 @@
 	}
 	set := t.Config.Limits
 	if ms := set.GetHeaderTimeoutMs(); ms > 0 {
-		l.header = time.Duration(ms) * time.Millisecond
+		l.headerTimeout = time.Duration(ms) * time.Millisecond
 	}
 	if ms := set.GetIdleTimeoutMs(); ms > 0 {
-		l.idle = time.Duration(ms) * time.Millisecond
+		l.idleTimeout = time.Duration(ms) * time.Millisecond
 	}
 	if n := set.GetHeaderBytes(); n > 0 {
 		l.headerBytes = int64(n)
@@ -100,10 +100,10 @@
 // SetReadDeadline implements net.Conn. It replaces the sentinels by the configured timeouts.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	switch left := time.Until(t); {
-	case left > (headMark+idleMark)/2:
-		t = time.Now().Add(c.limits().idle)
-	case left > headMark/2:
-		t = time.Now().Add(c.limits().header)
+	case left > (headSentinel+idleSentinel)/2:
+		t = time.Now().Add(c.limits().idleTimeout)
+	case left > headSentinel/2:
+		t = time.Now().Add(c.limits().headerTimeout)
 	}
 	return c.Conn.SetReadDeadline(t)
 }
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -32,7 +32,7 @@
 
 // Open connections follow changes of the timeouts. A connection that is closed before its idle
 // timeout could lose a request that must not be retried.
-func TestConnectionsObeyTheLimitsInForce(t *testing.T) {
+func TestConnectionsFollowTimeoutChanges(t *testing.T) {
 	g := &Gateway{}
 	var under deadlineConn
 	c := &callerConn{Conn: &under, limits: g.limits}
@@ -43,21 +43,21 @@
 		assert.NilError(t, c.SetReadDeadline(before.Add(mark)))
 		assert.Assert(t, !under.last.Before(before.Add(want)) && !under.last.After(time.Now().Add(want)), "%s", under.last.Sub(before))
 	}
-	becomes(idleMark, defaultIdleTimeout)
+	becomes(idleSentinel, defaultIdleTimeout)
 
 	g = gatewayWithLimits(&wire.RoutingLimits{IdleTimeoutMs: 7_200_000, HeaderTimeoutMs: 1_200_000})
 	c.limits = g.limits
-	becomes(idleMark, 2*time.Hour)
-	becomes(headMark, 20*time.Minute)
+	becomes(idleSentinel, 2*time.Hour)
+	becomes(headSentinel, 20*time.Minute)
 
 	g.table.Store(gatewayWithLimits(&wire.RoutingLimits{IdleTimeoutMs: 3_600_000}).table.Load())
-	becomes(idleMark, time.Hour)
-	becomes(headMark, defaultHeadTimeout)
+	becomes(idleSentinel, time.Hour)
+	becomes(headSentinel, defaultHeadTimeout)
 }
 
 // Other deadlines pass through unchanged: none, and one in the past, with which the server ends a
 // pending read.
-func TestOtherDeadlinesGoThrough(t *testing.T) {
+func TestOtherDeadlinesAreUnchanged(t *testing.T) {
 	var under deadlineConn
 	c := &callerConn{Conn: &under, limits: (&Gateway{}).limits}
 	for _, at := range []time.Time{{}, time.Unix(1, 0), time.Now().Add(time.Hour)} {
@@ -67,7 +67,7 @@
 }
 
 // A request head is never counted as larger than it was on the wire.
-func TestHeadsWithinTheLimitAreNeverCountedAsMore(t *testing.T) {
+func TestHeaderSizeNeverExceedsWireSize(t *testing.T) {
 	r, err := http.NewRequest(http.MethodGet, "http://h.example/tick", http.NoBody)
 	assert.NilError(t, err)
 	r.Header = http.Header{"X-A": {"1", "22"}, "X-Long": {strings.Repeat("x", 100)}}
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -13,14 +13,14 @@
 // gatewayMetrics counts requests by outcome and records their latencies.
 type gatewayMetrics struct {
 	*kernel.Metrics
-	answer, firstEvent, plain, pause, waited *kernel.Latency
+	streamTime, firstEvent, plainTime, gap, waited *kernel.Latency
 }
 
 func newGatewayMetrics() *gatewayMetrics {
 	m := kernel.NewMetrics()
 	return &gatewayMetrics{
-		Metrics: m, answer: m.Latency("gateway.stream_seconds"), firstEvent: m.Latency("gateway.first_event_seconds"),
-		plain: m.Latency("gateway.answer_seconds"), pause: m.Latency("gateway.pause_seconds"),
+		Metrics: m, streamTime: m.Latency("gateway.stream_seconds"), firstEvent: m.Latency("gateway.first_event_seconds"),
+		plainTime: m.Latency("gateway.answer_seconds"), gap: m.Latency("gateway.pause_seconds"),
 		waited: m.Latency("gateway.waited_seconds"),
 	}
 }
@@ -31,15 +31,15 @@
 		"gateway.active":             g.active.Load,
 		"gateway.ready":              func() int64 { return kernel.OneIf(g.ready()) },
 		"gateway.connections_opened": func() int64 { return int64(g.client.Opened()) },
-		"gateway.entries":            func() int64 { return int64(g.entries()) },
+		"gateway.entries":            func() int64 { return int64(g.gatewayCount()) },
 		"gateway.upstreams":          func() int64 { return int64(len(g.node.Instances(wire.Role_ROLE_UPSTREAM))) },
 		"gateway.routing_version":    func() int64 { return int64(g.routingVersion()) },
 		"gateway.suspected": func() int64 {
-			suspected, _ := g.suspects.Count()
+			suspected, _ := g.quarantine.Count()
 			return int64(suspected)
 		},
 		"gateway.quarantined": func() int64 {
-			_, quarantined := g.suspects.Count()
+			_, quarantined := g.quarantine.Count()
 			return int64(quarantined)
 		},
 	} {
@@ -47,8 +47,8 @@
 	}
 }
 
-// ended counts a request by its outcome.
-func (m *gatewayMetrics) ended(c *call, status int, reason string, err error) {
+// record counts a request by its outcome.
+func (m *gatewayMetrics) record(c *call, status int, reason string, err error) {
 	if c.waited > 0 {
 		m.waited.Record(c.waited)
 	}
@@ -64,7 +64,7 @@
 		if late := c.late(); late != "" {
 			m.Count("gateway.late." + late)
 		}
-		m.time(c)
+		m.recordLatency(c)
 	}
 	for i, a := range c.attempts {
 		m.Count("gateway.attempts." + a.outcome.String())
@@ -74,12 +74,12 @@
 	}
 }
 
-func (m *gatewayMetrics) time(c *call) {
-	took := time.Since(c.began)
+func (m *gatewayMetrics) recordLatency(c *call) {
+	took := time.Since(c.receivedAt)
 	if c.firstEvent == 0 {
-		m.plain.Record(took)
+		m.plainTime.Record(took)
 		return
 	}
 	m.firstEvent.Record(c.firstEvent)
-	m.answer.Record(took)
+	m.streamTime.Record(took)
 }
--- a/gateway/passstats_test.go
+++ b/gateway/passstats_test.go
@@ -9,7 +9,7 @@
 
 // A pass is counted once the next one has begun, with the shortest gap as its duration. The
 // counts are flushed once per second.
-func TestPassesOfASecondAreCounted(t *testing.T) {
+func TestPassStatsPerSecond(t *testing.T) {
 	const content = 120 * time.Millisecond
 	c := &passStats{}
 	g := &groupLimiter{}
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -211,9 +211,9 @@
 // silenceLimit returns how long an upstream may be silent.
 func (p *servicePool) silenceLimit() time.Duration {
 	if p.headTime == 0 {
-		return mostSilence
+		return maxSilence
 	}
-	return min(max(silenceFactor*p.headTime, leastSilence), mostSilence)
+	return min(max(silenceFactor*p.headTime, minSilence), maxSilence)
 }
 
 // describe returns the describe of admission decisions with their ages, for logs.
--- a/gateway/pool_test.go
+++ b/gateway/pool_test.go
@@ -12,10 +12,10 @@
 )
 
 // twoGroups returns a manager with one service whose 24 ranks form the groups a and b.
-func twoGroups(t *testing.T, broken bool) (*fleet, *groupPool, *groupPool) {
-	f := newFleet(&Settings{ID: "e"})
+func twoGroups(t *testing.T, broken bool) (*serviceManager, *groupPool, *groupPool) {
+	f := newServiceManager(&Settings{ID: "e"})
 	f.place.Seed = 1
-	f.entries = func() int { return 4 }
+	f.gateways = func() int { return 4 }
 	var insts []*directory.Instance
 	for i := range 24 {
 		group := "ab"[i%2 : i%2+1]
@@ -31,7 +31,7 @@
 
 // If one group of a service is down, requests go to the other one. They are refused only when
 // both are down.
-func TestLostRankClosesItsOwnGroupOnly(t *testing.T) {
+func TestDownGroupIsBypassed(t *testing.T) {
 	_, a, b := twoGroups(t, true)
 	p := a.service
 	assert.Assert(t, a.limiter.down && !b.limiter.down)
@@ -49,20 +49,20 @@
 
 // An attempt goes to the other group if its own is down, and its permit moves there. Without
 // another available group it stays.
-func TestRequestTakesItsPlaceToAnotherGroup(t *testing.T) {
+func TestPermitMovesToAnotherGroup(t *testing.T) {
 	f, a, b := twoGroups(t, false)
 	a.limiter.acquire(start)
 	up, at, ok := f.pick(start, a, &route.Request{})
 	assert.Assert(t, ok && at == a && up.ID[0] == 'a')
-	f.done(start, at, up, &route.Request{}, route.Result{})
-	f.refusedByGroup(start, a)
+	f.finish(start, at, up, &route.Request{}, route.Result{})
+	f.recordGroupDown(start, a)
 	up, at, ok = f.pick(start, a, &route.Request{Exclude: map[string]bool{up.ID: true}})
 	assert.Assert(t, ok && at == b && up.ID[0] == 'b')
 	assert.Equal(t, a.limiter.inflight, 0)
 	assert.Equal(t, b.limiter.inflight, 1)
-	f.done(start, at, up, &route.Request{}, route.Result{})
+	f.finish(start, at, up, &route.Request{}, route.Result{})
 	a.limiter.markUp()
-	f.refusedByGroup(start, b)
+	f.recordGroupDown(start, b)
 	a.limiter.markDown(start)
 	_, at, ok = f.pick(start, b, &route.Request{})
 	assert.Assert(t, ok && at == b)
@@ -70,9 +70,9 @@
 
 // One unresponsive upstream of a plain service doesn't block the other requests of a gateway
 // whose share of the slots is less than two requests.
-func TestSilentUpstreamDoesNotCloseItsService(t *testing.T) {
-	f := newFleet(&Settings{ID: "e"})
-	f.entries = func() int { return 150 }
+func TestSilentUpstreamDoesNotBlockService(t *testing.T) {
+	f := newServiceManager(&Settings{ID: "e"})
+	f.gateways = func() int { return 150 }
 	var insts []*directory.Instance
 	for i := range 6 {
 		insts = append(insts, &directory.Instance{Announcement: &wire.Announcement{
@@ -93,7 +93,7 @@
 
 // Passes are tracked for each group. If the gaps of two groups were mixed, the long passes of one
 // would be hidden by the short ones of the other.
-func TestPassesAreAGroupsOwn(t *testing.T) {
+func TestPassesAreTrackedPerGroup(t *testing.T) {
 	f, a, b := twoGroups(t, false)
 	const content = 120 * time.Millisecond
 	nextA, nextB := start.Add(130*time.Millisecond), start.Add(100*time.Millisecond)
@@ -101,11 +101,11 @@
 	for now.Before(start.Add(600 * time.Millisecond)) {
 		if nextA.Before(nextB) {
 			now = nextA
-			f.paused(now, "llm", a, 130*time.Millisecond, content, 0)
+			f.observeGap(now, "llm", a, 130*time.Millisecond, content, 0)
 			nextA = nextA.Add(130 * time.Millisecond)
 		} else {
 			now = nextB
-			f.paused(now, "llm", b, 70*time.Millisecond, content, 0)
+			f.observeGap(now, "llm", b, 70*time.Millisecond, content, 0)
 			nextB = nextB.Add(70 * time.Millisecond)
 		}
 	}
@@ -118,7 +118,7 @@
 
 // The burst of a gateway is shared by all groups of a service, as all gateways may use theirs at
 // the same moment.
-func TestBurstIsOfAllGroupsTogether(t *testing.T) {
+func TestBurstIsSharedByGroups(t *testing.T) {
 	_, a, _ := twoGroups(t, false)
 	let := 0
 	for range 10 {
@@ -131,7 +131,7 @@
 
 // Groups are picked in proportion to their permits. All gateways know the same loads, so picking
 // the emptiest would overload it.
-func TestGroupsAreTakenAsOftenAsTheyHavePlaces(t *testing.T) {
+func TestGroupsArePickedByPermits(t *testing.T) {
 	_, a, b := twoGroups(t, false)
 	a.limiter.recordProgress(start)
 	a.limiter.inflight = a.limiter.limit(start, 4) - 5
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -17,16 +17,16 @@
 // A quarantined request is refused as not run, with the time after which it may be retried. It
 // blocks no other request, and the answer is true also for a harmless request that only ran
 // beside one that crashes upstreams.
-func (c *call) heldBack() *refusal {
+func (c *call) quarantineRefusal() *refusal {
 	v := c.trial.Verdict()
 	switch {
 	case v.Standing == quarantine.Quarantined:
-		c.why = c.trial.Why(v)
+		c.cause = c.trial.Why(v)
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, retryAfter: v.Left}
 	case v.Standing == quarantine.LastTrial && c.waited > 0:
 		// Copies of the request could be queued at all gateways, be admitted together when the
 		// group is available again, and crash an upstream each.
-		c.why = c.trial.Why(v)
+		c.cause = c.trial.Why(v)
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonLastTrial}
 	}
 	return nil
@@ -35,11 +35,11 @@
 // beginTrial records that the request is about to be sent, or returns the refusal of one that
 // must not be sent now.
 func (c *call) beginTrial() *refusal {
-	if f := c.heldBack(); f != nil {
+	if f := c.quarantineRefusal(); f != nil {
 		return f
 	}
 	if !c.trial.Begin() {
-		c.why = c.trial.Why(c.trial.Verdict()) + ", and a copy runs"
+		c.cause = c.trial.Why(c.trial.Verdict()) + ", and a copy runs"
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonLastTrial}
 	}
 	return nil
@@ -47,7 +47,7 @@
 
 // retryForbidden reports whether the request must not be sent to another upstream, with the
 // reason: it is in quarantine, or one more crash would put it there.
-func (c *call) oneAttempt() (reason string, only bool) {
+func (c *call) retryForbidden() (reason string, only bool) {
 	switch c.trial.Verdict().Standing {
 	case quarantine.Quarantined:
 		return reasonQuarantined, true
@@ -59,8 +59,8 @@
 
 // recordSuccess records that an upstream has answered the request completely, which clears it of
 // suspicion.
-func (c *call) answeredWhole() {
-	if c.trial.Answered(c.asked.ID) {
+func (c *call) recordSuccess() {
+	if c.trial.Answered(c.params.ID) {
 		c.metrics.Count("gateway.suspects_cleared")
 	}
 }
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -27,10 +27,10 @@
 	}
 }
 
-func poolOf(slots int) (*servicePool, *groupLimiter) { return onlyGroup(ranks(slots/12, 1, false)) }
+func poolWithSlots(slots int) (*servicePool, *groupLimiter) { return singleGroup(ranks(slots/12, 1, false)) }
 
 // Requests that can be on time go first, then late ones by giveUpAt, and none after its giveUpAt.
-func TestLateRequestsGoAfterThoseInTime(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	l := &waitQueue{}
 	now := start.Add(1500 * time.Millisecond)
 	gone, older, late := comes(start.Add(-500*time.Millisecond)), comes(start), comes(start.Add(time.Second))
@@ -52,15 +52,15 @@
 
 // A backlog is admitted to an empty group at the pace at which all gateways fill it in
 // minFillTime.
-func TestEmptyGroupIsFilledAtAPace(t *testing.T) {
-	p, _ := poolOf(144)
+func TestEmptyGroupIsFilledAtPace(t *testing.T) {
+	p, _ := poolWithSlots(144)
 	for range 60 {
 		p.queue.add(comes(start))
 	}
 	let := func() int { return 60 - len(p.queue.waiters) }
 	p.admitQueued(start, 8)
 	assert.Equal(t, let(), int(paceBurst))
-	for now := start; now.Before(start.Add(minFillTime / 3)); now = now.Add(turnPeriod) {
+	for now := start; now.Before(start.Add(minFillTime / 3)); now = now.Add(admitInterval) {
 		p.admitQueued(now, 8)
 	}
 	assert.Assert(t, let() >= 144/8/3 && let() <= 144/8/3+paceBurst+1, "%d were admitted", let())
@@ -68,7 +68,7 @@
 
 // Requests are held back while passes are expected to exceed the target gap, also while a long
 // pass is in progress, but for maxThrottleTime at most.
-func TestLongPassesKeepRequestsBack(t *testing.T) {
+func TestLongPassesThrottleAdmission(t *testing.T) {
 	const content = 120 * time.Millisecond
 	b := &passThrottle{}
 	now := start
@@ -108,8 +108,8 @@
 }
 
 // A late request that is about to expire is admitted although passes are long.
-func TestPressingRequestsAreLetIn(t *testing.T) {
-	p, g := poolOf(144)
+func TestExpiringRequestsAreAdmitted(t *testing.T) {
+	p, g := poolWithSlots(144)
 	g.throttle.observeGap(start, 115*time.Millisecond, 120*time.Millisecond)
 	first := comes(start.Add(-200 * time.Millisecond))
 	assert.Assert(t, p.pickGroup(start, 8, false) == nil)
@@ -124,8 +124,8 @@
 
 // A first try that isn't expected to be admitted is refused at once with a Retry-After. A retried
 // request is queued, unless it has already expired.
-func TestFirstTryThatCanNotBeServedIsToldAtOnce(t *testing.T) {
-	p, g := poolOf(144)
+func TestFirstTryIsRefusedEarly(t *testing.T) {
+	p, g := poolWithSlots(144)
 	g.inflight = g.limit(start, 8)
 	for {
 		v, wait := p.decide(start, 8, comes(start))
@@ -152,7 +152,7 @@
 
 // The age is estimated from the timeouts that recent callers named, and just after a start from
 // the route's timeout too. A caller with a much shorter timeout isn't taken for a retry.
-func TestAgeOfARequest(t *testing.T) {
+func TestRequestAge(t *testing.T) {
 	r := &wire.Route{Name: "r", TimeoutMs: 8000}
 	times := newCallerTimeouts()
 	assert.Equal(t, times.age(start, r, 5500*time.Millisecond), 2500*time.Millisecond)
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -36,22 +36,22 @@
 }
 
 // finish ends a request: it counts it and writes its log line.
-func (c *call) done(status int, reason string, err error) {
-	c.metrics.ended(c, status, reason, err)
+func (c *call) finish(status int, reason string, err error) {
+	c.metrics.record(c, status, reason, err)
 	late := c.late()
-	budget := c.requests.answered
+	budget := c.requestLog.answered
 	if late != "" {
-		budget = c.requests.late
+		budget = c.requestLog.late
 	}
 	if reason != "" || err != nil || status >= http.StatusInternalServerError || len(c.attempts) > 1 {
-		budget = c.requests.failed
+		budget = c.requestLog.failed
 	}
 	ok, leftOut := budget.Take()
 	if !ok {
 		return
 	}
 	kv := []any{
-		"request", c.asked.ID, "status", status, "reason", reason, "took_ms", time.Since(c.began).Milliseconds(),
+		"request", c.params.ID, "status", status, "reason", reason, "took_ms", time.Since(c.receivedAt).Milliseconds(),
 		"route", c.route.GetName(), "service", c.service, "team", c.team.GetName(), "attempts", c.attemptText(),
 	}
 	if t := c.table.Load(); t != nil {
@@ -63,8 +63,8 @@
 	if c.firstEvent > 0 {
 		kv = append(kv, "first_event_ms", c.firstEvent.Milliseconds())
 	}
-	if c.longestPause > 0 {
-		kv = append(kv, "longest_pause_ms", c.longestPause.Milliseconds(), "pause_ended_ms_ago", time.Since(c.pauseEnded).Milliseconds())
+	if c.longestGap > 0 {
+		kv = append(kv, "longest_pause_ms", c.longestGap.Milliseconds(), "pause_ended_ms_ago", time.Since(c.longestGapEnded).Milliseconds())
 	}
 	if c.age > 0 {
 		kv = append(kv, "age_ms", c.age.Milliseconds())
@@ -75,8 +75,8 @@
 	if late != "" {
 		kv = append(kv, "late", late)
 	}
-	if c.why != "" {
-		kv = append(kv, "why", c.why)
+	if c.cause != "" {
+		kv = append(kv, "why", c.cause)
 	}
 	if err != nil {
 		kv = append(kv, "err", err)
@@ -84,7 +84,7 @@
 	if leftOut > 0 {
 		kv = append(kv, "lines_left_out", leftOut)
 	}
-	kernel.Info(c.requests.log, "Request ended.", kv...)
+	kernel.Info(c.requestLog.log, "Request ended.", kv...)
 }
 
 // attemptText formats the attempts as UPSTREAM:OUTCOME:STATUS:MILLISECONDS, separated by commas.
--- a/gateway/routingwatch.go
+++ b/gateway/routingwatch.go
@@ -13,24 +13,24 @@
 
 const (
 	// rewatchDelay is the pause before a watch that has ended is opened again.
-	rewatch = 150 * time.Millisecond
+	rewatchDelay = 150 * time.Millisecond
 	// watchSilenceTimeout is how long a watch may be silent before it is closed, unless the
 	// replica has announced a longer interval. It detects partitions in which the connection
 	// doesn't break.
-	silentRouting = 2 * time.Second
+	watchSilenceTimeout = 2 * time.Second
 	// silentIntervals is how many announced intervals a replica may be silent.
-	silentParts = 4
+	silentIntervals = 4
 	// fetchJitter is the maximum random delay before a watch fetches a new version. The leader
 	// reports it first; without jitter all gateways would fetch it from the leader.
-	fetchSpread = 25 * time.Millisecond
+	fetchJitter = 25 * time.Millisecond
 	// fetchTimeout bounds one fetch of a configuration.
 	fetchTimeout = 1500 * time.Millisecond
 	// maxConfirmedAge is the age of a replica's confirmation from which a gateway that has just
 	// started doesn't rely on its version: a newer one may be in force.
-	staleReplica = 1500 * time.Millisecond
+	maxConfirmedAge = 1500 * time.Millisecond
 	// freshReplicaTimeout is how long such a gateway waits for a current replica before it uses
 	// the version of a stale one.
-	firstPatience = 3 * time.Second
+	freshReplicaTimeout = 3 * time.Second
 )
 
 // followRouting watches the configuration version at each replica, and fetches a configuration
@@ -46,10 +46,10 @@
 func (g *Gateway) watchRouting(ctx context.Context, addr string, started time.Time) {
 	w := &routingWatch{Gateway: g, addr: addr, started: started}
 	for ctx.Err() == nil {
-		w.ended(ctx, w.once(ctx))
+		w.recordEnd(ctx, w.watchOnce(ctx))
 		select {
 		case <-ctx.Done():
-		case <-time.After(rewatch):
+		case <-time.After(rewatchDelay):
 		}
 	}
 }
@@ -60,30 +60,30 @@
 	addr    string
 	started time.Time
 	// connected says that the replica has sent a version since the watch was last lost.
-	hears bool
+	connected bool
 }
 
 // recordVersion records that the replica has sent a version.
-func (w *routingWatch) heard(v *wire.RoutingVersion) {
-	if !w.hears {
-		w.believe("Control replica connected.", "replica", w.addr, "version", v.Version, "confirmed_age_ms", v.ConfirmedAgeMs)
-		w.suspects.TellAgain(w.addr)
+func (w *routingWatch) recordVersion(v *wire.RoutingVersion) {
+	if !w.connected {
+		w.logState("Control replica connected.", "replica", w.addr, "version", v.Version, "confirmed_age_ms", v.ConfirmedAgeMs)
+		w.quarantine.TellAgain(w.addr)
 	}
-	w.hears = true
+	w.connected = true
 }
 
 // recordEnd records the end of a watch.
-func (w *routingWatch) ended(ctx context.Context, err error) {
-	if w.hears && ctx.Err() == nil {
-		w.believe("Control replica disconnected.", "replica", w.addr, "err", err)
+func (w *routingWatch) recordEnd(ctx context.Context, err error) {
+	if w.connected && ctx.Err() == nil {
+		w.logState("Control replica disconnected.", "replica", w.addr, "err", err)
 	}
-	w.hears = false
+	w.connected = false
 }
 
-func (w *routingWatch) once(ctx context.Context) error {
+func (w *routingWatch) watchOnce(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silentRouting, cancel)
+	silence := time.AfterFunc(watchSilenceTimeout, cancel)
 	defer silence.Stop()
 	client := wire.NewDRPCRoutingClient(w.pool.Conn(ctx, w.addr))
 	stream, err := client.Watch(ctx, &wire.WatchRoutingRequest{Watcher: w.settings.ID})
@@ -96,24 +96,24 @@
 		if err != nil {
 			return err
 		}
-		silence.Reset(max(silentRouting, silentParts*time.Duration(v.NextMs)*time.Millisecond))
-		w.heard(v)
-		w.suspects.Hear(w.addr, v.Suspicions)
-		if err := w.fetchWanted(ctx, v); err != nil {
+		silence.Reset(max(watchSilenceTimeout, silentIntervals*time.Duration(v.NextMs)*time.Millisecond))
+		w.recordVersion(v)
+		w.quarantine.Hear(w.addr, v.Suspicions)
+		if err := w.fetchIfNewer(ctx, v); err != nil {
 			return err
 		}
 	}
 }
 
 // fetchIfNewer fetches a version if it is wanted and no other watch brings it.
-func (w *routingWatch) fetchWanted(ctx context.Context, v *wire.RoutingVersion) error {
+func (w *routingWatch) fetchIfNewer(ctx context.Context, v *wire.RoutingVersion) error {
 	if !w.wantsVersion(v, w.started) {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(rand.N(fetchSpread)):
+	case <-time.After(rand.N(fetchJitter)):
 	}
 	done := w.fetches.begin(ctx, v.Version)
 	defer done()
@@ -132,8 +132,8 @@
 	if v.Version == 0 {
 		return false
 	}
-	current := time.Duration(v.ConfirmedAgeMs)*time.Millisecond < staleReplica
-	return current || g.now().Sub(started) > firstPatience
+	current := time.Duration(v.ConfirmedAgeMs)*time.Millisecond < maxConfirmedAge
+	return current || g.now().Sub(started) > freshReplicaTimeout
 }
 
 func (g *Gateway) fetchRouting(ctx context.Context, addr string) error {
@@ -147,12 +147,12 @@
 	if err != nil {
 		return err
 	}
-	g.takeRouting(c, addr)
+	g.applyRouting(c, addr)
 	return nil
 }
 
 // applyRouting puts a configuration into force unless its version is in force or older.
-func (g *Gateway) takeRouting(c *wire.RoutingConfig, from string) {
+func (g *Gateway) applyRouting(c *wire.RoutingConfig, from string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	old := g.table.Load()
@@ -163,7 +163,7 @@
 	g.timeouts.retain(c.Routes)
 	kernel.Info(g.log, "Routing configuration in force.", "version", c.Version, "from", from, "routes", len(c.Routes), "teams", len(c.Teams))
 	if old == nil {
-		g.wakeAnnouncer()
-		g.warmup.learned()
+		g.triggerAnnounce()
+		g.warmup.notify()
 	}
 }
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -21,31 +21,31 @@
 const firstLoad = 1
 
 // serviceManager holds the state of each service over the upstreams that are up.
-type fleet struct {
+type serviceManager struct {
 	place route.Place
 
 	mu       sync.Mutex
 	services map[string]*servicePool
-	// loadSeq numbers the loads that come with responses. Their order of arrival is all that is
+	// loadSeq numbers the loadSeq that come with responses. Their order of arrival is all that is
 	// known of their age.
-	loads uint64
+	loadSeq uint64
 	// onStateChange is called, without the lock, when the state of a group has changed.
-	told func(service string, c gateChange)
-	// onPasses is called, without the lock, with the passes of a group since the last call.
-	passes func(service, group string, seen passStats, inputs string)
+	onStateChange func(service string, c stateChange)
+	// onPasses is called, without the lock, with the onPasses of a group since the last call.
+	onPasses func(service, group string, seen passStats, inputs string)
 	// gateways returns the number of gateways that are up. It is called without the lock.
-	entries func() int
+	gateways func() int
 }
 
-func newFleet(s *Settings) *fleet {
-	return &fleet{
+func newServiceManager(s *Settings) *serviceManager {
+	return &serviceManager{
 		place:    route.Place{Entry: s.ID, FailureDomain: s.FailureDomain, Seed: rand.Uint64()},
-		services: map[string]*servicePool{}, loads: firstLoad,
+		services: map[string]*servicePool{}, loadSeq: firstLoad,
 	}
 }
 
 // update replaces the upstreams by those of insts that are up.
-func (f *fleet) update(now time.Time, insts []*directory.Instance) error {
+func (f *serviceManager) update(now time.Time, insts []*directory.Instance) error {
 	byService := map[string][]*directory.Instance{}
 	for _, i := range insts {
 		if i.Direct == nil || !i.Up() {
@@ -70,12 +70,12 @@
 	return nil
 }
 
-// survey applies the states of ranks that the leader of their groups has read. It returns the
+// applySurvey applies the states of ranks that the leader of their groups has read. It returns the
 // upstreams that running requests should leave because they are slow.
-func (f *fleet) survey(now time.Time, number uint64, ranks []*wire.RankState, place entryPlace) (slow []string) {
+func (f *serviceManager) applySurvey(now time.Time, number uint64, ranks []*wire.RankState, place gatewayPosition) (slow []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loads++
+	f.loadSeq++
 	for _, p := range f.services {
 		for _, g := range p.sorted {
 			known := slices.DeleteFunc(slices.Clone(ranks), func(r *wire.RankState) bool { return g.upstreams[r.Upstream] == nil })
@@ -83,10 +83,10 @@
 				continue
 			}
 			g.applySurvey(now, &route.Survey{
-				Entries: place.entries, Index: place.index, Number: number,
-				Seq: f.loads, Loads: surveyedLoads(known),
+				Entries: place.count, Index: place.index, Number: number,
+				Seq: f.loadSeq, Loads: surveyedLoads(known),
 			})
-			slow = append(slow, toLeave(known)...)
+			slow = append(slow, ranksToLeave(known)...)
 		}
 	}
 	return slow
@@ -107,7 +107,7 @@
 func paceOf(r *wire.RankState) float64 { return float64(r.PacePercent) / 100 }
 
 // recordProgress records an event of a stream.
-func (f *fleet) alive(now time.Time, at *groupPool) {
+func (f *serviceManager) recordProgress(now time.Time, at *groupPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at.limiter.recordProgress(now)
@@ -115,7 +115,7 @@
 
 // observeGap records the gap between two events of a stream, the target gap, and the fixed part
 // of a pass.
-func (f *fleet) paused(now time.Time, service string, at *groupPool, pause, content, fixed time.Duration) {
+func (f *serviceManager) observeGap(now time.Time, service string, at *groupPool, pause, content, fixed time.Duration) {
 	f.mu.Lock()
 	if pass, over := at.limiter.observeGap(now, at.service.gateways, pause, content, fixed); over {
 		at.stats.record(pass, content)
@@ -126,13 +126,13 @@
 		inputs = at.limiter.describe(now, at.service.gateways)
 	}
 	f.mu.Unlock()
-	if ok && f.passes != nil {
-		f.passes(service, at.name, told, inputs)
+	if ok && f.onPasses != nil {
+		f.onPasses(service, at.name, told, inputs)
 	}
 }
 
-// headTime returns the usual time to the head of a service's response.
-func (f *fleet) head(service string) time.Duration {
+// headTime returns the usual time to the headTime of a service's response.
+func (f *serviceManager) headTime(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if p := f.services[service]; p != nil && p.headTime > 0 {
@@ -142,21 +142,21 @@
 }
 
 // silenceLimit returns how long an upstream of a group may be silent.
-func (f *fleet) silence(at *groupPool) time.Duration {
+func (f *serviceManager) silenceLimit(at *groupPool) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return at.service.silenceLimit()
 }
 
 // progressing reports whether a group has made progress lately.
-func (f *fleet) goesOn(now time.Time, at *groupPool) bool {
+func (f *serviceManager) progressing(now time.Time, at *groupPool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return at.limiter.progressing(now)
 }
 
 // recordGroupDown records that a rank refused a request because its group is down.
-func (f *fleet) refusedByGroup(now time.Time, at *groupPool) {
+func (f *serviceManager) recordGroupDown(now time.Time, at *groupPool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at.limiter.markDown(now)
@@ -165,10 +165,10 @@
 // pick chooses an upstream for a request that holds a permit of a group. If the group is
 // unavailable or has no upstream left, another group is used and the permit moves there. finish
 // must be called with the result.
-func (f *fleet) pick(now time.Time, at *groupPool, r *route.Request) (up route.Upstream, where *groupPool, ok bool) {
+func (f *serviceManager) pick(now time.Time, at *groupPool, r *route.Request) (up route.Upstream, where *groupPool, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, g := range at.choices(now) {
+	for _, g := range at.candidates(now) {
 		c, ok := g.balancer.Pick(now, r)
 		if !ok {
 			continue
@@ -183,7 +183,7 @@
 }
 
 // candidates returns the groups at which an attempt may be made, the best first.
-func (g *groupPool) choices(now time.Time) []*groupPool {
+func (g *groupPool) candidates(now time.Time) []*groupPool {
 	other := g.service.alternative(now, g)
 	switch {
 	case other == nil:
@@ -195,7 +195,7 @@
 }
 
 // finish ends an attempt at an upstream that pick chose.
-func (f *fleet) done(now time.Time, at *groupPool, up route.Upstream, r *route.Request, res route.Result) {
+func (f *serviceManager) finish(now time.Time, at *groupPool, up route.Upstream, r *route.Request, res route.Result) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	at.balancer.Done(now, up, r, res)
@@ -203,14 +203,14 @@
 
 // recordHead records the head of a response after the given time, with the upstream's load if it
 // tells it. ran says that the upstream has begun to run the request.
-func (f *fleet) answered(now time.Time, at *groupPool, up route.Upstream, load *dialect.Load, after time.Duration, ran bool) {
+func (f *serviceManager) recordHead(now time.Time, at *groupPool, up route.Upstream, load *dialect.Load, after time.Duration, ran bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var l *wire.Load
 	if load != nil {
-		f.loads++
+		f.loadSeq++
 		l = &wire.Load{
-			Seq: f.loads, Running: uint32(load.Running), Waiting: uint32(load.Waiting), Slots: uint32(load.Slots),
+			Seq: f.loadSeq, Running: uint32(load.Running), Waiting: uint32(load.Waiting), Slots: uint32(load.Slots),
 		}
 		at.limiter.recordLoad(now, load)
 	}
@@ -225,7 +225,7 @@
 }
 
 // addresses returns the set of addresses of all upstreams that are up.
-func (f *fleet) addresses() map[string]bool {
+func (f *serviceManager) addresses() map[string]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := map[string]bool{}
--- a/gateway/slotcap_test.go
+++ b/gateway/slotcap_test.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	reliefContent = 120 * time.Millisecond
-	reliefFixed   = 45 * time.Millisecond
+	capTestGap = 120 * time.Millisecond
+	capTestFixedPass   = 45 * time.Millisecond
 )
 
 // runSlotCap simulates a fully used group whose passes depend on the fraction of slots in use. It
 // returns the number of long passes and of all passes in the second half.
-func reliefRun(d time.Duration, passOf func(part float64, at time.Duration) time.Duration) (r slotCap, long, passes int) {
+func runSlotCap(d time.Duration, passOf func(part float64, at time.Duration) time.Duration) (r slotCap, long, passes int) {
 	for t := time.Duration(0); t < d; {
 		part := min(r.fraction(start.Add(t)), maxFill)
 		pass := passOf(part, t)
 		t += pass
-		r.observePass(start.Add(t), pass, reliefContent, reliefFixed, part)
+		r.observePass(start.Add(t), pass, capTestGap, capTestFixedPass, part)
 		if t > d/2 {
 			passes++
-			if pass > reliefContent {
+			if pass > capTestGap {
 				long++
 			}
 		}
@@ -40,14 +40,14 @@
 		if at%period < 400*time.Millisecond {
 			each = 100
 		}
-		return reliefFixed + time.Duration(each*part*float64(time.Millisecond))
+		return capTestFixedPass + time.Duration(each*part*float64(time.Millisecond))
 	}
 }
 
 // Under a constant overload with long passes fewer slots are used, until passes meet the target
 // gap, and not fewer than that needs.
-func TestFewerRequestsRunWhilePassesAreLong(t *testing.T) {
-	r, long, passes := reliefRun(30*time.Second, func(part float64, _ time.Duration) time.Duration {
+func TestSlotCapUnderOverload(t *testing.T) {
+	r, long, passes := runSlotCap(30*time.Second, func(part float64, _ time.Duration) time.Duration {
 		return time.Duration(45+90*part) * time.Millisecond
 	})
 	assert.Assert(t, long*5 < passes, "%d of %d passes are long", long, passes)
@@ -57,18 +57,18 @@
 
 // With a shift of demand during each stream, the slots in use are reduced so far that also the
 // passes after a shift meet the target gap, and not further.
-func TestFewerRequestsRunWhereEachStreamMeetsAShift(t *testing.T) {
-	r, long, passes := reliefRun(30*time.Second, shiftedPass(2*time.Second))
+func TestSlotCapUnderFrequentShifts(t *testing.T) {
+	r, long, passes := runSlotCap(30*time.Second, shiftedPass(2*time.Second))
 	assert.Assert(t, long*50 < passes, "%d of %d passes are long", long, passes)
 	part := r.fraction(start.Add(30 * time.Second))
 	assert.Assert(t, part > 0.7 && part < 0.8, "%f", part)
 }
 
 // Rare shifts don't reduce the slots in use, as most streams meet none.
-func TestRareShiftsCutNothing(t *testing.T) {
+func TestRareShiftsDontLowerSlotCap(t *testing.T) {
 	for _, period := range []time.Duration{5 * time.Second, 6500 * time.Millisecond, 9 * time.Second} {
 		cut, looks := 0, 0
-		_, _, _ = reliefRun(60*time.Second, func(part float64, at time.Duration) time.Duration {
+		_, _, _ = runSlotCap(60*time.Second, func(part float64, at time.Duration) time.Duration {
 			looks++
 			if part < maxFill {
 				cut++
@@ -81,10 +81,10 @@
 
 // With shifts every five seconds hardly any request is refused: slots that are closed between two
 // shifts would be open again at the next one.
-func TestSlotsAreNotClosedInVainBetweenShifts(t *testing.T) {
+func TestRareShiftsCauseNoRefusals(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newGroupSim(smallGroups, seed, 3, 28, 298)
-		s.skew = shiftsEach(5 * time.Second)
+		s.skew = periodicShifts(5 * time.Second)
 		s.run(8 * time.Second)
 		s.forget()
 		s.run(25 * time.Second)
@@ -95,7 +95,7 @@
 
 // Passes that are too long to be caused by the running requests, short passes, and passes of a
 // nearly empty group don't reduce the slots in use.
-func TestHoldsSlowRanksAndShortPassesCutNothing(t *testing.T) {
+func TestUnrelatedPassesDontLowerSlotCap(t *testing.T) {
 	for _, c := range []struct {
 		pass time.Duration
 		used float64
@@ -104,26 +104,26 @@
 		now := start
 		for range 60 {
 			now = now.Add(c.pass)
-			r.observePass(now, c.pass, reliefContent, reliefFixed, c.used)
+			r.observePass(now, c.pass, capTestGap, capTestFixedPass, c.used)
 		}
 		assert.Equal(t, r.fraction(now), 1.0, "%v at %f", c.pass, c.used)
 	}
 }
 
 // All slots are used again when the last long pass has left the window.
-func TestSlotsAreUsedAgainAfterACrowd(t *testing.T) {
+func TestSlotCapRecovers(t *testing.T) {
 	r := slotCap{}
 	now := start
 	for now.Before(start.Add(10 * time.Second)) {
 		now = now.Add(140 * time.Millisecond)
-		r.observePass(now, 140*time.Millisecond, reliefContent, reliefFixed, 0.9)
+		r.observePass(now, 140*time.Millisecond, capTestGap, capTestFixedPass, 0.9)
 	}
 	assert.Assert(t, r.fraction(now) < 0.75)
 	assert.Equal(t, r.fraction(now.Add(capWindow)), 1.0)
 }
 
 // The fraction stays between minSlotFraction and 1 for any passes, also if times go backwards.
-func TestPartStaysWithinItsBounds(t *testing.T) {
+func TestSlotCapBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := slotCap{}
 		for range rapid.IntRange(0, 200).Draw(t, "passes") {
--- a/gateway/slowrank.go
+++ b/gateway/slowrank.go
@@ -14,41 +14,43 @@
 	leavePace = 1.7
 	// maxLeftFraction is the fraction of the ranks that may be left. With more slow ranks the
 	// others would be overloaded, and the group as a whole is slow.
-	mostLeft = 0.25
+	maxLeftFraction = 0.25
 )
 
 // ranksToLeave returns the upstreams that running requests should leave. No new requests go to a
 // slow rank, but those that run there hold up the streams of the whole group.
-func toLeave(ranks []*wire.RankState) (slow []string) {
+func ranksToLeave(ranks []*wire.RankState) (slow []string) {
 	for _, r := range ranks {
 		if paceOf(r) >= leavePace {
 			slow = append(slow, r.Upstream)
 		}
 	}
-	if float64(len(slow)) > mostLeft*float64(len(ranks)) {
+	if float64(len(slow)) > maxLeftFraction*float64(len(ranks)) {
 		return nil
 	}
 	return slow
 }
 
 // movableAttempts holds the attempts that may be given up for another upstream.
-type movable struct {
+type movableAttempts struct {
 	mu         sync.Mutex
-	byUpstream map[string]map[*attemptWatch]struct{}
+	byUpstream map[string]map[*silenceWatchdog]struct{}
 }
 
-func newMovable() *movable { return &movable{byUpstream: map[string]map[*attemptWatch]struct{}{}} }
+func newMovableAttempts() *movableAttempts {
+	return &movableAttempts{byUpstream: map[string]map[*silenceWatchdog]struct{}{}}
+}
 
-func (m *movable) add(w *attemptWatch) {
+func (m *movableAttempts) add(w *silenceWatchdog) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.byUpstream[w.upstream] == nil {
-		m.byUpstream[w.upstream] = map[*attemptWatch]struct{}{}
+		m.byUpstream[w.upstream] = map[*silenceWatchdog]struct{}{}
 	}
 	m.byUpstream[w.upstream][w] = struct{}{}
 }
 
-func (m *movable) remove(w *attemptWatch) {
+func (m *movableAttempts) remove(w *silenceWatchdog) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.byUpstream[w.upstream], w)
@@ -58,10 +60,10 @@
 }
 
 // at returns the attempts at an upstream.
-func (m *movable) at(upstream string) []*attemptWatch {
+func (m *movableAttempts) at(upstream string) []*silenceWatchdog {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var list []*attemptWatch
+	var list []*silenceWatchdog
 	for w := range m.byUpstream[upstream] {
 		list = append(list, w)
 	}
@@ -69,15 +71,15 @@
 }
 
 // applySurvey applies the states of ranks, and has running requests leave the slow ones.
-func (g *Gateway) takeSurvey(number uint64, ranks []*wire.RankState) {
+func (g *Gateway) applySurvey(number uint64, ranks []*wire.RankState) {
 	if len(ranks) == 0 {
 		return
 	}
 	now := time.Now()
-	for _, id := range g.fleet.survey(now, number, ranks, g.placeAmongEntries()) {
+	for _, id := range g.services.applySurvey(now, number, ranks, g.position()) {
 		for _, w := range g.movable.at(id) {
-			if w.call.takeMove(now, w.at) {
-				g.believe("Request leaves a slow upstream.", "request", w.call.asked.ID, "upstream", id)
+			if w.call.reserveRetry(now, w.group) {
+				g.logState("Request leaves a slow upstream.", "request", w.call.params.ID, "upstream", id)
 				g.metrics.Count("gateway.left_slow")
 				w.cancel()
 			}
--- a/gateway/slowrank_test.go
+++ b/gateway/slowrank_test.go
@@ -15,20 +15,20 @@
 
 // slowRankGateway is a gateway that knows six ranks, with streams that run at rank r2. left lists
 // the streams that were told to leave.
-type slowCase struct {
+type slowRankGateway struct {
 	*Gateway
 	left []int
 }
 
 // newSlowRankGateway returns a gateway with so many streams at r2 and a budget of so many
 // retries.
-func newSlowCase(t *testing.T, streams int, attempts float64) *slowCase {
+func newSlowRankGateway(t *testing.T, streams int, attempts float64) *slowRankGateway {
 	set := DefaultSettings()
 	set.ID = "entry-1"
 	now := time.Now()
-	c := &slowCase{Gateway: &Gateway{
-		settings: set, movable: newMovable(), metrics: newGatewayMetrics(), log: log.NewNopLogger(),
-		beliefs: kernel.NewLineBudget(beliefLines, time.Now), fleet: newFleet(set), node: directory.NewNode(directory.DefaultSettings(), time.Now, nil),
+	c := &slowRankGateway{Gateway: &Gateway{
+		settings: set, movable: newMovableAttempts(), metrics: newGatewayMetrics(), log: log.NewNopLogger(),
+		stateLog: kernel.NewLineBudget(stateLogLines, time.Now), services: newServiceManager(set), node: directory.NewNode(directory.DefaultSettings(), time.Now, nil),
 	}}
 	retries := RetrySettings{Slack: attempts / budgetMargin / budgetBurstFraction, Window: durationOf(10 * time.Second)}
 	c.retryBudgets = newRetryBudgets(retries, func() int { return 1 }, func() time.Time { return now })
@@ -38,12 +38,12 @@
 			Id: id, Group: "g", Pools: []string{"llm"}, Phase: wire.Phase_PHASE_UP, Direct: &wire.DirectUpstream{Slots: 12},
 		}})
 	}
-	assert.NilError(t, c.fleet.update(now, ranks))
-	at := c.fleet.services["llm"].sorted[0]
-	c.fleet.alive(now, at)
+	assert.NilError(t, c.services.update(now, ranks))
+	at := c.services.services["llm"].sorted[0]
+	c.services.recordProgress(now, at)
 	for i := range streams {
 		s := &call{
-			Gateway: c.Gateway, service: "llm", at: at, asked: dialect.Request{ID: "a"}, deadline: now.Add(time.Minute),
+			Gateway: c.Gateway, service: "llm", group: at, params: dialect.Request{ID: "a"}, deadline: now.Add(time.Minute),
 			route: &wire.Route{Kind: wire.RouteKind_ROUTE_KIND_STREAMING, Resume: true, MaxAttempts: 2},
 		}
 		w := s.watchAttempt("r2", func() { c.left = append(c.left, i) })
@@ -61,36 +61,36 @@
 
 // Streams leave a rank that becomes slow, as it delays the whole group, but no more of them than
 // the retry budget allows.
-func TestStreamsLeaveASlowRankWithinTheBudget(t *testing.T) {
-	c := newSlowCase(t, 5, 3)
-	c.takeSurvey(1, survey(100, 100, 100, 100, 100, 100))
+func TestStreamsLeaveSlowRankWithinBudget(t *testing.T) {
+	c := newSlowRankGateway(t, 5, 3)
+	c.applySurvey(1, survey(100, 100, 100, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
-	c.takeSurvey(1, survey(100, 100, 500, 100, 100, 100))
+	c.applySurvey(1, survey(100, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 3)
 	assert.Assert(t, !c.retryBudgets.takeToken("llm"), "the retry budget was exceeded")
 }
 
 // A stream without another attempt stays, as leaving would end it.
-func TestStreamWithoutAnotherAttemptStays(t *testing.T) {
-	c := newSlowCase(t, 1, 3)
+func TestStreamWithoutRetryStays(t *testing.T) {
+	c := newSlowRankGateway(t, 1, 3)
 	for _, w := range c.movable.at("r2") {
 		w.call.sent.Store(1)
 	}
-	c.takeSurvey(1, survey(100, 100, 500, 100, 100, 100))
+	c.applySurvey(1, survey(100, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
 }
 
 // If too many ranks are slow, the others have no room for their requests, so none leaves.
-func TestSlowGroupIsNotLeft(t *testing.T) {
-	c := newSlowCase(t, 2, 3)
-	c.takeSurvey(1, survey(500, 100, 500, 100, 100, 100))
+func TestStreamsStayInSlowGroup(t *testing.T) {
+	c := newSlowRankGateway(t, 2, 3)
+	c.applySurvey(1, survey(500, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
-	assert.Equal(t, len(toLeave([]*wire.RankState{{Upstream: "r0", PacePercent: 500}})), 0)
+	assert.Equal(t, len(ranksToLeave([]*wire.RankState{{Upstream: "r0", PacePercent: 500}})), 0)
 }
 
 // An attempt that has ended is removed, and its upstream if it was the last.
-func TestEndedAttemptsAreForgotten(t *testing.T) {
-	c := newSlowCase(t, 1, 3)
+func TestEndedAttemptsAreRemoved(t *testing.T) {
+	c := newSlowRankGateway(t, 1, 3)
 	ws := c.movable.at("r2")
 	assert.Equal(t, len(ws), 1)
 	ws[0].stop()
--- a/gateway/statelog.go
+++ b/gateway/statelog.go
@@ -10,11 +10,11 @@
 
 // stateLogLines bounds the log lines per second about the state of upstreams, groups and control
 // replicas.
-const beliefLines = 20
+const stateLogLines = 20
 
 // logState writes a line about the state of another process, unless the limit is reached.
-func (g *Gateway) believe(msg string, kv ...any) {
-	ok, leftOut := g.beliefs.Take()
+func (g *Gateway) logState(msg string, kv ...any) {
+	ok, leftOut := g.stateLog.Take()
 	if !ok {
 		return
 	}
@@ -25,37 +25,37 @@
 }
 
 // logUpstreams logs which upstreams appeared, changed or are gone.
-func (g *Gateway) tellUpstreams(now []*directory.Instance) {
+func (g *Gateway) logUpstreams(now []*directory.Instance) {
 	g.mu.Lock()
-	before := g.known
-	g.known = map[string]*directory.Instance{}
+	before := g.knownUpstreams
+	g.knownUpstreams = map[string]*directory.Instance{}
 	for _, i := range now {
-		g.known[i.Id] = i
+		g.knownUpstreams[i.Id] = i
 	}
-	known := g.known
+	known := g.knownUpstreams
 	g.mu.Unlock()
 	for id, i := range known {
 		old := before[id]
 		if old != nil && old.Phase == i.Phase && old.Direct.GetGroupEpoch() == i.Direct.GetGroupEpoch() && old.Direct.GetGroupBroken() == i.Direct.GetGroupBroken() {
 			continue
 		}
-		g.believe("Upstream changed.", "upstream", id, "phase", i.Phase, "pools", strings.Join(i.Pools, ","), "addr", i.Address, "failure_domain", i.FailureDomain,
+		g.logState("Upstream changed.", "upstream", id, "phase", i.Phase, "pools", strings.Join(i.Pools, ","), "addr", i.Address, "failure_domain", i.FailureDomain,
 			"seq", i.Seq, "group", i.Group, "rank", i.Rank, "epoch", i.Direct.GetGroupEpoch(), "broken", i.Direct.GetGroupBroken())
 	}
 	for id, old := range before {
 		if known[id] == nil {
-			g.believe("Upstream is gone.", "upstream", id, "pools", strings.Join(old.Pools, ","), "addr", old.Address, "last_phase", old.Phase, "seq", old.Seq)
+			g.logState("Upstream is gone.", "upstream", id, "pools", strings.Join(old.Pools, ","), "addr", old.Address, "last_phase", old.Phase, "seq", old.Seq)
 		}
 	}
 }
 
 // logStateChange logs that the state of a group of a service has changed.
-func (g *Gateway) tellGate(service string, c gateChange) {
-	g.believe("Group state changed.", "service", service, "group", c.group, "before", c.before, "now", c.after, "why", c.inputs)
+func (g *Gateway) logStateChange(service string, c stateChange) {
+	g.logState("Group state changed.", "service", service, "group", c.group, "before", c.before, "now", c.after, "why", c.inputs)
 }
 
 // logPasses logs the durations of a group's passes, and the inputs of admission decisions.
-func (g *Gateway) tellPasses(service, group string, seen passStats, inputs string) {
-	g.believe("Group pass statistics.", "service", service, "group", group, "passes", seen.count, "long", seen.long, "mean", seen.mean().Round(time.Millisecond),
+func (g *Gateway) logPasses(service, group string, seen passStats, inputs string) {
+	g.logState("Group pass statistics.", "service", service, "group", group, "passes", seen.count, "long", seen.long, "mean", seen.mean().Round(time.Millisecond),
 		"longest", seen.longest.Round(time.Millisecond), "content", seen.targetGap, "gate", inputs)
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -18,37 +18,37 @@
 	// lastID is the ID of the last event that was sent, or the one from which the caller resumes.
 	lastID string
 	events int
-	// sentAt is when the last event was sent.
-	sentAt time.Time
+	// lastEventAt is when the last event was sent.
+	lastEventAt time.Time
 }
 
 // serveStream answers a request with a stream of events. After a failed attempt it may resume the
 // stream at another upstream, after the last event that was passed on.
 func (c *call) serveStream() {
-	s := &stream{call: c, lastID: c.asked.LastEventID}
-	var held *answer
-	served := c.eachAttempt(func(a *attempt) (o outcome, served bool) {
+	s := &stream{call: c, lastID: c.params.LastEventID}
+	var held *bufferedResponse
+	served := c.runAttempts(func(a *attempt) (o outcome, served bool) {
 		held, o = s.run(a)
 		return o, o == outcomeAnswered
 	})
 	switch {
 	case served:
-		s.finish(held)
+		s.complete(held)
 	case s.started:
-		s.breakOff()
+		s.abort()
 	default:
-		c.fail()
+		c.refuseFailed()
 	}
 }
 
 // run makes one attempt. A response that isn't a stream is returned whole.
-func (s *stream) run(a *attempt) (*answer, outcome) {
+func (s *stream) run(a *attempt) (*bufferedResponse, outcome) {
 	resp, err := s.send(a, s.lastID)
 	if err != nil {
-		return nil, s.failed(a, err)
+		return nil, s.classifyError(a, err)
 	}
 	defer resp.Body.Close()
-	if o := a.classify(resp.Header); o != outcomeAnswered {
+	if o := a.classifyHead(resp.Header); o != outcomeAnswered {
 		return nil, o
 	}
 	if resp.Status != http.StatusOK {
@@ -68,7 +68,7 @@
 	events := direct.NewEvents(resp.Body)
 	for {
 		ev, err := events.Next()
-		a.watch.hear()
+		a.watchdog.recordProgress()
 		if errors.Is(err, io.EOF) {
 			if !s.started {
 				s.start(resp)
@@ -76,7 +76,7 @@
 			return outcomeAnswered
 		}
 		if err != nil {
-			return s.failed(a, err)
+			return s.classifyError(a, err)
 		}
 		if !s.follows(ev) {
 			return outcomeInDoubt
@@ -84,7 +84,7 @@
 		if !s.started {
 			s.start(resp)
 		}
-		if !s.pass(a, ev) {
+		if !s.writeEvent(a, ev) {
 			return outcomeCallerGone
 		}
 	}
@@ -107,16 +107,16 @@
 
 // start sends the head of the first upstream's response.
 func (s *stream) start(resp *direct.Response) {
-	copyAnswerHeader(s.w.Header(), resp.Header)
-	s.closeIfLeaving()
+	copyResponseHeader(s.w.Header(), resp.Header)
+	s.closeIfDraining()
 	// The length isn't known, as another upstream may continue the stream.
 	s.w.Header().Del("Content-Length")
 	s.w.WriteHeader(resp.Status)
 	s.started = true
-	s.firstEvent = time.Since(s.began)
+	s.firstEvent = time.Since(s.receivedAt)
 }
 
-func (s *stream) pass(a *attempt, ev direct.Event) bool {
+func (s *stream) writeEvent(a *attempt, ev direct.Event) bool {
 	if _, err := s.w.Write(ev.Raw); err != nil {
 		return false
 	}
@@ -127,42 +127,42 @@
 		s.lastID = ev.ID
 	}
 	now := time.Now()
-	s.fleet.alive(now, a.at)
+	s.services.recordProgress(now, a.group)
 	if s.events > 0 {
-		s.paused(now, a.at)
+		s.recordGap(now, a.group)
 	}
 	s.events++
-	s.sentAt = now
+	s.lastEventAt = now
 	return true
 }
 
 // recordGap records the gap before the event that was just sent.
-func (s *stream) paused(now time.Time, at *groupPool) {
-	pause := now.Sub(s.sentAt)
-	s.metrics.pause.Record(pause)
-	if pause > s.longestPause {
-		s.longestPause, s.pauseEnded = pause, now
+func (s *stream) recordGap(now time.Time, at *groupPool) {
+	pause := now.Sub(s.lastEventAt)
+	s.metrics.gap.Record(pause)
+	if pause > s.longestGap {
+		s.longestGap, s.longestGapEnded = pause, now
 	}
-	s.fleet.paused(now, s.service, at, pause, s.contentPause(), s.fixedPass)
+	s.services.observeGap(now, s.service, at, pause, s.targetGap(), s.fixedPass)
 }
 
 // complete ends a complete response.
-func (s *stream) finish(held *answer) {
+func (s *stream) complete(held *bufferedResponse) {
 	if held != nil {
-		s.deliver(held)
+		s.writeResponse(held)
 		return
 	}
-	s.done(http.StatusOK, "", nil)
+	s.finish(http.StatusOK, "", nil)
 }
 
 // abort ends an incomplete response so that the caller notices: the connection is closed before
 // the end of the body.
-func (s *stream) breakOff() {
-	if s.last == outcomeCallerGone {
-		s.done(http.StatusOK, "caller-gone", nil)
+func (s *stream) abort() {
+	if s.lastOutcome == outcomeCallerGone {
+		s.finish(http.StatusOK, "caller-gone", nil)
 	} else {
-		s.why = "not resumed: " + s.reason
-		s.done(http.StatusOK, reasonStreamBrokenOff, nil)
+		s.cause = "not resumed: " + s.reason
+		s.finish(http.StatusOK, reasonStreamBrokenOff, nil)
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/gateway/surveywatch.go
+++ b/gateway/surveywatch.go
@@ -15,13 +15,13 @@
 	for ctx.Err() == nil {
 		addr := src.pick(g.targets.Addresses())
 		err := g.followSurvey(ctx, addr, &src)
-		if ctx.Err() == nil && src.expects(g.now()) {
-			g.believe("No surveys from control replica; switching to another one.", "replica", addr, "since", g.now().Sub(src.heardAt).Round(time.Millisecond), "err", err)
+		if ctx.Err() == nil && src.expectsSurvey(g.now()) {
+			g.logState("No surveys from control replica; switching to another one.", "replica", addr, "since", g.now().Sub(src.lastSurveyAt).Round(time.Millisecond), "err", err)
 		}
-		src.lost()
+		src.next()
 		select {
 		case <-ctx.Done():
-		case <-time.After(rewatch):
+		case <-time.After(rewatchDelay):
 		}
 	}
 }
@@ -31,7 +31,7 @@
 func (g *Gateway) followSurvey(ctx context.Context, addr string, src *surveySource) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(src.limit(), cancel)
+	silence := time.AfterFunc(src.silenceTimeout(), cancel)
 	defer silence.Stop()
 	client := wire.NewDRPCRoutingClient(g.pool.Conn(ctx, addr))
 	stream, err := client.Survey(ctx, &wire.WatchSurveyRequest{Watcher: g.settings.ID})
@@ -45,19 +45,19 @@
 			return err
 		}
 		if len(msg.States) > 0 {
-			if err := g.hearSurvey(msg); err != nil {
+			if err := g.receiveSurvey(msg); err != nil {
 				return err
 			}
-			src.heard(g.now())
+			src.recordSurvey(g.now())
 		}
-		if len(msg.States) > 0 || !src.expects(g.now()) {
-			silence.Reset(src.limit())
+		if len(msg.States) > 0 || !src.expectsSurvey(g.now()) {
+			silence.Reset(src.silenceTimeout())
 		}
 	}
 }
 
 // receiveSurvey applies the states of ranks, whose ages include the time on their way.
-func (g *Gateway) hearSurvey(msg *wire.RankSurvey) error {
+func (g *Gateway) receiveSurvey(msg *wire.RankSurvey) error {
 	states := &wire.RankStates{}
 	if err := proto.Unmarshal(msg.States, states); err != nil {
 		return err
@@ -65,6 +65,6 @@
 	for _, r := range states.Ranks {
 		r.AgeMs += msg.AgeMs
 	}
-	g.takeSurvey(msg.Number, states.Ranks)
+	g.applySurvey(msg.Number, states.Ranks)
 	return nil
 }
--- a/gateway/warmup.go
+++ b/gateway/warmup.go
@@ -16,9 +16,9 @@
 	warmupLimit = 2500 * time.Millisecond
 	// warmupDivisor limits the wait to a fraction of the time that a caller has left; the rest is
 	// for the response.
-	warmupPart = 3
+	warmupDivisor = 3
 	// maxWarming bounds the waiting requests, to bound the gateway's memory.
-	mostWarming = 1000
+	maxWarming = 1000
 )
 
 // warmup lets requests wait until a gateway that has just started can serve them.
@@ -41,14 +41,14 @@
 }
 
 // notify wakes the waiting requests.
-func (w *warmup) learned() {
+func (w *warmup) notify() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-func (w *warmup) next() <-chan struct{} {
+func (w *warmup) changes() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.changed
@@ -59,7 +59,7 @@
 func (w *warmup) limit(now time.Time, left time.Duration) time.Duration {
 	limit := max(w.until.Sub(now), 0)
 	if left > 0 {
-		limit = min(limit, left/warmupPart)
+		limit = min(limit, left/warmupDivisor)
 	}
 	return limit
 }
@@ -71,13 +71,13 @@
 		return true
 	}
 	defer w.waiting.Add(-1)
-	if w.waiting.Add(1) > mostWarming || limit <= 0 {
+	if w.waiting.Add(1) > maxWarming || limit <= 0 {
 		return false
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
-		changed := w.next()
+		changed := w.changes()
 		if enough() {
 			return true
 		}
@@ -93,19 +93,19 @@
 
 // waitForTable waits for the first configuration. It returns nil if there is none in time.
 func (c *call) waitForTable(ctx context.Context) *routing.Table {
-	c.warmUntil = c.now().Add(c.warmup.limit(c.now(), c.asked.Deadline))
+	c.warmUntil = c.now().Add(c.warmup.limit(c.now(), c.params.Deadline))
 	c.warmup.wait(ctx, c.warmUntil.Sub(c.now()), func() bool { return c.table.Load() != nil })
 	return c.table.Load()
 }
 
 // waitForService waits for an upstream of the call's service, for what is left of the same time.
 func (c *call) waitForService(ctx context.Context) {
-	c.warmup.wait(ctx, c.warmUntil.Sub(c.now()), func() bool { return c.fleet.serves(c.service) })
+	c.warmup.wait(ctx, c.warmUntil.Sub(c.now()), func() bool { return c.services.serves(c.service) })
 }
 
 // serves reports whether a service has an upstream and, if its upstreams form groups, one group
 // that isn't down. After a power loss ranks register before their group has formed again.
-func (f *fleet) serves(service string) bool {
+func (f *serviceManager) serves(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.services[service]
--- a/gateway/warmup_test.go
+++ b/gateway/warmup_test.go
@@ -15,7 +15,7 @@
 
 // A request at a gateway without configuration waits until the gateway is ready: for a third of
 // its time at most, and not beyond the start phase.
-func TestCallersWaitForAGatewayThatStarts(t *testing.T) {
+func TestRequestsWaitDuringWarmup(t *testing.T) {
 	cases := []struct {
 		name        string
 		came, left  time.Duration
@@ -38,7 +38,7 @@
 				var warm atomic.Bool
 				timer := time.AfterFunc(c.warm, func() {
 					warm.Store(true)
-					w.learned()
+					w.notify()
 				})
 				defer timer.Stop()
 				time.Sleep(c.came)
@@ -53,11 +53,11 @@
 
 // Beyond maxWarming waiting requests others are refused at once. A request that leaves makes
 // room.
-func TestWaitingCallersAreBounded(t *testing.T) {
+func TestWarmupWaitersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWarmup(time.Now())
 		ctx, leave := context.WithCancel(context.Background())
-		for range mostWarming {
+		for range maxWarming {
 			go w.wait(ctx, time.Minute, func() bool { return false })
 		}
 		synctest.Wait()
@@ -69,7 +69,7 @@
 		var warm atomic.Bool
 		time.AfterFunc(time.Millisecond, func() {
 			warm.Store(true)
-			w.learned()
+			w.notify()
 		})
 		assert.Assert(t, w.wait(context.Background(), time.Minute, warm.Load))
 	})
@@ -77,9 +77,9 @@
 
 // A request waits for upstreams of its own service only, and while its group is down: admitted
 // before, all waiting requests would be refused together.
-func TestServiceCanBeCalledOnceItsGroupIsBack(t *testing.T) {
-	c := newSlowCase(t, 0, 1)
-	assert.Assert(t, !c.fleet.serves("clock"), "no upstream has registered")
+func TestServesOnlyWithLiveGroup(t *testing.T) {
+	c := newSlowRankGateway(t, 0, 1)
+	assert.Assert(t, !c.services.serves("clock"), "no upstream has registered")
 	now := time.Now()
 	known := func(epoch uint64, broken bool) []*directory.Instance {
 		return []*directory.Instance{
@@ -92,9 +92,9 @@
 			}},
 		}
 	}
-	assert.NilError(t, c.fleet.update(now, known(1, true)))
-	assert.Assert(t, c.fleet.serves("clock"))
-	assert.Assert(t, !c.fleet.serves("llm"), "the group is down")
-	assert.NilError(t, c.fleet.update(now, known(2, false)))
-	assert.Assert(t, c.fleet.serves("llm"))
+	assert.NilError(t, c.services.update(now, known(1, true)))
+	assert.Assert(t, c.services.serves("clock"))
+	assert.Assert(t, !c.services.serves("llm"), "the group is down")
+	assert.NilError(t, c.services.update(now, known(2, false)))
+	assert.Assert(t, c.services.serves("llm"))
 }
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -14,45 +14,45 @@
 	silenceFactor = 6
 	// minSilence and maxSilence bound that time: minSilence is longer than nearly all short
 	// responses take, maxSilence is half of firstEventTimeout.
-	leastSilence = 200 * time.Millisecond
-	mostSilence  = time.Second
+	minSilence = 200 * time.Millisecond
+	maxSilence = time.Second
 )
 
 // silenceWatchdog cancels an attempt whose upstream has become silent while its group makes
 // progress, as with a frozen host or a dead connection. Otherwise the caller would wait until it
 // leaves, and the upstream would later run the request for nobody. Attempts at slow upstreams are
 // cancelled through it too.
-type attemptWatch struct {
+type silenceWatchdog struct {
 	call     *call
 	upstream string
-	at       *groupPool
+	group    *groupPool
 	cancel   context.CancelFunc
-	limit    time.Duration
+	timeout  time.Duration
 	timer    *time.Timer
 	// lastHeard is when the upstream last sent something, in nanoseconds since startedAt.
-	heard atomic.Int64
-	began time.Time
+	lastHeard atomic.Int64
+	startedAt time.Time
 }
 
 // watchAttempt starts the watchdog of an attempt. It returns nil if the request isn't repeatable.
-func (c *call) watchAttempt(upstream string, cancel context.CancelFunc) *attemptWatch {
+func (c *call) watchAttempt(upstream string, cancel context.CancelFunc) *silenceWatchdog {
 	if !routing.Repeatable(c.route) {
 		return nil
 	}
-	w := &attemptWatch{call: c, upstream: upstream, at: c.at, cancel: cancel, limit: c.fleet.silence(c.at), began: time.Now()}
-	w.timer = time.AfterFunc(w.limit, w.look)
+	w := &silenceWatchdog{call: c, upstream: upstream, group: c.group, cancel: cancel, timeout: c.services.silenceLimit(c.group), startedAt: time.Now()}
+	w.timer = time.AfterFunc(w.timeout, w.check)
 	c.movable.add(w)
 	return w
 }
 
 // recordProgress records that the upstream has sent something.
-func (w *attemptWatch) hear() {
+func (w *silenceWatchdog) recordProgress() {
 	if w != nil {
-		w.heard.Store(int64(time.Since(w.began)))
+		w.lastHeard.Store(int64(time.Since(w.startedAt)))
 	}
 }
 
-func (w *attemptWatch) stop() {
+func (w *silenceWatchdog) stop() {
 	if w != nil {
 		w.timer.Stop()
 		w.call.movable.remove(w)
@@ -61,16 +61,16 @@
 
 // check cancels the attempt if it has been silent for too long, another attempt may follow, and
 // the group as a whole makes progress.
-func (w *attemptWatch) look() {
+func (w *silenceWatchdog) check() {
 	now := time.Now()
-	left := w.limit - now.Sub(w.began) + time.Duration(w.heard.Load())
+	left := w.timeout - now.Sub(w.startedAt) + time.Duration(w.lastHeard.Load())
 	switch {
 	case left > 0:
 		w.timer.Reset(left)
-	case w.call.takeMove(now, w.at):
+	case w.call.reserveRetry(now, w.group):
 		w.cancel()
 	default:
-		w.timer.Reset(w.limit / 2)
+		w.timer.Reset(w.timeout / 2)
 	}
 }
 
@@ -78,14 +78,14 @@
 // charges the retry budget. The budget is charged before the attempt is cancelled: otherwise
 // several requests could give up their upstreams for a single remaining retry, and all but one
 // would fail.
-func (c *call) takeMove(now time.Time, at *groupPool) bool {
+func (c *call) reserveRetry(now time.Time, at *groupPool) bool {
 	another := c.sent.Load()+1 < int64(c.route.MaxAttempts)
-	if !another || !c.fleet.goesOn(now, at) || c.deadline.Sub(now) <= leastSilence {
+	if !another || !c.services.progressing(now, at) || c.deadline.Sub(now) <= minSilence {
 		return false
 	}
-	if _, only := c.oneAttempt(); only || !c.retryBudgets.takeToken(c.service) {
+	if _, only := c.retryForbidden(); only || !c.retryBudgets.takeToken(c.service) {
 		return false
 	}
-	c.paid.Store(true)
+	c.retryReserved.Store(true)
 	return true
 }
