--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -24,44 +24,44 @@
 
 // acquire admits a request to a service, after queueing it if necessary. If it is admitted,
 // release must follow.
-func (f *serviceManager) acquire(ctx context.Context, service string, w *waiter) admission {
-	entries := f.gateways()
+func (m *serviceManager) acquire(ctx context.Context, service string, w *waiter) admission {
+	gateways := m.gateways()
 	now := time.Now()
-	f.mu.Lock()
-	p := f.services[service]
+	m.mu.Lock()
+	p := m.services[service]
 	if p == nil {
-		f.mu.Unlock()
+		m.mu.Unlock()
 		return admission{retryAfter: retryAfterBusy, cause: "no upstream of the service is known"}
 	}
-	p.gateways = entries
+	p.gateways = gateways
 	changes := p.stateChanges(now)
 	a := admission{}
-	v, wait := p.decide(now, entries, w)
-	if v != decisionAdmit {
+	d, wait := p.decide(now, gateways, w)
+	if d != decisionAdmit {
 		a.cause = p.describe(now)
 	}
-	if v == decisionQueue {
-		f.scheduleAdmission(service, p)
+	if d == decisionQueue {
+		m.scheduleAdmission(service, p)
 	}
-	f.mu.Unlock()
-	if f.onStateChange != nil {
+	m.mu.Unlock()
+	if m.onStateChange != nil {
 		for _, c := range changes {
-			f.onStateChange(service, c)
+			m.onStateChange(service, c)
 		}
 	}
-	switch v {
+	switch d {
 	case decisionAdmit:
 		a.ok = true
 	case decisionRefuse:
 		a.retryAfter = wait
 	case decisionQueue:
-		a.ok, a.retryAfter = f.awaitAdmission(ctx, p, w)
+		a.ok, a.retryAfter = m.awaitAdmission(ctx, p, w)
 		a.waited = time.Since(now)
 	}
 	if a.ok && ctx.Err() != nil {
 		// The caller left, or the deadline passed, just as the request was admitted. It would run
 		// for nobody.
-		f.release(w.group, 0)
+		m.release(w.group, 0)
 		a.ok = false
 	}
 	a.group = w.group
@@ -88,7 +88,7 @@
 
 // awaitAdmission waits until a queued request is admitted. If it isn't before its giveUpAt it is
 // refused, with its Retry-After.
-func (f *serviceManager) awaitAdmission(ctx context.Context, p *servicePool, w *waiter) (ok bool, wait time.Duration) {
+func (m *serviceManager) awaitAdmission(ctx context.Context, p *servicePool, w *waiter) (ok bool, wait time.Duration) {
 	timer := time.NewTimer(time.Until(w.giveUpAt))
 	defer timer.Stop()
 	select {
@@ -97,8 +97,8 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	select {
 	case <-w.admitted:
 		return true, 0
@@ -110,31 +110,31 @@
 
 // scheduleAdmission sets a timer that admits queued requests until none is left. Permits become
 // free without a release too, as the pacer refills and probes become due.
-func (f *serviceManager) scheduleAdmission(service string, p *servicePool) {
+func (m *serviceManager) scheduleAdmission(service string, p *servicePool) {
 	if p.timerPending {
 		return
 	}
 	p.timerPending = true
 	time.AfterFunc(admitInterval, func() {
-		entries := f.gateways()
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		p.gateways, p.timerPending = entries, false
-		p.admitQueued(time.Now(), entries)
+		gateways := m.gateways()
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		p.gateways, p.timerPending = gateways, false
+		p.admitQueued(time.Now(), gateways)
 		if len(p.queue.waiters) > 0 {
-			f.scheduleAdmission(service, p)
+			m.scheduleAdmission(service, p)
 		}
 	})
 }
 
 // release returns the permit of a request. held is how long the request had it; 0 isn't recorded.
-func (f *serviceManager) release(at *groupPool, kept time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (m *serviceManager) release(at *groupPool, held time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	p := at.service
 	at.limiter.release()
-	if kept > 0 {
-		p.recordHoldTime(kept)
+	if held > 0 {
+		p.recordHoldTime(held)
 	}
 	p.admitQueued(time.Now(), p.gateways)
 }
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -19,19 +19,19 @@
 	assert.NilError(t, f.update(time.Now(), []*directory.Instance{{Announcement: &wire.Announcement{
 		Id: "u", Address: "127.0.0.1:1", Pools: []string{"plain"}, Phase: wire.Phase_PHASE_UP, Direct: &wire.DirectUpstream{Slots: 1},
 	}}}))
-	assert.Assert(t, f.acquire(context.Background(), "plain", soon()).ok)
+	assert.Assert(t, f.acquire(context.Background(), "plain", patientWaiter()).ok)
 	return f
 }
 
 // releaseOne releases one permit of the service.
-func (f *serviceManager) free() { f.release(f.services["plain"].sorted[0], time.Second) }
+func (f *serviceManager) releaseOne() { f.release(f.services["plain"].sorted[0], time.Second) }
 
-func soon() *waiter {
+func patientWaiter() *waiter {
 	now := time.Now()
 	return &waiter{onTimeBy: now.Add(10 * time.Second), giveUpAt: now.Add(10 * time.Second), admitted: make(chan struct{})}
 }
 
-func (f *serviceManager) waiting() int {
+func (f *serviceManager) queued() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.services["plain"].queue.waiters)
@@ -45,36 +45,36 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	results := make(chan admission, 3)
-	go func() { results <- f.acquire(ctx, "plain", soon()) }()
-	brief := soon()
+	go func() { results <- f.acquire(ctx, "plain", patientWaiter()) }()
+	brief := patientWaiter()
 	brief.giveUpAt = time.Now().Add(50 * time.Millisecond)
 	go func() { results <- f.acquire(context.Background(), "plain", brief) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if f.waiting() == 2 {
+		if f.queued() == 2 {
 			return poll.Success()
 		}
-		return poll.Continue("%d queued", f.waiting())
+		return poll.Continue("%d queued", f.queued())
 	}, poll.WithDelay(time.Millisecond))
 	cancel()
 	for range 2 {
 		assert.Assert(t, !(<-results).ok)
 	}
-	assert.Equal(t, f.waiting(), 0)
+	assert.Equal(t, f.queued(), 0)
 
-	go func() { results <- f.acquire(context.Background(), "plain", soon()) }()
+	go func() { results <- f.acquire(context.Background(), "plain", patientWaiter()) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if f.waiting() == 1 {
+		if f.queued() == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("%d queued", f.waiting())
+		return poll.Continue("%d queued", f.queued())
 	}, poll.WithDelay(time.Millisecond))
-	f.free()
+	f.releaseOne()
 	a := <-results
 	assert.Assert(t, a.ok && a.waited > 0)
-	f.free()
+	f.releaseOne()
 
 	gone, leave := context.WithCancel(context.Background())
 	leave()
-	assert.Assert(t, !f.acquire(gone, "plain", soon()).ok)
-	assert.Assert(t, f.acquire(context.Background(), "plain", soon()).ok, "the permit was not released")
+	assert.Assert(t, !f.acquire(gone, "plain", patientWaiter()).ok)
+	assert.Assert(t, f.acquire(context.Background(), "plain", patientWaiter()).ok, "the permit was not released")
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -131,14 +131,14 @@
 func (c *call) beginAttempt() *attempt {
 	req := &route.Request{Exclude: c.tried, Tokens: c.params.PromptTokens + c.params.MaxTokens}
 	now := time.Now()
-	up, at, ok := c.services.pick(now, c.group, req)
+	upstream, group, ok := c.services.pick(now, c.group, req)
 	if !ok {
 		return nil
 	}
-	c.group = at
-	a := &attempt{upstream: up, group: at, request: req, startedAt: now}
+	c.group = group
+	a := &attempt{upstream: upstream, group: group, request: req, startedAt: now}
 	a.ctx, a.cancel = context.WithCancel(c.ctx)
-	a.watchdog = c.watchAttempt(up.ID, a.cancel)
+	a.watchdog = c.watchAttempt(upstream.ID, a.cancel)
 	return a
 }
 
@@ -289,17 +289,17 @@
 
 // serveBuffered serves a request whose response is buffered as a whole.
 func (c *call) serveBuffered() {
-	var held *bufferedResponse
+	var buffered *bufferedResponse
 	c.runAttempts(func(a *attempt) (outcome, bool) {
-		ans, o := c.exchange(a)
+		resp, o := c.exchange(a)
 		if o != outcomeAnswered {
 			return o, false
 		}
-		held = ans
-		return o, ans.status < http.StatusInternalServerError || !routing.Repeatable(c.route)
+		buffered = resp
+		return o, resp.status < http.StatusInternalServerError || !routing.Repeatable(c.route)
 	})
-	if held != nil {
-		c.writeResponse(held)
+	if buffered != nil {
+		c.writeResponse(buffered)
 		return
 	}
 	c.refuseFailed()
--- a/gateway/callertimeouts.go
+++ b/gateway/callertimeouts.go
@@ -47,13 +47,13 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.routes[r.Name]
-	if l == nil {
-		l = &maxTimeout{periodStart: now}
-		t.routes[r.Name] = l
+	m := t.routes[r.Name]
+	if m == nil {
+		m = &maxTimeout{periodStart: now}
+		t.routes[r.Name] = m
 	}
-	usual := l.record(now, left)
-	if l.samples < minTimeoutSamples {
+	usual := m.record(now, left)
+	if m.samples < minTimeoutSamples {
 		usual = max(usual, time.Duration(r.TimeoutMs)*time.Millisecond)
 	}
 	age := usual - left
@@ -64,13 +64,13 @@
 }
 
 // record adds a timeout and returns the longest of both periods.
-func (l *maxTimeout) record(now time.Time, d time.Duration) time.Duration {
-	if now.Sub(l.periodStart) > timeoutWindow {
-		l.periodStart, l.previous, l.current = now, l.current, 0
+func (m *maxTimeout) record(now time.Time, d time.Duration) time.Duration {
+	if now.Sub(m.periodStart) > timeoutWindow {
+		m.periodStart, m.previous, m.current = now, m.current, 0
 	}
-	l.current = max(l.current, d)
-	l.samples++
-	return max(l.current, l.previous)
+	m.current = max(m.current, d)
+	m.samples++
+	return max(m.current, m.previous)
 }
 
 // retain drops the routes that are no longer configured.
--- a/gateway/decide.go
+++ b/gateway/decide.go
@@ -31,9 +31,9 @@
 // A request is queued only if it is expected to be admitted in time; otherwise its caller learns
 // at once when to retry. A retried request may not be sent again, so it is queued also while no
 // group is available, and while the rate of late admissions is unknown or doesn't apply.
-func (p *servicePool) decide(now time.Time, entries int, w *waiter) (v decision, wait time.Duration) {
+func (p *servicePool) decide(now time.Time, gateways int, w *waiter) (d decision, wait time.Duration) {
 	if p.queue.ahead(now, w.canBeOnTime(now)) == 0 {
-		if g := p.pickGroup(now, entries, !w.canBeOnTime(now)); g != nil {
+		if g := p.pickGroup(now, gateways, !w.canBeOnTime(now)); g != nil {
 			p.admit(now, g, w)
 			return decisionAdmit, 0
 		}
@@ -41,7 +41,7 @@
 	if len(p.queue.waiters) >= maxQueued || !now.Before(w.giveUpAt) {
 		return decisionRefuse, p.refused(now)
 	}
-	if !p.likelyAdmitted(now, entries, w) {
+	if !p.likelyAdmitted(now, gateways, w) {
 		return decisionRefuse, p.refused(now)
 	}
 	p.queue.add(w)
@@ -52,53 +52,53 @@
 // likelyAdmitted reports whether a request that has to be queued is expected to be admitted
 // before it must be refused: at the pace of the groups while slots are free, and then as others
 // are released.
-func (p *servicePool) likelyAdmitted(now time.Time, entries int, w *waiter) bool {
+func (p *servicePool) likelyAdmitted(now time.Time, gateways int, w *waiter) bool {
 	if !p.available(now) {
 		return w.retried
 	}
-	if w.canBeOnTime(now) && p.expectedWait(now, entries, p.queue.ahead(now, true), 1) <= w.onTimeBy.Sub(now) {
+	if w.canBeOnTime(now) && p.expectedWait(now, gateways, p.queue.ahead(now, true), 1) <= w.onTimeBy.Sub(now) {
 		return true
 	}
 	ahead := p.queue.ahead(now, false)
 	// With free slots, only long passes hold requests back for a moment, so the rate of late
 	// admissions doesn't apply.
-	limit, inflight := p.limit(now, entries)
+	limit, inflight := p.limit(now, gateways)
 	if rate, known := p.late.rate(now); known && inflight >= limit {
 		return float64(ahead+1) <= rate*w.giveUpAt.Sub(now).Seconds()
 	}
-	return w.retried || p.expectedWait(now, entries, ahead, lateSlotFraction) <= w.giveUpAt.Sub(now)
+	return w.retried || p.expectedWait(now, gateways, ahead, lateSlotFraction) <= w.giveUpAt.Sub(now)
 }
 
 // expectedWait returns how long a request is expectedWait to be queued with others ahead of it, if
 // the given fraction of released permits goes to them.
-func (p *servicePool) expectedWait(now time.Time, entries, ahead int, part float64) time.Duration {
-	limit, inflight := p.limit(now, entries)
+func (p *servicePool) expectedWait(now time.Time, gateways, ahead int, fraction float64) time.Duration {
+	limit, inflight := p.limit(now, gateways)
 	wait := 0.0
 	if p.lockstep() {
-		wait = float64(ahead+1) / max(p.slotShare(now, entries), 1) * minFillTime.Seconds()
+		wait = float64(ahead+1) / max(p.slotShare(now, gateways), 1) * minFillTime.Seconds()
 	}
-	if taken := ahead + 1 - max(limit-inflight, 0); taken > 0 {
-		wait += float64(taken) * p.meanHoldTime().Seconds() / (part * float64(max(limit, 1)))
+	if needed := ahead + 1 - max(limit-inflight, 0); needed > 0 {
+		wait += float64(needed) * p.meanHoldTime().Seconds() / (fraction * float64(max(limit, 1)))
 	}
 	return time.Duration(wait * float64(time.Second))
 }
 
 // slotShare returns the number of the group's slots that this gateway may use.
-func (g *groupPool) slotShare(entries int) float64 {
-	return float64(g.limiter.slots) * g.limiter.share(entries)
+func (g *groupPool) slotShare(gateways int) float64 {
+	return float64(g.limiter.slots) * g.limiter.share(gateways)
 }
 
 // permits returns how many more requests the group's concurrency limit allows this gateway; 0 if
 // none may be admitted now.
-func (g *groupPool) permits(now time.Time, entries int, late bool) int {
-	limit := g.limiter.limit(now, entries)
+func (g *groupPool) permits(now time.Time, gateways int, late bool) int {
+	limit := g.limiter.limit(now, gateways)
 	if late {
 		limit = max(int(lateLimitFraction*float64(limit)), 1)
 	}
 	if len(g.upstreams) == 0 || g.limiter.inflight >= limit || !g.limiter.mayAdmit(now, g.service.available(now)) {
 		return 0
 	}
-	if g.limiter.lockstep && !g.paceAllows(now, entries, late) {
+	if g.limiter.lockstep && !g.paceAllows(now, gateways, late) {
 		return 0
 	}
 	return limit - g.limiter.inflight
@@ -106,13 +106,13 @@
 
 // paceAllows refills the pacer and reports whether it and the duration of passes allow another
 // request now.
-func (g *groupPool) paceAllows(now time.Time, entries int, late bool) bool {
-	room := g.limiter.throttle.admitFraction(now)
+func (g *groupPool) paceAllows(now time.Time, gateways int, late bool) bool {
+	fraction := g.limiter.throttle.admitFraction(now)
 	if late && g.service.queue.hasExpiring(now) {
-		room = max(room, expiringAdmitFraction)
+		fraction = max(fraction, expiringAdmitFraction)
 	}
-	g.pacer.refill(now, room*g.slotShare(entries), max(paceBurst/float64(max(g.service.availableGroups(now), 1)), 1))
-	return room > 0 && g.pacer.hasToken()
+	g.pacer.refill(now, fraction*g.slotShare(gateways), max(paceBurst/float64(max(g.service.availableGroups(now), 1)), 1))
+	return fraction > 0 && g.pacer.hasToken()
 }
 
 // admit takes a permit of a group for a request.
@@ -127,13 +127,13 @@
 }
 
 // admitQueued admits queued requests as far as permits allow.
-func (p *servicePool) admitQueued(now time.Time, entries int) {
+func (p *servicePool) admitQueued(now time.Time, gateways int) {
 	p.late.observeQueue(now, &p.queue)
 	for {
-		late := p.pickGroup(now, entries, true)
+		late := p.pickGroup(now, gateways, true)
 		g := late
 		if g == nil {
-			g = p.pickGroup(now, entries, false)
+			g = p.pickGroup(now, gateways, false)
 		}
 		if g == nil {
 			return
--- a/gateway/fetchgroup.go
+++ b/gateway/fetchgroup.go
@@ -25,7 +25,7 @@
 // later one, and then registers the caller's own fetch. The caller must call the returned
 // function when its fetch has ended.
 func (f *fetchGroup) begin(ctx context.Context, version uint64) (done func()) {
-	patience := time.After(fetchHeadStart)
+	headStart := time.After(fetchHeadStart)
 	for {
 		f.mu.Lock()
 		other := f.done
@@ -35,7 +35,7 @@
 		f.mu.Unlock()
 		select {
 		case <-other:
-		case <-patience:
+		case <-headStart:
 			f.mu.Lock()
 			return f.start(version)
 		case <-ctx.Done():
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -233,16 +233,16 @@
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
 	c.ctx = ctx
-	adm := g.services.acquire(ctx, c.service, c.newWaiter())
-	c.waited = adm.waited
-	if !adm.ok {
-		c.cause = adm.cause
-		c.refuseUnadmitted(adm.retryAfter)
+	a := g.services.acquire(ctx, c.service, c.newWaiter())
+	c.waited = a.waited
+	if !a.ok {
+		c.cause = a.cause
+		c.refuseUnadmitted(a.retryAfter)
 		return
 	}
-	entered := time.Now()
-	c.group = adm.group
-	defer func() { g.services.release(c.group, time.Since(entered)) }()
+	admittedAt := time.Now()
+	c.group = a.group
+	defer func() { g.services.release(c.group, time.Since(admittedAt)) }()
 	if f := c.beginTrial(); f != nil {
 		c.refuseAndEnd(f)
 		return
--- a/gateway/groups_test.go
+++ b/gateway/groups_test.go
@@ -37,7 +37,7 @@
 			s := newGroupSim(smallGroups, seed, 3, 28, 298)
 			s.skew = periodicShifts(2130 * time.Millisecond)
 			s.run(4 * time.Second)
-			s.forget()
+			s.resetCounts()
 			s.run(30 * time.Second)
 			t.Log(s)
 			assert.Assert(t, s.worth() > 0.53, "%s", s)
@@ -53,10 +53,10 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			play := func(withCallers int) *groupSim {
 				s := newGroupSim(largeGroup, seed, 1, 147, 470)
-				s.onlyAt(withCallers)
+				s.limitCallersTo(withCallers)
 				s.skew = func(int, time.Duration) (float64, bool) { return 1.6, false }
 				s.run(4 * time.Second)
-				s.forget()
+				s.resetCounts()
 				s.run(12 * time.Second)
 				return s
 			}
--- a/gateway/groupsim_test.go
+++ b/gateway/groupsim_test.go
@@ -19,18 +19,18 @@
 // skew.
 type groupSim struct {
 	simProfile
-	rnd     *rand.Rand
-	now     time.Time
-	groups  []*simGroup
-	entries []*simGateway
+	rng      *rand.Rand
+	now      time.Time
+	groups   []*simGroup
+	gateways []*simGateway
 	// skew returns the skew of a group at a time since the start, and whether its ranks are
 	// replicating experts.
 	skew func(group int, at time.Duration) (skew float64, copies bool)
 	// perSecond is the arrival rate of new callers over all gateways.
 	perSecond float64
-	queue     []*simCaller
+	retries   []*simCaller
 
-	came, inTime, late, refused int
+	arrived, onTime, late, refused int
 	// lateFirst counts the late streams whose first event was late.
 	lateFirst int
 }
@@ -55,8 +55,8 @@
 	step, perRequest float64
 	// prompt is the length of a prompt in tokens, events the mean number of events of a stream.
 	prompt, events float64
-	// content is the target gap, first the target for the first event.
-	content, first time.Duration
+	// targetGap and targetFirstEvent are the targets of the route.
+	targetGap, targetFirstEvent time.Duration
 	// lateWorth is the worth of a late response, relative to one on time.
 	lateWorth float64
 }
@@ -66,55 +66,55 @@
 var (
 	smallGroups = simProfile{
 		ranks: 24, slots: 10, stride: 7, step: 4.84, perRequest: 0.435, prompt: 800, events: 22.7,
-		content: 120 * time.Millisecond, first: 400 * time.Millisecond, lateWorth: 0.3,
+		targetGap: 120 * time.Millisecond, targetFirstEvent: 400 * time.Millisecond, lateWorth: 0.3,
 	}
 	largeGroup = simProfile{
 		ranks: 192, slots: 6, stride: 9, step: 4.84, perRequest: 0.797, prompt: 800, events: 16.9,
-		content: 150 * time.Millisecond, first: 500 * time.Millisecond, lateWorth: 0.5,
+		targetGap: 150 * time.Millisecond, targetFirstEvent: 500 * time.Millisecond, lateWorth: 0.5,
 	}
 )
 
-// fixed returns the part of a pass that doesn't depend on the running requests.
-func (p *simProfile) fixed() time.Duration {
+// fixedPass returns the part of a pass that doesn't depend on the running requests.
+func (p *simProfile) fixedPass() time.Duration {
 	return time.Duration(p.stride * p.step * float64(time.Millisecond))
 }
 
 // simGroup models one group.
 type simGroup struct {
-	running []*simCaller
-	waiting []*simCaller
-	ends    time.Time
-	passes  []time.Duration
+	running  []*simCaller
+	waiting  []*simCaller
+	passEnds time.Time
+	passes   []time.Duration
 }
 
 // simCaller is one request over both of its tries.
 type simCaller struct {
-	first     time.Time
-	came      time.Time
-	tries     int
-	entry     *simGateway
-	waiter    *waiter
-	up        route.Upstream
-	sentAt    time.Time
-	lastAt    time.Time
-	events    int
-	late      bool
-	lateFirst bool
-	at        *groupPool
+	firstTryAt  time.Time
+	arrivedAt   time.Time
+	tries       int
+	gateway     *simGateway
+	waiter      *waiter
+	upstream    route.Upstream
+	sentAt      time.Time
+	lastEventAt time.Time
+	events      int
+	late        bool
+	lateFirst   bool
+	group       *groupPool
 }
 
 // simGateway drives the real code of a gateway in virtual time.
 type simGateway struct {
-	fleet   *serviceManager
-	weight  float64
-	waiting []*simCaller
+	services *serviceManager
+	weight   float64
+	waiting  []*simCaller
 }
 
-func newGroupSim(p simProfile, seed uint64, groups, entries int, perSecond float64) *groupSim {
-	s := &groupSim{simProfile: p, rnd: rand.New(rand.NewPCG(seed, 7)), now: start, perSecond: perSecond}
+func newGroupSim(p simProfile, seed uint64, groups, gateways int, perSecond float64) *groupSim {
+	s := &groupSim{simProfile: p, rng: rand.New(rand.NewPCG(seed, 7)), now: start, perSecond: perSecond}
 	var insts []*directory.Instance
 	for g := range groups {
-		s.groups = append(s.groups, &simGroup{ends: start.Add(time.Duration(g*29) * time.Millisecond)})
+		s.groups = append(s.groups, &simGroup{passEnds: start.Add(time.Duration(g*29) * time.Millisecond)})
 		for r := range p.ranks {
 			insts = append(insts, &directory.Instance{Announcement: &wire.Announcement{
 				Id: simUpstream(g, r), Group: fmt.Sprint("g", g), Rank: uint32(r), Incarnation: 1, Pools: []string{simService},
@@ -122,37 +122,37 @@
 			}})
 		}
 	}
-	for i := range entries {
+	for i := range gateways {
 		f := newServiceManager(&Settings{ID: fmt.Sprint("entry-", i)})
 		f.place.Seed = seed*1000 + uint64(i)
-		f.gateways = func() int { return entries }
+		f.gateways = func() int { return gateways }
 		if err := f.update(s.now, insts); err != nil {
 			panic(err)
 		}
-		e := &simGateway{fleet: f, weight: 0.6 + 0.8*s.rnd.Float64()}
-		s.entries = append(s.entries, e)
+		e := &simGateway{services: f, weight: 0.6 + 0.8*s.rng.Float64()}
+		s.gateways = append(s.gateways, e)
 	}
-	s.onlyAt(entries)
+	s.limitCallersTo(gateways)
 	return s
 }
 
 // limitCallersTo sends callers to the first gateways only.
-func (s *groupSim) onlyAt(entries int) {
+func (s *groupSim) limitCallersTo(gateways int) {
 	sum := 0.0
-	for i, e := range s.entries {
-		if i >= entries {
+	for i, e := range s.gateways {
+		if i >= gateways {
 			e.weight = 0
 		}
 		sum += e.weight
 	}
-	for _, e := range s.entries {
+	for _, e := range s.gateways {
 		e.weight /= sum
 	}
 }
 
 func simUpstream(group, rank int) string { return fmt.Sprintf("%d-%02d", group, rank) }
 
-func (s *groupSim) since() time.Duration { return s.now.Sub(start) }
+func (s *groupSim) elapsed() time.Duration { return s.now.Sub(start) }
 
 // run simulates a duration, in order of the events' times.
 func (s *groupSim) run(d time.Duration) {
@@ -160,101 +160,101 @@
 	arrival, survey, turn := s.now, s.now, s.now
 	number := uint64(0)
 	for s.now.Before(end) {
-		g := slices.MinFunc(s.groups, func(a, b *simGroup) int { return a.ends.Compare(b.ends) })
-		s.now = slices.MinFunc([]time.Time{g.ends, arrival, survey, turn}, time.Time.Compare)
+		g := slices.MinFunc(s.groups, func(a, b *simGroup) int { return a.passEnds.Compare(b.passEnds) })
+		s.now = slices.MinFunc([]time.Time{g.passEnds, arrival, survey, turn}, time.Time.Compare)
 		switch {
-		case s.now.Equal(g.ends):
+		case s.now.Equal(g.passEnds):
 			s.pass(slices.Index(s.groups, g))
 		case s.now.Equal(survey):
 			number++
 			s.survey(number)
 			survey = survey.Add(200 * time.Millisecond)
 		case s.now.Equal(turn):
-			s.turns()
+			s.tick()
 			turn = turn.Add(admitInterval)
 		default:
-			s.arrive(&simCaller{first: s.now, entry: s.anyEntry()})
-			arrival = arrival.Add(time.Duration(s.rnd.ExpFloat64() / s.perSecond * float64(time.Second)))
+			s.arrive(&simCaller{firstTryAt: s.now, gateway: s.randomGateway()})
+			arrival = arrival.Add(time.Duration(s.rng.ExpFloat64() / s.perSecond * float64(time.Second)))
 		}
 	}
 }
 
-func (s *groupSim) anyEntry() *simGateway {
-	x := s.rnd.Float64()
-	for _, e := range s.entries {
+func (s *groupSim) randomGateway() *simGateway {
+	x := s.rng.Float64()
+	for _, e := range s.gateways {
 		if x -= e.weight; x < 0 {
 			return e
 		}
 	}
-	return s.entries[0]
+	return s.gateways[0]
 }
 
 // arrive simulates one try of a caller.
 func (s *groupSim) arrive(c *simCaller) {
-	c.came = s.now
+	c.arrivedAt = s.now
 	c.tries++
 	if c.tries == 1 {
-		s.came++
+		s.arrived++
 	}
-	c.waiter = comes(s.now)
+	c.waiter = newArrival(s.now)
 	if c.tries > 1 {
-		c.waiter.retried, c.waiter.onTimeBy = true, c.first.Add(s.first-defaultHeadTime)
+		c.waiter.retried, c.waiter.onTimeBy = true, c.firstTryAt.Add(s.targetFirstEvent-defaultHeadTime)
 	}
-	v, wait := c.entry.ask(s.now, c.waiter)
+	v, wait := c.gateway.decide(s.now, c.waiter)
 	switch v {
 	case decisionAdmit:
 		s.send(c)
 	case decisionQueue:
-		c.entry.waiting = append(c.entry.waiting, c)
+		c.gateway.waiting = append(c.gateway.waiting, c)
 	case decisionRefuse:
-		s.turnAway(c, wait)
+		s.refuse(c, wait)
 	}
 }
 
-func (s *groupSim) turnAway(c *simCaller, wait time.Duration) {
+func (s *groupSim) refuse(c *simCaller, wait time.Duration) {
 	if c.tries > 1 {
 		s.refused++
 		return
 	}
 	c.sentAt = s.now.Add(wait)
-	s.queue = append(s.queue, c)
+	s.retries = append(s.retries, c)
 }
 
 // send sends a request to the rank that its gateway chooses.
 func (s *groupSim) send(c *simCaller) {
-	c.sentAt, c.up = s.now, c.entry.pick(s.now, c)
-	g := s.groups[c.up.ID[0]-'0']
+	c.sentAt, c.upstream = s.now, c.gateway.pick(s.now, c)
+	g := s.groups[c.upstream.ID[0]-'0']
 	g.waiting = append(g.waiting, c)
 }
 
 // tick admits queued requests and lets refused callers retry.
-func (s *groupSim) turns() {
-	for _, e := range s.entries {
-		e.turns(s.now)
-		s.granted(e)
+func (s *groupSim) tick() {
+	for _, e := range s.gateways {
+		e.admitQueued(s.now)
+		s.sendAdmitted(e)
 	}
-	back := s.queue
-	s.queue = nil
+	back := s.retries
+	s.retries = nil
 	for _, c := range back {
 		if s.now.Before(c.sentAt) {
-			s.queue = append(s.queue, c)
+			s.retries = append(s.retries, c)
 			continue
 		}
-		c.entry = s.anyEntry()
+		c.gateway = s.randomGateway()
 		s.arrive(c)
 	}
 }
 
 // sendAdmitted sends the queued requests that a gateway has admitted.
-func (s *groupSim) granted(e *simGateway) {
+func (s *groupSim) sendAdmitted(e *simGateway) {
 	left := e.waiting
 	e.waiting = nil
 	for _, c := range left {
 		switch {
-		case granted(c.waiter):
+		case isAdmitted(c.waiter):
 			s.send(c)
 		case s.now.After(c.waiter.giveUpAt):
-			s.turnAway(c, e.giveUp(s.now, c.waiter))
+			s.refuse(c, e.giveUp(s.now, c.waiter))
 		default:
 			e.waiting = append(e.waiting, c)
 		}
@@ -267,15 +267,15 @@
 		perRank := make([]uint32, s.ranks)
 		for _, c := range slices.Concat(g.running, g.waiting) {
 			r := 0
-			_, _ = fmt.Sscanf(c.up.ID[2:], "%d", &r)
+			_, _ = fmt.Sscanf(c.upstream.ID[2:], "%d", &r)
 			perRank[r]++
 		}
 		for r, n := range perRank {
 			states = append(states, &wire.RankState{Upstream: simUpstream(i, r), Running: n, PacePercent: 100, AgeMs: 100})
 		}
 	}
-	for i, e := range s.entries {
-		e.fleet.applySurvey(s.now, number, states, gatewayPosition{index: i, count: len(s.entries)})
+	for i, e := range s.gateways {
+		e.services.applySurvey(s.now, number, states, gatewayPosition{index: i, count: len(s.gateways)})
 	}
 }
 
@@ -293,29 +293,29 @@
 		read++
 	}
 	work := (s.stride*s.perRequest*float64(len(g.running)) + s.prompt/simReadRate*float64(read)) / float64(s.ranks)
-	skew, copies := s.skew(i, s.since())
+	skew, copies := s.skew(i, s.elapsed())
 	ms := s.stride*s.step + work*((1-simExpertShare)*simBusiest+simExpertShare*skew)
 	if copies {
 		ms *= simCopying
 	}
 	pass := time.Duration(ms * float64(time.Millisecond))
 	g.passes = append(g.passes, pass)
-	g.ends = s.now.Add(pass)
+	g.passEnds = s.now.Add(pass)
 }
 
 func (s *groupSim) event(g *simGroup, c *simCaller) {
 	c.events++
 	if c.events == 1 {
-		c.lateFirst = s.now.Sub(c.first) > s.first
+		c.lateFirst = s.now.Sub(c.firstTryAt) > s.targetFirstEvent
 		c.late = c.lateFirst
-		c.entry.head(s.now, c, s.now.Sub(c.sentAt))
+		c.gateway.recordHead(s.now, c, s.now.Sub(c.sentAt))
 	} else {
-		pause := s.now.Sub(c.lastAt)
-		c.late = c.late || pause > s.content
-		c.entry.paused(s.now, c, pause, &s.simProfile)
+		pause := s.now.Sub(c.lastEventAt)
+		c.late = c.late || pause > s.targetGap
+		c.gateway.recordGap(s.now, c, pause, &s.simProfile)
 	}
-	c.lastAt = s.now
-	if s.rnd.Float64() > 1/s.events {
+	c.lastEventAt = s.now
+	if s.rng.Float64() > 1/s.events {
 		return
 	}
 	g.running = slices.DeleteFunc(g.running, func(o *simCaller) bool { return o == c })
@@ -325,15 +325,15 @@
 	if c.late {
 		s.late++
 	} else {
-		s.inTime++
+		s.onTime++
 	}
-	c.entry.leave(s.now, c)
-	s.granted(c.entry)
+	c.gateway.release(s.now, c)
+	s.sendAdmitted(c.gateway)
 }
 
 // resetCounts drops the counts of the warm-up phase.
-func (s *groupSim) forget() {
-	s.came, s.inTime, s.late, s.lateFirst, s.refused = 0, 0, 0, 0, 0
+func (s *groupSim) resetCounts() {
+	s.arrived, s.onTime, s.late, s.lateFirst, s.refused = 0, 0, 0, 0, 0
 	for _, g := range s.groups {
 		g.passes = nil
 	}
@@ -341,7 +341,7 @@
 
 // worth returns the mean worth of the requests that ended.
 func (s *groupSim) worth() float64 {
-	return (float64(s.inTime) + s.lateWorth*float64(s.late)) / float64(s.inTime+s.late+s.refused)
+	return (float64(s.onTime) + s.lateWorth*float64(s.late)) / float64(s.onTime+s.late+s.refused)
 }
 
 // String summarizes the results.
@@ -355,16 +355,16 @@
 		return all[int(math.Min(q*float64(len(all)), float64(len(all)-1)))].Milliseconds()
 	}
 	return fmt.Sprintf("%d came, %d in time, %d late (%d by their first event), %d refused; worth %.3f; passes p50 %d ms, p90 %d ms, p99 %d ms",
-		s.came, s.inTime, s.late, s.lateFirst, s.refused, s.worth(), at(0.5), at(0.9), at(0.99))
+		s.arrived, s.onTime, s.late, s.lateFirst, s.refused, s.worth(), at(0.5), at(0.9), at(0.99))
 }
 
-func (e *simGateway) pool() *servicePool { return e.fleet.services[simService] }
+func (e *simGateway) pool() *servicePool { return e.services.services[simService] }
 
-func (e *simGateway) ask(now time.Time, w *waiter) (decision, time.Duration) {
-	return e.pool().decide(now, e.fleet.gateways(), w)
+func (e *simGateway) decide(now time.Time, w *waiter) (decision, time.Duration) {
+	return e.pool().decide(now, e.services.gateways(), w)
 }
 
-func (e *simGateway) turns(now time.Time) { e.pool().admitQueued(now, e.fleet.gateways()) }
+func (e *simGateway) admitQueued(now time.Time) { e.pool().admitQueued(now, e.services.gateways()) }
 
 func (e *simGateway) giveUp(now time.Time, w *waiter) time.Duration {
 	e.pool().queue.remove(w)
@@ -372,26 +372,26 @@
 }
 
 func (e *simGateway) pick(now time.Time, c *simCaller) route.Upstream {
-	up, at, ok := e.fleet.pick(now, c.waiter.group, &route.Request{})
+	up, at, ok := e.services.pick(now, c.waiter.group, &route.Request{})
 	if !ok {
 		panic("no upstream")
 	}
-	c.at = at
+	c.group = at
 	return up
 }
 
-func (e *simGateway) head(now time.Time, c *simCaller, after time.Duration) {
-	e.fleet.recordHead(now, c.at, c.up, nil, after, true)
+func (e *simGateway) recordHead(now time.Time, c *simCaller, after time.Duration) {
+	e.services.recordHead(now, c.group, c.upstream, nil, after, true)
 }
 
-func (e *simGateway) paused(now time.Time, c *simCaller, pause time.Duration, p *simProfile) {
-	e.fleet.recordProgress(now, c.at)
-	e.fleet.observeGap(now, simService, c.at, pause, p.content, p.fixed())
+func (e *simGateway) recordGap(now time.Time, c *simCaller, pause time.Duration, p *simProfile) {
+	e.services.recordProgress(now, c.group)
+	e.services.observeGap(now, simService, c.group, pause, p.targetGap, p.fixedPass())
 }
 
-func (e *simGateway) leave(now time.Time, c *simCaller) {
-	e.fleet.finish(now, c.at, c.up, &route.Request{}, route.Result{Elapsed: now.Sub(c.sentAt)})
-	c.at.limiter.release()
+func (e *simGateway) release(now time.Time, c *simCaller) {
+	e.services.finish(now, c.group, c.upstream, &route.Request{}, route.Result{Elapsed: now.Sub(c.sentAt)})
+	c.group.limiter.release()
 	e.pool().recordHoldTime(now.Sub(c.sentAt))
-	e.pool().admitQueued(now, e.fleet.gateways())
+	e.pool().admitQueued(now, e.services.gateways())
 }
--- a/gateway/lateadmissions.go
+++ b/gateway/lateadmissions.go
@@ -38,9 +38,9 @@
 }
 
 // observeQueue updates since when late requests are queued.
-func (l *lateAdmissions) observeQueue(now time.Time, line *waitQueue) {
+func (l *lateAdmissions) observeQueue(now time.Time, queue *waitQueue) {
 	switch {
-	case !line.hasLate(now):
+	case !queue.hasLate(now):
 		l.waitingSince = time.Time{}
 	case l.waitingSince.IsZero():
 		l.waitingSince = now
--- a/gateway/lateadmissions_test.go
+++ b/gateway/lateadmissions_test.go
@@ -9,7 +9,7 @@
 
 // newLateRetry returns a retried request that can't be on time any more.
 func newLateRetry(at time.Time) *waiter {
-	w := comes(at)
+	w := newArrival(at)
 	w.onTimeBy, w.retried = at.Add(-time.Second), true
 	return w
 }
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -105,17 +105,17 @@
 // are up.
 func (g *groupLimiter) setUpstreams(now time.Time, insts []*directory.Instance) {
 	g.slots, g.lockstep = 0, false
-	var said directory.GroupEpoch
+	var reported directory.GroupEpoch
 	for _, i := range insts {
 		g.slots += int(i.Direct.Slots)
 		g.lockstep = g.lockstep || i.Group != ""
-		said.Take(i.Direct)
+		reported.Take(i.Direct)
 	}
 	switch {
-	case said.Epoch > g.epoch:
-		g.epoch, g.down, g.formedAt, g.slotCap = said.Epoch, said.Broken, now, slotCap{}
+	case reported.Epoch > g.epoch:
+		g.epoch, g.down, g.formedAt, g.slotCap = reported.Epoch, reported.Broken, now, slotCap{}
 		g.probedAt = now
-	case said.Broken && !g.down && said.Epoch == g.epoch:
+	case reported.Broken && !g.down && reported.Epoch == g.epoch:
 		g.markDown(now)
 	}
 }
@@ -128,11 +128,11 @@
 
 // applySurvey updates the occupancy from a survey of all ranks. It is more accurate than the
 // loads of the few upstreams that answer this gateway.
-func (g *groupLimiter) applySurvey(now time.Time, v *route.Survey, ups map[string]*directory.Instance) {
+func (g *groupLimiter) applySurvey(now time.Time, v *route.Survey, upstreams map[string]*directory.Instance) {
 	requests, slots := 0, 0
 	for _, l := range v.Loads {
 		requests += l.Requests
-		slots += int(ups[l.ID].Direct.Slots)
+		slots += int(upstreams[l.ID].Direct.Slots)
 	}
 	if slots == 0 {
 		return
@@ -149,11 +149,11 @@
 // fraction of the running requests if that is larger. If callers use some of the gateways only,
 // even shares would leave the slots of the others unused. The shares of all gateways add up to 2
 // at most.
-func (g *groupLimiter) share(entries int) float64 {
-	return max(1/float64(max(entries, 1)), g.ownFraction)
+func (g *groupLimiter) share(gateways int) float64 {
+	return max(1/float64(max(gateways, 1)), g.ownFraction)
 }
 
-// recordLoad updates the occupancy from the load in a response, unless a recent survey has told
+// recordLoad updates the occupancy from the load in a response, unless a recent survey has set
 // it.
 func (g *groupLimiter) recordLoad(now time.Time, l *dialect.Load) {
 	if l.Slots <= 0 || now.Sub(g.surveyedAt) < occupancyStaleness {
@@ -172,9 +172,9 @@
 
 // mayAdmit reports whether a request may be sent: the group is available, or a probe is due.
 // alternatives says that other groups of the service are available.
-func (g *groupLimiter) mayAdmit(now time.Time, others bool) bool {
+func (g *groupLimiter) mayAdmit(now time.Time, alternatives bool) bool {
 	interval := probeInterval
-	if others {
+	if alternatives {
 		interval = failoverProbeInterval
 	}
 	return g.available(now) || now.Sub(g.probedAt) >= interval
@@ -197,23 +197,23 @@
 // observeGap records the gap between two events of a stream, the target gap, and the part of a
 // pass that doesn't depend on the running requests. When a new pass begins it returns the
 // duration of the previous one, which is final then, as all streams have reported it.
-func (g *groupLimiter) observeGap(now time.Time, entries int, pause, content, fixed time.Duration) (before time.Duration, over bool) {
-	before = g.throttle.lastPass
-	if another := g.throttle.observeGap(now, pause, content); !another || before == 0 {
+func (g *groupLimiter) observeGap(now time.Time, gateways int, gap, targetGap, fixed time.Duration) (prevPass time.Duration, done bool) {
+	prevPass = g.throttle.lastPass
+	if newPass := g.throttle.observeGap(now, gap, targetGap); !newPass || prevPass == 0 {
 		return 0, false
 	}
 	if now.Sub(g.occupancyAt) < occupancyStaleness && now.Sub(g.formedAt) > initialPlacementPeriod {
-		g.slotCap.observePass(now, before, content, fixed, g.estimatedOccupancy(entries))
+		g.slotCap.observePass(now, prevPass, targetGap, fixed, g.estimatedOccupancy(gateways))
 	}
-	return before, true
+	return prevPass, true
 }
 
 // estimatedOccupancy returns the fraction of the slots in use now, assuming that each gateway has
 // added as many requests since the last report as this one. While a group fills up the reported
 // occupancy is too low.
-func (g *groupLimiter) estimatedOccupancy(entries int) float64 {
-	more := float64((g.inflight-g.reportedInflight)*max(entries, 1)) / float64(max(g.slots, 1))
-	return g.occupancy + max(more, 0)
+func (g *groupLimiter) estimatedOccupancy(gateways int) float64 {
+	added := float64((g.inflight-g.reportedInflight)*max(gateways, 1)) / float64(max(g.slots, 1))
+	return g.occupancy + max(added, 0)
 }
 
 // stalled reports whether no stream of the group gets events, as while it waits for a rank that
@@ -250,9 +250,9 @@
 }
 
 // describe returns the describe of admission decisions with their ages, for logs.
-func (g *groupLimiter) describe(now time.Time, entries int) string {
+func (g *groupLimiter) describe(now time.Time, gateways int) string {
 	return fmt.Sprintf("%s: %d in flight of %d, admit fraction %.2f, slot fraction %.2f, %d slots, %d gateways, share %.3f, epoch %d, last progress %d ms ago, occupancy %.2f reported %d ms ago",
-		g.state(now), g.inflight, g.limit(now, entries), g.throttle.admitFraction(now), g.slotCap.fraction(now), g.slots, entries, g.share(entries), g.epoch,
+		g.state(now), g.inflight, g.limit(now, gateways), g.throttle.admitFraction(now), g.slotCap.fraction(now), g.slots, gateways, g.share(gateways), g.epoch,
 		now.Sub(g.progressAt).Milliseconds(), g.occupancy, now.Sub(g.occupancyAt).Milliseconds())
 }
 
@@ -268,22 +268,22 @@
 // its share of the free slots. A fixed even share would make it refuse requests while others
 // leave slots unused. If more slots are in use than may be, the gateway gives up a proportional
 // part of its own.
-func (g *groupLimiter) limit(now time.Time, entries int) int {
-	slots, part := float64(g.slots), g.share(entries)
+func (g *groupLimiter) limit(now time.Time, gateways int) int {
+	slots, share := float64(g.slots), g.share(gateways)
 	if !g.lockstep {
-		return max(int(plainShareMargin*plainRequestsPerSlot*slots*part), min(minPlainLimit, g.slots), 1)
+		return max(int(plainShareMargin*plainRequestsPerSlot*slots*share), min(minPlainLimit, g.slots), 1)
 	}
 	if now.Sub(g.occupancyAt) >= occupancyStaleness {
-		return max(int(evenShareMargin*slots*part), 1)
+		return max(int(evenShareMargin*slots*share), 1)
 	}
-	taken, usable := g.occupancy*slots, min(maxFill, g.slotCap.fraction(now))*slots
-	mine := float64(g.reportedInflight)
-	if usable > taken {
-		mine += freeSlotMargin * (usable - taken) * part
+	used, usable := g.occupancy*slots, min(maxFill, g.slotCap.fraction(now))*slots
+	own := float64(g.reportedInflight)
+	if usable > used {
+		own += freeSlotMargin * (usable - used) * share
 	} else {
-		mine *= usable / taken
+		own *= usable / used
 	}
-	return max(int(mine+g.rounding), 1)
+	return max(int(own+g.rounding), 1)
 }
 
 func (g *groupLimiter) release() { g.inflight-- }
--- a/gateway/limiter_test.go
+++ b/gateway/limiter_test.go
@@ -13,8 +13,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// registeredRanks returns the registrations of a group of n ranks with 12 slots each.
-func ranks(n int, epoch uint64, broken bool) []*directory.Instance {
+// registeredRanks returns the registrations of a group of n registeredRanks with 12 slots each.
+func registeredRanks(n int, epoch uint64, broken bool) []*directory.Instance {
 	var list []*directory.Instance
 	for i := range n {
 		list = append(list, &directory.Instance{Announcement: &wire.Announcement{
@@ -40,9 +40,9 @@
 }
 
 // tryAdmit admits a request without queueing it, or returns its Retry-After.
-func (p *servicePool) enter(now time.Time, entries int) (wait time.Duration, ok bool) {
+func (p *servicePool) tryAdmit(now time.Time, gateways int) (wait time.Duration, ok bool) {
 	g := p.sorted[0]
-	if g.limiter.inflight >= g.limiter.limit(now, entries) || !g.limiter.mayAdmit(now, false) {
+	if g.limiter.inflight >= g.limiter.limit(now, gateways) || !g.limiter.mayAdmit(now, false) {
 		return p.refused(now), false
 	}
 	p.admit(now, g, &waiter{})
@@ -50,10 +50,10 @@
 }
 
 // fillGroup admits requests until one is refused, and returns their number.
-func fill(g *servicePool, now time.Time, entries int) int {
+func fillGroup(g *servicePool, now time.Time, gateways int) int {
 	n := 0
 	for n < 10_000 {
-		if _, ok := g.enter(now, entries); !ok {
+		if _, ok := g.tryAdmit(now, gateways); !ok {
 			return n
 		}
 		n++
@@ -64,31 +64,31 @@
 // Without a load report each gateway uses its even share of the slots plus evenShareMargin, and
 // refuses the rest, so that upstreams don't queue requests.
 func TestEvenShareLimitWithoutLoadReport(t *testing.T) {
-	p, g := singleGroup(ranks(16, 1, false))
-	n := fill(p, start, 6)
+	p, g := singleGroup(registeredRanks(16, 1, false))
+	n := fillGroup(p, start, 6)
 	assert.Equal(t, n, evenShare(evenShareMargin))
-	wait, ok := p.enter(start, 6)
+	wait, ok := p.tryAdmit(start, 6)
 	assert.Assert(t, !ok && wait >= retryAfterMin && wait < retryAfterMin+200*time.Millisecond)
 	g.release()
-	_, ok = p.enter(start, 6)
+	_, ok = p.tryAdmit(start, 6)
 	assert.Assert(t, ok)
 }
 
 // Retry-After grows while requests are refused and returns to its minimum when they are admitted
 // again.
 func TestRetryAfterGrowsWithRefusals(t *testing.T) {
-	p, g := singleGroup(ranks(16, 1, false))
-	fill(p, start, 6)
+	p, g := singleGroup(registeredRanks(16, 1, false))
+	fillGroup(p, start, 6)
 	last := retryAfterMin
 	for range 100 {
-		wait, ok := p.enter(start, 6)
+		wait, ok := p.tryAdmit(start, 6)
 		assert.Assert(t, !ok && wait >= last && wait <= retryAfterMax)
 		last = wait
 	}
 	assert.Assert(t, last > retryAfterMax-50*time.Millisecond)
 	for range 100 {
 		g.release()
-		_, ok := p.enter(start, 6)
+		_, ok := p.tryAdmit(start, 6)
 		assert.Assert(t, ok)
 	}
 	assert.Assert(t, p.retryAfter.delay() < retryAfterMin+50*time.Millisecond)
@@ -98,33 +98,33 @@
 // many requests the others have. If all slots are in use none adds to them, and a stale report is
 // ignored.
 func TestLimitFollowsFreeSlots(t *testing.T) {
-	const entries = 6
+	const gateways = 6
 	taken := func(part float64, held int) groupLimiter {
 		g := groupLimiter{inflight: held}
-		g.setUpstreams(start, ranks(16, 1, false))
+		g.setUpstreams(start, registeredRanks(16, 1, false))
 		g.recordLoad(start, &dialect.Load{Running: int(part * 120), Slots: 120})
 		return g
 	}
 	rounded := func(part float64) int { return int(part + defaultRounding) }
 	busy := taken(0.75, 40)
 	free := (maxFill - 0.75) * 192
-	assert.Equal(t, busy.limit(start, entries), rounded(40+freeSlotMargin*free/entries))
+	assert.Equal(t, busy.limit(start, gateways), rounded(40+freeSlotMargin*free/gateways))
 	idle := taken(0.75, 0)
-	assert.Equal(t, idle.limit(start, entries), rounded(freeSlotMargin*free/entries), "an idle gateway gets as many, not its even share at once")
+	assert.Equal(t, idle.limit(start, gateways), rounded(freeSlotMargin*free/gateways), "an idle gateway gets as many, not its even share at once")
 	full := taken(1, 40)
-	assert.Equal(t, full.limit(start, entries), rounded(40*maxFill))
-	assert.Equal(t, busy.limit(start.Add(occupancyStaleness), entries), evenShare(evenShareMargin))
+	assert.Equal(t, full.limit(start, gateways), rounded(40*maxFill))
+	assert.Equal(t, busy.limit(start.Add(occupancyStaleness), gateways), evenShare(evenShareMargin))
 }
 
 // When fewer slots are free than there are gateways, all together admit as many requests as are
 // free. If each rounded its share up, the next pass would read a prompt for each gateway.
 func TestFewFreeSlotsAreShared(t *testing.T) {
-	const entries, held, slots = 28, 6, 192
-	free := maxFill*slots - entries*held
+	const gateways, held, slots = 28, 6, 192
+	free := maxFill*slots - gateways*held
 	for number := range uint64(50) {
 		sum := 0
-		for i := range entries {
-			sum += reportedLimiter(entries*held, held, i, entries, number).limit(start, entries) - held
+		for i := range gateways {
+			sum += reportedLimiter(gateways*held, held, i, gateways, number).limit(start, gateways) - held
 		}
 		assert.Assert(t, float64(sum) <= freeSlotMargin*free+1 && float64(sum) >= freeSlotMargin*free-1, "%d of %f", sum, free)
 	}
@@ -132,11 +132,11 @@
 
 // reportedLimiter returns the limiter of a gateway that has held of the total requests of a
 // survey in flight.
-func reportedLimiter(total, held, index, entries int, number uint64) *groupLimiter {
+func reportedLimiter(total, held, index, gateways int, number uint64) *groupLimiter {
 	g := &groupLimiter{inflight: held}
-	g.setUpstreams(start, ranks(16, 1, false))
+	g.setUpstreams(start, registeredRanks(16, 1, false))
 	g.occupancy, g.occupancyAt, g.reportedInflight = float64(total)/192, start, held
-	g.rounding = (&route.Survey{Index: index, Entries: entries, Number: number}).Turn()
+	g.rounding = (&route.Survey{Index: index, Entries: gateways, Number: number}).Turn()
 	return g
 }
 
@@ -144,12 +144,12 @@
 // the free ones and one request for each idle gateway.
 func TestGatewaysTogetherStayWithinSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries := rapid.IntRange(1, 40).Draw(t, "entries")
+		gateways := rapid.IntRange(1, 40).Draw(t, "entries")
 		number := rapid.Uint64().Draw(t, "number")
-		held := make([]int, entries)
+		held := make([]int, gateways)
 		total, idle := 0, 0
 		for i := range held {
-			held[i] = rapid.IntRange(0, 400/entries).Draw(t, "held")
+			held[i] = rapid.IntRange(0, 400/gateways).Draw(t, "held")
 			total += held[i]
 			if held[i] == 0 {
 				idle++
@@ -157,11 +157,11 @@
 		}
 		sum := 0
 		for i := range held {
-			sum += max(reportedLimiter(total, held[i], i, entries, number).limit(start, entries), held[i])
+			sum += max(reportedLimiter(total, held[i], i, gateways, number).limit(start, gateways), held[i])
 		}
 		free := max(maxFill*192-float64(total), 0)
 		if most := float64(total) + freeSlotMargin*free + 1 + float64(idle); float64(sum) > most {
-			t.Fatalf("%d gateways with %d requests may have %d, more than %.0f", entries, total, sum, most)
+			t.Fatalf("%d gateways with %d requests may have %d, more than %.0f", gateways, total, sum, most)
 		}
 	})
 }
@@ -171,37 +171,37 @@
 func TestSharesOfAllGatewaysAddUp(t *testing.T) {
 	const slots = 192
 	rapid.Check(t, func(t *rapid.T) {
-		entries := rapid.IntRange(1, 60).Draw(t, "entries")
-		gates := make([]*groupLimiter, entries)
-		for i := range gates {
-			gates[i] = &groupLimiter{slots: slots, lockstep: true}
+		gateways := rapid.IntRange(1, 60).Draw(t, "entries")
+		limiters := make([]*groupLimiter, gateways)
+		for i := range limiters {
+			limiters[i] = &groupLimiter{slots: slots, lockstep: true}
 		}
 		ups := map[string]*directory.Instance{"u": {Announcement: &wire.Announcement{Direct: &wire.DirectUpstream{Slots: slots}}}}
 		busy, sum := 0, 0.0
 		for range rapid.IntRange(1, 4).Draw(t, "moves") {
-			busy = rapid.IntRange(0, entries-1).Draw(t, "busy")
+			busy = rapid.IntRange(0, gateways-1).Draw(t, "busy")
 			total := 0
-			for i, g := range gates {
-				g.inflight = rapid.IntRange(0, slots/entries/2).Draw(t, "held")
+			for i, g := range limiters {
+				g.inflight = rapid.IntRange(0, slots/gateways/2).Draw(t, "held")
 				if i == busy {
 					g.inflight += slots / 2
 				}
 				total += g.inflight
 			}
 			for range 40 {
-				for _, g := range gates {
+				for _, g := range limiters {
 					g.applySurvey(start, &route.Survey{Loads: []route.SurveyedLoad{{ID: "u", Requests: total}}}, ups)
 				}
 			}
 			sum = 0
-			for _, g := range gates {
-				sum += g.share(entries)
+			for _, g := range limiters {
+				sum += g.share(gateways)
 			}
 			if sum < 0.999 || sum > 2.001 {
-				t.Fatalf("the shares of %d gateways add up to %.2f", entries, sum)
+				t.Fatalf("the shares of %d gateways add up to %.2f", gateways, sum)
 			}
-			if want := float64(gates[busy].inflight) / float64(total); gates[busy].share(entries) < 0.95*want {
-				t.Fatalf("the busy gateway has %.2f of the running requests but a share of %.2f", want, gates[busy].share(entries))
+			if want := float64(limiters[busy].inflight) / float64(total); limiters[busy].share(gateways) < 0.95*want {
+				t.Fatalf("the busy gateway has %.2f of the running requests but a share of %.2f", want, limiters[busy].share(gateways))
 			}
 		}
 	})
@@ -210,11 +210,11 @@
 // A group that is down gets only probes, until a response or a registration of a later epoch
 // marks it up. A registration of an earlier epoch doesn't mark it down again.
 func TestGroupThatIsDownIsProbed(t *testing.T) {
-	p, g := singleGroup(ranks(16, 1, false))
+	p, g := singleGroup(registeredRanks(16, 1, false))
 	g.markDown(start)
 	through := 0
 	for now := start; now.Before(start.Add(2 * time.Second)); now = now.Add(20 * time.Millisecond) {
-		wait, ok := p.enter(now, 6)
+		wait, ok := p.tryAdmit(now, 6)
 		if ok {
 			through++
 			g.release()
@@ -224,38 +224,38 @@
 	}
 	assert.Assert(t, through >= 8 && through <= 10, "%d requests were admitted", through)
 	g.markUp()
-	assert.Assert(t, fill(p, start.Add(2*time.Second), 6) > 10)
+	assert.Assert(t, fillGroup(p, start.Add(2*time.Second), 6) > 10)
 
 	g = &groupLimiter{}
-	g.setUpstreams(start, ranks(16, 1, true))
+	g.setUpstreams(start, registeredRanks(16, 1, true))
 	assert.Assert(t, g.down, "a rank reports the group as broken")
-	g.setUpstreams(start, ranks(16, 2, false))
+	g.setUpstreams(start, registeredRanks(16, 2, false))
 	assert.Assert(t, !g.down)
-	g.setUpstreams(start, ranks(16, 1, true))
+	g.setUpstreams(start, registeredRanks(16, 1, true))
 	assert.Assert(t, !g.down, "a registration of an earlier epoch marks the group down")
 }
 
 // A group without any event for stallTimeout gets only probes until the next event. A single slow
 // response is no stall.
 func TestStalledGroupGetsProbesOnly(t *testing.T) {
-	p, g := singleGroup(ranks(16, 1, false))
-	_, ok := p.enter(start, 6)
+	p, g := singleGroup(registeredRanks(16, 1, false))
+	_, ok := p.tryAdmit(start, 6)
 	assert.Assert(t, ok)
 	later := start.Add(10 * time.Second)
 	assert.Assert(t, !g.stalled(later), "one request may be slow")
 	for range stallMinRequests {
-		_, _ = p.enter(start, 6)
+		_, _ = p.tryAdmit(start, 6)
 	}
 	g.recordProgress(later)
 	assert.Assert(t, !g.stalled(later.Add(stallTimeout)))
 	still := later.Add(stallTimeout + time.Millisecond)
 	assert.Assert(t, g.stalled(still))
-	_, ok = p.enter(still, 6)
+	_, ok = p.tryAdmit(still, 6)
 	assert.Assert(t, ok, "a probe")
-	wait, ok := p.enter(still, 6)
+	wait, ok := p.tryAdmit(still, 6)
 	assert.Assert(t, !ok && wait == retryAfterDown)
 	g.recordProgress(still)
-	_, ok = p.enter(still, 6)
+	_, ok = p.tryAdmit(still, 6)
 	assert.Assert(t, ok)
 }
 
@@ -264,11 +264,11 @@
 	s := RetrySettings{Ratio: 0.2, Slack: 88}
 	s.Window = durationOf(10 * time.Second)
 	rapid.Check(t, func(t *rapid.T) {
-		entries := rapid.IntRange(1, 40).Draw(t, "entries")
+		gateways := rapid.IntRange(1, 40).Draw(t, "entries")
 		now := start
 		var all []*retryBudgets
-		for range entries {
-			all = append(all, newRetryBudgets(s, func() int { return entries }, func() time.Time { return now }))
+		for range gateways {
+			all = append(all, newRetryBudgets(s, func() int { return gateways }, func() time.Time { return now }))
 		}
 		type tick struct{ requests, retries int }
 		var ticks []tick
@@ -276,7 +276,7 @@
 			offered := rapid.IntRange(0, 200).Draw(t, "requests")
 			k := tick{requests: offered}
 			for i := range offered {
-				b := all[i%entries]
+				b := all[i%gateways]
 				b.recordRequest("pool")
 				for b.takeToken("pool") {
 					k.retries++
--- a/gateway/passstats.go
+++ b/gateway/passstats.go
@@ -17,28 +17,28 @@
 }
 
 // record adds a completed pass.
-func (c *passStats) record(pass, content time.Duration) {
-	c.count++
-	c.total += pass
-	c.longest = max(c.longest, pass)
-	if pass > content {
-		c.long++
+func (s *passStats) record(pass, targetGap time.Duration) {
+	s.count++
+	s.total += pass
+	s.longest = max(s.longest, pass)
+	if pass > targetGap {
+		s.long++
 	}
-	c.targetGap = content
+	s.targetGap = targetGap
 }
 
 // flush returns the counts and resets them, at most once per passLogInterval. ok is false if the
 // interval isn't over or no pass was counted.
-func (c *passStats) flush(now time.Time) (told passStats, ok bool) {
-	if c.periodStart.IsZero() {
-		c.periodStart = now
+func (s *passStats) flush(now time.Time) (stats passStats, ok bool) {
+	if s.periodStart.IsZero() {
+		s.periodStart = now
 	}
-	if now.Sub(c.periodStart) < passLogInterval || c.count == 0 {
+	if now.Sub(s.periodStart) < passLogInterval || s.count == 0 {
 		return passStats{}, false
 	}
-	told = *c
-	*c = passStats{periodStart: now}
-	return told, true
+	stats = *s
+	*s = passStats{periodStart: now}
+	return stats, true
 }
 
-func (c *passStats) mean() time.Duration { return c.total / time.Duration(max(c.count, 1)) }
+func (s *passStats) mean() time.Duration { return s.total / time.Duration(max(s.count, 1)) }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -84,15 +84,15 @@
 
 func (g *groupPool) update(now time.Time, insts []*directory.Instance) {
 	g.upstreams = map[string]*directory.Instance{}
-	var ups []route.Upstream
+	var upstreams []route.Upstream
 	for _, i := range insts {
 		g.upstreams[i.Id] = i
-		ups = append(ups, route.Upstream{
+		upstreams = append(upstreams, route.Upstream{
 			ID: i.Id, Incarnation: i.Incarnation, Address: i.Address, FailureDomain: i.FailureDomain,
 			Load: &wire.Load{Seq: firstLoad, Slots: i.Direct.Slots},
 		})
 	}
-	g.balancer.Update(now, ups)
+	g.balancer.Update(now, upstreams)
 	g.limiter.setUpstreams(now, insts)
 }
 
@@ -129,10 +129,10 @@
 
 // limit returns how many requests the gateway may have in flight at the available groups, and how
 // many it has.
-func (p *servicePool) limit(now time.Time, entries int) (limit, inflight int) {
+func (p *servicePool) limit(now time.Time, gateways int) (limit, inflight int) {
 	for _, g := range p.sorted {
 		if g.limiter.available(now) {
-			limit += g.limiter.limit(now, entries)
+			limit += g.limiter.limit(now, gateways)
 			inflight += g.limiter.inflight
 		}
 	}
@@ -140,10 +140,10 @@
 }
 
 // slotShare returns the number of slots of available groups that the gateway may use.
-func (p *servicePool) slotShare(now time.Time, entries int) (share float64) {
+func (p *servicePool) slotShare(now time.Time, gateways int) (share float64) {
 	for _, g := range p.sorted {
 		if g.limiter.available(now) {
-			share += g.slotShare(entries)
+			share += g.slotShare(gateways)
 		}
 	}
 	return share
@@ -152,19 +152,19 @@
 // pickGroup returns a group that a request may be admitted to now, or nil. It picks at random,
 // weighted by permits: all gateways know the same loads, and if each took the emptiest group it
 // would get all requests until the next report.
-func (p *servicePool) pickGroup(now time.Time, entries int, late bool) *groupPool {
-	places := make([]int, len(p.sorted))
+func (p *servicePool) pickGroup(now time.Time, gateways int, late bool) *groupPool {
+	permits := make([]int, len(p.sorted))
 	sum := 0
 	for i, g := range p.sorted {
-		places[i] = g.permits(now, entries, late)
-		sum += places[i]
+		permits[i] = g.permits(now, gateways, late)
+		sum += permits[i]
 	}
 	if sum == 0 {
 		return nil
 	}
 	n := p.rng.IntN(sum)
 	for i, g := range p.sorted {
-		if n -= places[i]; n < 0 {
+		if n -= permits[i]; n < 0 {
 			return g
 		}
 	}
@@ -226,9 +226,9 @@
 	return b.String()
 }
 
-func (g *groupPool) describe(now time.Time, entries int) string {
+func (g *groupPool) describe(now time.Time, gateways int) string {
 	if g.name == "" {
-		return g.limiter.describe(now, entries)
+		return g.limiter.describe(now, gateways)
 	}
-	return g.name + " " + g.limiter.describe(now, entries)
+	return g.name + " " + g.limiter.describe(now, gateways)
 }
--- a/gateway/pool_test.go
+++ b/gateway/pool_test.go
@@ -36,13 +36,13 @@
 	p := a.service
 	assert.Assert(t, a.limiter.down && !b.limiter.down)
 	for range 2 {
-		w := comes(start)
+		w := newArrival(start)
 		v, _ := p.decide(start, 4, w)
 		assert.Assert(t, v == decisionAdmit && w.group == b)
 	}
 	assert.Assert(t, p.hasLiveGroup())
 	b.limiter.markDown(start)
-	v, wait := p.decide(start, 4, comes(start))
+	v, wait := p.decide(start, 4, newArrival(start))
 	assert.Assert(t, v == decisionRefuse && wait == retryAfterDown)
 	assert.Assert(t, !p.hasLiveGroup())
 }
@@ -82,11 +82,11 @@
 	assert.NilError(t, f.update(start, insts))
 	p := f.services["clock"]
 	for range 2 {
-		v, _ := p.decide(start, 150, comes(start))
+		v, _ := p.decide(start, 150, newArrival(start))
 		assert.Equal(t, v, decisionAdmit)
 	}
 	for range 100 {
-		_, _ = p.decide(start, 150, comes(start))
+		_, _ = p.decide(start, 150, newArrival(start))
 	}
 	assert.Assert(t, p.groups[""].limiter.inflight < 6, "%d in flight", p.groups[""].limiter.inflight)
 }
@@ -122,7 +122,7 @@
 	_, a, _ := twoGroups(t, false)
 	let := 0
 	for range 10 {
-		if v, _ := a.service.decide(start, 4, comes(start)); v == decisionAdmit {
+		if v, _ := a.service.decide(start, 4, newArrival(start)); v == decisionAdmit {
 			let++
 		}
 	}
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -51,24 +51,24 @@
 	waiters []*waiter
 }
 
-func (l *waitQueue) add(w *waiter) { l.waiters = append(l.waiters, w) }
+func (q *waitQueue) add(w *waiter) { q.waiters = append(q.waiters, w) }
 
-func (l *waitQueue) remove(w *waiter) {
-	if i := slices.Index(l.waiters, w); i >= 0 {
-		l.waiters = slices.Delete(l.waiters, i, i+1)
+func (q *waitQueue) remove(w *waiter) {
+	if i := slices.Index(q.waiters, w); i >= 0 {
+		q.waiters = slices.Delete(q.waiters, i, i+1)
 	}
 }
 
 // next returns the request to admit first, or nil if there is none. Requests that can be on time
 // come first, by earliest onTimeBy; then, if lateAllowed, late ones by earliest giveUpAt. Late
 // requests past giveUpAt are skipped.
-func (l *waitQueue) next(now time.Time, lateMayGo bool) *waiter {
-	var inTime, late *waiter
-	for _, w := range l.waiters {
+func (q *waitQueue) next(now time.Time, lateAllowed bool) *waiter {
+	var onTime, late *waiter
+	for _, w := range q.waiters {
 		switch {
 		case w.canBeOnTime(now):
-			if inTime == nil || w.onTimeBy.Before(inTime.onTimeBy) {
-				inTime = w
+			if onTime == nil || w.onTimeBy.Before(onTime.onTimeBy) {
+				onTime = w
 			}
 		case now.Before(w.giveUpAt):
 			if late == nil || w.giveUpAt.Before(late.giveUpAt) {
@@ -76,31 +76,31 @@
 			}
 		}
 	}
-	if inTime == nil && lateMayGo {
+	if onTime == nil && lateAllowed {
 		return late
 	}
-	return inTime
+	return onTime
 }
 
 // hasExpiring reports whether a late request will have to be refused within expiringWindow.
-func (l *waitQueue) hasExpiring(now time.Time) bool {
-	return slices.ContainsFunc(l.waiters, func(w *waiter) bool {
+func (q *waitQueue) hasExpiring(now time.Time) bool {
+	return slices.ContainsFunc(q.waiters, func(w *waiter) bool {
 		left := w.giveUpAt.Sub(now)
 		return !w.canBeOnTime(now) && left > 0 && left < expiringWindow
 	})
 }
 
 // hasLate reports whether a queued request can't be on time any more.
-func (l *waitQueue) hasLate(now time.Time) bool {
-	return slices.ContainsFunc(l.waiters, func(w *waiter) bool { return !w.canBeOnTime(now) })
+func (q *waitQueue) hasLate(now time.Time) bool {
+	return slices.ContainsFunc(q.waiters, func(w *waiter) bool { return !w.canBeOnTime(now) })
 }
 
 // ahead returns how many queued requests would be admitted before one that arrives now; onTime
 // says that this one can be on time, so that late ones don't count.
-func (l *waitQueue) ahead(now time.Time, inTime bool) int {
+func (q *waitQueue) ahead(now time.Time, onTime bool) int {
 	n := 0
-	for _, w := range l.waiters {
-		if !inTime || w.canBeOnTime(now) {
+	for _, w := range q.waiters {
+		if !onTime || w.canBeOnTime(now) {
 			n++
 		}
 	}
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -11,14 +11,14 @@
 
 // newArrival returns a request that arrived at a time, with a target of 400 ms for the first
 // event.
-func comes(at time.Time) *waiter {
+func newArrival(at time.Time) *waiter {
 	return &waiter{
 		onTimeBy: at.Add(400*time.Millisecond - defaultHeadTime), giveUpAt: at.Add(firstEventTimeout - firstEventMargin - defaultHeadTime),
 		admitted: make(chan struct{}),
 	}
 }
 
-func granted(w *waiter) bool {
+func isAdmitted(w *waiter) bool {
 	select {
 	case <-w.admitted:
 		return true
@@ -27,14 +27,16 @@
 	}
 }
 
-func poolWithSlots(slots int) (*servicePool, *groupLimiter) { return singleGroup(ranks(slots/12, 1, false)) }
+func poolWithSlots(slots int) (*servicePool, *groupLimiter) {
+	return singleGroup(registeredRanks(slots/12, 1, false))
+}
 
 // Requests that can be on time go first, then late ones by giveUpAt, and none after its giveUpAt.
 func TestQueueOrder(t *testing.T) {
 	l := &waitQueue{}
 	now := start.Add(1500 * time.Millisecond)
-	gone, older, late := comes(start.Add(-500*time.Millisecond)), comes(start), comes(start.Add(time.Second))
-	fresh, fresher := comes(now.Add(-100*time.Millisecond)), comes(now)
+	gone, older, late := newArrival(start.Add(-500*time.Millisecond)), newArrival(start), newArrival(start.Add(time.Second))
+	fresh, fresher := newArrival(now.Add(-100*time.Millisecond)), newArrival(now)
 	for _, w := range []*waiter{late, fresher, gone, fresh, older} {
 		l.add(w)
 	}
@@ -55,7 +57,7 @@
 func TestEmptyGroupIsFilledAtPace(t *testing.T) {
 	p, _ := poolWithSlots(144)
 	for range 60 {
-		p.queue.add(comes(start))
+		p.queue.add(newArrival(start))
 	}
 	let := func() int { return 60 - len(p.queue.waiters) }
 	p.admitQueued(start, 8)
@@ -111,15 +113,15 @@
 func TestExpiringRequestsAreAdmitted(t *testing.T) {
 	p, g := poolWithSlots(144)
 	g.throttle.observeGap(start, 115*time.Millisecond, 120*time.Millisecond)
-	first := comes(start.Add(-200 * time.Millisecond))
+	first := newArrival(start.Add(-200 * time.Millisecond))
 	assert.Assert(t, p.pickGroup(start, 8, false) == nil)
 	p.queue.add(first)
 	p.admitQueued(start, 8)
-	assert.Assert(t, !granted(first))
+	assert.Assert(t, !isAdmitted(first))
 	now := first.giveUpAt.Add(-expiringWindow / 2)
 	g.throttle.observeGap(now, 115*time.Millisecond, 120*time.Millisecond)
 	p.admitQueued(now, 8)
-	assert.Assert(t, granted(first))
+	assert.Assert(t, isAdmitted(first))
 }
 
 // A first try that isn't expected to be admitted is refused at once with a Retry-After. A retried
@@ -128,7 +130,7 @@
 	p, g := poolWithSlots(144)
 	g.inflight = g.limit(start, 8)
 	for {
-		v, wait := p.decide(start, 8, comes(start))
+		v, wait := p.decide(start, 8, newArrival(start))
 		if v == decisionRefuse {
 			assert.Assert(t, wait >= retryAfterMin && wait <= retryAfterMax)
 			break
@@ -136,17 +138,17 @@
 		assert.Equal(t, v, decisionQueue)
 		assert.Assert(t, len(p.queue.waiters) < 100, "too many requests are queued")
 	}
-	again := comes(start)
+	again := newArrival(start)
 	again.retried = true
 	v, _ := p.decide(start, 8, again)
 	assert.Equal(t, v, decisionQueue)
-	late := comes(start.Add(-firstEventTimeout))
+	late := newArrival(start.Add(-firstEventTimeout))
 	late.retried = true
 	v, _ = p.decide(start, 8, late)
 	assert.Equal(t, v, decisionRefuse)
 
 	g.markDown(start)
-	v, wait := p.decide(start, 8, comes(start))
+	v, wait := p.decide(start, 8, newArrival(start))
 	assert.Assert(t, v == decisionRefuse && wait == retryAfterDown)
 }
 
--- a/gateway/retryafter.go
+++ b/gateway/retryafter.go
@@ -23,15 +23,15 @@
 }
 
 // admitted records an admitted request.
-func (c *retryAfterEstimator) admitted() { c.refusedFraction -= refusedSmoothing * c.refusedFraction }
+func (e *retryAfterEstimator) admitted() { e.refusedFraction -= refusedSmoothing * e.refusedFraction }
 
 // refused records a refused request and returns its Retry-After.
-func (c *retryAfterEstimator) refused() time.Duration {
-	c.refusedFraction += refusedSmoothing * (1 - c.refusedFraction)
-	return c.delay()
+func (e *retryAfterEstimator) refused() time.Duration {
+	e.refusedFraction += refusedSmoothing * (1 - e.refusedFraction)
+	return e.delay()
 }
 
 // delay returns the Retry-After for the current refused fraction.
-func (c *retryAfterEstimator) delay() time.Duration {
-	return retryAfterMin + time.Duration(c.refusedFraction*float64(retryAfterMax-retryAfterMin))
+func (e *retryAfterEstimator) delay() time.Duration {
+	return retryAfterMin + time.Duration(e.refusedFraction*float64(retryAfterMax-retryAfterMin))
 }
--- a/gateway/retrybudget.go
+++ b/gateway/retrybudget.go
@@ -36,22 +36,22 @@
 	filledAt time.Time
 }
 
-func newRetryBudgets(s RetrySettings, entries func() int, now func() time.Time) *retryBudgets {
-	return &retryBudgets{settings: s, gateways: entries, now: now, services: map[string]*tokenBucket{}}
+func newRetryBudgets(s RetrySettings, gateways func() int, now func() time.Time) *retryBudgets {
+	return &retryBudgets{settings: s, gateways: gateways, now: now, services: map[string]*tokenBucket{}}
 }
 
 // refilled returns the refilled of a service, refilled up to now. The caller holds the lock.
 func (b *retryBudgets) refilled(service string) *tokenBucket {
 	now := b.now()
 	depth, rate := b.capacityAndRate()
-	k := b.services[service]
-	if k == nil {
-		k = &tokenBucket{tokens: depth, filledAt: now}
-		b.services[service] = k
+	tb := b.services[service]
+	if tb == nil {
+		tb = &tokenBucket{tokens: depth, filledAt: now}
+		b.services[service] = tb
 	}
-	k.tokens = min(k.tokens+rate*max(now.Sub(k.filledAt).Seconds(), 0), depth)
-	k.filledAt = now
-	return k
+	tb.tokens = min(tb.tokens+rate*max(now.Sub(tb.filledAt).Seconds(), 0), depth)
+	tb.filledAt = now
+	return tb
 }
 
 // capacityAndRate returns the capacity of a bucket, in tokens, and the tokens added per second.
@@ -66,19 +66,19 @@
 func (b *retryBudgets) recordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.refilled(service)
+	tb := b.refilled(service)
 	depth, _ := b.capacityAndRate()
-	k.tokens = min(k.tokens+budgetMargin*b.settings.Ratio, depth)
+	tb.tokens = min(tb.tokens+budgetMargin*b.settings.Ratio, depth)
 }
 
 // takeToken takes the token for one retry. It returns false if the budget is exhausted.
 func (b *retryBudgets) takeToken(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.refilled(service)
-	if k.tokens < 1 {
+	tb := b.refilled(service)
+	if tb.tokens < 1 {
 		return false
 	}
-	k.tokens--
+	tb.tokens--
 	return true
 }
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -45,7 +45,7 @@
 }
 
 // update replaces the upstreams by those of insts that are up.
-func (f *serviceManager) update(now time.Time, insts []*directory.Instance) error {
+func (m *serviceManager) update(now time.Time, insts []*directory.Instance) error {
 	byService := map[string][]*directory.Instance{}
 	for _, i := range insts {
 		if i.Direct == nil || !i.Up() {
@@ -55,15 +55,15 @@
 			byService[name] = append(byService[name], i)
 		}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for name := range byService {
-		if f.services[name] == nil {
-			f.services[name] = newServicePool(f.place)
+		if m.services[name] == nil {
+			m.services[name] = newServicePool(m.place)
 		}
 	}
-	for name, p := range f.services {
-		if err := p.update(now, f.place, byService[name]); err != nil {
+	for name, p := range m.services {
+		if err := p.update(now, m.place, byService[name]); err != nil {
 			return err
 		}
 	}
@@ -72,11 +72,11 @@
 
 // applySurvey applies the states of ranks that the leader of their groups has read. It returns the
 // upstreams that running requests should leave because they are slow.
-func (f *serviceManager) applySurvey(now time.Time, number uint64, ranks []*wire.RankState, place gatewayPosition) (slow []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.loadSeq++
-	for _, p := range f.services {
+func (m *serviceManager) applySurvey(now time.Time, number uint64, ranks []*wire.RankState, place gatewayPosition) (slow []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.loadSeq++
+	for _, p := range m.services {
 		for _, g := range p.sorted {
 			known := slices.DeleteFunc(slices.Clone(ranks), func(r *wire.RankState) bool { return g.upstreams[r.Upstream] == nil })
 			if len(known) == 0 {
@@ -84,7 +84,7 @@
 			}
 			g.applySurvey(now, &route.Survey{
 				Entries: place.count, Index: place.index, Number: number,
-				Seq: f.loadSeq, Loads: surveyedLoads(known),
+				Seq: m.loadSeq, Loads: surveyedLoads(known),
 			})
 			slow = append(slow, ranksToLeave(known)...)
 		}
@@ -107,79 +107,79 @@
 func paceOf(r *wire.RankState) float64 { return float64(r.PacePercent) / 100 }
 
 // recordProgress records an event of a stream.
-func (f *serviceManager) recordProgress(now time.Time, at *groupPool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	at.limiter.recordProgress(now)
+func (m *serviceManager) recordProgress(now time.Time, group *groupPool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	group.limiter.recordProgress(now)
 }
 
 // observeGap records the gap between two events of a stream, the target gap, and the fixed part
 // of a pass.
-func (f *serviceManager) observeGap(now time.Time, service string, at *groupPool, pause, content, fixed time.Duration) {
-	f.mu.Lock()
-	if pass, over := at.limiter.observeGap(now, at.service.gateways, pause, content, fixed); over {
-		at.stats.record(pass, content)
+func (m *serviceManager) observeGap(now time.Time, service string, group *groupPool, gap, targetGap, fixed time.Duration) {
+	m.mu.Lock()
+	if pass, done := group.limiter.observeGap(now, group.service.gateways, gap, targetGap, fixed); done {
+		group.stats.record(pass, targetGap)
 	}
-	told, ok := at.stats.flush(now)
+	stats, ok := group.stats.flush(now)
 	inputs := ""
 	if ok {
-		inputs = at.limiter.describe(now, at.service.gateways)
+		inputs = group.limiter.describe(now, group.service.gateways)
 	}
-	f.mu.Unlock()
-	if ok && f.onPasses != nil {
-		f.onPasses(service, at.name, told, inputs)
+	m.mu.Unlock()
+	if ok && m.onPasses != nil {
+		m.onPasses(service, group.name, stats, inputs)
 	}
 }
 
 // headTime returns the usual time to the headTime of a service's response.
-func (f *serviceManager) headTime(service string) time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if p := f.services[service]; p != nil && p.headTime > 0 {
+func (m *serviceManager) headTime(service string) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if p := m.services[service]; p != nil && p.headTime > 0 {
 		return p.headTime
 	}
 	return defaultHeadTime
 }
 
 // silenceLimit returns how long an upstream of a group may be silent.
-func (f *serviceManager) silenceLimit(at *groupPool) time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return at.service.silenceLimit()
+func (m *serviceManager) silenceLimit(group *groupPool) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return group.service.silenceLimit()
 }
 
 // progressing reports whether a group has made progress lately.
-func (f *serviceManager) progressing(now time.Time, at *groupPool) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return at.limiter.progressing(now)
+func (m *serviceManager) progressing(now time.Time, group *groupPool) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return group.limiter.progressing(now)
 }
 
 // recordGroupDown records that a rank refused a request because its group is down.
-func (f *serviceManager) recordGroupDown(now time.Time, at *groupPool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	at.limiter.markDown(now)
+func (m *serviceManager) recordGroupDown(now time.Time, group *groupPool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	group.limiter.markDown(now)
 }
 
 // pick chooses an upstream for a request that holds a permit of a group. If the group is
 // unavailable or has no upstream left, another group is used and the permit moves there. finish
 // must be called with the result.
-func (f *serviceManager) pick(now time.Time, at *groupPool, r *route.Request) (up route.Upstream, where *groupPool, ok bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, g := range at.candidates(now) {
+func (m *serviceManager) pick(now time.Time, group *groupPool, r *route.Request) (upstream route.Upstream, holder *groupPool, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, g := range group.candidates(now) {
 		c, ok := g.balancer.Pick(now, r)
 		if !ok {
 			continue
 		}
-		if g != at {
-			at.limiter.release()
+		if g != group {
+			group.limiter.release()
 			g.limiter.acquire(now)
 		}
 		return c.Upstream, g, true
 	}
-	return route.Upstream{}, at, false
+	return route.Upstream{}, group, false
 }
 
 // candidates returns the groups at which an attempt may be made, the best first.
@@ -195,41 +195,41 @@
 }
 
 // finish ends an attempt at an upstream that pick chose.
-func (f *serviceManager) finish(now time.Time, at *groupPool, up route.Upstream, r *route.Request, res route.Result) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	at.balancer.Done(now, up, r, res)
+func (m *serviceManager) finish(now time.Time, group *groupPool, upstream route.Upstream, r *route.Request, res route.Result) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	group.balancer.Done(now, upstream, r, res)
 }
 
 // recordHead records the head of a response after the given time, with the upstream's load if it
 // tells it. ran says that the upstream has begun to run the request.
-func (f *serviceManager) recordHead(now time.Time, at *groupPool, up route.Upstream, load *dialect.Load, after time.Duration, ran bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (m *serviceManager) recordHead(now time.Time, group *groupPool, upstream route.Upstream, load *dialect.Load, after time.Duration, ran bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var l *wire.Load
 	if load != nil {
-		f.loadSeq++
+		m.loadSeq++
 		l = &wire.Load{
-			Seq: f.loadSeq, Running: uint32(load.Running), Waiting: uint32(load.Waiting), Slots: uint32(load.Slots),
+			Seq: m.loadSeq, Running: uint32(load.Running), Waiting: uint32(load.Waiting), Slots: uint32(load.Slots),
 		}
-		at.limiter.recordLoad(now, load)
+		group.limiter.recordLoad(now, load)
 	}
 	if ran {
-		at.limiter.markUp()
-		at.limiter.recordProgress(now)
-		at.service.recordHeadTime(after)
+		group.limiter.markUp()
+		group.limiter.recordProgress(now)
+		group.service.recordHeadTime(after)
 	}
-	if b, ok := at.balancer.(route.Answered); ok {
-		b.Answered(now, up, l, after)
+	if b, ok := group.balancer.(route.Answered); ok {
+		b.Answered(now, upstream, l, after)
 	}
 }
 
 // addresses returns the set of addresses of all upstreams that are up.
-func (f *serviceManager) addresses() map[string]bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (m *serviceManager) addresses() map[string]bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	list := map[string]bool{}
-	for _, p := range f.services {
+	for _, p := range m.services {
 		for _, g := range p.sorted {
 			for _, i := range g.upstreams {
 				list[i.Address] = true
--- a/gateway/slotcap.go
+++ b/gateway/slotcap.go
@@ -53,30 +53,30 @@
 
 // observePass records a pass: its duration, the target gap, the fixed part that doesn't depend on
 // the running requests, and the fraction of the slots that were in use.
-func (r *slotCap) observePass(now time.Time, pass, content, fixed time.Duration, used float64) {
-	r.advance(now)
-	bound := time.Duration(maxPassRatio * float64(content))
-	near := float64(pass) > minSampleRatio*float64(content) && float64(pass) < maxSampleRatio*float64(content)
+func (c *slotCap) observePass(now time.Time, pass, targetGap, fixed time.Duration, used float64) {
+	c.advance(now)
+	bound := time.Duration(maxPassRatio * float64(targetGap))
+	near := float64(pass) > minSampleRatio*float64(targetGap) && float64(pass) < maxSampleRatio*float64(targetGap)
 	if !near || pass <= fixed || bound <= fixed || used < minSlotFraction {
 		return
 	}
 	part := used * float64(bound-fixed) / float64(pass-fixed)
-	r.minFraction[capBuckets-1] = min(r.minFraction[capBuckets-1], max(part, minSlotFraction))
+	c.minFraction[capBuckets-1] = min(c.minFraction[capBuckets-1], max(part, minSlotFraction))
 }
 
 // advance drops buckets that are older than the window. It starts anew if more than a whole
 // window has passed.
-func (r *slotCap) advance(now time.Time) {
-	if r.newestStart.IsZero() || now.Sub(r.newestStart) >= capWindow {
-		for i := range r.minFraction {
-			r.minFraction[i] = 1
+func (c *slotCap) advance(now time.Time) {
+	if c.newestStart.IsZero() || now.Sub(c.newestStart) >= capWindow {
+		for i := range c.minFraction {
+			c.minFraction[i] = 1
 		}
-		r.newestStart = now
+		c.newestStart = now
 	}
-	for now.Sub(r.newestStart) >= capBucketWidth {
-		copy(r.minFraction[:], r.minFraction[1:])
-		r.minFraction[capBuckets-1] = 1
-		r.newestStart = r.newestStart.Add(capBucketWidth)
+	for now.Sub(c.newestStart) >= capBucketWidth {
+		copy(c.minFraction[:], c.minFraction[1:])
+		c.minFraction[capBuckets-1] = 1
+		c.newestStart = c.newestStart.Add(capBucketWidth)
 	}
 }
 
@@ -91,9 +91,9 @@
 // frequent: requests refused after a single shift, or after two that are far apart, would be
 // refused for nothing. With two shifts in the window the fraction of the milder one applies, with
 // three or more that of the worst.
-func (r *slotCap) fraction(now time.Time) float64 {
-	r.advance(now)
-	shifts := r.shifts()
+func (c *slotCap) fraction(now time.Time) float64 {
+	c.advance(now)
+	shifts := c.shifts()
 	switch n := len(shifts); {
 	case !frequent(shifts):
 		return 1
@@ -106,8 +106,8 @@
 
 // shifts returns the remembered demand shifts, the oldest first. Adjacent buckets with long
 // passes belong to one shift, unless it would become longer than a stream.
-func (r *slotCap) shifts() (list []demandShift) {
-	for i, v := range r.minFraction {
+func (c *slotCap) shifts() (list []demandShift) {
+	for i, v := range c.minFraction {
 		if v >= 1 {
 			continue
 		}
@@ -129,7 +129,7 @@
 }
 
 // fixedPassTime returns the part of a pass that doesn't depend on the running requests; 0 if the
-// engine profile doesn't tell.
+// engine profile is unknown.
 func fixedPassTime(e *wire.EngineProfile) time.Duration {
 	return time.Duration(float64(e.GetStride()) * e.GetStepMs() * float64(time.Millisecond))
 }
--- a/gateway/slotcap_test.go
+++ b/gateway/slotcap_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	capTestGap = 120 * time.Millisecond
-	capTestFixedPass   = 45 * time.Millisecond
+	capTestGap       = 120 * time.Millisecond
+	capTestFixedPass = 45 * time.Millisecond
 )
 
 // runSlotCap simulates a fully used group whose passes depend on the fraction of slots in use. It
@@ -86,10 +86,10 @@
 		s := newGroupSim(smallGroups, seed, 3, 28, 298)
 		s.skew = periodicShifts(5 * time.Second)
 		s.run(8 * time.Second)
-		s.forget()
+		s.resetCounts()
 		s.run(25 * time.Second)
 		t.Log(s)
-		assert.Assert(t, s.refused*100 <= s.came, "%s", s)
+		assert.Assert(t, s.refused*100 <= s.arrived, "%s", s)
 	}
 }
 
--- a/gateway/slowrank_test.go
+++ b/gateway/slowrank_test.go
@@ -52,7 +52,7 @@
 	return c
 }
 
-func survey(pace ...uint32) (list []*wire.RankState) {
+func rankStates(pace ...uint32) (list []*wire.RankState) {
 	for i, p := range pace {
 		list = append(list, &wire.RankState{Upstream: "r" + string(rune('0'+i)), Running: 6, PacePercent: p})
 	}
@@ -63,9 +63,9 @@
 // the retry budget allows.
 func TestStreamsLeaveSlowRankWithinBudget(t *testing.T) {
 	c := newSlowRankGateway(t, 5, 3)
-	c.applySurvey(1, survey(100, 100, 100, 100, 100, 100))
+	c.applySurvey(1, rankStates(100, 100, 100, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
-	c.applySurvey(1, survey(100, 100, 500, 100, 100, 100))
+	c.applySurvey(1, rankStates(100, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 3)
 	assert.Assert(t, !c.retryBudgets.takeToken("llm"), "the retry budget was exceeded")
 }
@@ -76,14 +76,14 @@
 	for _, w := range c.movable.at("r2") {
 		w.call.sent.Store(1)
 	}
-	c.applySurvey(1, survey(100, 100, 500, 100, 100, 100))
+	c.applySurvey(1, rankStates(100, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
 }
 
 // If too many ranks are slow, the others have no room for their requests, so none leaves.
 func TestStreamsStayInSlowGroup(t *testing.T) {
 	c := newSlowRankGateway(t, 2, 3)
-	c.applySurvey(1, survey(500, 100, 500, 100, 100, 100))
+	c.applySurvey(1, rankStates(500, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
 	assert.Equal(t, len(ranksToLeave([]*wire.RankState{{Upstream: "r0", PacePercent: 500}})), 0)
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -26,14 +26,14 @@
 // stream at another upstream, after the last event that was passed on.
 func (c *call) serveStream() {
 	s := &stream{call: c, lastID: c.params.LastEventID}
-	var held *bufferedResponse
+	var buffered *bufferedResponse
 	served := c.runAttempts(func(a *attempt) (o outcome, served bool) {
-		held, o = s.run(a)
+		buffered, o = s.run(a)
 		return o, o == outcomeAnswered
 	})
 	switch {
 	case served:
-		s.complete(held)
+		s.complete(buffered)
 	case s.started:
 		s.abort()
 	default:
@@ -52,12 +52,12 @@
 		return nil, o
 	}
 	if resp.Status != http.StatusOK {
-		ans, o := s.readWhole(a, resp)
+		buffered, o := s.readWhole(a, resp)
 		if s.started && o == outcomeAnswered {
 			// An error response can't follow the head of a stream.
 			return nil, outcomeInDoubt
 		}
-		return ans, o
+		return buffered, o
 	}
 	return nil, s.forward(a, resp)
 }
@@ -137,19 +137,19 @@
 }
 
 // recordGap records the gap before the event that was just sent.
-func (s *stream) recordGap(now time.Time, at *groupPool) {
-	pause := now.Sub(s.lastEventAt)
-	s.metrics.gap.Record(pause)
-	if pause > s.longestGap {
-		s.longestGap, s.longestGapEnded = pause, now
+func (s *stream) recordGap(now time.Time, group *groupPool) {
+	gap := now.Sub(s.lastEventAt)
+	s.metrics.gap.Record(gap)
+	if gap > s.longestGap {
+		s.longestGap, s.longestGapEnded = gap, now
 	}
-	s.services.observeGap(now, s.service, at, pause, s.targetGap(), s.fixedPass)
+	s.services.observeGap(now, s.service, group, gap, s.targetGap(), s.fixedPass)
 }
 
 // complete ends a complete response.
-func (s *stream) complete(held *bufferedResponse) {
-	if held != nil {
-		s.writeResponse(held)
+func (s *stream) complete(buffered *bufferedResponse) {
+	if buffered != nil {
+		s.writeResponse(buffered)
 		return
 	}
 	s.finish(http.StatusOK, "", nil)
--- a/gateway/throttle.go
+++ b/gateway/throttle.go
@@ -43,47 +43,47 @@
 // has a longer gap, so the shortest gap seen is taken as the duration of the pass.
 //
 // It returns whether the gap belongs to a new pass.
-func (b *passThrottle) observeGap(now time.Time, pause, content time.Duration) (another bool) {
-	if content <= 0 {
+func (t *passThrottle) observeGap(now time.Time, gap, targetGap time.Duration) (newPass bool) {
+	if targetGap <= 0 {
 		return false
 	}
-	if now.Sub(b.lastPassAt) < pause/2 {
-		b.lastPass = min(b.lastPass, pause)
+	if now.Sub(t.lastPassAt) < gap/2 {
+		t.lastPass = min(t.lastPass, gap)
 	} else {
-		b.prevPass, b.lastPass, b.lastPassAt, b.targetGap = b.lastPass, pause, now, content
-		another = true
+		t.prevPass, t.lastPass, t.lastPassAt, t.targetGap = t.lastPass, gap, now, targetGap
+		newPass = true
 	}
-	switch full := b.nextPassRatio() >= saturatedRatio; {
-	case !full:
-		b.saturatedSince = time.Time{}
-	case b.saturatedSince.IsZero():
-		b.saturatedSince = now
+	switch saturated := t.nextPassRatio() >= saturatedRatio; {
+	case !saturated:
+		t.saturatedSince = time.Time{}
+	case t.saturatedSince.IsZero():
+		t.saturatedSince = now
 	}
-	return another
+	return newPass
 }
 
 // nextPassRatio returns the expected duration of the next pass as a fraction of the target gap.
 // Growth beyond passGrowthFactor between the last two passes is expected to continue.
-func (b *passThrottle) nextPassRatio() float64 {
-	next := b.lastPass
-	if b.prevPass > 0 && float64(b.lastPass) > passGrowthFactor*float64(b.prevPass) {
-		next += b.lastPass - b.prevPass
+func (t *passThrottle) nextPassRatio() float64 {
+	next := t.lastPass
+	if t.prevPass > 0 && float64(t.lastPass) > passGrowthFactor*float64(t.prevPass) {
+		next += t.lastPass - t.prevPass
 	}
-	return float64(next) / float64(b.targetGap)
+	return float64(next) / float64(t.targetGap)
 }
 
 // admitFraction returns the fraction of the usual admission rate that the group can take now,
 // from 0 to 1.
-func (b *passThrottle) admitFraction(now time.Time) float64 {
-	if b.targetGap == 0 || !b.saturatedSince.IsZero() && now.Sub(b.saturatedSince) > maxThrottleTime {
+func (t *passThrottle) admitFraction(now time.Time) float64 {
+	if t.targetGap == 0 || !t.saturatedSince.IsZero() && now.Sub(t.saturatedSince) > maxThrottleTime {
 		return 1
 	}
-	switch sofar := now.Sub(b.lastPassAt); {
-	case sofar > passStaleness:
+	switch elapsed := now.Sub(t.lastPassAt); {
+	case elapsed > passStaleness:
 		// None of this gateway's streams is running, or the group has stalled.
 		return 1
-	case float64(sofar) > max(overdueRatio*float64(b.targetGap), passGrowthFactor*float64(b.lastPass)):
+	case float64(elapsed) > max(overdueRatio*float64(t.targetGap), passGrowthFactor*float64(t.lastPass)):
 		return 0
 	}
-	return min(max((saturatedRatio-b.nextPassRatio())/(saturatedRatio-throttleFromRatio), 0), 1)
+	return min(max((saturatedRatio-t.nextPassRatio())/(saturatedRatio-throttleFromRatio), 0), 1)
 }
--- a/gateway/upstreamexit.go
+++ b/gateway/upstreamexit.go
@@ -112,18 +112,18 @@
 		g.mu.Unlock()
 		return
 	}
-	var left, ended []pendingExit
+	var remaining, exited []pendingExit
 	for _, p := range g.exits.pending {
 		switch {
 		case slices.ContainsFunc(known, p.replacedBy):
-			ended = append(ended, p)
+			exited = append(exited, p)
 		case g.now().Sub(p.cutAt) < pendingExitTTL:
-			left = append(left, p)
+			remaining = append(remaining, p)
 		}
 	}
-	g.exits.pending = left
+	g.exits.pending = remaining
 	g.mu.Unlock()
-	for _, p := range ended {
+	for _, p := range exited {
 		p.Ago = g.now().Sub(p.cutAt)
 		g.reportExit(p.End, signReplaced)
 	}
--- a/gateway/warmup.go
+++ b/gateway/warmup.go
@@ -105,9 +105,9 @@
 
 // serves reports whether a service has an upstream and, if its upstreams form groups, one group
 // that isn't down. After a power loss ranks register before their group has formed again.
-func (f *serviceManager) serves(service string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	p := f.services[service]
+func (m *serviceManager) serves(service string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	p := m.services[service]
 	return p != nil && p.hasLiveGroup()
 }
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -78,9 +78,9 @@
 // charges the retry budget. The budget is charged before the attempt is cancelled: otherwise
 // several requests could give up their upstreams for a single remaining retry, and all but one
 // would fail.
-func (c *call) reserveRetry(now time.Time, at *groupPool) bool {
+func (c *call) reserveRetry(now time.Time, group *groupPool) bool {
 	another := c.sent.Load()+1 < int64(c.route.MaxAttempts)
-	if !another || !c.services.progressing(now, at) || c.deadline.Sub(now) <= minSilence {
+	if !another || !c.services.progressing(now, group) || c.deadline.Sub(now) <= minSilence {
 		return false
 	}
 	if _, only := c.retryForbidden(); only || !c.retryBudgets.takeToken(c.service) {
