--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -75,7 +75,7 @@
 	inputs        string
 }
 
-// stateChanges returns the stateChanges since the last request.
+// stateChanges returns the changes of group states since the last request.
 func (p *servicePool) stateChanges(now time.Time) (list []stateChange) {
 	for _, g := range p.sorted {
 		before, after := g.lastState, g.limiter.state(now)
@@ -86,8 +86,8 @@
 	return list
 }
 
-// awaitAdmission waits until a queued request is admitted. If it isn't before its giveUpAt it is
-// refused, with its Retry-After.
+// awaitAdmission waits until a queued request is admitted. If giveUpAt passes or ctx is done
+// before that, it is refused with its Retry-After.
 func (m *serviceManager) awaitAdmission(ctx context.Context, p *servicePool, w *waiter) (ok bool, wait time.Duration) {
 	timer := time.NewTimer(time.Until(w.giveUpAt))
 	defer timer.Stop()
@@ -128,11 +128,11 @@
 }
 
 // release returns the permit of a request. held is how long the request had it; 0 isn't recorded.
-func (m *serviceManager) release(at *groupPool, held time.Duration) {
+func (m *serviceManager) release(group *groupPool, held time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := at.service
-	at.limiter.release()
+	p := group.service
+	group.limiter.release()
 	if held > 0 {
 		p.recordHoldTime(held)
 	}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -305,20 +305,20 @@
 	c.refuseFailed()
 }
 
-// newWaiter returns the newWaiter of the request with its admission deadlines.
+// newWaiter returns the waiter of the request with its admission deadlines.
 func (c *call) newWaiter() *waiter {
 	head := c.services.headTime(c.service)
 	c.age = c.timeouts.age(c.receivedAt, c.route, c.params.Deadline)
 	w := &waiter{retried: c.age > 0, admitted: make(chan struct{})}
 	w.giveUpAt = c.deadline.Add(-head)
 	if c.route.Kind == wire.RouteKind_ROUTE_KIND_STREAMING {
-		if leaves := c.receivedAt.Add(firstEventTimeout - firstEventMargin - head); leaves.Before(w.giveUpAt) {
-			w.giveUpAt = leaves
+		if callerLeavesAt := c.receivedAt.Add(firstEventTimeout - firstEventMargin - head); callerLeavesAt.Before(w.giveUpAt) {
+			w.giveUpAt = callerLeavesAt
 		}
 	}
 	if c.draining.Load() {
-		if ends := time.Now().Add(c.maxQueueTime()); ends.Before(w.giveUpAt) {
-			w.giveUpAt = ends
+		if queueEndsAt := time.Now().Add(c.maxQueueTime()); queueEndsAt.Before(w.giveUpAt) {
+			w.giveUpAt = queueEndsAt
 		}
 	}
 	if c.trial.Verdict().Standing == quarantine.LastTrial {
@@ -326,8 +326,8 @@
 		w.giveUpAt = c.receivedAt
 	}
 	w.onTimeBy = w.giveUpAt
-	if content := c.targetFirstEvent(); content > 0 {
-		w.onTimeBy = c.receivedAt.Add(content - c.age - time.Duration(headTimeFactor*float64(head)))
+	if target := c.targetFirstEvent(); target > 0 {
+		w.onTimeBy = c.receivedAt.Add(target - c.age - time.Duration(headTimeFactor*float64(head)))
 	}
 	if w.giveUpAt.Before(w.onTimeBy) {
 		w.onTimeBy = w.giveUpAt
@@ -348,7 +348,7 @@
 	c.refuseAndEnd(&f)
 }
 
-// takeRetry reports whether another attempt may be made, and charges it to the takeRetry budget.
+// takeRetry reports whether another attempt may be made, and charges the retry budget for it.
 func (c *call) takeRetry() bool {
 	c.reason = reasonUpstreamsBusy
 	if !c.history.mayRetry(c.route) || time.Until(c.deadline) <= 0 {
--- a/gateway/callertimeouts.go
+++ b/gateway/callertimeouts.go
@@ -30,7 +30,7 @@
 	routes map[string]*maxTimeout
 }
 
-// maxTimeout is the maxTimeout timeout named in the current and the previous period.
+// maxTimeout is the longest timeout named in the current and the previous period.
 type maxTimeout struct {
 	periodStart       time.Time
 	current, previous time.Duration
--- a/gateway/decide.go
+++ b/gateway/decide.go
@@ -69,7 +69,7 @@
 	return w.retried || p.expectedWait(now, gateways, ahead, lateSlotFraction) <= w.giveUpAt.Sub(now)
 }
 
-// expectedWait returns how long a request is expectedWait to be queued with others ahead of it, if
+// expectedWait returns how long a request is expected to be queued with others ahead of it, if
 // the given fraction of released permits goes to them.
 func (p *servicePool) expectedWait(now time.Time, gateways, ahead int, fraction float64) time.Duration {
 	limit, inflight := p.limit(now, gateways)
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -249,7 +249,7 @@
 	return groupOpen
 }
 
-// describe returns the describe of admission decisions with their ages, for logs.
+// describe returns the inputs of admission decisions with their ages, for logs.
 func (g *groupLimiter) describe(now time.Time, gateways int) string {
 	return fmt.Sprintf("%s: %d in flight of %d, admit fraction %.2f, slot fraction %.2f, %d slots, %d gateways, share %.3f, epoch %d, last progress %d ms ago, occupancy %.2f reported %d ms ago",
 		g.state(now), g.inflight, g.limit(now, gateways), g.throttle.admitFraction(now), g.slotCap.fraction(now), g.slots, gateways, g.share(gateways), g.epoch,
--- a/gateway/limiter_test.go
+++ b/gateway/limiter_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// registeredRanks returns the registrations of a group of n registeredRanks with 12 slots each.
+// registeredRanks returns the registrations of a group of n ranks with 12 slots each.
 func registeredRanks(n int, epoch uint64, broken bool) []*directory.Instance {
 	var list []*directory.Instance
 	for i := range n {
@@ -116,8 +116,9 @@
 	assert.Equal(t, busy.limit(start.Add(occupancyStaleness), gateways), evenShare(evenShareMargin))
 }
 
-// When fewer slots are free than there are gateways, all together admit as many requests as are
-// free. If each rounded its share up, the next pass would read a prompt for each gateway.
+// When fewer slots are free than there are gateways, all together may add freeSlotMargin times as
+// many requests as slots are free. If each rounded its share up, the next pass would read a
+// prompt for each gateway.
 func TestFewFreeSlotsAreShared(t *testing.T) {
 	const gateways, held, slots = 28, 6, 192
 	free := maxFill*slots - gateways*held
@@ -130,8 +131,8 @@
 	}
 }
 
-// reportedLimiter returns the limiter of a gateway that has held of the total requests of a
-// survey in flight.
+// reportedLimiter returns the limiter of a gateway that has held requests in flight, of total in
+// a survey.
 func reportedLimiter(total, held, index, gateways int, number uint64) *groupLimiter {
 	g := &groupLimiter{inflight: held}
 	g.setUpstreams(start, registeredRanks(16, 1, false))
@@ -140,11 +141,11 @@
 	return g
 }
 
-// All gateways with the same load report together stay within the slots, plus freeSlotMargin of
-// the free ones and one request for each idle gateway.
+// All gateways with the same load report together add at most freeSlotMargin times the free
+// slots, one request by rounding, and one for each idle gateway.
 func TestGatewaysTogetherStayWithinSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		gateways := rapid.IntRange(1, 40).Draw(t, "entries")
+		gateways := rapid.IntRange(1, 40).Draw(t, "gateways")
 		number := rapid.Uint64().Draw(t, "number")
 		held := make([]int, gateways)
 		total, idle := 0, 0
@@ -171,7 +172,7 @@
 func TestSharesOfAllGatewaysAddUp(t *testing.T) {
 	const slots = 192
 	rapid.Check(t, func(t *rapid.T) {
-		gateways := rapid.IntRange(1, 60).Draw(t, "entries")
+		gateways := rapid.IntRange(1, 60).Draw(t, "gateways")
 		limiters := make([]*groupLimiter, gateways)
 		for i := range limiters {
 			limiters[i] = &groupLimiter{slots: slots, lockstep: true}
@@ -264,7 +265,7 @@
 	s := RetrySettings{Ratio: 0.2, Slack: 88}
 	s.Window = durationOf(10 * time.Second)
 	rapid.Check(t, func(t *rapid.T) {
-		gateways := rapid.IntRange(1, 40).Draw(t, "entries")
+		gateways := rapid.IntRange(1, 40).Draw(t, "gateways")
 		now := start
 		var all []*retryBudgets
 		for range gateways {
--- a/gateway/passstats_test.go
+++ b/gateway/passstats_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	now := start
-	told := 0
+	flushes := 0
 	for n := range 30 {
 		pass := 80 * time.Millisecond
 		if n%10 == 9 {
@@ -29,13 +29,13 @@
 		event(now, pass+3*time.Millisecond)
 		event(now, pass)
 		event(now.Add(time.Millisecond), 4*pass)
-		if seen, ok := c.flush(now); ok {
-			told++
-			assert.Assert(t, seen.count >= 11 && seen.count <= 13, "%d", seen.count)
-			assert.Equal(t, seen.long, 1)
-			assert.Equal(t, seen.longest, 130*time.Millisecond)
-			assert.Assert(t, seen.mean() > 80*time.Millisecond && seen.mean() < 90*time.Millisecond)
+		if stats, ok := c.flush(now); ok {
+			flushes++
+			assert.Assert(t, stats.count >= 11 && stats.count <= 13, "%d", stats.count)
+			assert.Equal(t, stats.long, 1)
+			assert.Equal(t, stats.longest, 130*time.Millisecond)
+			assert.Assert(t, stats.mean() > 80*time.Millisecond && stats.mean() < 90*time.Millisecond)
 		}
 	}
-	assert.Equal(t, told, 2)
+	assert.Equal(t, flushes, 2)
 }
--- a/gateway/policy.go
+++ b/gateway/policy.go
@@ -99,7 +99,8 @@
 	// sent to none.
 	reasonQuarantined = "quarantined"
 	// reasonLastTrial means that upstreams have crashed while running the request, and it may be
-	// tried once more, but not now: a copy of it is running, or it would have to be queued.
+	// tried once more only: a copy of it is running, it would have to be queued, or it needs a
+	// second attempt.
 	reasonLastTrial = "last-trial"
 )
 
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -22,8 +22,8 @@
 	queue      waitQueue
 	late       lateAdmissions
 	retryAfter retryAfterEstimator
-	// headTime is the EWMA of the time to a response headTime, holdTime that of the time that a
-	// request holds its permit; 0 before the first.
+	// headTime is the EWMA of the time to the head of a response, holdTime that of the time that
+	// a request holds its permit; 0 before the first.
 	headTime, holdTime time.Duration
 	// gateways is the number of gateways at the last request or timer tick. timerPending says
 	// that the timer that admits queued requests is set.
@@ -45,7 +45,7 @@
 	balancer  route.Balancer
 	upstreams map[string]*directory.Instance
 	limiter   groupLimiter
-	// lastState is the lastState of the limiter that was last logged.
+	// lastState is the state of the limiter that was last logged.
 	lastState groupState
 	pacer     pacer
 	// stats counts the passes, for logs.
@@ -96,7 +96,7 @@
 	g.limiter.setUpstreams(now, insts)
 }
 
-// applySurvey applies a applySurvey of the group's ranks that are known here.
+// applySurvey applies a survey of the group's ranks that are known here.
 func (g *groupPool) applySurvey(now time.Time, v *route.Survey) {
 	if b, ok := g.balancer.(route.Surveyed); ok {
 		b.Survey(now, v)
@@ -216,7 +216,7 @@
 	return min(max(silenceFactor*p.headTime, minSilence), maxSilence)
 }
 
-// describe returns the describe of admission decisions with their ages, for logs.
+// describe returns the inputs of admission decisions with their ages, for logs.
 func (p *servicePool) describe(now time.Time) string {
 	var b strings.Builder
 	for _, g := range p.sorted {
--- a/gateway/retrybudget.go
+++ b/gateway/retrybudget.go
@@ -40,7 +40,8 @@
 	return &retryBudgets{settings: s, gateways: gateways, now: now, services: map[string]*tokenBucket{}}
 }
 
-// refilled returns the refilled of a service, refilled up to now. The caller holds the lock.
+// refilled returns the token bucket of a service with the tokens earned up to now. The caller
+// holds the lock.
 func (b *retryBudgets) refilled(service string) *tokenBucket {
 	now := b.now()
 	depth, rate := b.capacityAndRate()
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -26,13 +26,13 @@
 
 	mu       sync.Mutex
 	services map[string]*servicePool
-	// loadSeq numbers the loadSeq that come with responses. Their order of arrival is all that is
+	// loadSeq numbers the loads that come with responses. Their order of arrival is all that is
 	// known of their age.
 	loadSeq uint64
 	// onStateChange is called, without the lock, when the state of a group has changed.
 	onStateChange func(service string, c stateChange)
-	// onPasses is called, without the lock, with the onPasses of a group since the last call.
-	onPasses func(service, group string, seen passStats, inputs string)
+	// onPasses is called, without the lock, with the passes of a group since the last call.
+	onPasses func(service, group string, stats passStats, inputs string)
 	// gateways returns the number of gateways that are up. It is called without the lock.
 	gateways func() int
 }
@@ -72,7 +72,7 @@
 
 // applySurvey applies the states of ranks that the leader of their groups has read. It returns the
 // upstreams that running requests should leave because they are slow.
-func (m *serviceManager) applySurvey(now time.Time, number uint64, ranks []*wire.RankState, place gatewayPosition) (slow []string) {
+func (m *serviceManager) applySurvey(now time.Time, number uint64, ranks []*wire.RankState, position gatewayPosition) (slow []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.loadSeq++
@@ -83,7 +83,7 @@
 				continue
 			}
 			g.applySurvey(now, &route.Survey{
-				Entries: place.count, Index: place.index, Number: number,
+				Entries: position.count, Index: position.index, Number: number,
 				Seq: m.loadSeq, Loads: surveyedLoads(known),
 			})
 			slow = append(slow, ranksToLeave(known)...)
@@ -131,7 +131,7 @@
 	}
 }
 
-// headTime returns the usual time to the headTime of a service's response.
+// headTime returns the usual time to the head of a service's response.
 func (m *serviceManager) headTime(service string) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/gateway/slotcap.go
+++ b/gateway/slotcap.go
@@ -47,7 +47,7 @@
 	// minFraction holds for each bucket the lowest of 1 and the slot fractions at which its
 	// passes would have been in time, the newest last.
 	minFraction [capBuckets]float64
-	// newestStart is when the newest bucket newestStart; zero before the first pass.
+	// newestStart is when the newest bucket began; zero before the first pass.
 	newestStart time.Time
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// demandShift is a remembered demandShift of expert demand: the slot fraction at which its longest
+// demandShift is a remembered shift of expert demand: the slot fraction at which its longest
 // passes would have been in time, and its first and last bucket.
 type demandShift struct {
 	fraction    float64
--- a/gateway/slowrank_test.go
+++ b/gateway/slowrank_test.go
@@ -14,14 +14,14 @@
 )
 
 // slowRankGateway is a gateway that knows six ranks, with streams that run at rank r2. left lists
-// the streams that were told to leave.
+// the streams whose attempt was cancelled.
 type slowRankGateway struct {
 	*Gateway
 	left []int
 }
 
-// newSlowRankGateway returns a gateway with so many streams at r2 and a budget of so many
-// retries.
+// newSlowRankGateway returns a gateway with the given numbers of streams at r2 and of retries in
+// the budget.
 func newSlowRankGateway(t *testing.T, streams int, attempts float64) *slowRankGateway {
 	set := DefaultSettings()
 	set.ID = "entry-1"
--- a/gateway/throttle.go
+++ b/gateway/throttle.go
@@ -28,7 +28,7 @@
 // late. Reading the prompts of new requests lengthens them further; a request that is held back
 // risks only its own first event.
 type passThrottle struct {
-	// lastPass is the duration of the latest lastPass, prevPass that of the one prevPass.
+	// lastPass is the duration of the latest pass, prevPass that of the one before.
 	lastPass, prevPass time.Duration
 	// targetGap is the longest gap between events that the route allows; 0 if unknown.
 	targetGap time.Duration
--- a/gateway/upstreamexit.go
+++ b/gateway/upstreamexit.go
@@ -23,7 +23,7 @@
 	maxPendingExits = 256
 )
 
-// Evidence that an upstream exited while it ran a request, in addition to the cut connection.
+// Evidence that an upstream exited while it ran a request, as logs and metrics show it.
 const (
 	// signRefused means that connections to its address are refused.
 	signRefused = "refused"
