--- a/gateway/decide.go
+++ b/gateway/decide.go
@@ -29,8 +29,9 @@
 // decide admits, queues or refuses a request that arrives; a refusal comes with its Retry-After.
 //
 // A request is queued only if it is expected to be admitted in time; otherwise its caller learns
-// at once when to retry. A retried request may not be sent again, so it is queued also while no
-// group is available, and while the rate of late admissions is unknown or doesn't apply.
+// at once when to retry. The caller of a retried request may have no further try, so the request
+// is queued also while no group is available, and while the rate of late admissions is unknown or
+// doesn't apply.
 func (p *servicePool) decide(now time.Time, gateways int, w *waiter) (d decision, wait time.Duration) {
 	if p.queue.ahead(now, w.canBeOnTime(now)) == 0 {
 		if g := p.pickGroup(now, gateways, !w.canBeOnTime(now)); g != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -74,7 +74,7 @@
 	callerListener net.Listener
 	servers        []*http.Server
 	cancel         context.CancelFunc
-	// knownUpstreams are the upstreams that were last logged, by ID.
+	// knownUpstreams are the upstreams at the last change of the directory, by ID.
 	knownUpstreams map[string]*directory.Instance
 	exits          exitDetector
 	quarantine     *quarantine.Node
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -10,9 +10,10 @@
 )
 
 const (
-	// evenShareMargin and plainShareMargin are how much more than its share of a service's slots
-	// a gateway may use while it doesn't know how many are in use, as requests don't spread
-	// evenly over gateways. The one of a plain service is larger, as its requests are short.
+	// evenShareMargin is how much more than its share of a group's slots a gateway may use while
+	// the occupancy is unknown, as requests don't spread evenly over gateways. plainShareMargin
+	// is the same for a plain service, whose occupancy is never used; it is larger, as its
+	// requests are short.
 	evenShareMargin  = 1.2
 	plainShareMargin = 1.5
 	// maxFill is the fraction of a group's slots that gateways fill. Ranks aren't loaded evenly,
@@ -180,7 +181,7 @@
 	return g.available(now) || now.Sub(g.probedAt) >= interval
 }
 
-// acquire counts a request that is sent.
+// acquire counts a request that is sent. One that is sent to an unavailable group is a probe.
 func (g *groupLimiter) acquire(now time.Time) {
 	if g.inflight == 0 {
 		g.progressAt = now
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -45,7 +45,7 @@
 	balancer  route.Balancer
 	upstreams map[string]*directory.Instance
 	limiter   groupLimiter
-	// lastState is the state of the limiter that was last logged.
+	// lastState is the state of the limiter at the last request.
 	lastState groupState
 	pacer     pacer
 	// stats counts the passes, for logs.
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -32,7 +32,7 @@
 	// onTimeBy is the latest admission at which the request can be answered in time. giveUpAt is
 	// the latest admission at all; it is refused after that.
 	onTimeBy, giveUpAt time.Time
-	// retried says that the caller has sent the request before, and may not send it again.
+	// retried says that the caller has sent the request before, so it may have no further try.
 	retried bool
 	// admitted is closed when the request is admitted; group is then the group that it may go to.
 	admitted chan struct{}
--- a/gateway/upstreamexit.go
+++ b/gateway/upstreamexit.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// exitProbeTimeout bounds the probe whether an upstream still listens. A request that may be
-	// retried waits for it.
+	// exitProbeTimeout bounds the probe of an upstream's address. A request that may be retried
+	// waits for it.
 	exitProbeTimeout = 150 * time.Millisecond
 	// pendingExitTTL is how long after an attempt was cut a new incarnation at the address is
 	// taken as evidence that the upstream has exited; it restarts within seconds.
