--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -9,12 +9,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// announceLoop makes the gateway known to the control replicas.
+// announceLoop announces the gateway to the control replicas.
 func (g *Gateway) announceLoop(ctx context.Context) {
 	announcer := directory.NewAnnouncer(g.targets, g.pool.Conn, g.now)
 	for {
 		for _, reply := range announcer.Announce(ctx, g.announcement()) {
-			g.announced(reply)
+			g.handleReply(reply)
 		}
 		select {
 		case <-ctx.Done():
@@ -25,18 +25,19 @@
 	}
 }
 
-// wakeAnnouncer makes news known at once.
-func (g *Gateway) wakeAnnouncer() {
+// triggerAnnounce has an announcement sent without waiting for the interval.
+func (g *Gateway) triggerAnnounce() {
 	select {
 	case g.announceNow <- struct{}{}:
 	default:
 	}
 }
 
-func (g *Gateway) announced(reply *wire.AnnounceReply) {
+// handleReply takes a higher incarnation if an earlier process with this ID had a higher one.
+func (g *Gateway) handleReply(reply *wire.AnnounceReply) {
 	if reply.Superseded && g.life.Supersede(reply.KnownIncarnation) {
 		kernel.Warn(g.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "incarnation", g.life.Number())
-		g.wakeAnnouncer()
+		g.triggerAnnounce()
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,63 +27,60 @@
 )
 
 const (
-	// dialUpstream bounds the opening of a connection to an upstream, beside the
-	// request's own time: one in the same region answers in milliseconds, and a
-	// lost packet is sent again after a second.
-	dialUpstream = 1200 * time.Millisecond
-	// retryNoConfig is what a caller is told to wait that comes before the first
-	// configuration.
-	retryNoConfig = 300 * time.Millisecond
-	// retryBusy is what a caller is told to wait when no upstream can take its
-	// request.
-	retryBusy = 500 * time.Millisecond
+	// upstreamDialTimeout bounds the opening of a connection to an upstream, in addition to the
+	// deadline of the request. It leaves time for one TCP retransmission after a second.
+	upstreamDialTimeout = 1200 * time.Millisecond
+	// retryAfterNoConfig is the Retry-After before the first routing configuration.
+	retryAfterNoConfig = 300 * time.Millisecond
+	// retryAfterBusy is the default Retry-After of refused requests.
+	retryAfterBusy = 500 * time.Millisecond
 )
 
-// Gateway answers callers. It implements kernel.Daemon.
+// Gateway serves the requests of callers. It implements kernel.Daemon.
 type Gateway struct {
-	settings *Settings
-	log      log.Logger
-	dialect  dialect.Dialect
-	now      func() time.Time
-	certs    *transport.Certificates
-	pool     *transport.Pool
-	client   *direct.Client
-	node     *directory.Node
-	targets  *directory.Targets
-	life     *directory.Life
-	fleet    *fleet
-	movable  *movable
-	fetches  *fetches
-	warmup   *warmup
-	times    *callerTimes
-	budgets  *budgets
-	requests *requestLog
-	metrics  *gatewayMetrics
-	// beliefs bounds the lines about what the gateway believes of others.
-	beliefs *kernel.LineBudget
-	dumps   kernel.Dumps
+	settings     *Settings
+	log          log.Logger
+	dialect      dialect.Dialect
+	now          func() time.Time
+	certs        *transport.Certificates
+	pool         *transport.Pool
+	client       *direct.Client
+	node         *directory.Node
+	targets      *directory.Targets
+	life         *directory.Life
+	services     *serviceManager
+	movable      *movableAttempts
+	fetches      *fetchGroup
+	warmup       *warmup
+	timeouts     *callerTimeouts
+	retryBudgets *retryBudgets
+	requestLog   *requestLog
+	metrics      *gatewayMetrics
+	// stateLog limits the log lines about the state of other processes.
+	stateLog *kernel.LineBudget
+	dumps    kernel.Dumps
 
 	table    atomic.Pointer[routing.Table]
 	draining atomic.Bool
-	// drainBegan is when the gateway began to leave.
+	// drainBegan is when the gateway began to drain.
 	drainBegan atomic.Pointer[time.Time]
 	active     atomic.Int64
-	// lastCame is when the last request came, in nanoseconds of now.
-	lastCame    atomic.Int64
-	announceNow chan struct{}
-	seq         atomic.Uint64
+	// lastRequestAt is when the last request arrived, in Unix nanoseconds of now.
+	lastRequestAt atomic.Int64
+	announceNow   chan struct{}
+	seq           atomic.Uint64
 
-	mu      sync.Mutex
-	callers net.Listener
-	servers []*http.Server
-	cancel  context.CancelFunc
-	// known are the upstreams that were told of last.
-	known    map[string]*directory.Instance
-	ends     upstreamEnds
-	suspects *quarantine.Node
+	mu             sync.Mutex
+	callerListener net.Listener
+	servers        []*http.Server
+	cancel         context.CancelFunc
+	// knownUpstreams are the upstreams at the last change of the directory, by ID.
+	knownUpstreams map[string]*directory.Instance
+	exits          exitDetector
+	quarantine     *quarantine.Node
 }
 
-// New makes a gateway from checked settings.
+// New creates a Gateway. It returns an error if the settings are invalid.
 func New(s *Settings, l log.Logger) (*Gateway, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -100,26 +97,26 @@
 	g := &Gateway{
 		settings: s, log: kernel.PartLog(l, "gateway"), dialect: d, now: now, certs: certs,
 		pool:   transport.NewPool(sec),
-		client: direct.NewClient(transport.NewDialer(dialUpstream).DialContext),
-		life:   directory.NewLife(s.ID, now()), fleet: newFleet(s), movable: newMovable(), fetches: newFetches(), warmup: newWarmup(now()), times: newCallerTimes(),
+		client: direct.NewClient(transport.NewDialer(upstreamDialTimeout).DialContext),
+		life:   directory.NewLife(s.ID, now()), services: newServiceManager(s), movable: newMovableAttempts(), fetches: newFetchGroup(), warmup: newWarmup(now()), timeouts: newCallerTimeouts(),
 		targets:     directory.NewTargets(s.ID, s.FailureDomain, s.Replicas).Grow(),
 		announceNow: make(chan struct{}, 1),
 	}
-	g.requests, g.metrics = newRequestLog(g.log, now), newGatewayMetrics()
-	g.beliefs = kernel.NewLineBudget(beliefLines, now)
-	g.suspects = quarantine.NewNode(s.ID, g.log, now, g.pool.Conn)
-	g.fleet.told, g.fleet.passes, g.fleet.entries = g.tellGate, g.tellPasses, g.entries
+	g.requestLog, g.metrics = newRequestLog(g.log, now), newGatewayMetrics()
+	g.stateLog = kernel.NewLineBudget(stateLogLines, now)
+	g.quarantine = quarantine.NewNode(s.ID, g.log, now, g.pool.Conn)
+	g.services.onStateChange, g.services.onPasses, g.services.gateways = g.logStateChange, g.logPasses, g.gatewayCount
 	g.metrics.register(g)
 	g.node = directory.NewNode(directorySettings(), now, g.directoryChanged)
-	g.budgets = newBudgets(s.Retries, g.entries, now)
+	g.retryBudgets = newRetryBudgets(s.Retries, g.gatewayCount, now)
 	g.dumps.Add("directory", g.node.Dump)
 	g.dumps.Add("gateway", g.dump)
-	g.dumps.Add("quarantine", g.suspects.Dump)
+	g.dumps.Add("quarantine", g.quarantine.Dump)
 	return g, nil
 }
 
-// directorySettings lets a gateway go on with the upstreams that it knows while
-// no control replica is heard.
+// directorySettings lets the gateway go on with the upstreams it knows while no control replica
+// responds.
 func directorySettings() directory.Settings {
 	s := directory.DefaultSettings()
 	s.SilentHold = 10 * time.Minute
@@ -130,14 +127,14 @@
 func (g *Gateway) Start(ctx context.Context) error {
 	ctx, g.cancel = context.WithCancel(ctx)
 	var err error
-	if g.callers, err = transport.Listen(ctx, g.settings.Listen); err != nil {
+	if g.callerListener, err = transport.Listen(ctx, g.settings.Listen); err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
 	ready, err := transport.Listen(ctx, g.settings.Ready)
 	if err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
-	g.serve(g.callers, g)
+	g.serve(g.callerListener, g)
 	g.serve(ready, g.readiness())
 	if err := g.startMetrics(ctx); err != nil {
 		return err
@@ -146,16 +143,16 @@
 	g.node.FollowEach(ctx, g.targets.Addresses, g.pool.Conn, &wire.DirectoryWatchRequest{Watcher: g.settings.ID})
 	go g.followRouting(ctx)
 	go g.followSurveys(ctx)
-	go g.suspects.Run(ctx, g.targets.Addresses)
+	go g.quarantine.Run(ctx, g.targets.Addresses)
 	go g.announceLoop(ctx)
-	kernel.Info(g.log, "Started.", "id", g.settings.ID, "failure_domain", g.settings.FailureDomain, "addr", g.callers.Addr(), "version", kernel.Version)
+	kernel.Info(g.log, "Started.", "id", g.settings.ID, "failure_domain", g.settings.FailureDomain, "addr", g.callerListener.Addr(), "version", kernel.Version)
 	return nil
 }
 
 func (g *Gateway) serve(lis net.Listener, h http.Handler) {
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: headMark, IdleTimeout: idleMark,
-		MaxHeaderBytes: mostHeaderBytes,
+		Handler: h, ReadHeaderTimeout: headSentinel, IdleTimeout: idleSentinel,
+		MaxHeaderBytes: maxHeaderBytes,
 	}
 	lis = limitedListener{Listener: lis, limits: g.limits}
 	g.mu.Lock()
@@ -164,10 +161,10 @@
 	go kernel.ServeHTTP(g.log, srv, lis)
 }
 
-// CallerAddress is where callers connect.
-func (g *Gateway) CallerAddress() string { return g.callers.Addr().String() }
+// CallerAddress returns the address of the listener for callers.
+func (g *Gateway) CallerAddress() string { return g.callerListener.Addr().String() }
 
-// ready says whether callers may come.
+// ready reports whether the gateway accepts requests: it has a configuration and isn't draining.
 func (g *Gateway) ready() bool { return g.table.Load() != nil && !g.draining.Load() }
 
 func (g *Gateway) readiness() http.Handler {
@@ -184,19 +181,21 @@
 	})
 }
 
-// entries is how many entries are up, this one too.
-func (g *Gateway) entries() int {
+// gatewayCount returns the number of instances that are up with the role of entry, at least 1 for
+// this one.
+func (g *Gateway) gatewayCount() int {
 	return max(len(g.node.Instances(wire.Role_ROLE_ENTRY)), 1)
 }
 
-// entryPlace is this entry's place among those that are up, by their names.
-type entryPlace struct {
-	index, entries int
+// gatewayPosition is the index of this gateway among those that are up, ordered by ID, and their
+// number.
+type gatewayPosition struct {
+	index, count int
 }
 
-func (g *Gateway) placeAmongEntries() entryPlace {
+func (g *Gateway) position() gatewayPosition {
 	known := g.node.Instances(wire.Role_ROLE_ENTRY)
-	p := entryPlace{entries: max(len(known), 1)}
+	p := gatewayPosition{count: max(len(known), 1)}
 	for _, i := range known {
 		if i.Id < g.settings.ID {
 			p.index++
@@ -205,64 +204,65 @@
 	return p
 }
 
-// directoryChanged takes what the directory knows of upstreams.
+// directoryChanged applies a change of the known upstreams.
 func (g *Gateway) directoryChanged() {
 	known := g.node.Instances(wire.Role_ROLE_UPSTREAM)
-	g.tellUpstreams(known)
-	if err := g.fleet.update(time.Now(), known); err != nil {
-		kernel.Warn(g.log, "Upstreams can't be taken up.", "err", err)
+	g.logUpstreams(known)
+	if err := g.services.update(time.Now(), known); err != nil {
+		kernel.Warn(g.log, "Updating the upstreams failed.", "err", err)
 	}
-	g.explainCuts(known)
-	g.client.Forget(g.fleet.addresses())
-	g.warmup.learned()
+	g.resolvePendingExits(known)
+	g.client.Forget(g.services.addresses())
+	g.warmup.notify()
 }
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP serves one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
 	began := time.Now()
-	g.lastCame.Store(int64(g.now().UnixNano()))
-	c, f := g.admit(w, r, began)
+	g.lastRequestAt.Store(int64(g.now().UnixNano()))
+	c, f := g.prepare(w, r, began)
 	if f == nil {
-		f = c.heldBack()
+		f = c.quarantineRefusal()
 	}
 	if f != nil {
-		c.turnDown(f)
+		c.refuseAndEnd(f)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
 	c.ctx = ctx
-	adm := g.fleet.enter(ctx, c.service, c.waiter())
-	c.waited = adm.waited
-	if !adm.ok {
-		c.why = adm.why
-		c.turnedAway(adm.wait)
+	a := g.services.acquire(ctx, c.service, c.newWaiter())
+	c.waited = a.waited
+	if !a.ok {
+		c.cause = a.cause
+		c.refuseUnadmitted(a.retryAfter)
 		return
 	}
-	entered := time.Now()
-	c.at = adm.at
-	defer func() { g.fleet.leave(c.at, time.Since(entered)) }()
+	admittedAt := time.Now()
+	c.group = a.group
+	defer func() { g.services.release(c.group, time.Since(admittedAt)) }()
 	if f := c.beginTrial(); f != nil {
-		c.turnDown(f)
+		c.refuseAndEnd(f)
 		return
 	}
 	defer c.trial.Done()
-	g.budgets.offer(c.service)
+	g.retryBudgets.recordRequest(c.service)
 	if c.route.Kind == wire.RouteKind_ROUTE_KIND_STREAMING {
 		c.serveStream()
 		return
 	}
-	c.servePlain()
+	c.serveBuffered()
 }
 
-// admit finds the route and the team of a request and reads its body.
-func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, began time.Time) (*call, *refusal) {
-	c := &call{Gateway: g, w: w, r: r, began: began}
-	c.trial.Init(g.suspects, c)
+// prepare finds the route and the team of a request and reads its body. It returns a refusal if
+// the request can't be served.
+func (g *Gateway) prepare(w http.ResponseWriter, r *http.Request, began time.Time) (*call, *refusal) {
+	c := &call{Gateway: g, w: w, r: r, receivedAt: began}
+	c.trial.Init(g.quarantine, c)
 	var err error
-	c.asked, err = g.dialect.ReadRequest(r.Header)
+	c.params, err = g.dialect.ReadRequest(r.Header)
 	t := c.waitForTable(r.Context())
 	if t == nil {
 		return c, &refusal{status: http.StatusServiceUnavailable, reason: reasonNoConfig}
@@ -279,25 +279,25 @@
 		return c, &refusal{status: http.StatusNotFound, reason: reasonNoRoute}
 	}
 	if t.NeedsKey(c.route) {
-		if c.team = t.TeamOf(c.asked.Key); c.team == nil {
-			return c, &refusal{status: http.StatusUnauthorized, reason: reasonKey}
+		if c.team = t.TeamOf(c.params.Key); c.team == nil {
+			return c, &refusal{status: http.StatusUnauthorized, reason: reasonUnknownKey}
 		}
 	}
 	c.service = routing.Choose(c.route, rand.Float64())
-	c.fixedPass = fixedPass(t.Service(c.service).GetEngine())
+	c.fixedPass = fixedPassTime(t.Service(c.service).GetEngine())
 	c.waitForService(r.Context())
 	c.deadline = began.Add(time.Duration(c.route.TimeoutMs) * time.Millisecond)
-	if c.asked.Deadline > 0 && began.Add(c.asked.Deadline).Before(c.deadline) {
-		c.deadline = began.Add(c.asked.Deadline)
+	if c.params.Deadline > 0 && began.Add(c.params.Deadline).Before(c.deadline) {
+		c.deadline = began.Add(c.params.Deadline)
 	}
-	if !g.endsInTime(c) {
-		return c, &refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, wait: drainWait}
+	if !g.finishesBeforeStop(c) {
+		return c, &refusal{status: http.StatusServiceUnavailable, reason: reasonDraining, retryAfter: retryAfterDrain}
 	}
 	return c, c.readBody(limits.bodyBytes)
 }
 
-// readBody reads the body whole, so that a request may be sent a second time and
-// no upstream waits for a slow caller.
+// readBody reads the whole body, so that the request can be retried and no upstream waits for a
+// slow caller. limit is in bytes.
 func (c *call) readBody(limit int64) *refusal {
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -311,39 +311,39 @@
 	return nil
 }
 
-// turnDown refuses a request and ends it.
-func (c *call) turnDown(f *refusal) {
-	c.refuse(c.w, *f)
-	c.done(f.status, f.reason, nil)
+// refuseAndEnd writes a refusal and ends the request.
+func (c *call) refuseAndEnd(f *refusal) {
+	c.writeRefusal(c.w, *f)
+	c.finish(f.status, f.reason, nil)
 }
 
-// refuse answers for the gateway itself.
-func (g *Gateway) refuse(w http.ResponseWriter, f refusal) {
+// writeRefusal writes a response by the gateway itself.
+func (g *Gateway) writeRefusal(w http.ResponseWriter, f refusal) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if f.status == http.StatusServiceUnavailable {
-		wait := cmp.Or(f.wait, retryBusy)
+		wait := cmp.Or(f.retryAfter, retryAfterBusy)
 		if f.reason == reasonNoConfig {
-			wait = retryNoConfig
+			wait = retryAfterNoConfig
 		}
-		h.Set("Retry-After", seconds(wait))
+		h.Set("Retry-After", retryAfterSeconds(wait))
 	}
 	if g.draining.Load() {
 		h.Set("Connection", "close")
 	}
 	w.WriteHeader(f.status)
-	// A caller that doesn't read the refusal has left; there is nothing else to do.
+	// A write error means that the caller has left; there is nothing to do then.
 	_, _ = w.Write(g.dialect.EncodeError(f.reason))
 }
 
-// closeIfLeaving tells the caller to open its next connection elsewhere.
-func (c *call) closeIfLeaving() {
+// closeIfDraining tells the caller to open its next connection elsewhere.
+func (c *call) closeIfDraining() {
 	if c.draining.Load() {
 		c.w.Header().Set("Connection", "close")
 	}
 }
 
-// startMetrics serves metrics and the state dump.
+// startMetrics serves the metrics and the state dump, if they have an address.
 func (g *Gateway) startMetrics(ctx context.Context) error {
 	if g.settings.Metrics == "" {
 		return nil
@@ -360,7 +360,7 @@
 	return nil
 }
 
-// routingVersion is that of the configuration in force, 0 before the first.
+// routingVersion returns the version of the configuration in force; 0 before the first one.
 func (g *Gateway) routingVersion() uint64 {
 	if t := g.table.Load(); t != nil {
 		return t.Config.Version
--- a/gateway/groupsim_test.go
+++ b/gateway/groupsim_test.go
@@ -13,105 +13,108 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// groupSim plays the entries of a service whose upstreams form several groups, in virtual time.
-// Entries are real; a group is a model of its passes: a fixed part, and one that grows with the
-// requests that run and the prompts that are read, of which the experts' part grows with the skew.
+// groupSim simulates, in virtual time, the gateways of a service whose upstreams form several
+// groups. The gateways run the real code; a group is a model of its passes: a fixed part, and a
+// part that grows with the running requests and the prompts, whose expert share grows with the
+// skew.
 type groupSim struct {
 	simProfile
-	rnd     *rand.Rand
-	now     time.Time
-	groups  []*simGroup
-	entries []*simEntry
-	// skew is that of a group at a time since the start, and copies whether its ranks copy experts.
+	rng      *rand.Rand
+	now      time.Time
+	groups   []*simGroup
+	gateways []*simGateway
+	// skew returns the skew of a group at a time since the start, and whether its ranks are
+	// replicating experts.
 	skew func(group int, at time.Duration) (skew float64, copies bool)
-	// perSecond is how many new callers come to all entries together.
+	// perSecond is the arrival rate of new callers over all gateways.
 	perSecond float64
-	queue     []*simCaller
+	retries   []*simCaller
 
-	came, inTime, late, refused int
-	// lateFirst are those of the late ones whose first event was late.
+	arrived, onTime, late, refused int
+	// lateFirst counts the late streams whose first event was late.
 	lateFirst int
 }
 
 const (
 	simService = "pool"
-	// Experts have simExpertShare of the work for requests and prompts, and a rank keeps the rest.
+	// simExpertShare is the fraction of the work for requests and prompts done by experts.
 	simExpertShare = 0.85
-	// simReadRate is how many tokens of prompts a rank reads in a millisecond.
+	// simReadRate is the number of prompt tokens that a rank reads per millisecond.
 	simReadRate = 74.8
-	// The busiest rank has twice the requests and prompts of the mean one, and passes take 15 in 100
-	// longer while ranks copy experts.
+	// simBusiest is the load of the busiest rank relative to the mean. simCopying is the factor
+	// by which passes are longer while ranks replicate experts.
 	simBusiest, simCopying = 2, 1.15
 )
 
-// simProfile is what a service's groups are like, and what its callers want.
+// simProfile describes the groups of a service and its callers.
 type simProfile struct {
 	ranks, slots int
-	// A step takes step ms, and perRequest ms for each request that runs on a rank; a pass has stride of them.
+	// A pass has stride steps. A step takes step ms, plus perRequest ms for each request that
+	// runs on a rank.
 	stride           float64
 	step, perRequest float64
-	// prompt is in tokens, and events is how many a stream has.
+	// prompt is the length of a prompt in tokens, events the mean number of events of a stream.
 	prompt, events float64
-	// content is the pause between events that callers are content with, first the time to the first event.
-	content, first time.Duration
-	// lateWorth is what a late answer is worth of one in time.
+	// targetGap and targetFirstEvent are the targets of the route.
+	targetGap, targetFirstEvent time.Duration
+	// lateWorth is the worth of a late response, relative to one on time.
 	lateWorth float64
 }
 
-// smallGroups are groups of 24 ranks with many slots each, whose passes are near the pause that callers are
-// content with if all slots are in use; largeGroup one of 192 with fewer slots.
+// smallGroups are groups of 24 ranks with many slots, whose passes come close to the target gap
+// if all slots are in use. largeGroup is a group of 192 ranks with fewer slots each.
 var (
 	smallGroups = simProfile{
 		ranks: 24, slots: 10, stride: 7, step: 4.84, perRequest: 0.435, prompt: 800, events: 22.7,
-		content: 120 * time.Millisecond, first: 400 * time.Millisecond, lateWorth: 0.3,
+		targetGap: 120 * time.Millisecond, targetFirstEvent: 400 * time.Millisecond, lateWorth: 0.3,
 	}
 	largeGroup = simProfile{
 		ranks: 192, slots: 6, stride: 9, step: 4.84, perRequest: 0.797, prompt: 800, events: 16.9,
-		content: 150 * time.Millisecond, first: 500 * time.Millisecond, lateWorth: 0.5,
+		targetGap: 150 * time.Millisecond, targetFirstEvent: 500 * time.Millisecond, lateWorth: 0.5,
 	}
 )
 
-// fixed is the part of a pass that doesn't depend on what runs, as the service's profile tells it.
-func (p *simProfile) fixed() time.Duration {
+// fixedPass returns the part of a pass that doesn't depend on the running requests.
+func (p *simProfile) fixedPass() time.Duration {
 	return time.Duration(p.stride * p.step * float64(time.Millisecond))
 }
 
-// simGroup is the model of one group.
+// simGroup models one group.
 type simGroup struct {
-	running []*simCaller
-	waiting []*simCaller
-	ends    time.Time
-	passes  []time.Duration
+	running  []*simCaller
+	waiting  []*simCaller
+	passEnds time.Time
+	passes   []time.Duration
 }
 
-// simCaller is one request, over both of its tries.
+// simCaller is one request over both of its tries.
 type simCaller struct {
-	first     time.Time
-	came      time.Time
-	tries     int
-	entry     *simEntry
-	waiter    *waiter
-	up        route.Upstream
-	sentAt    time.Time
-	lastAt    time.Time
-	events    int
-	late      bool
-	lateFirst bool
-	at        *groupPool
+	firstTryAt  time.Time
+	arrivedAt   time.Time
+	tries       int
+	gateway     *simGateway
+	waiter      *waiter
+	upstream    route.Upstream
+	sentAt      time.Time
+	lastEventAt time.Time
+	events      int
+	late        bool
+	lateFirst   bool
+	group       *groupPool
 }
 
-// simEntry drives a real entry in virtual time.
-type simEntry struct {
-	fleet   *fleet
-	weight  float64
-	waiting []*simCaller
+// simGateway drives the real code of a gateway in virtual time.
+type simGateway struct {
+	services *serviceManager
+	weight   float64
+	waiting  []*simCaller
 }
 
-func newGroupSim(p simProfile, seed uint64, groups, entries int, perSecond float64) *groupSim {
-	s := &groupSim{simProfile: p, rnd: rand.New(rand.NewPCG(seed, 7)), now: start, perSecond: perSecond}
+func newGroupSim(p simProfile, seed uint64, groups, gateways int, perSecond float64) *groupSim {
+	s := &groupSim{simProfile: p, rng: rand.New(rand.NewPCG(seed, 7)), now: start, perSecond: perSecond}
 	var insts []*directory.Instance
 	for g := range groups {
-		s.groups = append(s.groups, &simGroup{ends: start.Add(time.Duration(g*29) * time.Millisecond)})
+		s.groups = append(s.groups, &simGroup{passEnds: start.Add(time.Duration(g*29) * time.Millisecond)})
 		for r := range p.ranks {
 			insts = append(insts, &directory.Instance{Announcement: &wire.Announcement{
 				Id: simUpstream(g, r), Group: fmt.Sprint("g", g), Rank: uint32(r), Incarnation: 1, Pools: []string{simService},
@@ -119,139 +122,139 @@
 			}})
 		}
 	}
-	for i := range entries {
-		f := newFleet(&Settings{ID: fmt.Sprint("entry-", i)})
+	for i := range gateways {
+		f := newServiceManager(&Settings{ID: fmt.Sprint("entry-", i)})
 		f.place.Seed = seed*1000 + uint64(i)
-		f.entries = func() int { return entries }
+		f.gateways = func() int { return gateways }
 		if err := f.update(s.now, insts); err != nil {
 			panic(err)
 		}
-		e := &simEntry{fleet: f, weight: 0.6 + 0.8*s.rnd.Float64()}
-		s.entries = append(s.entries, e)
+		e := &simGateway{services: f, weight: 0.6 + 0.8*s.rng.Float64()}
+		s.gateways = append(s.gateways, e)
 	}
-	s.onlyAt(entries)
+	s.limitCallersTo(gateways)
 	return s
 }
 
-// onlyAt has callers come to the first entries only, so many.
-func (s *groupSim) onlyAt(entries int) {
+// limitCallersTo sends callers to the first gateways only.
+func (s *groupSim) limitCallersTo(gateways int) {
 	sum := 0.0
-	for i, e := range s.entries {
-		if i >= entries {
+	for i, e := range s.gateways {
+		if i >= gateways {
 			e.weight = 0
 		}
 		sum += e.weight
 	}
-	for _, e := range s.entries {
+	for _, e := range s.gateways {
 		e.weight /= sum
 	}
 }
 
 func simUpstream(group, rank int) string { return fmt.Sprintf("%d-%02d", group, rank) }
 
-func (s *groupSim) since() time.Duration { return s.now.Sub(start) }
+func (s *groupSim) elapsed() time.Duration { return s.now.Sub(start) }
 
-// run plays some time. What is due first comes first.
+// run simulates a duration, in order of the events' times.
 func (s *groupSim) run(d time.Duration) {
 	end := s.now.Add(d)
 	arrival, survey, turn := s.now, s.now, s.now
 	number := uint64(0)
 	for s.now.Before(end) {
-		g := slices.MinFunc(s.groups, func(a, b *simGroup) int { return a.ends.Compare(b.ends) })
-		s.now = slices.MinFunc([]time.Time{g.ends, arrival, survey, turn}, time.Time.Compare)
+		g := slices.MinFunc(s.groups, func(a, b *simGroup) int { return a.passEnds.Compare(b.passEnds) })
+		s.now = slices.MinFunc([]time.Time{g.passEnds, arrival, survey, turn}, time.Time.Compare)
 		switch {
-		case s.now.Equal(g.ends):
+		case s.now.Equal(g.passEnds):
 			s.pass(slices.Index(s.groups, g))
 		case s.now.Equal(survey):
 			number++
 			s.survey(number)
 			survey = survey.Add(200 * time.Millisecond)
 		case s.now.Equal(turn):
-			s.turns()
-			turn = turn.Add(turnPeriod)
+			s.tick()
+			turn = turn.Add(admitInterval)
 		default:
-			s.arrive(&simCaller{first: s.now, entry: s.anyEntry()})
-			arrival = arrival.Add(time.Duration(s.rnd.ExpFloat64() / s.perSecond * float64(time.Second)))
+			s.arrive(&simCaller{firstTryAt: s.now, gateway: s.randomGateway()})
+			arrival = arrival.Add(time.Duration(s.rng.ExpFloat64() / s.perSecond * float64(time.Second)))
 		}
 	}
 }
 
-func (s *groupSim) anyEntry() *simEntry {
-	x := s.rnd.Float64()
-	for _, e := range s.entries {
+func (s *groupSim) randomGateway() *simGateway {
+	x := s.rng.Float64()
+	for _, e := range s.gateways {
 		if x -= e.weight; x < 0 {
 			return e
 		}
 	}
-	return s.entries[0]
+	return s.gateways[0]
 }
 
-// arrive is a try of a caller.
+// arrive simulates one try of a caller.
 func (s *groupSim) arrive(c *simCaller) {
-	c.came = s.now
+	c.arrivedAt = s.now
 	c.tries++
 	if c.tries == 1 {
-		s.came++
+		s.arrived++
 	}
-	c.waiter = comes(s.now)
+	c.waiter = newArrival(s.now)
 	if c.tries > 1 {
-		c.waiter.returned, c.waiter.inTime = true, c.first.Add(s.first-leastHead)
+		c.waiter.retried, c.waiter.onTimeBy = true, c.firstTryAt.Add(s.targetFirstEvent-defaultHeadTime)
 	}
-	v, wait := c.entry.ask(s.now, c.waiter)
+	v, wait := c.gateway.decide(s.now, c.waiter)
 	switch v {
-	case letIn:
+	case decisionAdmit:
 		s.send(c)
-	case letWait:
-		c.entry.waiting = append(c.entry.waiting, c)
-	case turnAway:
-		s.turnAway(c, wait)
+	case decisionQueue:
+		c.gateway.waiting = append(c.gateway.waiting, c)
+	case decisionRefuse:
+		s.refuse(c, wait)
 	}
 }
 
-func (s *groupSim) turnAway(c *simCaller, wait time.Duration) {
+func (s *groupSim) refuse(c *simCaller, wait time.Duration) {
 	if c.tries > 1 {
 		s.refused++
 		return
 	}
 	c.sentAt = s.now.Add(wait)
-	s.queue = append(s.queue, c)
+	s.retries = append(s.retries, c)
 }
 
-// send gives a request to the rank that its entry chooses.
+// send sends a request to the rank that its gateway chooses.
 func (s *groupSim) send(c *simCaller) {
-	c.sentAt, c.up = s.now, c.entry.pick(s.now, c)
-	g := s.groups[c.up.ID[0]-'0']
+	c.sentAt, c.upstream = s.now, c.gateway.pick(s.now, c)
+	g := s.groups[c.upstream.ID[0]-'0']
 	g.waiting = append(g.waiting, c)
 }
 
-// turns looks after those that wait at entries, and those that come back.
-func (s *groupSim) turns() {
-	for _, e := range s.entries {
-		e.turns(s.now)
-		s.granted(e)
+// tick admits queued requests and lets refused callers retry.
+func (s *groupSim) tick() {
+	for _, e := range s.gateways {
+		e.admitQueued(s.now)
+		s.sendAdmitted(e)
 	}
-	back := s.queue
-	s.queue = nil
+	back := s.retries
+	s.retries = nil
 	for _, c := range back {
 		if s.now.Before(c.sentAt) {
-			s.queue = append(s.queue, c)
+			s.retries = append(s.retries, c)
 			continue
 		}
-		c.entry = s.anyEntry()
+		c.gateway = s.randomGateway()
 		s.arrive(c)
 	}
 }
 
-// granted sends what an entry has let in of those that waited there.
-func (s *groupSim) granted(e *simEntry) {
+// sendAdmitted sends the queued requests that a gateway has admitted.
+func (s *groupSim) sendAdmitted(e *simGateway) {
 	left := e.waiting
 	e.waiting = nil
 	for _, c := range left {
 		switch {
-		case granted(c.waiter):
+		case isAdmitted(c.waiter):
 			s.send(c)
-		case s.now.After(c.waiter.until):
-			s.turnAway(c, e.giveUp(s.now, c.waiter))
+		case s.now.After(c.waiter.giveUpAt):
+			s.refuse(c, e.giveUp(s.now, c.waiter))
 		default:
 			e.waiting = append(e.waiting, c)
 		}
@@ -264,15 +267,15 @@
 		perRank := make([]uint32, s.ranks)
 		for _, c := range slices.Concat(g.running, g.waiting) {
 			r := 0
-			_, _ = fmt.Sscanf(c.up.ID[2:], "%d", &r)
+			_, _ = fmt.Sscanf(c.upstream.ID[2:], "%d", &r)
 			perRank[r]++
 		}
 		for r, n := range perRank {
 			states = append(states, &wire.RankState{Upstream: simUpstream(i, r), Running: n, PacePercent: 100, AgeMs: 100})
 		}
 	}
-	for i, e := range s.entries {
-		e.fleet.survey(s.now, number, states, entryPlace{index: i, entries: len(s.entries)})
+	for i, e := range s.gateways {
+		e.services.applySurvey(s.now, number, states, gatewayPosition{index: i, count: len(s.gateways)})
 	}
 }
 
@@ -282,7 +285,7 @@
 	for _, c := range slices.Clone(g.running) {
 		s.event(g, c)
 	}
-	// Those that came meanwhile are read in the next pass, and have their first event at its end.
+	// New requests are read in the next pass and get their first event at its end.
 	read := 0
 	for len(g.waiting) > 0 && len(g.running) < s.ranks*s.slots {
 		g.running = append(g.running, g.waiting[0])
@@ -290,29 +293,29 @@
 		read++
 	}
 	work := (s.stride*s.perRequest*float64(len(g.running)) + s.prompt/simReadRate*float64(read)) / float64(s.ranks)
-	skew, copies := s.skew(i, s.since())
+	skew, copies := s.skew(i, s.elapsed())
 	ms := s.stride*s.step + work*((1-simExpertShare)*simBusiest+simExpertShare*skew)
 	if copies {
 		ms *= simCopying
 	}
 	pass := time.Duration(ms * float64(time.Millisecond))
 	g.passes = append(g.passes, pass)
-	g.ends = s.now.Add(pass)
+	g.passEnds = s.now.Add(pass)
 }
 
 func (s *groupSim) event(g *simGroup, c *simCaller) {
 	c.events++
 	if c.events == 1 {
-		c.lateFirst = s.now.Sub(c.first) > s.first
+		c.lateFirst = s.now.Sub(c.firstTryAt) > s.targetFirstEvent
 		c.late = c.lateFirst
-		c.entry.head(s.now, c, s.now.Sub(c.sentAt))
+		c.gateway.recordHead(s.now, c, s.now.Sub(c.sentAt))
 	} else {
-		pause := s.now.Sub(c.lastAt)
-		c.late = c.late || pause > s.content
-		c.entry.paused(s.now, c, pause, &s.simProfile)
+		pause := s.now.Sub(c.lastEventAt)
+		c.late = c.late || pause > s.targetGap
+		c.gateway.recordGap(s.now, c, pause, &s.simProfile)
 	}
-	c.lastAt = s.now
-	if s.rnd.Float64() > 1/s.events {
+	c.lastEventAt = s.now
+	if s.rng.Float64() > 1/s.events {
 		return
 	}
 	g.running = slices.DeleteFunc(g.running, func(o *simCaller) bool { return o == c })
@@ -322,26 +325,26 @@
 	if c.late {
 		s.late++
 	} else {
-		s.inTime++
+		s.onTime++
 	}
-	c.entry.leave(s.now, c)
-	s.granted(c.entry)
+	c.gateway.release(s.now, c)
+	s.sendAdmitted(c.gateway)
 }
 
-// forget begins to count anew: what came before the load was there tells nothing.
-func (s *groupSim) forget() {
-	s.came, s.inTime, s.late, s.lateFirst, s.refused = 0, 0, 0, 0, 0
+// resetCounts drops the counts of the warm-up phase.
+func (s *groupSim) resetCounts() {
+	s.arrived, s.onTime, s.late, s.lateFirst, s.refused = 0, 0, 0, 0, 0
 	for _, g := range s.groups {
 		g.passes = nil
 	}
 }
 
-// worth is what those that came got, of all that they wanted.
+// worth returns the mean worth of the requests that ended.
 func (s *groupSim) worth() float64 {
-	return (float64(s.inTime) + s.lateWorth*float64(s.late)) / float64(s.inTime+s.late+s.refused)
+	return (float64(s.onTime) + s.lateWorth*float64(s.late)) / float64(s.onTime+s.late+s.refused)
 }
 
-// String tells what became of callers, for failures.
+// String summarizes the results.
 func (s *groupSim) String() string {
 	var all []time.Duration
 	for _, g := range s.groups {
@@ -352,43 +355,43 @@
 		return all[int(math.Min(q*float64(len(all)), float64(len(all)-1)))].Milliseconds()
 	}
 	return fmt.Sprintf("%d came, %d in time, %d late (%d by their first event), %d refused; worth %.3f; passes p50 %d ms, p90 %d ms, p99 %d ms",
-		s.came, s.inTime, s.late, s.lateFirst, s.refused, s.worth(), at(0.5), at(0.9), at(0.99))
+		s.arrived, s.onTime, s.late, s.lateFirst, s.refused, s.worth(), at(0.5), at(0.9), at(0.99))
 }
 
-func (e *simEntry) pool() *servicePool { return e.fleet.services[simService] }
+func (e *simGateway) pool() *servicePool { return e.services.services[simService] }
 
-func (e *simEntry) ask(now time.Time, w *waiter) (verdict, time.Duration) {
-	return e.pool().ask(now, e.fleet.entries(), w)
+func (e *simGateway) decide(now time.Time, w *waiter) (decision, time.Duration) {
+	return e.pool().decide(now, e.services.gateways(), w)
 }
 
-func (e *simEntry) turns(now time.Time) { e.pool().turns(now, e.fleet.entries()) }
+func (e *simGateway) admitQueued(now time.Time) { e.pool().admitQueued(now, e.services.gateways()) }
 
-func (e *simEntry) giveUp(now time.Time, w *waiter) time.Duration {
-	e.pool().line.remove(w)
-	return e.pool().turnAway(now)
+func (e *simGateway) giveUp(now time.Time, w *waiter) time.Duration {
+	e.pool().queue.remove(w)
+	return e.pool().refused(now)
 }
 
-func (e *simEntry) pick(now time.Time, c *simCaller) route.Upstream {
-	up, at, ok := e.fleet.pick(now, c.waiter.at, &route.Request{})
+func (e *simGateway) pick(now time.Time, c *simCaller) route.Upstream {
+	up, at, ok := e.services.pick(now, c.waiter.group, &route.Request{})
 	if !ok {
 		panic("no upstream")
 	}
-	c.at = at
+	c.group = at
 	return up
 }
 
-func (e *simEntry) head(now time.Time, c *simCaller, after time.Duration) {
-	e.fleet.answered(now, c.at, c.up, nil, after, true)
+func (e *simGateway) recordHead(now time.Time, c *simCaller, after time.Duration) {
+	e.services.recordHead(now, c.group, c.upstream, nil, after, true)
 }
 
-func (e *simEntry) paused(now time.Time, c *simCaller, pause time.Duration, p *simProfile) {
-	e.fleet.alive(now, c.at)
-	e.fleet.paused(now, simService, c.at, pause, p.content, p.fixed())
+func (e *simGateway) recordGap(now time.Time, c *simCaller, pause time.Duration, p *simProfile) {
+	e.services.recordProgress(now, c.group)
+	e.services.observeGap(now, simService, c.group, pause, p.targetGap, p.fixedPass())
 }
 
-func (e *simEntry) leave(now time.Time, c *simCaller) {
-	e.fleet.done(now, c.at, c.up, &route.Request{}, route.Result{Elapsed: now.Sub(c.sentAt)})
-	c.at.gate.leave()
-	e.pool().stayedFor(now.Sub(c.sentAt))
-	e.pool().turns(now, e.fleet.entries())
+func (e *simGateway) release(now time.Time, c *simCaller) {
+	e.services.finish(now, c.group, c.upstream, &route.Request{}, route.Result{Elapsed: now.Sub(c.sentAt)})
+	c.group.limiter.release()
+	e.pool().recordHoldTime(now.Sub(c.sentAt))
+	e.pool().admitQueued(now, e.services.gateways())
 }
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// deadlineConn keeps the last deadline that was set.
+// deadlineConn records the last read deadline.
 type deadlineConn struct {
 	net.Conn
 	last time.Time
@@ -30,35 +30,34 @@
 	return g
 }
 
-// A caller keeps a connection idle for as long as the configuration lets it, longer
-// than any default. Closed sooner, its next request would end without an answer,
-// and one that may run once only could not be sent again.
-func TestConnectionsObeyTheLimitsInForce(t *testing.T) {
+// Open connections follow changes of the timeouts. A connection that is closed before its idle
+// timeout could lose a request that must not be retried.
+func TestConnectionsFollowTimeoutChanges(t *testing.T) {
 	g := &Gateway{}
 	var under deadlineConn
 	c := &callerConn{Conn: &under, limits: g.limits}
-	// The limit counts from some moment within the call.
+	// The timeout counts from some moment within the call.
 	becomes := func(mark, want time.Duration) {
 		t.Helper()
 		before := time.Now()
 		assert.NilError(t, c.SetReadDeadline(before.Add(mark)))
 		assert.Assert(t, !under.last.Before(before.Add(want)) && !under.last.After(time.Now().Add(want)), "%s", under.last.Sub(before))
 	}
-	becomes(idleMark, defaultIdleTimeout)
+	becomes(idleSentinel, defaultIdleTimeout)
 
 	g = gatewayWithLimits(&wire.RoutingLimits{IdleTimeoutMs: 7_200_000, HeaderTimeoutMs: 1_200_000})
 	c.limits = g.limits
-	becomes(idleMark, 2*time.Hour)
-	becomes(headMark, 20*time.Minute)
+	becomes(idleSentinel, 2*time.Hour)
+	becomes(headSentinel, 20*time.Minute)
 
 	g.table.Store(gatewayWithLimits(&wire.RoutingLimits{IdleTimeoutMs: 3_600_000}).table.Load())
-	becomes(idleMark, time.Hour)
-	becomes(headMark, defaultHeadTimeout)
+	becomes(idleSentinel, time.Hour)
+	becomes(headSentinel, defaultHeadTimeout)
 }
 
-// What else the server sets goes through: none, and one in the past, by which it
-// ends a read that waits for a caller to leave.
-func TestOtherDeadlinesGoThrough(t *testing.T) {
+// Other deadlines pass through unchanged: none, and one in the past, with which the server ends a
+// pending read.
+func TestOtherDeadlinesAreUnchanged(t *testing.T) {
 	var under deadlineConn
 	c := &callerConn{Conn: &under, limits: (&Gateway{}).limits}
 	for _, at := range []time.Time{{}, time.Unix(1, 0), time.Now().Add(time.Hour)} {
@@ -67,9 +66,8 @@
 	}
 }
 
-// A head that takes exactly the limit on the wire is let in: what the fields are
-// counted as is never more than what the caller sent.
-func TestHeadsWithinTheLimitAreNeverCountedAsMore(t *testing.T) {
+// A request head is never counted as larger than it was on the wire.
+func TestHeaderSizeNeverExceedsWireSize(t *testing.T) {
 	r, err := http.NewRequest(http.MethodGet, "http://h.example/tick", http.NoBody)
 	assert.NilError(t, err)
 	r.Header = http.Header{"X-A": {"1", "22"}, "X-Long": {strings.Repeat("x", 100)}}
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -11,17 +11,16 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// Bounds of the request log, in lines a second. A request that failed, or that needed
-// more than one attempt, is never left out for another, and one that was late not for one
-// in time: each kind has an allowance.
+// Limits of the request log, in lines per second. Each kind of request has its own limit, so that
+// lines of failed or retried requests aren't crowded out by late ones, nor these by others.
 const (
 	failedLines   = 40
 	lateLines     = 10
 	answeredLines = 2
 )
 
-// requestLog writes a line for each request that was not answered, and for a sample
-// of the others, within an allowance; what is left out is counted.
+// requestLog writes a line for each request, within separate limits for failed or retried, late
+// and other requests. Lines left out are counted.
 type requestLog struct {
 	log      log.Logger
 	failed   *kernel.LineBudget
@@ -36,23 +35,23 @@
 	}
 }
 
-// done ends a request: it writes its line and counts it.
-func (c *call) done(status int, reason string, err error) {
-	c.metrics.ended(c, status, reason, err)
+// finish ends a request: it counts it and writes its log line.
+func (c *call) finish(status int, reason string, err error) {
+	c.metrics.record(c, status, reason, err)
 	late := c.late()
-	budget := c.requests.answered
+	budget := c.requestLog.answered
 	if late != "" {
-		budget = c.requests.late
+		budget = c.requestLog.late
 	}
 	if reason != "" || err != nil || status >= http.StatusInternalServerError || len(c.attempts) > 1 {
-		budget = c.requests.failed
+		budget = c.requestLog.failed
 	}
 	ok, leftOut := budget.Take()
 	if !ok {
 		return
 	}
 	kv := []any{
-		"request", c.asked.ID, "status", status, "reason", reason, "took_ms", time.Since(c.began).Milliseconds(),
+		"request", c.params.ID, "status", status, "reason", reason, "took_ms", time.Since(c.receivedAt).Milliseconds(),
 		"route", c.route.GetName(), "service", c.service, "team", c.team.GetName(), "attempts", c.attemptText(),
 	}
 	if t := c.table.Load(); t != nil {
@@ -64,8 +63,8 @@
 	if c.firstEvent > 0 {
 		kv = append(kv, "first_event_ms", c.firstEvent.Milliseconds())
 	}
-	if c.longestPause > 0 {
-		kv = append(kv, "longest_pause_ms", c.longestPause.Milliseconds(), "pause_ended_ms_ago", time.Since(c.pauseEnded).Milliseconds())
+	if c.longestGap > 0 {
+		kv = append(kv, "longest_pause_ms", c.longestGap.Milliseconds(), "pause_ended_ms_ago", time.Since(c.longestGapEnded).Milliseconds())
 	}
 	if c.age > 0 {
 		kv = append(kv, "age_ms", c.age.Milliseconds())
@@ -76,8 +75,8 @@
 	if late != "" {
 		kv = append(kv, "late", late)
 	}
-	if c.why != "" {
-		kv = append(kv, "why", c.why)
+	if c.cause != "" {
+		kv = append(kv, "why", c.cause)
 	}
 	if err != nil {
 		kv = append(kv, "err", err)
@@ -85,10 +84,10 @@
 	if leftOut > 0 {
 		kv = append(kv, "lines_left_out", leftOut)
 	}
-	kernel.Info(c.requests.log, "Request ended.", kv...)
+	kernel.Info(c.requestLog.log, "Request ended.", kv...)
 }
 
-// attemptText is the attempts as UPSTREAM:OUTCOME:STATUS:MILLISECONDS.
+// attemptText formats the attempts as UPSTREAM:OUTCOME:STATUS:MILLISECONDS, separated by commas.
 func (c *call) attemptText() string {
 	var parts []string
 	for _, a := range c.attempts {
--- /dev/null
+++ b/gateway/services.go
@@ -0,0 +1,240 @@
+package gateway
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/snipereach/snipereach/dialect"
+	"github.com/snipereach/snipereach/directory"
+	"github.com/snipereach/snipereach/lockstep"
+	"github.com/snipereach/snipereach/route"
+	"github.com/snipereach/snipereach/wire"
+)
+
+// balancerName selects the balancer plug-in. It uses the loads that come with responses, and for
+// groups in lock-step the surveys of their leader.
+const balancerName = "load-interpretation"
+
+// firstLoad is the sequence number of the load of an upstream that has not responded yet.
+const firstLoad = 1
+
+// serviceManager holds the state of each service over the upstreams that are up.
+type serviceManager struct {
+	place route.Place
+
+	mu       sync.Mutex
+	services map[string]*servicePool
+	// loadSeq numbers the loads that come with responses. Their order of arrival is all that is
+	// known of their age.
+	loadSeq uint64
+	// onStateChange is called, without the lock, when the state of a group has changed.
+	onStateChange func(service string, c stateChange)
+	// onPasses is called, without the lock, with the passes of a group since the last call.
+	onPasses func(service, group string, stats passStats, inputs string)
+	// gateways returns the number of gateways that are up. It is called without the lock.
+	gateways func() int
+}
+
+func newServiceManager(s *Settings) *serviceManager {
+	return &serviceManager{
+		place:    route.Place{Entry: s.ID, FailureDomain: s.FailureDomain, Seed: rand.Uint64()},
+		services: map[string]*servicePool{}, loadSeq: firstLoad,
+	}
+}
+
+// update replaces the upstreams by those of insts that are up.
+func (m *serviceManager) update(now time.Time, insts []*directory.Instance) error {
+	byService := map[string][]*directory.Instance{}
+	for _, i := range insts {
+		if i.Direct == nil || !i.Up() {
+			continue
+		}
+		for _, name := range i.Pools {
+			byService[name] = append(byService[name], i)
+		}
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for name := range byService {
+		if m.services[name] == nil {
+			m.services[name] = newServicePool(m.place)
+		}
+	}
+	for name, p := range m.services {
+		if err := p.update(now, m.place, byService[name]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// applySurvey applies the states of ranks that the leader of their groups has read. It returns the
+// upstreams that running requests should leave because they are slow.
+func (m *serviceManager) applySurvey(now time.Time, number uint64, ranks []*wire.RankState, position gatewayPosition) (slow []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.loadSeq++
+	for _, p := range m.services {
+		for _, g := range p.sorted {
+			known := slices.DeleteFunc(slices.Clone(ranks), func(r *wire.RankState) bool { return g.upstreams[r.Upstream] == nil })
+			if len(known) == 0 {
+				continue
+			}
+			g.applySurvey(now, &route.Survey{
+				Entries: position.count, Index: position.index, Number: number,
+				Seq: m.loadSeq, Loads: surveyedLoads(known),
+			})
+			slow = append(slow, ranksToLeave(known)...)
+		}
+	}
+	return slow
+}
+
+func surveyedLoads(ranks []*wire.RankState) []route.SurveyedLoad {
+	loads := make([]route.SurveyedLoad, len(ranks))
+	for i, r := range ranks {
+		loads[i] = route.SurveyedLoad{
+			ID: r.Upstream, Requests: int(r.Running + r.Waiting),
+			Slow: paceOf(r) >= lockstep.SlowPace, Age: time.Duration(r.AgeMs) * time.Millisecond,
+		}
+	}
+	return loads
+}
+
+// paceOf returns how many times as long as usual a rank takes for its work.
+func paceOf(r *wire.RankState) float64 { return float64(r.PacePercent) / 100 }
+
+// recordProgress records an event of a stream.
+func (m *serviceManager) recordProgress(now time.Time, group *groupPool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	group.limiter.recordProgress(now)
+}
+
+// observeGap records the gap between two events of a stream, the target gap, and the fixed part
+// of a pass.
+func (m *serviceManager) observeGap(now time.Time, service string, group *groupPool, gap, targetGap, fixed time.Duration) {
+	m.mu.Lock()
+	if pass, done := group.limiter.observeGap(now, group.service.gateways, gap, targetGap, fixed); done {
+		group.stats.record(pass, targetGap)
+	}
+	stats, ok := group.stats.flush(now)
+	inputs := ""
+	if ok {
+		inputs = group.limiter.describe(now, group.service.gateways)
+	}
+	m.mu.Unlock()
+	if ok && m.onPasses != nil {
+		m.onPasses(service, group.name, stats, inputs)
+	}
+}
+
+// headTime returns the usual time to the head of a service's response.
+func (m *serviceManager) headTime(service string) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if p := m.services[service]; p != nil && p.headTime > 0 {
+		return p.headTime
+	}
+	return defaultHeadTime
+}
+
+// silenceLimit returns how long an upstream of a group may be silent.
+func (m *serviceManager) silenceLimit(group *groupPool) time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return group.service.silenceLimit()
+}
+
+// progressing reports whether a group has made progress lately.
+func (m *serviceManager) progressing(now time.Time, group *groupPool) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return group.limiter.progressing(now)
+}
+
+// recordGroupDown records that a rank refused a request because its group is down.
+func (m *serviceManager) recordGroupDown(now time.Time, group *groupPool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	group.limiter.markDown(now)
+}
+
+// pick chooses an upstream for a request that holds a permit of a group. If the group is
+// unavailable or has no upstream left, another group is used and the permit moves there. finish
+// must be called with the result.
+func (m *serviceManager) pick(now time.Time, group *groupPool, r *route.Request) (upstream route.Upstream, holder *groupPool, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, g := range group.candidates(now) {
+		c, ok := g.balancer.Pick(now, r)
+		if !ok {
+			continue
+		}
+		if g != group {
+			group.limiter.release()
+			g.limiter.acquire(now)
+		}
+		return c.Upstream, g, true
+	}
+	return route.Upstream{}, group, false
+}
+
+// candidates returns the groups at which an attempt may be made, the best first.
+func (g *groupPool) candidates(now time.Time) []*groupPool {
+	other := g.service.alternative(now, g)
+	switch {
+	case other == nil:
+		return []*groupPool{g}
+	case g.limiter.available(now):
+		return []*groupPool{g, other}
+	}
+	return []*groupPool{other, g}
+}
+
+// finish ends an attempt at an upstream that pick chose.
+func (m *serviceManager) finish(now time.Time, group *groupPool, upstream route.Upstream, r *route.Request, res route.Result) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	group.balancer.Done(now, upstream, r, res)
+}
+
+// recordHead records the head of a response after the given time, with the upstream's load if it
+// tells it. ran says that the upstream has begun to run the request.
+func (m *serviceManager) recordHead(now time.Time, group *groupPool, upstream route.Upstream, load *dialect.Load, after time.Duration, ran bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	var l *wire.Load
+	if load != nil {
+		m.loadSeq++
+		l = &wire.Load{
+			Seq: m.loadSeq, Running: uint32(load.Running), Waiting: uint32(load.Waiting), Slots: uint32(load.Slots),
+		}
+		group.limiter.recordLoad(now, load)
+	}
+	if ran {
+		group.limiter.markUp()
+		group.limiter.recordProgress(now)
+		group.service.recordHeadTime(after)
+	}
+	if b, ok := group.balancer.(route.Answered); ok {
+		b.Answered(now, upstream, l, after)
+	}
+}
+
+// addresses returns the set of addresses of all upstreams that are up.
+func (m *serviceManager) addresses() map[string]bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	list := map[string]bool{}
+	for _, p := range m.services {
+		for _, g := range p.sorted {
+			for _, i := range g.upstreams {
+				list[i.Address] = true
+			}
+		}
+	}
+	return list
+}
--- a/gateway/slowrank.go
+++ b/gateway/slowrank.go
@@ -8,51 +8,49 @@
 )
 
 const (
-	// leavePace is the pace of a rank from which on running requests leave it. The pass
-	// of a group takes as long as that of its slowest rank, also if that has one request
-	// only: with a pace of five, passes of 55 ms took 170 to 200 ms for as long as a
-	// stream ran there. Below it, reading a prompt again elsewhere costs as much.
+	// leavePace is the pace of a rank from which running requests leave it. A single request at a
+	// slow rank makes the passes of the whole group as long as that rank's. Below leavePace,
+	// reading the prompt again elsewhere costs as much as staying.
 	leavePace = 1.7
-	// mostLeft is the part of the ranks that may be left: beyond it the others would be
-	// filled up, and what is slow is the group.
-	mostLeft = 0.25
+	// maxLeftFraction is the fraction of the ranks that may be left. With more slow ranks the
+	// others would be overloaded, and the group as a whole is slow.
+	maxLeftFraction = 0.25
 )
 
-// toLeave returns the upstreams that running requests should leave.
-//
-// The load that it answers: one rank of a group turns slow while all run streams. No new
-// requests go there, but those that run go on for the longer the slower the rank is,
-// and hold up the streams of all the others.
-func toLeave(ranks []*wire.RankState) (slow []string) {
+// ranksToLeave returns the upstreams that running requests should leave. No new requests go to a
+// slow rank, but those that run there hold up the streams of the whole group.
+func ranksToLeave(ranks []*wire.RankState) (slow []string) {
 	for _, r := range ranks {
 		if paceOf(r) >= leavePace {
 			slow = append(slow, r.Upstream)
 		}
 	}
-	if float64(len(slow)) > mostLeft*float64(len(ranks)) {
+	if float64(len(slow)) > maxLeftFraction*float64(len(ranks)) {
 		return nil
 	}
 	return slow
 }
 
-// movable holds the attempts that may be given up for another upstream.
-type movable struct {
+// movableAttempts holds the attempts that may be given up for another upstream.
+type movableAttempts struct {
 	mu         sync.Mutex
-	byUpstream map[string]map[*attemptWatch]struct{}
+	byUpstream map[string]map[*silenceWatchdog]struct{}
 }
 
-func newMovable() *movable { return &movable{byUpstream: map[string]map[*attemptWatch]struct{}{}} }
+func newMovableAttempts() *movableAttempts {
+	return &movableAttempts{byUpstream: map[string]map[*silenceWatchdog]struct{}{}}
+}
 
-func (m *movable) add(w *attemptWatch) {
+func (m *movableAttempts) add(w *silenceWatchdog) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.byUpstream[w.upstream] == nil {
-		m.byUpstream[w.upstream] = map[*attemptWatch]struct{}{}
+		m.byUpstream[w.upstream] = map[*silenceWatchdog]struct{}{}
 	}
 	m.byUpstream[w.upstream][w] = struct{}{}
 }
 
-func (m *movable) remove(w *attemptWatch) {
+func (m *movableAttempts) remove(w *silenceWatchdog) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.byUpstream[w.upstream], w)
@@ -62,26 +60,26 @@
 }
 
 // at returns the attempts at an upstream.
-func (m *movable) at(upstream string) []*attemptWatch {
+func (m *movableAttempts) at(upstream string) []*silenceWatchdog {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var list []*attemptWatch
+	var list []*silenceWatchdog
 	for w := range m.byUpstream[upstream] {
 		list = append(list, w)
 	}
 	return list
 }
 
-// takeSurvey takes the states of ranks, and has running requests leave the slow ones.
-func (g *Gateway) takeSurvey(number uint64, ranks []*wire.RankState) {
+// applySurvey applies the states of ranks, and has running requests leave the slow ones.
+func (g *Gateway) applySurvey(number uint64, ranks []*wire.RankState) {
 	if len(ranks) == 0 {
 		return
 	}
 	now := time.Now()
-	for _, id := range g.fleet.survey(now, number, ranks, g.placeAmongEntries()) {
+	for _, id := range g.services.applySurvey(now, number, ranks, g.position()) {
 		for _, w := range g.movable.at(id) {
-			if w.call.takeMove(now, w.at) {
-				g.believe("Request leaves a slow upstream.", "request", w.call.asked.ID, "upstream", id)
+			if w.call.reserveRetry(now, w.group) {
+				g.logState("Request leaves a slow upstream.", "request", w.call.params.ID, "upstream", id)
 				g.metrics.Count("gateway.left_slow")
 				w.cancel()
 			}
--- a/gateway/slowrank_test.go
+++ b/gateway/slowrank_test.go
@@ -13,35 +13,37 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// slowCase is a gateway that knows six ranks, with streams that run at rank r2.
-type slowCase struct {
+// slowRankGateway is a gateway that knows six ranks, with streams that run at rank r2. left lists
+// the streams whose attempt was cancelled.
+type slowRankGateway struct {
 	*Gateway
 	left []int
 }
 
-// newSlowCase gives the service some second attempts.
-func newSlowCase(t *testing.T, streams int, attempts float64) *slowCase {
+// newSlowRankGateway returns a gateway with the given numbers of streams at r2 and of retries in
+// the budget.
+func newSlowRankGateway(t *testing.T, streams int, attempts float64) *slowRankGateway {
 	set := DefaultSettings()
 	set.ID = "entry-1"
 	now := time.Now()
-	c := &slowCase{Gateway: &Gateway{
-		settings: set, movable: newMovable(), metrics: newGatewayMetrics(), log: log.NewNopLogger(),
-		beliefs: kernel.NewLineBudget(beliefLines, time.Now), fleet: newFleet(set), node: directory.NewNode(directory.DefaultSettings(), time.Now, nil),
+	c := &slowRankGateway{Gateway: &Gateway{
+		settings: set, movable: newMovableAttempts(), metrics: newGatewayMetrics(), log: log.NewNopLogger(),
+		stateLog: kernel.NewLineBudget(stateLogLines, time.Now), services: newServiceManager(set), node: directory.NewNode(directory.DefaultSettings(), time.Now, nil),
 	}}
-	retries := RetrySettings{Slack: attempts / budgetMargin / budgetDepthShare, Window: durationOf(10 * time.Second)}
-	c.budgets = newBudgets(retries, func() int { return 1 }, func() time.Time { return now })
+	retries := RetrySettings{Slack: attempts / budgetMargin / budgetBurstFraction, Window: durationOf(10 * time.Second)}
+	c.retryBudgets = newRetryBudgets(retries, func() int { return 1 }, func() time.Time { return now })
 	var ranks []*directory.Instance
 	for _, id := range []string{"r0", "r1", "r2", "r3", "r4", "r5"} {
 		ranks = append(ranks, &directory.Instance{Announcement: &wire.Announcement{
 			Id: id, Group: "g", Pools: []string{"llm"}, Phase: wire.Phase_PHASE_UP, Direct: &wire.DirectUpstream{Slots: 12},
 		}})
 	}
-	assert.NilError(t, c.fleet.update(now, ranks))
-	at := c.fleet.services["llm"].order[0]
-	c.fleet.alive(now, at)
+	assert.NilError(t, c.services.update(now, ranks))
+	at := c.services.services["llm"].sorted[0]
+	c.services.recordProgress(now, at)
 	for i := range streams {
 		s := &call{
-			Gateway: c.Gateway, service: "llm", at: at, asked: dialect.Request{ID: "a"}, deadline: now.Add(time.Minute),
+			Gateway: c.Gateway, service: "llm", group: at, params: dialect.Request{ID: "a"}, deadline: now.Add(time.Minute),
 			route: &wire.Route{Kind: wire.RouteKind_ROUTE_KIND_STREAMING, Resume: true, MaxAttempts: 2},
 		}
 		w := s.watchAttempt("r2", func() { c.left = append(c.left, i) })
@@ -50,47 +52,45 @@
 	return c
 }
 
-func survey(pace ...uint32) (list []*wire.RankState) {
+func rankStates(pace ...uint32) (list []*wire.RankState) {
 	for i, p := range pace {
 		list = append(list, &wire.RankState{Upstream: "r" + string(rune('0'+i)), Running: 6, PacePercent: p})
 	}
 	return list
 }
 
-// One rank turns slow while streams run there. What all callers of the group see is
-// that each event takes three times as long, until the last of these streams is over.
-// They go on at other ranks instead, as far as second attempts are left; the others
-// stay where they are and aren't broken off.
-func TestStreamsLeaveASlowRankWithinTheBudget(t *testing.T) {
-	c := newSlowCase(t, 5, 3)
-	c.takeSurvey(1, survey(100, 100, 100, 100, 100, 100))
+// Streams leave a rank that becomes slow, as it delays the whole group, but no more of them than
+// the retry budget allows.
+func TestStreamsLeaveSlowRankWithinBudget(t *testing.T) {
+	c := newSlowRankGateway(t, 5, 3)
+	c.applySurvey(1, rankStates(100, 100, 100, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
-	c.takeSurvey(1, survey(100, 100, 500, 100, 100, 100))
+	c.applySurvey(1, rankStates(100, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 3)
-	assert.Assert(t, !c.budgets.take("llm"), "a second attempt was given twice")
+	assert.Assert(t, !c.retryBudgets.takeToken("llm"), "the retry budget was exceeded")
 }
 
-// A stream that has used its attempts stays: leaving would end it.
-func TestStreamWithoutAnotherAttemptStays(t *testing.T) {
-	c := newSlowCase(t, 1, 3)
+// A stream without another attempt stays, as leaving would end it.
+func TestStreamWithoutRetryStays(t *testing.T) {
+	c := newSlowRankGateway(t, 1, 3)
 	for _, w := range c.movable.at("r2") {
 		w.call.sent.Store(1)
 	}
-	c.takeSurvey(1, survey(100, 100, 500, 100, 100, 100))
+	c.applySurvey(1, rankStates(100, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
 }
 
-// Where a good part of the ranks is slow the others have no room for what they run.
-func TestSlowGroupIsNotLeft(t *testing.T) {
-	c := newSlowCase(t, 2, 3)
-	c.takeSurvey(1, survey(500, 100, 500, 100, 100, 100))
+// If too many ranks are slow, the others have no room for their requests, so none leaves.
+func TestStreamsStayInSlowGroup(t *testing.T) {
+	c := newSlowRankGateway(t, 2, 3)
+	c.applySurvey(1, rankStates(500, 100, 500, 100, 100, 100))
 	assert.Equal(t, len(c.left), 0)
-	assert.Equal(t, len(toLeave([]*wire.RankState{{Upstream: "r0", PacePercent: 500}})), 0)
+	assert.Equal(t, len(ranksToLeave([]*wire.RankState{{Upstream: "r0", PacePercent: 500}})), 0)
 }
 
-// An attempt that has ended is no longer known, and nor is its upstream.
-func TestEndedAttemptsAreForgotten(t *testing.T) {
-	c := newSlowCase(t, 1, 3)
+// An attempt that has ended is removed, and its upstream if it was the last.
+func TestEndedAttemptsAreRemoved(t *testing.T) {
+	c := newSlowRankGateway(t, 1, 3)
 	ws := c.movable.at("r2")
 	assert.Equal(t, len(ws), 1)
 	ws[0].stop()
