--- a/gateway/fetches_test.go
+++ b/gateway/fetchgroup_test.go
@@ -11,11 +11,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// fetchAll plays watches of some replicas that all tell one version at once. A fetch
-// takes a while and may fail; it returns how many were made.
-func fetchAll(watches int, takes func(n int32) time.Duration, fails func(n int32) bool) (made int32, held uint64) {
+// simulateFetches simulates watches of several replicas that report the same version at once.
+// takes and fails describe the nth fetch. It returns the number of fetches and the version that
+// was applied.
+func simulateFetches(watches int, takes func(n int32) time.Duration, fails func(n int32) bool) (made int32, held uint64) {
 	const version = 7
-	f := newFetches()
+	f := newFetchGroup()
 	var fetched, applied atomic.Int32
 	var wg sync.WaitGroup
 	for range watches {
@@ -40,18 +41,17 @@
 	return fetched.Load(), uint64(applied.Load())
 }
 
-// Five replicas tell a new version at once: it is fetched from one of them, so that a
-// large configuration doesn't cross the network five times for each entry. If that
-// fetch fails, or takes long because the replica has fallen silent, the others fetch it.
-func TestOneWatchFetchesAVersion(t *testing.T) {
+// A version that several replicas report at once is fetched from one of them. If that fetch fails
+// or takes too long, the other watches fetch it.
+func TestVersionIsFetchedOnce(t *testing.T) {
 	quick := func(int32) time.Duration { return 10 * time.Millisecond }
 	synctest.Test(t, func(t *testing.T) {
-		made, held := fetchAll(5, quick, func(int32) bool { return false })
+		made, held := simulateFetches(5, quick, func(int32) bool { return false })
 		assert.Equal(t, made, int32(1))
 		assert.Equal(t, held, uint64(7))
 	})
 	synctest.Test(t, func(t *testing.T) {
-		_, held := fetchAll(5, quick, func(n int32) bool { return n < 3 })
+		_, held := simulateFetches(5, quick, func(n int32) bool { return n < 3 })
 		assert.Equal(t, held, uint64(7))
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			}
 			return quick(n)
 		}
-		_, held := fetchAll(5, silent, func(n int32) bool { return n == 1 })
+		_, held := simulateFetches(5, silent, func(n int32) bool { return n == 1 })
 		assert.Equal(t, held, uint64(7))
 		assert.Assert(t, time.Since(began) < 5500*time.Millisecond, "took %s", time.Since(began))
 	})
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -10,66 +10,65 @@
 	"github.com/snipereach/snipereach/direct"
 )
 
-// stream is the state of one answer that is passed on event by event.
+// stream is the state of one response that is passed on event by event.
 type stream struct {
 	*call
-	// started says that the head of the answer has left.
+	// started says that the head of the response was sent.
 	started bool
-	// lastID is the ID of the last event that has left, or where the caller wants
-	// to go on.
+	// lastID is the ID of the last event that was sent, or the one from which the caller resumes.
 	lastID string
 	events int
-	// sentAt is when the last event left.
-	sentAt time.Time
+	// lastEventAt is when the last event was sent.
+	lastEventAt time.Time
 }
 
-// serveStream answers a request with a stream of events. It may go on at another
-// upstream inside one answer, after the last event that was passed on.
+// serveStream answers a request with a stream of events. After a failed attempt it may resume the
+// stream at another upstream, after the last event that was passed on.
 func (c *call) serveStream() {
-	s := &stream{call: c, lastID: c.asked.LastEventID}
-	var held *answer
-	served := c.eachAttempt(func(a *attempt) (o outcome, served bool) {
-		held, o = s.run(a)
+	s := &stream{call: c, lastID: c.params.LastEventID}
+	var buffered *bufferedResponse
+	served := c.runAttempts(func(a *attempt) (o outcome, served bool) {
+		buffered, o = s.run(a)
 		return o, o == outcomeAnswered
 	})
 	switch {
 	case served:
-		s.finish(held)
+		s.complete(buffered)
 	case s.started:
-		s.breakOff()
+		s.abort()
 	default:
-		c.fail()
+		c.refuseFailed()
 	}
 }
 
-// run makes one attempt. An answer that is no stream is returned whole.
-func (s *stream) run(a *attempt) (*answer, outcome) {
+// run makes one attempt. A response that isn't a stream is returned whole.
+func (s *stream) run(a *attempt) (*bufferedResponse, outcome) {
 	resp, err := s.send(a, s.lastID)
 	if err != nil {
-		return nil, s.failed(a, err)
+		return nil, s.classifyError(a, err)
 	}
 	defer resp.Body.Close()
-	if o := a.classify(resp.Header); o != outcomeAnswered {
+	if o := a.classifyHead(resp.Header); o != outcomeAnswered {
 		return nil, o
 	}
 	if resp.Status != http.StatusOK {
-		ans, o := s.readWhole(a, resp)
+		buffered, o := s.readWhole(a, resp)
 		if s.started && o == outcomeAnswered {
-			// The head of a stream has left; a failure can't follow it.
+			// An error response can't follow the head of a stream.
 			return nil, outcomeInDoubt
 		}
-		return ans, o
+		return buffered, o
 	}
 	return nil, s.forward(a, resp)
 }
 
-// forward passes on events as they come. It returns outcomeAnswered only if the
-// stream came to its own end.
+// forward passes events on as they arrive. It returns outcomeAnswered only if the upstream
+// completed the stream.
 func (s *stream) forward(a *attempt, resp *direct.Response) outcome {
 	events := direct.NewEvents(resp.Body)
 	for {
 		ev, err := events.Next()
-		a.watch.hear()
+		a.watchdog.recordProgress()
 		if errors.Is(err, io.EOF) {
 			if !s.started {
 				s.start(resp)
@@ -77,7 +76,7 @@
 			return outcomeAnswered
 		}
 		if err != nil {
-			return s.failed(a, err)
+			return s.classifyError(a, err)
 		}
 		if !s.follows(ev) {
 			return outcomeInDoubt
@@ -85,15 +84,15 @@
 		if !s.started {
 			s.start(resp)
 		}
-		if !s.pass(a, ev) {
+		if !s.writeEvent(a, ev) {
 			return outcomeCallerGone
 		}
 	}
 }
 
-// follows says whether an event may come after the last one that was passed on.
-// IDs grow by one where they are numbers: after a resumption an upstream that
-// began again, or further on, would double or drop a piece.
+// follows reports whether an event may follow the last one that was passed on. Numeric IDs grow
+// by one; after a resumption, an upstream that restarted the stream or skipped ahead would
+// duplicate or drop events.
 func (s *stream) follows(ev direct.Event) bool {
 	if ev.ID == "" || s.lastID == "" {
 		return true
@@ -106,18 +105,18 @@
 	return id == last+1
 }
 
-// start sends the head of the first upstream's answer.
+// start sends the head of the first upstream's response.
 func (s *stream) start(resp *direct.Response) {
-	copyAnswerHeader(s.w.Header(), resp.Header)
-	s.closeIfLeaving()
-	// The length isn't known: another upstream may go on with the stream.
+	copyResponseHeader(s.w.Header(), resp.Header)
+	s.closeIfDraining()
+	// The length isn't known, as another upstream may continue the stream.
 	s.w.Header().Del("Content-Length")
 	s.w.WriteHeader(resp.Status)
 	s.started = true
-	s.firstEvent = time.Since(s.began)
+	s.firstEvent = time.Since(s.receivedAt)
 }
 
-func (s *stream) pass(a *attempt, ev direct.Event) bool {
+func (s *stream) writeEvent(a *attempt, ev direct.Event) bool {
 	if _, err := s.w.Write(ev.Raw); err != nil {
 		return false
 	}
@@ -128,42 +127,42 @@
 		s.lastID = ev.ID
 	}
 	now := time.Now()
-	s.fleet.alive(now, a.at)
+	s.services.recordProgress(now, a.group)
 	if s.events > 0 {
-		s.paused(now, a.at)
+		s.recordGap(now, a.group)
 	}
 	s.events++
-	s.sentAt = now
+	s.lastEventAt = now
 	return true
 }
 
-// paused takes the time between two events.
-func (s *stream) paused(now time.Time, at *groupPool) {
-	pause := now.Sub(s.sentAt)
-	s.metrics.pause.Record(pause)
-	if pause > s.longestPause {
-		s.longestPause, s.pauseEnded = pause, now
+// recordGap records the gap before the event that was just sent.
+func (s *stream) recordGap(now time.Time, group *groupPool) {
+	gap := now.Sub(s.lastEventAt)
+	s.metrics.gap.Record(gap)
+	if gap > s.longestGap {
+		s.longestGap, s.longestGapEnded = gap, now
 	}
-	s.fleet.paused(now, s.service, at, pause, s.contentPause(), s.fixedPass)
+	s.services.observeGap(now, s.service, group, gap, s.targetGap(), s.fixedPass)
 }
 
-// finish ends an answer that is complete.
-func (s *stream) finish(held *answer) {
-	if held != nil {
-		s.deliver(held)
+// complete ends a complete response.
+func (s *stream) complete(buffered *bufferedResponse) {
+	if buffered != nil {
+		s.writeResponse(buffered)
 		return
 	}
-	s.done(http.StatusOK, "", nil)
+	s.finish(http.StatusOK, "", nil)
 }
 
-// breakOff ends an answer that is not complete so that the caller sees it: the
-// connection is closed before the body's end.
-func (s *stream) breakOff() {
-	if s.last == outcomeCallerGone {
-		s.done(http.StatusOK, "caller-gone", nil)
+// abort ends an incomplete response so that the caller notices: the connection is closed before
+// the end of the body.
+func (s *stream) abort() {
+	if s.lastOutcome == outcomeCallerGone {
+		s.finish(http.StatusOK, "caller-gone", nil)
 	} else {
-		s.why = "not resumed: " + s.reason
-		s.done(http.StatusOK, reasonBrokenOff, nil)
+		s.cause = "not resumed: " + s.reason
+		s.finish(http.StatusOK, reasonStreamBrokenOff, nil)
 	}
 	panic(http.ErrAbortHandler)
 }
