--- a/control/lockstep.go
+++ b/control/lockstep.go
@@ -16,26 +16,23 @@
 )
 
 const (
-	// lockstepTick is how often the leader looks after its groups, and
-	// lockstepIdleTick how often another replica looks whether it leads.
+	// lockstepTick is the tick interval of the leader, and lockstepIdleTick the interval
+	// at which another replica checks whether it leads.
 	lockstepTick     = 25 * time.Millisecond
 	lockstepIdleTick = 200 * time.Millisecond
-	// lockstepGap is the least time between two looks after answers of ranks: 72 answers
-	// to one round of orders come within some milliseconds, and 72 looks at 72 ranks took
-	// a leader of 0.12 cores as long as the round itself. A group is held for at most
-	// three such times longer.
+	// lockstepGap is the delay before the tick that a rank's answer triggers, so that one
+	// tick handles the answers to a whole round of orders.
 	lockstepGap = 3 * time.Millisecond
-	// lockstepLease is the prefix of these groups among leases.
+	// lockstepLease is the prefix of these groups in the names of leases.
 	lockstepLease = "lockstep/"
-	// surveyPeriod is how often entries are told the states of the ranks: requests run
-	// for two seconds, and what 192 ranks report takes 6 kB for each entry.
+	// surveyPeriod is the interval at which rank states are published to entries.
 	surveyPeriod = 200 * time.Millisecond
-	// dialRank bounds the opening of a connection to a rank.
+	// dialRank bounds the time to connect to a rank.
 	dialRank = 500 * time.Millisecond
 )
 
-// lockstepLeader looks after the groups whose ranks are called directly, while its
-// replica leads.
+// lockstepLeader manages the groups whose ranks are called directly while its replica
+// leads.
 type lockstepLeader struct {
 	settings  *LockstepSettings
 	clock     func() time.Time
@@ -46,29 +43,29 @@
 	upstreams func() []*wire.Announcement
 
 	metrics *kernel.Metrics
-	// wake is sent to when a rank has answered an order.
+	// wake triggers a tick when a rank has answered an order.
 	wake chan struct{}
 
-	// readPeriod is the time between two readings of one rank.
+	// readPeriod is the interval between two readings of one rank.
 	readPeriod time.Duration
 
 	mu     sync.Mutex
 	groups map[string]*lockstepGroup
-	// surveys tells the states of the ranks to entries; surveyed is when that was done
-	// last, numbered counts them.
+	// surveys publishes the states of the ranks; surveyed is when it last did, and
+	// numbered is the number of the latest survey.
 	surveys  *surveyFeed
 	surveyed time.Time
 	numbered uint64
 
-	// ledAt is when this replica led last.
+	// ledAt is when this replica last led.
 	ledAt time.Time
-	// seen is what the directory and the log said, as of seenAt. Looks that follow a
-	// rank's answer don't ask again.
+	// seen is the state of the directory and the log at seenAt. Ticks triggered by a
+	// rank's answer reuse it for up to lockstepTick.
 	seen   lockstepSeen
 	seenAt time.Time
 }
 
-// lockstepSeen is what a look at the groups begins from.
+// lockstepSeen is the state of the directory and the log that a tick starts from.
 type lockstepSeen struct {
 	groups map[string]directGroup
 	lockstepNow
@@ -89,7 +86,7 @@
 	}, nil
 }
 
-// lockstepNow is what the log says at one moment.
+// lockstepNow is the state of the log at one moment; tokens are the fencing tokens by group.
 type lockstepNow struct {
 	leads  bool
 	config *wire.RoutingConfig
@@ -108,7 +105,7 @@
 	return n
 }
 
-// run looks after the groups until the replica stops.
+// run drives the groups until the replica stops.
 func (l *lockstepLeader) run(ctx context.Context, r *Replica) {
 	for {
 		wait := lockstepIdleTick
@@ -127,8 +124,8 @@
 	}
 }
 
-// wakeUp makes the leader look at its groups at once: a group may be held until the
-// next order of a switch.
+// wakeUp makes run tick without waiting for the interval: during a switch the group may
+// be held until the next order.
 func (l *lockstepLeader) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
@@ -136,7 +133,7 @@
 	}
 }
 
-// tick does what is due; it returns whether this replica leads.
+// tick runs one iteration and returns whether this replica leads.
 func (l *lockstepLeader) tick(ctx context.Context, r *Replica) bool {
 	if now := l.clock(); now.Sub(l.seenAt) >= lockstepTick {
 		l.seen, l.seenAt = l.look(ctx, r), now
@@ -153,7 +150,7 @@
 	return true
 }
 
-// look asks the directory and the log.
+// look reads the directory and the log, and adapts readPeriod to the groups' sizes.
 func (l *lockstepLeader) look(ctx context.Context, r *Replica) lockstepSeen {
 	s := lockstepSeen{groups: directGroups(l.upstreams())}
 	names := make([]string, 0, len(s.groups))
@@ -167,7 +164,8 @@
 	return s
 }
 
-// survey makes the states of the ranks known to the watchers of this replica.
+// survey publishes the states of the ranks to the watchers of this replica once per
+// surveyPeriod.
 func (l *lockstepLeader) survey() {
 	now := l.clock()
 	if now.Sub(l.surveyed) < surveyPeriod {
@@ -185,7 +183,7 @@
 	}
 	states, err := encodeStates(ranks)
 	if err != nil {
-		kernel.Warn(l.log, "States of ranks can't be encoded.", "err", err)
+		kernel.Warn(l.log, "Rank states can't be encoded.", "err", err)
 		return
 	}
 	l.numbered++
@@ -203,7 +201,7 @@
 	if g == nil || g.token != n.tokens[name] {
 		token, err := r.takeLease(ctx, lockstepLease+name)
 		if err != nil {
-			kernel.Debug(l.log, "Group can't be led yet.", "group", name, "err", err)
+			kernel.Debug(l.log, "Group lease can't be acquired yet.", "group", name, "err", err)
 			return
 		}
 		n.tokens[name] = token
@@ -211,20 +209,19 @@
 		l.mu.Lock()
 		l.groups[name] = g
 		l.mu.Unlock()
-		kernel.Info(l.log, "Leads a group.", "group", name, "token", token)
+		kernel.Info(l.log, "Became leader of a group.", "group", name, "token", token)
 	}
 	g.tick(ctx, l.clock(), found, profile)
 }
 
-// keepGroups is how long groups are kept while this replica doesn't lead. One that was late
-// loses its lease for some tenths of a second; forming the group anew, with a reading of
-// all that its ranks hold, took it longer than it had been late.
+// keepGroups is how long groups are kept after this replica last led. A leader that loses
+// its lease for a moment then needn't read the experts of all ranks again.
 const keepGroups = 5 * time.Second
 
-// drop forgets all groups once this replica hasn't led for a while. Until then they stand
-// still: nothing is read or ordered. Orders that are on their way carry a fencing token that
-// the next leader's replaces; a group that another has led meanwhile has another token
-// in the log, and is led anew.
+// drop removes all groups once this replica hasn't led for keepGroups. Until then nothing
+// is read or ordered. Keeping them is safe: the fencing token of orders in flight is
+// superseded by the next leader's, and a group that another replica has led meanwhile has
+// another token in the log and is set up again.
 func (l *lockstepLeader) drop(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -233,7 +230,7 @@
 	}
 }
 
-// directGroup is a group as its ranks have registered.
+// directGroup is a group as registered by its ranks.
 type directGroup struct {
 	service string
 	latest  directory.GroupEpoch
@@ -241,8 +238,8 @@
 	ranks   map[int]*wire.Announcement
 }
 
-// directGroups sorts the ranks that are called directly by group. What the latest
-// epoch says holds.
+// directGroups groups the announcements of ranks that are called directly. Those of a
+// later group epoch take precedence.
 func directGroups(list []*wire.Announcement) map[string]directGroup {
 	groups := map[string]directGroup{}
 	for _, a := range list {
@@ -263,7 +260,7 @@
 	return groups
 }
 
-// domains are the failure domains of the ranks; empty for one that isn't known.
+// domains returns the failure domain of each rank; empty if the rank isn't registered.
 func (g *directGroup) domains() []string {
 	list := make([]string, g.size)
 	for i := range list {
@@ -272,9 +269,10 @@
 	return list
 }
 
-// whole says whether every rank is known.
+// whole reports whether every rank is registered.
 func (g *directGroup) whole() bool { return g.size > 0 && len(g.ranks) == g.size }
 
+// profileOf returns the engine profile of a service; nil if it has none.
 func profileOf(c *wire.RoutingConfig, service string) *wire.EngineProfile {
 	for _, s := range c.GetServices() {
 		if s.Name == service {
--- a/control/lockstepcalls.go
+++ b/control/lockstepcalls.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	// relayReadLimit and relayOrderLimit are how long a relay waits for its ranks, beyond
-	// the time that a reading awaits a copy. A rank answers its sidecar within milliseconds,
-	// and 13 answers with counters take 40 ms of a relay's link; a rank whose host stands
-	// still delays the others of its part by this, once in sidecarRest.
+	// relayReadLimit and relayOrderLimit bound how long a relay waits for its ranks, in
+	// addition to the time that a reading waits for a copy or that maps take to transfer.
+	// A rank whose host hangs delays the others of its part by up to this, once per
+	// sidecarRest.
 	relayReadLimit  = 250 * time.Millisecond
 	relayOrderLimit = 120 * time.Millisecond
-	// relayRate is what the link of a relay carries at least, in bytes a second: what maps
-	// take to go through it comes on top of relayOrderLimit.
+	// relayRate is the assumed bandwidth of a relay's link in bytes per second, from which
+	// the transfer time of maps is estimated.
 	relayRate = 500_000
-	// relaySlack is for the way to a relay and back.
+	// relaySlack is the allowance for the round trip to a relay.
 	relaySlack = 100 * time.Millisecond
 )
 
-// orderLimit is how long a relay may take for orders that carry a map of so many bytes each.
+// orderLimit returns how long a relay may take for orders that each carry a map of
+// mapBytes bytes.
 func orderLimit(orders, mapBytes int) time.Duration {
 	return relayOrderLimit + time.Duration(orders*mapBytes)*time.Second/relayRate
 }
 
-// partOf is the part of the group that a rank is called with now; noPart if it is called
-// alone, as one whose sidecar doesn't answer.
+// partOf returns the part of the group, served by one relay, in which a rank is called
+// now. It is noPart if the rank is called on its own, e.g. while its sidecar doesn't answer.
 func (g *lockstepGroup) partOf(now time.Time, rank int) int {
 	part, ok := g.relays.Part(rank)
 	if !ok || g.settings.SidecarPort == 0 || !now.After(g.links[rank].restUntil) {
@@ -43,8 +44,8 @@
 	return part
 }
 
-// relayOf is the rank whose sidecar is to pass a call on to some ranks of a part. One rank
-// is called without a relay, which would only add a hop.
+// relayOf returns the rank whose sidecar relays a call to some ranks of a part. A single
+// rank is called without a relay, which would only add a hop.
 func (g *lockstepGroup) relayOf(now time.Time, part int, ranks []int) (via int, ok bool) {
 	if part == noPart || len(ranks) < 2 {
 		return 0, false
@@ -52,14 +53,14 @@
 	return g.relays.Via(now, part)
 }
 
-// relayFailed notes that a sidecar did not answer as a relay.
+// relayFailed records that a sidecar did not answer as a relay.
 func (g *lockstepGroup) relayFailed(via int, err error) {
 	kernel.Info(g.log, "Relay doesn't answer.", "group", g.name, "rank", via, "upstream", g.links[via].instance, "err", err)
 	g.metrics.Count("lockstep.relays.failed")
 	g.relays.Failed(g.clock(), via)
 }
 
-// sidecarOf is the address of the process beside a rank; empty if there is none.
+// sidecarOf returns the address of a rank's sidecar; empty if there is none.
 func (g *lockstepGroup) sidecarOf(link *rankLink) string {
 	host, _, err := net.SplitHostPort(link.address)
 	if err != nil || g.settings.SidecarPort == 0 {
@@ -72,7 +73,7 @@
 	return wire.NewDRPCSidecarClient(g.pool.Conn(context.Background(), address))
 }
 
-// readMany reads ranks of one part through a relay.
+// readMany reads ranks of one part through the sidecar of rank via.
 func (g *lockstepGroup) readMany(ctx context.Context, via int, ranks []int, read *wire.ReadRankRequest) {
 	limit := relayReadLimit + time.Duration(read.AwaitMs)*time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, limit+relaySlack)
@@ -113,21 +114,22 @@
 	}
 }
 
-// rest leaves a sidecar that did not answer alone for a while: its rank is called from
-// here, and holds up no other ranks of its part.
+// rest stops calls to a sidecar that did not answer for sidecarRest. Its rank is called
+// directly meanwhile, so that it doesn't delay the other ranks of its part.
 func (g *lockstepGroup) rest(link *rankLink) {
 	link.restUntil = g.clock().Add(sidecarRest)
 	kernel.Debug(g.log, "Sidecar doesn't answer.", "group", g.name, "upstream", link.instance)
 }
 
-// bundleKey is what orders have in common that one call may pass to a relay: the part of the
-// group, and the encoded map, which is made once for all that are told the same.
+// bundleKey identifies the orders that may share a call to a relay: those to one part of
+// the group with the same encoded map. experts points to the map's first byte; the map is
+// encoded once for all orders that carry it.
 type bundleKey struct {
 	part    int
 	experts *byte
 }
 
-// sendAll gives the orders of one round.
+// sendAll sends the orders of one round, through relays where possible.
 func (g *lockstepGroup) sendAll(ctx context.Context, now time.Time, orders []lockstep.Order) {
 	bundles := map[bundleKey][]lockstep.Order{}
 	for _, o := range orders {
@@ -152,7 +154,7 @@
 	}
 }
 
-// sendMany gives orders through a relay; all carry one map, or none.
+// sendMany sends orders through the sidecar of rank via. All must carry the same map, or none.
 func (g *lockstepGroup) sendMany(ctx context.Context, via int, orders []lockstep.Order) {
 	limit := orderLimit(len(orders), len(orders[0].Map))
 	req := &wire.OrderRanksRequest{Map: orders[0].Map, LimitMs: uint32(limit.Milliseconds())}
@@ -185,7 +187,7 @@
 	}()
 }
 
-// withoutMap copies an order but for its map, which the orders of a round share.
+// withoutMap returns a copy of an order without the map, which is sent once per call.
 func withoutMap(o *wire.RankOrder) *wire.RankOrder {
 	return &wire.RankOrder{
 		Kind: o.Kind, Instance: o.Instance, FencingToken: o.FencingToken, ExpectSequence: o.ExpectSequence,
@@ -193,7 +195,7 @@
 	}
 }
 
-// send gives an order and tells the switcher its answer.
+// send sends an order without a relay and passes the answer to the switcher.
 func (g *lockstepGroup) send(ctx context.Context, o lockstep.Order) {
 	link, switcher := g.links[o.Rank], g.switcher
 	go func() {
@@ -212,7 +214,8 @@
 	}()
 }
 
-// answered takes the answer to an order; nil if none came.
+// answered passes the answer to an order to the switcher; reply is nil if none came. An
+// answer from another run of the rank counts as none.
 func (g *lockstepGroup) answered(switcher *lockstep.Switcher, link *rankLink, o lockstep.Order, reply *wire.RankOrderReply, err error) {
 	if err != nil || !link.said(reply.GetAfter()) {
 		reply = nil
@@ -226,16 +229,16 @@
 	switcher.Replied(g.clock(), o.Rank, o.RankOrder, reply)
 }
 
-// callRank calls a rank through the sidecar beside it, or directly while that doesn't
-// answer.
-func callRank[R any](g *lockstepGroup, link *rankLink, near func(wire.DRPCSidecarClient) (R, error), far func(*sidecar.Rank) (R, error)) (R, error) {
+// callRank calls a rank through its sidecar, or directly if it has none or the sidecar
+// did not answer lately.
+func callRank[R any](g *lockstepGroup, link *rankLink, viaSidecar func(wire.DRPCSidecarClient) (R, error), directly func(*sidecar.Rank) (R, error)) (R, error) {
 	g.mu.Lock()
-	address, beside, rest := link.address, g.sidecarOf(link), link.restUntil
+	address, sidecarAddress, retryAt := link.address, g.sidecarOf(link), link.restUntil
 	g.mu.Unlock()
-	if beside == "" || !g.clock().After(rest) {
-		return far(sidecar.NewRank(g.client, g.ranks, address, farOrderAnswer))
+	if sidecarAddress == "" || !g.clock().After(retryAt) {
+		return directly(sidecar.NewRank(g.client, g.ranks, address, farOrderAnswer))
 	}
-	reply, err := near(g.sidecarClient(beside))
+	reply, err := viaSidecar(g.sidecarClient(sidecarAddress))
 	if err != nil {
 		g.mu.Lock()
 		g.rest(link)
--- a/control/lockstepgroup.go
+++ b/control/lockstepgroup.go
@@ -10,11 +10,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// reportLagFactor covers a report that is a little older than the service says.
+// reportLagFactor allows for reports that are older than the engine profile says.
 const reportLagFactor = 2
 
-// lockstepGroup leads one group under one fencing token: it gives a Switcher sockets
-// and a clock, and plans from what the ranks counted.
+// lockstepGroup runs one group under one fencing token: it connects a Switcher to the
+// network and the clock, and plans maps from the ranks' counters.
 type lockstepGroup struct {
 	*lockstepLeader
 	name  string
@@ -32,13 +32,12 @@
 	phase    lockstep.Phase
 	proposal lockstep.Proposal
 	began    time.Time
-	// heldFrom is when the hold of the switch in progress was ordered.
-	heldFrom time.Time
-	// stateLogged is when the group's state was logged last.
+	// heldFrom is when the switch in progress began to hold the group; zero if it hasn't.
+	heldFrom    time.Time
 	stateLogged time.Time
-	// plannedShifts counts the shifts of demand that the latest plan knew.
+	// plannedShifts is the number of demand shifts seen when the latest switch began.
 	plannedShifts int
-	// reportLag is how old a report is at most that a rank gives to another host.
+	// reportLag is the assumed maximum age of a report that a rank gives to another host.
 	reportLag time.Duration
 }
 
@@ -46,12 +45,12 @@
 	return &lockstepGroup{lockstepLeader: l, name: name, token: token}
 }
 
-// tick takes what the directory says and does what is due.
+// tick applies the ranks' registrations and the engine profile, and does what is due.
 func (g *lockstepGroup) tick(ctx context.Context, now time.Time, found directGroup, profile *wire.EngineProfile) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// A switch that has begun goes on also while a registration is missing: the group
-	// may be held, and the ranks are still where they were.
+	// A switch in progress continues while a registration is missing: the group may be
+	// held, and the ranks can be reached at their last addresses.
 	begun := g.switcher != nil && g.switcher.Phase() != lockstep.Idle
 	if (!found.whole() || found.latest.Broken) && !begun {
 		return
@@ -69,8 +68,8 @@
 	g.plan(ctx, now)
 }
 
-// follow begins anew when the group has formed again or has another shape, and goes
-// along with ranks that have started again.
+// follow resets the state when the group has formed again or has another shape, and
+// updates the links of ranks that have restarted or moved.
 func (g *lockstepGroup) follow(found directGroup, shape lockstep.Shape) {
 	if g.switcher == nil || found.latest.Epoch > g.epoch || shape != g.shape {
 		g.reset(found, shape)
@@ -87,6 +86,7 @@
 	}
 }
 
+// reset starts a new epoch of the group.
 func (g *lockstepGroup) reset(found directGroup, shape lockstep.Shape) {
 	epoch := found.latest.Epoch
 	g.epoch, g.shape = epoch, shape
@@ -97,7 +97,7 @@
 	}
 	g.switcher = lockstep.New(cfg)
 	if g.demand == nil || len(g.links) != shape.Ranks {
-		// Demand outlives a group that forms again: callers ask for the same.
+		// The estimate is kept when the group forms again: the demand is the callers'.
 		g.demand = lockstep.NewDemand(lockstep.DemandSettingsFor(g.readPeriod), shape)
 	}
 	g.links = make([]*rankLink, shape.Ranks)
@@ -108,7 +108,7 @@
 	kernel.Info(g.log, "Group formed.", "group", g.name, "epoch", epoch, "ranks", shape.Ranks, "calls", g.relays.Calls(), "read_ms", g.readPeriod.Milliseconds(), "token", g.token)
 }
 
-// plan looks for a better map and begins the switch to it.
+// plan looks for a better map in a goroutine of its own and begins the switch to it.
 func (g *lockstepGroup) plan(ctx context.Context, now time.Time) {
 	pace := g.pace()
 	if g.planning || !g.mayBegin(now) || !g.demand.Settled() || !g.replan.Due(now, g.demand.Shifts(), pace) {
@@ -133,8 +133,8 @@
 	}()
 }
 
-// mayBegin says whether a switch may begin now: none is under way, or one that was
-// planned for what is no longer in demand and has only begun to copy.
+// mayBegin reports whether a switch may begin now: the switcher is ready for one, or the
+// switch in progress is still preparing and the demand has shifted since it was planned.
 func (g *lockstepGroup) mayBegin(now time.Time) bool {
 	return g.switcher.Ready(now) || g.switcher.Phase() == lockstep.Preparing && g.demand.Shifts() != g.plannedShifts
 }
--- a/control/locksteplog.go
+++ b/control/locksteplog.go
@@ -8,11 +8,10 @@
 	"github.com/snipereach/snipereach/lockstep"
 )
 
-// statePeriod is how often the state of a group is logged: a stall or a slow pass lasts
-// for some seconds.
+// statePeriod is the interval at which a group's state is logged.
 const statePeriod = time.Second
 
-// logState tells how the group goes: on it depends whether callers are served in time.
+// logState logs the group's load, skew and pass time once per statePeriod.
 func (g *lockstepGroup) logState(now time.Time) {
 	if now.Sub(g.stateLogged) < statePeriod || g.switcher.Current() == nil {
 		return
@@ -34,7 +33,7 @@
 		"running", running, "waiting", waiting, "busiest", busiest, "oldest_ms", oldest.Milliseconds(), "phase", g.switcher.Phase(), "windows", g.demand.Windows())
 }
 
-// count counts switches, and how long the group was held for one.
+// count counts switches, and records how long each one took and held the group.
 func (g *lockstepGroup) count(now time.Time, phase lockstep.Phase) {
 	switch phase {
 	case lockstep.Preparing:
@@ -55,7 +54,7 @@
 	}
 }
 
-// logPhase tells of a switch's steps.
+// logPhase logs and counts the phases of a switch.
 func (g *lockstepGroup) logPhase(now time.Time) {
 	phase := g.switcher.Phase()
 	if phase == g.phase {
--- a/control/lockstepranks.go
+++ b/control/lockstepranks.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	// readTimeout and orderTimeout bound one call to a rank. A reading may wait for a
-	// copy, for as long as the period of readings.
+	// readTimeout and orderTimeout bound one call to a rank, and mostAwait the part of
+	// readTimeout for which a reading waits until a copy is done.
 	readTimeout  = 400 * time.Millisecond
 	mostAwait    = readTimeout / 2
 	orderTimeout = 250 * time.Millisecond
-	// farOrderAnswer is how long a rank on another host may take to answer an order;
-	// the rest of orderTimeout is for its state.
+	// farOrderAnswer bounds the wait for a rank's answer to an order that is sent without
+	// a sidecar; the rest of orderTimeout is for reading its state.
 	farOrderAnswer = 150 * time.Millisecond
-	// busyReadPeriod is the time between two readings of a rank's state during a
-	// switch: a group may be held meanwhile.
+	// busyReadPeriod is the interval between two readings of a rank that a switch waits
+	// for, as the group may be held meanwhile.
 	busyReadPeriod = 60 * time.Millisecond
-	// sidecarRest is how long a sidecar that did not answer isn't called; the rank is
+	// sidecarRest is how long a sidecar that did not answer isn't called; its rank is
 	// called directly meanwhile.
 	sidecarRest = 2 * time.Second
 )
 
-// rankLink is the way to one rank.
+// rankLink holds the address of one rank and what was last read from it.
 type rankLink struct {
 	instance string
-	// incarnation tells apart two runs under one instance ID; onlyIncarnation if the rank
-	// doesn't tell.
+	// incarnation distinguishes runs under one instance ID; it is onlyIncarnation if the
+	// rank doesn't report one.
 	incarnation uint64
 	address     string
 	reading     bool
 	readAt      time.Time
-	// countedAt is when its counters were read last.
+	// countedAt is when its counters were last read.
 	countedAt time.Time
-	// restUntil is when its sidecar is called again.
+	// restUntil is the time until which its sidecar isn't called.
 	restUntil time.Time
-	held      []*wire.ExpertList
-	heldMap   uint64
-	// pace is how many times as long as usual the rank took for its work lately.
+	// held are the experts that the rank holds under map version heldMap.
+	held    []*wire.ExpertList
+	heldMap uint64
+	// pace is the recent duration of the rank's work relative to the usual one; above 1
+	// it is slower.
 	pace float64
-	// running and waiting are its requests as of stateAt; zero if never read.
+	// running and waiting count its requests at stateAt, which is zero if never read.
 	running, waiting uint32
 	stateAt          time.Time
 }
 
-// said says whether a report is one of the run that has registered. One that started
-// again under its ID holds nothing of what was ordered before, and the directory will say
-// soon that it did: until then its answers must not pass for those of the earlier run.
+// said reports whether a report comes from the registered run of the rank. A rank that
+// restarted under the same ID has lost the effects of earlier orders; until the directory
+// announces the restart, its answers must not be taken for those of the earlier run.
 func (l *rankLink) said(report *wire.RankReport) bool {
 	return report.GetIncarnation() == 0 || report.GetIncarnation() == l.incarnation
 }
 
-// read asks the ranks that are due. Those that a switch awaits are read more often, and
-// one that copies answers when it is done: 72 ranks that were all read each 60 ms took
-// the whole processor of a leader with 0.12 cores, and its followers elected another.
+// read reads the ranks that are due. To bound the leader's CPU use, only those that a
+// switch waits for are read more often, and one that copies answers when it is done.
 func (g *lockstepGroup) read(ctx context.Context, now time.Time) {
 	due := map[readKey][]int{}
 	for i, link := range g.links {
@@ -86,17 +87,17 @@
 	}
 }
 
-// readKey is what readings have in common that one call may ask a relay for.
+// readKey identifies the readings that may share a call to a relay.
 type readKey struct {
 	part    int
 	counts  bool
 	copying bool
 }
 
-// noPart is that of ranks that are called without a relay.
+// noPart is the part of ranks that are called without a relay.
 const noPart = -1
 
-// due says whether a rank is to be read now, and how.
+// due reports whether a rank is to be read now, and how.
 func (g *lockstepGroup) due(now time.Time, i int, link *rankLink) (key readKey, ok bool) {
 	usual := g.readPeriod
 	period := usual
@@ -125,7 +126,7 @@
 	at := g.clock()
 	reading, err := callRank(g, link, func(c wire.DRPCSidecarClient) (*wire.RankReading, error) { return c.Read(ctx, req) },
 		func(r *sidecar.Rank) (*wire.RankReading, error) {
-			// From another host counts cost the group a pause.
+			// Reading counters from another host would pause the group.
 			reading, err := r.Read(ctx, &wire.ReadRankRequest{Instance: req.Instance, HeldExperts: req.HeldExperts})
 			return g.aged(reading), err
 		})
@@ -136,8 +137,8 @@
 	}
 }
 
-// believeReading takes a rank's reading, or that it can't be read; it returns whether the
-// reading is one of the run of the rank and of the epoch that were meant.
+// believeReading handles the result of a read. It returns whether the reading succeeded
+// and is from the expected run of the rank and the current epoch.
 func (g *lockstepGroup) believeReading(at time.Time, i int, link *rankLink, req *wire.ReadRankRequest, epoch uint64, reading *wire.RankReading, err error) bool {
 	link.reading = false
 	if err != nil {
@@ -150,11 +151,11 @@
 	return true
 }
 
-// observe takes what was chosen at some ranks.
+// observe adds the ranks' counts of chosen experts to the demand estimate.
 func (g *lockstepGroup) observe(packed []byte) {
 	chosen, err := lockstep.UnpackChoices(packed)
 	if err != nil {
-		kernel.Warn(g.log, "Choices can't be read.", "group", g.name, "err", err)
+		kernel.Warn(g.log, "Expert choices can't be decoded.", "group", g.name, "err", err)
 		return
 	}
 	if len(chosen) > 0 {
@@ -162,13 +163,14 @@
 	}
 }
 
+// take updates the state of a rank from a reading.
 func (g *lockstepGroup) take(at time.Time, i int, link *rankLink, req *wire.ReadRankRequest, reading *wire.RankReading) {
 	if reading.Epoch != 0 && reading.Epoch != g.epoch {
-		// The group has formed again; the directory will say so soon.
+		// The group has formed again, and the directory is about to announce it.
 		return
 	}
-	// The wait at the rank's host is no part of the report's age: an order that was
-	// answered meanwhile has told an older state.
+	// The report was read after the wait at the rank's host. Without this, the answer to
+	// an order during the wait would count as newer than the report.
 	at = at.Add(time.Duration(reading.WaitedMs) * time.Millisecond)
 	g.believePace(i, link, reading.Report.Pace)
 	link.running, link.waiting = reading.Report.Running, reading.Report.Waiting
@@ -183,15 +185,16 @@
 	}
 }
 
-// believePace notes the pace of a rank, and tells when it becomes slow or usual again.
+// believePace records the pace of a rank, and logs when the rank becomes slow or recovers.
 func (g *lockstepGroup) believePace(i int, link *rankLink, pace float64) {
 	if (pace < lockstep.SlowPace) != (link.pace < lockstep.SlowPace) {
-		kernel.Info(g.log, "Rank's pace.", "group", g.name, "rank", i, "upstream", link.instance, "pace", pace, "before", link.pace)
+		kernel.Info(g.log, "Rank pace changed.", "group", g.name, "rank", i, "upstream", link.instance, "pace", pace, "before", link.pace)
 	}
 	link.pace = pace
 }
 
-// joinHeld makes the map in force out of what all ranks hold.
+// joinHeld assembles the map in force once all ranks have reported the experts that they
+// hold under the same map version.
 func (g *lockstepGroup) joinHeld() {
 	if g.switcher.Current() != nil {
 		return
@@ -206,31 +209,32 @@
 		}
 	}
 	if err := m.Check(g.shape); err != nil {
-		kernel.Warn(g.log, "The ranks' map can't be read.", "group", g.name, "err", err)
+		kernel.Warn(g.log, "Map assembled from the ranks is invalid.", "group", g.name, "err", err)
 		return
 	}
 	g.switcher.SetCurrent(m)
 }
 
-// aged marks what was read from another host as old: a rank tells others how it was
-// some time ago. Taken for fresh, a report from before a hold would say that the
+// aged sets the age of a reading taken from another host, to which a rank reports its
+// state with a delay. Taken as fresh, a report from before a hold would show that the
 // group isn't held.
 func (g *lockstepGroup) aged(reading *wire.RankReading) *wire.RankReading {
 	g.age(reading.GetReport())
 	return reading
 }
 
+// age sets the age of a report to reportLag.
 func (g *lockstepGroup) age(report *wire.RankReport) {
 	if report != nil {
 		report.AgeMs = uint32(g.reportLag.Milliseconds())
 	}
 }
 
-// surveyAge is how old a rank's state may be that entries are told: later than that its
-// requests have ended and others have come.
+// surveyAge is the maximum age of a rank's state in a survey. An older state says little
+// about the requests in progress.
 const surveyAge = 600 * time.Millisecond
 
-// states are what entries are told of the ranks.
+// states returns the recent states of the ranks for a survey.
 func (g *lockstepGroup) states(now time.Time) (list []*wire.RankState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -247,7 +251,7 @@
 	return list
 }
 
-// pace returns how slow the ranks say that they are; nil if none is slow.
+// pace returns the pace of each rank, with 1 for those that aren't slow; nil if none is.
 func (g *lockstepGroup) pace() lockstep.Pace {
 	var pace lockstep.Pace
 	for i, link := range g.links {
