--- a/control/feed.go
+++ b/control/feed.go
@@ -8,31 +8,30 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// keptChanges is how many changed rows a replica keeps for its watchers. One
-// that lags further gets the whole table.
+// keptChanges is how many changed rows a replica keeps for its watchers. A watcher
+// that is further behind gets the whole table.
 const keptChanges = 8192
 
-// feed is what watchers read without going through the replica's loop. With
-// thousands of them, a loop that answered each one would be late for its own
-// heartbeats after every edit.
+// feed is the state that watchers read without going through the replica's loop.
+// Answering thousands of watchers in the loop would delay heartbeats after each edit.
 type feed struct {
 	state atomic.Pointer[feedState]
-	// confirmed is when the rows were last known to be current, by the replica's
-	// monotonic time.
+	// confirmed is when the rows were last known to be current, as nanoseconds of the
+	// replica's monotonic time.
 	confirmed atomic.Int64
 }
 
-// feedState is immutable; the next one shares the array of changes.
+// feedState is immutable. Successive states may share the backing array of changes.
 type feedState struct {
 	revision uint64
-	// floor: changes after it are all in changes, by revision.
+	// floor is the revision after which changes has all changed rows, sorted by revision.
 	floor   uint64
 	changes []*wire.Row
 	ring    *wire.Ring
 	ringAt  time.Time
 }
 
-// reset begins a feed from a state whose earlier changes aren't known.
+// reset initializes the feed at a revision whose earlier changes aren't known.
 func (f *feed) reset(revision uint64, ring *wire.Ring, ringAt time.Time) {
 	f.state.Store(&feedState{revision: revision, floor: revision, ring: ring, ringAt: ringAt})
 }
@@ -43,17 +42,18 @@
 	next := &feedState{revision: revision, floor: old.floor, ring: ring, ringAt: ringAt}
 	next.changes = append(old.changes, rows...)
 	if extra := len(next.changes) - keptChanges; extra > keptChanges/4 {
-		// All rows of one revision go together: a watcher must not get half of
-		// an edit.
-		cut := next.changes[extra-1].Revision
-		kept := sort.Search(len(next.changes), func(i int) bool { return next.changes[i].Revision > cut })
-		next.floor = cut
-		next.changes = append([]*wire.Row(nil), next.changes[kept:]...)
+		// All rows of a revision are dropped together, so that no watcher gets a
+		// part of an edit.
+		floor := next.changes[extra-1].Revision
+		first := sort.Search(len(next.changes), func(i int) bool { return next.changes[i].Revision > floor })
+		next.floor = floor
+		next.changes = append([]*wire.Row(nil), next.changes[first:]...)
 	}
 	f.state.Store(next)
 }
 
-// since returns the changes after a revision; ok is false if they aren't all kept.
+// since returns the rows changed after a revision; ok is false if they aren't all kept
+// or the revision isn't known here.
 func (s *feedState) since(revision uint64) (rows []*wire.Row, ok bool) {
 	if revision < s.floor || revision == 0 || revision > s.revision {
 		return nil, false
@@ -62,16 +62,17 @@
 	return s.changes[i:], true
 }
 
+// confirm records when the rows were last known to be current.
 func (f *feed) confirm(at time.Duration) { f.confirmed.Store(int64(at)) }
 
-// age is how long ago the rows were known to be current.
+// age returns the time since the rows were last known to be current.
 func (f *feed) age(now time.Duration) time.Duration {
 	return max(now-time.Duration(f.confirmed.Load()), 0)
 }
 
-// currentAge is the age up to which a replica counts as current: a leader confirms it
-// with each heartbeat.
+// currentAge is the age below which a replica's rows count as current. A leader
+// confirms them with each heartbeat.
 const currentAge = time.Second
 
-// current says whether the rows were known to be current lately.
+// current reports whether the age is below currentAge.
 func (f *feed) current(now time.Duration) bool { return f.age(now) < currentAge }
--- a/control/groupcounters.go
+++ b/control/groupcounters.go
@@ -12,21 +12,23 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// counterWindow gathers one window of counters from all ranks. Ranks that don't
-// answer leave a gap; the others stand in for them.
+// counterWindow sums up the expert counters of one window. The sum is scaled up to
+// make up for ranks that weren't asked or didn't answer.
 type counterWindow struct {
 	began   time.Time
 	open    bool
 	waiting int
 	heard   int
 	load    placement.Load
-	// times are kept for windows in which every rank used one map.
+	// times holds the busy time per step of each rank. It is used only if every rank
+	// answered and used the map of the window's epoch.
 	times []time.Duration
 	epoch uint64
+	// mixed is set if a rank used another map or reported no step time.
 	mixed bool
 }
 
-// collect asks the ranks for their counters once a period.
+// collect starts a window once per CounterPeriod by asking ranks for their counters.
 func (d *groupDriver) collect(ctx context.Context, now time.Time) {
 	w := &d.window
 	if w.open || d.state == nil || now.Sub(w.began) < d.settings.CounterPeriod.D() {
@@ -52,7 +54,8 @@
 	d.closeWindow()
 }
 
-// asked lists the ranks of this window, in turn.
+// asked returns the ranks of the next window, which CounterRanks limits in number, in
+// round-robin order.
 func (d *groupDriver) asked() []*wire.Announcement {
 	n := d.shape.Ranks
 	if c := d.settings.CounterRanks; c > 0 {
@@ -84,7 +87,8 @@
 	}
 }
 
-// closeWindow hands a whole window to the planner.
+// closeWindow ends the window once every rank asked has answered or failed, and
+// queues its load for the planner.
 func (d *groupDriver) closeWindow() {
 	w := &d.window
 	if !w.open || w.waiting > 0 {
@@ -114,10 +118,10 @@
 	}
 }
 
-// maxLoads bounds the windows that wait for a planner, while a group is paused.
+// maxLoads bounds the windows queued for the planner, e.g. while a group is paused.
 const maxLoads = 120
 
-// meanSkew is the busiest rank over the mean, averaged over the layers.
+// meanSkew returns the load of the busiest rank divided by the mean, averaged over the layers.
 func meanSkew(s placement.Shape, m *wire.GroupMap, l placement.Load) float64 {
 	sum := 0.0
 	pm := rollout.ToMap(m)
--- a/control/groupdriver.go
+++ b/control/groupdriver.go
@@ -12,9 +12,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// groupDriver leads one group under one lease: it gives the coordinator sockets
-// and a clock, feeds the planner and rolls out what it decides. The mutex of the
-// groupLeader guards it.
+// groupDriver runs one group under one lease: it connects the coordinator to the
+// network and the clock, passes counters to the planner and rolls out its decisions.
+// The mutex of the groupLeader guards it.
 type groupDriver struct {
 	*groupLeader
 	replica *Replica
@@ -31,7 +31,7 @@
 	orders    map[int]*rankOrders
 	proposing bool
 	renewed   time.Time
-	// rowGone is when the group's row was first missed; zero while there is one.
+	// rowGone is when the group's row was first found missing; zero while there is one.
 	rowGone time.Time
 	details map[int]string
 
@@ -48,7 +48,7 @@
 	err      string
 }
 
-// leaseRenewals is how often a lease is renewed in its time.
+// leaseRenewals is how many times a lease is renewed within its duration.
 const leaseRenewals = 6
 
 func newGroupDriver(g *groupLeader, r *Replica, name string, token uint64) *groupDriver {
@@ -58,7 +58,8 @@
 	}
 }
 
-// tick takes what the log, the table and the directory say, and does what is due.
+// tick applies the group's state in the log, its row and its announced ranks, and does
+// what is due.
 func (d *groupDriver) tick(ctx context.Context, now time.Time, row *table.Group, state *wire.GroupState, ranks groupRanks) {
 	d.logRecords(state)
 	d.row, d.state, d.ranks, d.conflict = row, state, ranks.byRank, ranks.conflict
@@ -78,6 +79,7 @@
 	d.act(ctx, now)
 }
 
+// watchRow records since when the group has no row.
 func (d *groupDriver) watchRow(now time.Time) {
 	switch {
 	case d.row != nil:
@@ -87,10 +89,11 @@
 	}
 }
 
-// over says whether nothing is left to do for a group whose row is gone: no switch is
-// undecided, and either every rank uses the map in force and nothing is on its way, or
-// the time for that is over. A rank that is down may never answer; one that still has a
-// decided switch open is told the end by its own agent.
+// over reports whether the driver of a group without a row may stop: no switch is
+// undecided, and either every rank uses the map in force with no call in flight, or
+// ArmTimeout has passed since the row went missing. The timeout is for ranks that are
+// down and may never answer; a rank that has yet to apply a decided switch learns the
+// decision through its own agent.
 func (d *groupDriver) over(now time.Time) bool {
 	if d.row != nil || rollout.Undecided(d.state.GetSwitch()) {
 		return false
@@ -101,7 +104,7 @@
 	return !d.proposing && !d.ordering() && (d.state == nil || d.coord == nil || d.coord.Quiet())
 }
 
-// ordering says whether an order is on its way to a rank.
+// ordering reports whether an order or a request for counters is in flight.
 func (d *groupDriver) ordering() bool {
 	for _, q := range d.orders {
 		if q.busy {
@@ -111,8 +114,9 @@
 	return d.window.waiting > 0
 }
 
-// prepare makes the coordinator once the group's shape is known. The shape of the
-// map in force wins over the row's: ranks that restart must come back on it.
+// prepare creates the coordinator once the group's shape is known, and returns whether
+// there is one. The shape of the map in force takes precedence over the row's, because
+// ranks that restart must come back with that map.
 func (d *groupDriver) prepare() bool {
 	if d.coord != nil {
 		return true
@@ -136,7 +140,8 @@
 	return true
 }
 
-// shapeOfRow gives every rank an even share of the experts and the spare slots.
+// shapeOfRow returns the shape in which each rank has slots for an even share of the
+// experts, rounded up, and the row's spare slots.
 func shapeOfRow(g *table.Group) placement.Shape {
 	return placement.Shape{
 		Ranks: g.Ranks, Experts: g.Experts, Layers: g.Layers,
@@ -144,17 +149,18 @@
 	}
 }
 
-// steer decides whether the map is to change: an operator's pin first, also while
-// the row is paused, then the planner. It returns why nothing is planned, if so.
+// steer starts or cancels map changes. An operator's pin takes precedence over the
+// planner and applies also while the row is paused. It returns the reason if a fault
+// prevents planning, and otherwise an empty string.
 func (d *groupDriver) steer(ctx context.Context, now time.Time) string {
 	switch {
 	case d.state == nil:
 		return "no map is in force yet"
 	case d.row == nil:
-		d.coord.Cancel("the group's row is gone")
-		return "the group's row is gone"
+		d.coord.Cancel("the group has no row")
+		return "the group has no row"
 	case d.conflict != "":
-		// Each of the two would take the other's orders for its own.
+		// Either upstream would carry out orders that are meant for the other.
 		d.coord.Cancel(d.conflict)
 		return d.conflict
 	case d.state.Pinned != 0:
@@ -164,7 +170,7 @@
 		d.coord.Cancel("the row is paused")
 		return ""
 	case shapeOfRow(d.row) != d.shape:
-		d.coord.Cancel("the row has another shape than the map in force")
+		d.coord.Cancel("the row's shape differs from that of the map in force")
 		return fmt.Sprintf("row: shape %+v differs from that of the map in force, %+v", shapeOfRow(d.row), d.shape)
 	}
 	if err := d.usePlanner(); err != nil {
@@ -174,7 +180,7 @@
 	return ""
 }
 
-// logRecords tells of switches that ended since the last tick.
+// logRecords logs the newest switch record if it was added since the last tick.
 func (d *groupDriver) logRecords(state *wire.GroupState) {
 	if d.state == nil || state == nil || len(state.Records) == 0 {
 		return
@@ -183,11 +189,11 @@
 	if len(d.state.Records) > 0 && d.state.Records[0].Epoch >= r.Epoch {
 		return
 	}
-	kernel.Info(d.log, "A switch has ended.", "group", d.name, "epoch", r.Epoch, "outcome", r.Outcome, "detail", r.Detail,
+	kernel.Info(d.log, "Map switch ended.", "group", d.name, "epoch", r.Epoch, "outcome", r.Outcome, "detail", r.Detail,
 		"by", r.Reason.GetBy(), "why", r.Reason.GetWhy(), "moves", r.Reason.GetMoves())
 }
 
-// view is what operators see.
+// view returns the group's state as shown to operators.
 func (d *groupDriver) view() *wire.GroupView {
 	v := &wire.GroupView{
 		Group: d.name, State: d.state, Token: d.token, Skew: d.skew, Last: d.last, Error: d.err, Windows: d.windows,
--- a/control/grouporders.go
+++ b/control/grouporders.go
@@ -11,14 +11,14 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// rankOrders keeps at most one order on its way to a rank, and the one that
-// follows it.
+// rankOrders tracks whether an order to a rank is in flight, and the order to send
+// after it.
 type rankOrders struct {
 	busy bool
 	next *rollout.Outgoing
 }
 
-// act carries out what the coordinator asks for.
+// act advances the coordinator, sends the orders that it returns and proposes its command.
 func (d *groupDriver) act(ctx context.Context, now time.Time) {
 	e := d.coord.Tick(now)
 	for _, o := range e.Orders {
@@ -33,7 +33,7 @@
 		defer cancel()
 		r, err := d.replica.proposeGroup(ctx, e.Command)
 		if err == nil && !r.Accepted {
-			kernel.Debug(d.log, "The log refused a command.", "group", d.name, "detail", r.Detail)
+			kernel.Debug(d.log, "Group command was rejected by the state machine.", "group", d.name, "detail", r.Detail)
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -41,7 +41,8 @@
 	}()
 }
 
-// order sends an order to a rank as soon as the one before it is answered.
+// order sends an order to a rank, after the answer to the one in flight if there is
+// one. Only the latest order waits.
 func (d *groupDriver) order(ctx context.Context, o rollout.Outgoing) {
 	q := d.orders[o.Rank]
 	if q == nil {
@@ -76,7 +77,7 @@
 	}()
 }
 
-// answered takes a rank's answer.
+// answered handles the answer to an order.
 func (d *groupDriver) answered(o rollout.Outgoing, reply *wire.OrderReply, err error) {
 	var s rollout.Status
 	if err == nil && reply.Accepted {
@@ -94,8 +95,9 @@
 	d.coord.Heard(d.clock(), o.Rank, s)
 }
 
-// timeoutOf bounds an order. Those that carry no map are answered at once, and a
-// group may be waiting for them: a connection that hangs is given up early.
+// timeoutOf returns the timeout of an order. Arm, commit and abort carry no map and are
+// answered at once; as the group may have stopped to wait for them, a hanging
+// connection is given up early.
 func (d *groupDriver) timeoutOf(verb string) time.Duration {
 	switch verb {
 	case rollout.VerbArm, rollout.VerbCommit, rollout.VerbAbort:
@@ -104,7 +106,7 @@
 	return d.settings.OrderTimeout.D()
 }
 
-// give sends one order through the rank's agent.
+// give sends one order to the rank's agent and returns its reply.
 func (d *groupDriver) give(ctx context.Context, a *wire.Announcement, verb string, body any) (*wire.OrderReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.timeoutOf(verb))
 	defer cancel()
--- a/control/groupplan.go
+++ b/control/groupplan.go
@@ -12,7 +12,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// observed is one window. times are the ranks' busy times under one map, or nil.
+// observed is the load of one counter window. times are the ranks' busy times per step
+// under the map in under; nil if a rank is missing or used another map.
 type observed struct {
 	at    time.Time
 	load  placement.Load
@@ -20,12 +21,13 @@
 	under *placement.Map
 }
 
-// timesObserver is a planner that also takes the time that each rank is busy in a
-// step, without waiting for the others, to tell a slow rank from a loaded one.
+// timesObserver is a planner that also uses the time each rank is busy in a step,
+// excluding the wait for other ranks, to tell a slow rank from a loaded one.
 type timesObserver interface {
 	ObserveTimes(times []time.Duration, current *placement.Map)
 }
 
+// tell passes the window to a planner.
 func (o *observed) tell(p placement.Planner) {
 	p.Observe(o.at, o.load)
 	if t, ok := p.(timesObserver); ok && o.times != nil {
@@ -33,7 +35,8 @@
 	}
 }
 
-// holdPinned rolls out the pinned map if another one is in force.
+// holdPinned rolls out the pinned map if another one is in force. It cancels an
+// undecided switch to any other map.
 func (d *groupDriver) holdPinned() {
 	s := d.state
 	if rollout.Undecided(s.Switch) && s.Switch.Reason.GetRepeats() != s.Pinned {
@@ -60,8 +63,8 @@
 	return n
 }
 
-// usePlanner makes the planner that the row names; a row whose planner, shape or
-// costs change starts a new one.
+// usePlanner creates the planner that the row names, and replaces it when the row's
+// planner or costs change. It returns an error if there is no such planner.
 func (d *groupDriver) usePlanner() error {
 	cost := placement.Cost{
 		SkewWeight: d.row.SkewWeight, MoveWeight: d.row.MoveWeight,
@@ -84,8 +87,8 @@
 	return nil
 }
 
-// plan runs the planner beside the loop, because a plan of a large group takes
-// longer than ranks that wait for a decision should.
+// plan runs the planner in a goroutine of its own once per PlanPeriod. In the loop, the
+// plan of a large group would delay the decisions that stopped ranks wait for.
 func (d *groupDriver) plan(ctx context.Context, now time.Time) {
 	if d.planning || !d.coord.Idle() || now.Sub(d.planned) < d.settings.PlanPeriod.D() {
 		return
@@ -109,7 +112,8 @@
 	}()
 }
 
-// follow rolls out a planner's decision.
+// follow records a planner's decision and rolls out its map, unless the group has been
+// paused or pinned or has lost its row.
 func (d *groupDriver) follow(planner string, current *wire.GroupMap, p placement.Decision) {
 	d.last = &wire.MapReason{
 		By: "planner " + planner, Why: p.Why, Moves: uint32(len(p.Moves)),
@@ -120,7 +124,7 @@
 		return
 	}
 	if err := p.Next.Check(d.shape); err != nil {
-		kernel.Warn(d.log, "Planner made a map that doesn't fit.", "group", d.name, "planner", planner, "err", err)
+		kernel.Warn(d.log, "Planner returned an invalid map.", "group", d.name, "planner", planner, "err", err)
 		d.last.Why = "refused: " + err.Error()
 		return
 	}
--- a/control/groups.go
+++ b/control/groups.go
@@ -20,19 +20,21 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrLease is returned when a group's lease can't be taken.
-var ErrLease = merry.Sentinel("lease of the group can't be taken")
+// ErrLease is returned when a group's lease can't be acquired.
+var ErrLease = merry.Sentinel("group lease can't be acquired")
 
-// Intervals of the loop that looks after groups.
 const (
+	// groupTick is the tick interval while a group has work in progress, and
+	// groupIdleTick the interval while none has.
 	groupTick     = 20 * time.Millisecond
 	groupIdleTick = 100 * time.Millisecond
-	// leaseHolder is the prefix of control replicas among holders of leases.
-	leaseHolder  = "control "
+	// leaseHolder is the prefix of control replicas among lease holders.
+	leaseHolder = "control "
+	// leaseTimeout bounds the acquisition of a lease and the proposal of a group command.
 	leaseTimeout = 2 * time.Second
 )
 
-// UpstreamsOf lists the upstreams that a directory knows and that aren't gone.
+// UpstreamsOf returns a function that lists the upstreams in a directory that aren't gone.
 func UpstreamsOf(n *directory.Node) func() []*wire.Announcement {
 	return func() []*wire.Announcement {
 		var list []*wire.Announcement
@@ -43,7 +45,7 @@
 	}
 }
 
-// groupLeader looks after the expert maps of all groups while its replica leads.
+// groupLeader manages the expert maps of all groups while its replica leads.
 type groupLeader struct {
 	settings  GroupSettings
 	clock     func() time.Time
@@ -51,7 +53,7 @@
 	pool      *transport.Pool
 	upstreams func() []*wire.Announcement
 
-	// mu guards drivers and what they hold.
+	// mu guards drivers and the state of each driver.
 	mu      sync.Mutex
 	drivers map[string]*groupDriver
 }
@@ -60,7 +62,7 @@
 	return &groupLeader{settings: s.Groups, clock: s.Now, log: l, pool: pool, drivers: map[string]*groupDriver{}}
 }
 
-// groupsNow is what the log and the table say of groups at one moment.
+// groupsNow is a consistent snapshot of the groups in the log and the table.
 type groupsNow struct {
 	leads  bool
 	view   *table.View
@@ -92,7 +94,7 @@
 	}
 }
 
-// tick does what is due; it returns whether a group is waiting for something.
+// tick runs one iteration and returns whether a group has work in progress.
 func (g *groupLeader) tick(ctx context.Context, r *Replica) bool {
 	n := r.groupsNow(ctx, g.led())
 	if !n.leads {
@@ -104,8 +106,8 @@
 	for name := range n.view.Groups {
 		names[name] = true
 	}
-	// A group whose row is gone may still have a switch in doubt, with ranks
-	// that have stopped for its decision.
+	// A group whose row was deleted may have an undecided switch, and ranks that
+	// have stopped to wait for the decision.
 	for name, s := range n.states {
 		names[name] = names[name] || rollout.Undecided(s.Switch)
 	}
@@ -134,16 +136,15 @@
 	return busy
 }
 
-// led lists the groups that have a driver.
+// led returns the names of the groups that have a driver.
 func (g *groupLeader) led() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Collect(maps.Keys(g.drivers))
 }
 
-// release stops a group's driver and frees its lease. A driver left running would go
-// on giving orders under a lease that it renews, and keep out whoever is to run the
-// group next.
+// release stops a group's driver and releases its lease. A driver that kept running
+// would renew the lease, go on sending orders and lock out the next holder.
 func (g *groupLeader) release(ctx context.Context, r *Replica, d *groupDriver) {
 	g.mu.Lock()
 	delete(g.drivers, d.name)
@@ -153,11 +154,11 @@
 			r.leads.renew(d.name, time.Now(), 0)
 		}
 	})
-	kernel.Info(g.log, "Leads a group no more: its row is gone.", "group", d.name, "token", d.token, "err", err)
+	kernel.Info(g.log, "Stopped leading a group whose row was deleted.", "group", d.name, "token", d.token, "err", err)
 }
 
-// groupsNow reads the groups' state in the replica's loop, also of those led that are
-// neither on the log nor in the table any more.
+// groupsNow reads the groups' state in the replica's loop. It includes the fencing
+// tokens of the led groups, which may be neither in the log nor in the table any more.
 func (r *Replica) groupsNow(ctx context.Context, led []string) groupsNow {
 	n := groupsNow{states: map[string]*wire.GroupState{}, tokens: map[string]uint64{}}
 	err := r.do(ctx, func() {
@@ -181,11 +182,11 @@
 // groupRanks are the upstreams that announce the ranks of one group.
 type groupRanks struct {
 	byRank map[int]*wire.Announcement
-	// conflict names two upstreams that claim one rank.
+	// conflict describes two upstreams that announce the same rank; empty if none do.
 	conflict string
 }
 
-// ranksOf sorts the ranks that are up by group.
+// ranksOf groups the announcements of ranks by the name of their group.
 func ranksOf(list []*wire.Announcement) map[string]groupRanks {
 	groups := map[string]groupRanks{}
 	for _, a := range list {
@@ -206,8 +207,9 @@
 	return groups
 }
 
-// driver returns a group's driver under the lease in force, which it takes first
-// if this replica doesn't hold it; nil if it can't.
+// driver returns a group's driver if it runs under the lease in force. Otherwise it
+// acquires the lease, creates a new driver and returns nil. It also returns nil if the
+// lease can't be acquired.
 func (g *groupLeader) driver(ctx context.Context, r *Replica, name string, n groupsNow) *groupDriver {
 	g.mu.Lock()
 	d := g.drivers[name]
@@ -223,22 +225,23 @@
 	token, err := r.takeLease(ctx, name)
 	if err != nil {
 		if !errors.Is(err, ErrUnavailable) {
-			kernel.Warn(g.log, "Group can't be led.", "group", name, "err", err)
+			kernel.Warn(g.log, "Group lease can't be acquired.", "group", name, "err", err)
 		}
 		return nil
 	}
-	kernel.Info(g.log, "Leads a group.", "group", name, "token", token)
+	kernel.Info(g.log, "Became leader of a group.", "group", name, "token", token)
 	d = newGroupDriver(g, r, name, token)
 	g.mu.Lock()
 	g.drivers[name] = d
 	g.mu.Unlock()
-	// Its first tick comes with a state that is read after the grant.
+	// The first tick must use state that was read after the lease was granted.
 	return nil
 }
 
-// takeLease gives a group's lease to this replica. It doesn't wait for the lease
-// of another control replica to end: with the new token that one's orders are
-// refused by every agent that has heard of it, and its commands by the log.
+// takeLease acquires a group's lease for this replica and returns the fencing token.
+// It replaces an unexpired lease of another control replica: once the new token is
+// known, agents reject the orders of the former holder, and the log its commands. It
+// returns ErrLease if the holder of an unexpired lease isn't a control replica.
 func (r *Replica) takeLease(ctx context.Context, group string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
@@ -252,7 +255,7 @@
 		return 0, err
 	}
 	if len(held.Holder) > 0 && !isControl(held.Holder) && !over {
-		return 0, merry.Prependf(ErrLease, "%s holds it", held.Holder)
+		return 0, merry.Prependf(ErrLease, "held by %s", held.Holder)
 	}
 	v, err := r.propose(ctx, &wire.Command{Command: &wire.Command_Lease{
 		Lease: &wire.LeaseGrant{Group: group, Holder: holder, Replaces: held.Token},
@@ -262,7 +265,7 @@
 	}
 	l := v.(*wire.Lease)
 	if l.Holder != holder {
-		return 0, merry.Prependf(ErrLease, "%s holds it", l.Holder)
+		return 0, merry.Prependf(ErrLease, "held by %s", l.Holder)
 	}
 	return l.Token, nil
 }
@@ -271,14 +274,14 @@
 	return len(holder) > len(leaseHolder) && holder[:len(leaseHolder)] == leaseHolder
 }
 
-// drop forgets all groups: this replica doesn't lead.
+// drop removes all drivers when this replica doesn't lead any more.
 func (g *groupLeader) drop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.drivers)
 }
 
-// proposeGroup puts a group command on the log.
+// proposeGroup appends a group command to the log and returns the state machine's result.
 func (r *Replica) proposeGroup(ctx context.Context, c *wire.GroupCommand) (rollout.Result, error) {
 	c.AtMs = r.clock().UnixMilli()
 	v, err := r.propose(ctx, &wire.Command{Command: &wire.Command_Group{Group: c}})
--- a/control/groupservice.go
+++ b/control/groupservice.go
@@ -30,6 +30,8 @@
 	return &wire.GroupsReply{Groups: s.groups.views(req.Group)}, nil
 }
 
+// views returns the groups that have a driver, sorted by name; only selects one of them
+// unless it is empty.
 func (g *groupLeader) views(only string) []*wire.GroupView {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -43,8 +45,8 @@
 	return list
 }
 
-// groupDump is a group that this replica leads, for a state dump; without its maps,
-// which are long.
+// groupDump describes a group led by this replica in a state dump. It omits the expert
+// maps, which are large.
 type groupDump struct {
 	Group   string           `json:"group"`
 	Token   uint64           `json:"token"`
@@ -73,8 +75,8 @@
 	return list
 }
 
-// GroupMaps implements the Control service. It reads this replica's own state, so
-// that an agent that can't reach the leader learns of decisions.
+// GroupMaps implements the Control service. It answers from this replica's own state,
+// so that agents learn of decisions while the leader can't be reached.
 func (s *service) GroupMaps(ctx context.Context, req *wire.GroupsRequest) (*wire.GroupState, error) {
 	r := s.current()
 	if r == nil {
@@ -109,7 +111,7 @@
 	if detail != "" {
 		return &wire.GroupChangeReply{Detail: detail}, nil
 	}
-	kernel.Info(s.log, "Asked to change a group.", "group", req.Group, "verb", req.Verb, "epoch", pin.Epoch, "by", req.By)
+	kernel.Info(s.log, "Group change requested.", "group", req.Group, "verb", req.Verb, "epoch", pin.Epoch, "by", req.By)
 	res, err := r.proposeGroup(ctx, &wire.GroupCommand{
 		Group: req.Group, Command: &wire.GroupCommand_Pin{Pin: pin},
 	})
@@ -122,7 +124,7 @@
 	return &wire.GroupChangeReply{Accepted: res.Accepted, Detail: res.Detail}, nil
 }
 
-// pinOf turns an operator's wish into a pin, or says why it can't be had.
+// pinOf converts an operator's request into a pin, or returns why it is rejected.
 func pinOf(s *wire.GroupState, req *wire.GroupChangeRequest) (*wire.PinMap, string) {
 	if s == nil {
 		return nil, "no group " + req.Group + " has a map"
@@ -139,17 +141,17 @@
 	case VerbUndo:
 		return undoOf(s, req.By)
 	}
-	return nil, "no verb " + req.Verb
+	return nil, "unknown verb " + req.Verb
 }
 
-// undoOf pins the map before the last change: the one in force if the change
-// isn't decided yet, else the one that it replaced.
+// undoOf returns a pin to the map before the last change: the map in force if the
+// change is undecided, and otherwise the map that the one in force replaced.
 func undoOf(s *wire.GroupState, by string) (*wire.PinMap, string) {
 	if rollout.Undecided(s.Switch) {
 		return &wire.PinMap{Epoch: s.Map.Epoch, By: by}, ""
 	}
 	if len(s.Earlier) == 0 {
-		return nil, "the group has had one map only"
+		return nil, "the group has no earlier map"
 	}
 	return &wire.PinMap{Epoch: s.Earlier[0].Epoch, By: by}, ""
 }
--- a/control/leaseclock.go
+++ b/control/leaseclock.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// leaseClock is what a leader knows of time: when it began to lead, when each
-// member was last heard, and when each group's lease ends. It is soft state;
-// a new leader starts it afresh and assumes that every lease was renewed in the
-// last moment before.
+// leaseClock holds the times that a leader keeps: when its leadership began, when it
+// last heard from each member, and when each group's lease expires. It isn't
+// persisted: a new leader starts with an empty one and assumes that every lease was
+// renewed just before its leadership began.
 type leaseClock struct {
 	leading bool
 	since   time.Time
 	last    map[string]time.Time
-	// ended are replicas that another process has replaced at their address.
+	// ended holds the IDs of replicas that another process has replaced at their address.
 	ended   map[string]bool
 	expires map[string]time.Time
 }
 
+// follow resets the state when this replica becomes the leader.
 func (c *leaseClock) follow(leads bool, now time.Time) {
 	if leads && !c.leading {
 		c.since = now
@@ -31,13 +32,15 @@
 	}
 }
 
-// end notes that a replica has ended for good, without a wait for its silence.
+// end records that a replica has terminated for good, so that silentFor needn't wait.
 func (c *leaseClock) end(id string) {
 	if c.ended != nil {
 		c.ended[id] = true
 	}
 }
 
+// silentFor reports whether a replica has terminated or has not been heard from for d,
+// counted from the start of the leadership if it was never heard from.
 func (c *leaseClock) silentFor(id string, now time.Time, d time.Duration) bool {
 	if c.ended[id] {
 		return true
@@ -49,9 +52,9 @@
 	return now.Sub(last) >= d
 }
 
-// over says whether a group's lease has ended by this leader's clock. Before a
-// leader has led for the longest lease, a lease that another leader renewed may
-// still run.
+// over reports whether a group's lease has expired by this leader's clock. A lease
+// that this leader hasn't renewed counts until maxLease after its leadership began,
+// because the previous leader may have renewed it just before.
 func (c *leaseClock) over(group string, now time.Time) bool {
 	end, ok := c.expires[group]
 	if !ok {
--- a/control/share.go
+++ b/control/share.go
@@ -14,33 +14,35 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// shareHome is a leader's division of limits between entries. It lives as long
-// as one leadership; the next leader waits until its grants have ended.
+// shareHome is the state from which a leader divides limits between entries. The
+// allocator in home lasts for one leadership; the next leader's waits until all grants
+// of the previous one have expired.
 type shareHome struct {
 	home *admit.Home
 	term uint64
-	// homes counts the homes of this process.
+	// homes counts the allocators created by this process.
 	homes int
-	// ring is the one that the home was told of.
+	// ring is the ring that was last passed to the allocator.
 	ring *wire.Ring
-	// view is the table's typed view at a revision.
+	// view caches the table's typed view.
 	view *table.View
-	// holds is followed by every replica, and not only by a leader: the next
-	// leader must know the timeouts of requests that the last one admitted.
+	// holds is kept up to date on every replica: a new leader must know the timeouts of
+	// requests that the previous one admitted.
 	holds admit.Holds
-	held  uint64
+	// held is the table revision up to which rows have been applied.
+	held uint64
 }
 
-// followHome makes a home when leadership begins and drops it when it ends.
+// followHome creates an allocator when a leadership begins and drops it when it ends.
 func (r *Replica) followHome() {
 	if !r.leads.leading {
 		r.shares.home = nil
 		return
 	}
-	// The term, and not only the sampled role, tells one leadership from the
-	// next: a process that stalled may have missed another leader in between.
-	// A lease that lapses and is renewed makes a second home in one term; with the
-	// name of the first, its epochs would be taken for those of the first.
+	// Leaderships are told apart by term as well as by the sampled role, because a
+	// process that stalled may have missed another leader in between. If the leader's
+	// lease expires and is renewed, one term has a second allocator; the counter gives
+	// it a name of its own, so that its epochs aren't taken for those of the first.
 	if st := r.node.Status(); r.shares.home == nil || r.shares.term != st.Term {
 		r.shares.homes++
 		r.shares.home = admit.NewHome(r.clock(), fmt.Sprintf("%s@%d.%d", st.ID, st.Term, r.shares.homes))
@@ -56,8 +58,8 @@
 	return s.home.Dump(now)
 }
 
-// Share implements the Control service. Only a leader with a live lease grants:
-// two homes at once would each divide the whole limit.
+// Share implements the Control service. Only a leader with a valid lease grants shares:
+// two allocators at a time would each divide the whole limit.
 func (s *service) Share(ctx context.Context, req *wire.ShareRequest) (*wire.ShareReply, error) {
 	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.ShareReply, error) {
 		return c.Share(ctx, req)
@@ -75,6 +77,7 @@
 	return reply, err
 }
 
+// grantShares fills in the reply to an entry's request; it runs in the replica's loop.
 func (r *Replica) grantShares(req *wire.ShareRequest, reply *wire.ShareReply) error {
 	r.followHome()
 	if !r.node.IsLeader(r.now()) || r.shares.home == nil {
@@ -107,8 +110,8 @@
 	return nil
 }
 
-// followRing tells the home which entries the ring on the log has. The names are
-// gone through only when the ring has changed: each entry asks every second or so.
+// followRing passes the entries of the ring in the log to the allocator. Its lists are
+// rebuilt only when the ring has changed, because every entry asks about once a second.
 func (r *Replica) followRing(now time.Time) {
 	ring, home := r.machine.ring, r.shares.home
 	unchanged := now.Sub(r.rings.changed)
@@ -141,7 +144,7 @@
 	}
 }
 
-// shareView is the table's typed view, made anew when the revision has changed.
+// shareView returns the table's typed view, updated if the revision has changed.
 func (r *Replica) shareView() (*table.View, error) {
 	if r.shares.view == nil || r.shares.view.Revision != r.machine.table.Revision() {
 		v, err := r.nextView(r.shares.view)
@@ -153,8 +156,8 @@
 	return r.shares.view, nil
 }
 
-// nextView builds the view of the rows in force out of an earlier one, or anew if
-// there is none or what changed since is not known any more.
+// nextView updates an earlier view with the rows changed since. It builds a new one if
+// there is none or the table no longer keeps all those changes.
 func (r *Replica) nextView(old *table.View) (*table.View, error) {
 	t := r.machine.table
 	if old != nil {
@@ -165,9 +168,9 @@
 	return table.NewView(t.Revision(), t.Rows(""))
 }
 
-// followRows takes in the service and pool rows that have changed: of services the
-// timeouts of every version in turn, of pools the queue settings. After a start,
-// all versions that are kept count as changed now.
+// followRows applies the service and pool rows that have changed: the timeouts of every
+// version of a service in order, and the queue settings of pools. After a restart, all
+// versions that the table keeps count as changed now.
 func (r *Replica) followRows(now time.Time) {
 	rev := r.machine.table.Revision()
 	if rev == r.shares.held {
@@ -190,6 +193,8 @@
 	r.shares.held = rev
 }
 
+// followTimeouts records the timeouts of a service's versions after the revision held,
+// oldest first.
 func (r *Replica) followTimeouts(now time.Time, row *wire.Row) {
 	versions := r.machine.table.History(row.Kind, row.Key, 0)
 	for i := len(versions) - 1; i >= 0; i-- {
@@ -199,7 +204,7 @@
 	}
 }
 
-// timeoutOf is the timeout of a service row; one that is gone has none.
+// timeoutOf returns the timeout of a service row; 0 if the row was deleted.
 func timeoutOf(row *wire.Row) time.Duration {
 	if row.Deleted {
 		return 0
--- a/control/surveys.go
+++ b/control/surveys.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	// surveyBeat is the longest time between two messages to a watcher of surveys.
+	// surveyBeat is the longest time between two messages on a survey stream; an empty
+	// message is sent if there is no new survey.
 	surveyBeat = 400 * time.Millisecond
-	// silentSurveys is how long a watched replica may say nothing.
+	// silentSurveys is how long a survey stream may be silent before it is reopened.
 	silentSurveys = 3 * surveyBeat
-	// resurvey is the pause before a watch of surveys that has ended is opened again.
+	// resurvey is the delay before a survey stream that has ended is reopened.
 	resurvey = 150 * time.Millisecond
 )
 
-// surveyFeed keeps the latest survey of ranks for the watchers of this replica: its own, if
-// it leads groups, or that which it hears from the replica that does.
+// surveyFeed holds the latest survey of rank states for the watchers of this replica:
+// its own if it leads groups, or one received from the replica that does.
 //
-// Entries watch one replica each. A leader that told every entry itself, 147 of them five
-// times a second, spent more on that than on all else that it does for its groups.
+// Each entry watches one replica, so that the leader doesn't have to send every survey
+// to every entry.
 type surveyFeed struct {
 	mu       sync.Mutex
 	latest   *toldSurvey
 	watchers kernel.Watchers
 }
 
-// toldSurvey is a survey as it was told at a time by this replica's clock.
+// toldSurvey is a survey with the time, by this replica's clock, at which it was taken.
 type toldSurvey struct {
 	number uint64
 	states []byte
 	at     time.Time
-	// own says that this replica leads the groups.
+	// own is set if this replica took the survey as the groups' leader.
 	own bool
 }
 
-// tell makes a survey known to the watchers.
+// tell publishes a survey to the watchers.
 func (f *surveyFeed) tell(s *toldSurvey) {
 	f.mu.Lock()
 	f.latest = s
@@ -56,7 +57,9 @@
 	return f.latest
 }
 
-// newFor is the latest survey if a watcher may be told of it and was not; nil otherwise.
+// newFor returns the latest survey if it is to be sent to a watcher that last got told;
+// nil otherwise. A replica gets only surveys taken here: if replicas passed on surveys
+// that they received, they would keep stale ones in circulation.
 func (f *surveyFeed) newFor(told *toldSurvey, replica bool) *toldSurvey {
 	s := f.current()
 	if s == nil || s == told || replica && !s.own {
@@ -71,7 +74,7 @@
 	defer cancel()
 	beat := time.NewTimer(surveyBeat)
 	defer beat.Stop()
-	// What was told before the watch began may be long over.
+	// A survey published before the watch began may be stale and isn't sent.
 	told := s.surveys.current()
 	for {
 		select {
@@ -98,13 +101,13 @@
 	}
 }
 
-// followSurveys hears the surveys of each other replica and tells them to the watchers of
-// this one.
+// followSurveys receives the surveys of each peer replica and publishes them to the
+// watchers of this one, until ctx is done.
 func (c *Control) followSurveys(ctx context.Context, watcher string, peers func() []string) {
 	directory.FollowList(ctx, peers, func(ctx context.Context, addr string) {
 		for ctx.Err() == nil {
 			err := c.followSurvey(ctx, watcher, addr)
-			kernel.Debug(c.log, "Surveys of a replica end.", "replica", addr, "err", err)
+			kernel.Debug(c.log, "Survey stream of a replica ended.", "replica", addr, "err", err)
 			select {
 			case <-ctx.Done():
 			case <-time.After(resurvey):
@@ -113,6 +116,8 @@
 	})
 }
 
+// followSurvey publishes the surveys of one replica until its stream ends or is silent
+// for silentSurveys.
 func (c *Control) followSurvey(ctx context.Context, watcher, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -137,7 +142,7 @@
 	}
 }
 
-// encodeStates encodes the states of ranks for all watchers.
+// encodeStates encodes the states of ranks, once for all watchers.
 func encodeStates(ranks []*wire.RankState) ([]byte, error) {
 	return proto.Marshal(&wire.RankStates{Ranks: ranks})
 }
