--- a/control/feed.go
+++ b/control/feed.go
@@ -8,9 +8,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// keptChanges is how many changed rows a replica keeps for its watchers. A watcher
+// maxKeptChanges is how many changed rows a replica keeps for its watchers. A watcher
 // that is further behind gets the whole table.
-const keptChanges = 8192
+const maxKeptChanges = 8192
 
 // feed is the state that watchers read without going through the replica's loop.
 // Answering thousands of watchers in the loop would delay heartbeats after each edit.
@@ -41,7 +41,7 @@
 	old := f.state.Load()
 	next := &feedState{revision: revision, floor: old.floor, ring: ring, ringAt: ringAt}
 	next.changes = append(old.changes, rows...)
-	if extra := len(next.changes) - keptChanges; extra > keptChanges/4 {
+	if extra := len(next.changes) - maxKeptChanges; extra > maxKeptChanges/4 {
 		// All rows of a revision are dropped together, so that no watcher gets a
 		// part of an edit.
 		floor := next.changes[extra-1].Revision
@@ -70,9 +70,9 @@
 	return max(now-time.Duration(f.confirmed.Load()), 0)
 }
 
-// currentAge is the age below which a replica's rows count as current. A leader
+// maxCurrentAge is the age below which a replica's rows count as current. A leader
 // confirms them with each heartbeat.
-const currentAge = time.Second
+const maxCurrentAge = time.Second
 
-// current reports whether the age is below currentAge.
-func (f *feed) current(now time.Duration) bool { return f.age(now) < currentAge }
+// current reports whether the age is below maxCurrentAge.
+func (f *feed) current(now time.Duration) bool { return f.age(now) < maxCurrentAge }
--- a/control/groupdriver.go
+++ b/control/groupdriver.go
@@ -21,31 +21,31 @@
 	name    string
 	token   uint64
 
-	row       *table.Group
-	state     *wire.GroupState
-	ranks     map[int]*wire.Announcement
-	conflict  string
-	shape     placement.Shape
-	cfg       rollout.Config
-	coord     *rollout.Coordinator
-	orders    map[int]*rankOrders
-	proposing bool
-	renewed   time.Time
-	// rowGone is when the group's row was first found missing; zero while there is one.
-	rowGone time.Time
-	details map[int]string
-
-	window   counterWindow
-	turn     int
-	planner  placement.Planner
-	planKey  string
-	planning bool
-	planned  time.Time
-	loads    []observed
-	skew     float64
-	windows  uint64
-	last     *wire.MapReason
-	err      string
+	row          *table.Group
+	state        *wire.GroupState
+	ranks        map[int]*wire.Announcement
+	rankConflict string
+	shape        placement.Shape
+	cfg          rollout.Config
+	coord        *rollout.Coordinator
+	orders       map[int]*rankOrderQueue
+	proposing    bool
+	renewedAt    time.Time
+	// rowMissingSince is when the group's row was first found missing; zero while there is one.
+	rowMissingSince time.Time
+	details         map[int]string
+
+	window         counterWindow
+	nextRank       int
+	planner        placement.Planner
+	plannerKey     string
+	planning       bool
+	plannedAt      time.Time
+	pendingWindows []loadWindow
+	skew           float64
+	windowCount    uint64
+	lastDecision   *wire.MapReason
+	planningError  string
 }
 
 // leaseRenewals is how many times a lease is renewed within its duration.
@@ -53,71 +53,71 @@
 
 func newGroupDriver(g *groupLeader, r *Replica, name string, token uint64) *groupDriver {
 	return &groupDriver{
-		groupLeader: g, replica: r, name: name, token: token, planned: g.clock(),
-		orders: map[int]*rankOrders{}, details: map[int]string{},
+		groupLeader: g, replica: r, name: name, token: token, plannedAt: g.clock(),
+		orders: map[int]*rankOrderQueue{}, details: map[int]string{},
 	}
 }
 
 // tick applies the group's state in the log, its row and its announced ranks, and does
 // what is due.
 func (d *groupDriver) tick(ctx context.Context, now time.Time, row *table.Group, state *wire.GroupState, ranks groupRanks) {
-	d.logRecords(state)
-	d.row, d.state, d.ranks, d.conflict = row, state, ranks.byRank, ranks.conflict
-	if now.Sub(d.renewed) > maxLease/leaseRenewals {
-		d.renewed = now
+	d.logEndedSwitch(state)
+	d.row, d.state, d.ranks, d.rankConflict = row, state, ranks.byRank, ranks.conflict
+	if now.Sub(d.renewedAt) > maxLease/leaseRenewals {
+		d.renewedAt = now
 		_ = d.replica.do(ctx, func() { d.replica.leads.renew(d.name, now, maxLease) })
 	}
-	d.watchRow(now)
-	if !d.prepare() || row == nil && state == nil {
+	d.trackRow(now)
+	if !d.ensureCoordinator() || row == nil && state == nil {
 		return
 	}
 	d.coord.Applied(now, state)
-	d.err = d.steer(ctx, now)
+	d.planningError = d.updateTarget(ctx, now)
 	if row != nil {
-		d.collect(ctx, now)
+		d.startWindow(ctx, now)
 	}
-	d.act(ctx, now)
+	d.runCoordinator(ctx, now)
 }
 
-// watchRow records since when the group has no row.
-func (d *groupDriver) watchRow(now time.Time) {
+// trackRow records since when the group has no row.
+func (d *groupDriver) trackRow(now time.Time) {
 	switch {
 	case d.row != nil:
-		d.rowGone = time.Time{}
-	case d.rowGone.IsZero():
-		d.rowGone = now
+		d.rowMissingSince = time.Time{}
+	case d.rowMissingSince.IsZero():
+		d.rowMissingSince = now
 	}
 }
 
-// over reports whether the driver of a group without a row may stop: no switch is
+// finished reports whether the driver of a group without a row may stop: no switch is
 // undecided, and either every rank uses the map in force with no call in flight, or
 // ArmTimeout has passed since the row went missing. The timeout is for ranks that are
 // down and may never answer; a rank that has yet to apply a decided switch learns the
 // decision through its own agent.
-func (d *groupDriver) over(now time.Time) bool {
+func (d *groupDriver) finished(now time.Time) bool {
 	if d.row != nil || rollout.Undecided(d.state.GetSwitch()) {
 		return false
 	}
-	if now.Sub(d.rowGone) > d.settings.ArmTimeout.D() {
+	if now.Sub(d.rowMissingSince) > d.settings.ArmTimeout.D() {
 		return true
 	}
-	return !d.proposing && !d.ordering() && (d.state == nil || d.coord == nil || d.coord.Quiet())
+	return !d.proposing && !d.hasCallsInFlight() && (d.state == nil || d.coord == nil || d.coord.Quiet())
 }
 
-// ordering reports whether an order or a request for counters is in flight.
-func (d *groupDriver) ordering() bool {
+// hasCallsInFlight reports whether an order or a request for counters is in flight.
+func (d *groupDriver) hasCallsInFlight() bool {
 	for _, q := range d.orders {
-		if q.busy {
+		if q.inFlight {
 			return true
 		}
 	}
 	return d.window.waiting > 0
 }
 
-// prepare creates the coordinator once the group's shape is known, and returns whether
-// there is one. The shape of the map in force takes precedence over the row's, because
-// ranks that restart must come back with that map.
-func (d *groupDriver) prepare() bool {
+// ensureCoordinator creates the coordinator once the group's shape is known, and returns
+// whether there is one. The shape of the map in force takes precedence over the row's,
+// because ranks that restart must come back with that map.
+func (d *groupDriver) ensureCoordinator() bool {
 	if d.coord != nil {
 		return true
 	}
@@ -127,7 +127,7 @@
 	case d.row != nil:
 		d.shape = shapeOfRow(d.row)
 		if err := placement.Contiguous(d.shape).Check(d.shape); err != nil {
-			d.err = "row: " + err.Error()
+			d.planningError = "row: " + err.Error()
 			return false
 		}
 	default:
@@ -149,22 +149,22 @@
 	}
 }
 
-// steer starts or cancels map changes. An operator's pin takes precedence over the
+// updateTarget starts or cancels map changes. An operator's pin takes precedence over the
 // planner and applies also while the row is paused. It returns the reason if a fault
 // prevents planning, and otherwise an empty string.
-func (d *groupDriver) steer(ctx context.Context, now time.Time) string {
+func (d *groupDriver) updateTarget(ctx context.Context, now time.Time) string {
 	switch {
 	case d.state == nil:
 		return "no map is in force yet"
 	case d.row == nil:
 		d.coord.Cancel("the group has no row")
 		return "the group has no row"
-	case d.conflict != "":
+	case d.rankConflict != "":
 		// Either upstream would carry out orders that are meant for the other.
-		d.coord.Cancel(d.conflict)
-		return d.conflict
+		d.coord.Cancel(d.rankConflict)
+		return d.rankConflict
 	case d.state.Pinned != 0:
-		d.holdPinned()
+		d.rollOutPinned()
 		return ""
 	case d.row.Paused:
 		d.coord.Cancel("the row is paused")
@@ -173,15 +173,15 @@
 		d.coord.Cancel("the row's shape differs from that of the map in force")
 		return fmt.Sprintf("row: shape %+v differs from that of the map in force, %+v", shapeOfRow(d.row), d.shape)
 	}
-	if err := d.usePlanner(); err != nil {
+	if err := d.ensurePlanner(); err != nil {
 		return "row: column planner: " + err.Error()
 	}
-	d.plan(ctx, now)
+	d.startPlanning(ctx, now)
 	return ""
 }
 
-// logRecords logs the newest switch record if it was added since the last tick.
-func (d *groupDriver) logRecords(state *wire.GroupState) {
+// logEndedSwitch logs the newest switch record if it was added since the last tick.
+func (d *groupDriver) logEndedSwitch(state *wire.GroupState) {
 	if d.state == nil || state == nil || len(state.Records) == 0 {
 		return
 	}
@@ -196,7 +196,7 @@
 // view returns the group's state as shown to operators.
 func (d *groupDriver) view() *wire.GroupView {
 	v := &wire.GroupView{
-		Group: d.name, State: d.state, Token: d.token, Skew: d.skew, Last: d.last, Error: d.err, Windows: d.windows,
+		Group: d.name, State: d.state, Token: d.token, Skew: d.skew, Last: d.lastDecision, Error: d.planningError, Windows: d.windowCount,
 	}
 	if d.row != nil {
 		v.Planner, v.Paused = d.row.Planner, d.row.Paused
--- a/control/grouporders.go
+++ b/control/grouporders.go
@@ -11,18 +11,19 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// rankOrders tracks whether an order to a rank is in flight, and the order to send
-// after it.
-type rankOrders struct {
-	busy bool
-	next *rollout.Outgoing
+// rankOrderQueue tracks whether an order to a rank is in flight, and the order to send
+// next.
+type rankOrderQueue struct {
+	inFlight bool
+	pending  *rollout.Outgoing
 }
 
-// act advances the coordinator, sends the orders that it returns and proposes its command.
-func (d *groupDriver) act(ctx context.Context, now time.Time) {
+// runCoordinator advances the coordinator, sends the orders that it returns and proposes
+// its command.
+func (d *groupDriver) runCoordinator(ctx context.Context, now time.Time) {
 	e := d.coord.Tick(now)
 	for _, o := range e.Orders {
-		d.order(ctx, o)
+		d.sendOrder(ctx, o)
 	}
 	if e.Command == nil || d.proposing {
 		return
@@ -31,7 +32,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 		defer cancel()
-		r, err := d.replica.proposeGroup(ctx, e.Command)
+		r, err := d.replica.proposeGroupCommand(ctx, e.Command)
 		if err == nil && !r.Accepted {
 			kernel.Debug(d.log, "Group command was rejected by the state machine.", "group", d.name, "detail", r.Detail)
 		}
@@ -41,16 +42,16 @@
 	}()
 }
 
-// order sends an order to a rank, after the answer to the one in flight if there is
-// one. Only the latest order waits.
-func (d *groupDriver) order(ctx context.Context, o rollout.Outgoing) {
+// sendOrder sends an order to a rank, after the reply to the one in flight if there is
+// one. A newer order replaces one that is still waiting.
+func (d *groupDriver) sendOrder(ctx context.Context, o rollout.Outgoing) {
 	q := d.orders[o.Rank]
 	if q == nil {
-		q = &rankOrders{}
+		q = &rankOrderQueue{}
 		d.orders[o.Rank] = q
 	}
-	if q.busy {
-		q.next = &o
+	if q.inFlight {
+		q.pending = &o
 		return
 	}
 	a := d.ranks[o.Rank]
@@ -58,27 +59,28 @@
 		d.details[o.Rank] = "no upstream announces this rank"
 		return
 	}
-	q.busy = true
+	q.inFlight = true
 	go func() {
-		reply, err := d.give(ctx, a, o.Verb, o.Order)
+		reply, err := d.callAgent(ctx, a, o.Verb, o.Order)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		q.busy = false
-		d.answered(o, reply, err)
-		next := q.next
-		q.next = nil
+		q.inFlight = false
+		d.handleReply(o, reply, err)
+		next := q.pending
+		q.pending = nil
 		if ctx.Err() != nil || d.drivers[d.name] != d {
 			return
 		}
 		if next != nil {
-			d.order(ctx, *next)
+			d.sendOrder(ctx, *next)
 		}
-		d.act(ctx, d.clock())
+		d.runCoordinator(ctx, d.clock())
 	}()
 }
 
-// answered handles the answer to an order.
-func (d *groupDriver) answered(o rollout.Outgoing, reply *wire.OrderReply, err error) {
+// handleReply passes the status in the reply to an order to the coordinator, or records
+// why there is none.
+func (d *groupDriver) handleReply(o rollout.Outgoing, reply *wire.OrderReply, err error) {
 	var s rollout.Status
 	if err == nil && reply.Accepted {
 		err = json.Unmarshal(reply.Body, &s)
@@ -95,10 +97,10 @@
 	d.coord.Heard(d.clock(), o.Rank, s)
 }
 
-// timeoutOf returns the timeout of an order. Arm, commit and abort carry no map and are
-// answered at once; as the group may have stopped to wait for them, a hanging
+// orderTimeoutFor returns the timeout of an order. Arm, commit and abort carry no map and
+// are answered at once; as the group may have stopped to wait for them, a hanging
 // connection is given up early.
-func (d *groupDriver) timeoutOf(verb string) time.Duration {
+func (d *groupDriver) orderTimeoutFor(verb string) time.Duration {
 	switch verb {
 	case rollout.VerbArm, rollout.VerbCommit, rollout.VerbAbort:
 		return min(d.cfg.Resend, d.settings.OrderTimeout.D())
@@ -106,9 +108,9 @@
 	return d.settings.OrderTimeout.D()
 }
 
-// give sends one order to the rank's agent and returns its reply.
-func (d *groupDriver) give(ctx context.Context, a *wire.Announcement, verb string, body any) (*wire.OrderReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, d.timeoutOf(verb))
+// callAgent sends one order to the rank's agent and returns its reply.
+func (d *groupDriver) callAgent(ctx context.Context, a *wire.Announcement, verb string, body any) (*wire.OrderReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, d.orderTimeoutFor(verb))
 	defer cancel()
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/control/groupplan.go
+++ b/control/groupplan.go
@@ -12,32 +12,32 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// observed is the load of one counter window. times are the ranks' busy times per step
-// under the map in under; nil if a rank is missing or used another map.
-type observed struct {
-	at    time.Time
-	load  placement.Load
-	times []time.Duration
-	under *placement.Map
+// loadWindow is the load of one counter window. busyTimes are the ranks' busy times per
+// step under busyTimesMap; nil if a rank is missing or used another map.
+type loadWindow struct {
+	at           time.Time
+	load         placement.Load
+	busyTimes    []time.Duration
+	busyTimesMap *placement.Map
 }
 
-// timesObserver is a planner that also uses the time each rank is busy in a step,
+// busyTimesObserver is a planner that also uses the time each rank is busy in a step,
 // excluding the wait for other ranks, to tell a slow rank from a loaded one.
-type timesObserver interface {
+type busyTimesObserver interface {
 	ObserveTimes(times []time.Duration, current *placement.Map)
 }
 
-// tell passes the window to a planner.
-func (o *observed) tell(p placement.Planner) {
-	p.Observe(o.at, o.load)
-	if t, ok := p.(timesObserver); ok && o.times != nil {
-		t.ObserveTimes(o.times, o.under)
+// reportTo passes the window to a planner.
+func (w *loadWindow) reportTo(p placement.Planner) {
+	p.Observe(w.at, w.load)
+	if t, ok := p.(busyTimesObserver); ok && w.busyTimes != nil {
+		t.ObserveTimes(w.busyTimes, w.busyTimesMap)
 	}
 }
 
-// holdPinned rolls out the pinned map if another one is in force. It cancels an
+// rollOutPinned rolls out the pinned map if another one is in force. It cancels an
 // undecided switch to any other map.
-func (d *groupDriver) holdPinned() {
+func (d *groupDriver) rollOutPinned() {
 	s := d.state
 	if rollout.Undecided(s.Switch) && s.Switch.Reason.GetRepeats() != s.Pinned {
 		d.coord.Cancel("pinned by " + s.PinnedBy)
@@ -63,15 +63,15 @@
 	return n
 }
 
-// usePlanner creates the planner that the row names, and replaces it when the row's
+// ensurePlanner creates the planner that the row names, and replaces it when the row's
 // planner or costs change. It returns an error if there is no such planner.
-func (d *groupDriver) usePlanner() error {
+func (d *groupDriver) ensurePlanner() error {
 	cost := placement.Cost{
 		SkewWeight: d.row.SkewWeight, MoveWeight: d.row.MoveWeight,
 		ExpertBytes: d.row.ExpertBytes, StoreRate: d.row.StoreRate, StepTime: d.row.StepTime,
 	}
 	key := fmt.Sprintf("%s %+v", d.row.Planner, cost)
-	if d.planner != nil && key == d.planKey {
+	if d.planner != nil && key == d.plannerKey {
 		return nil
 	}
 	if d.planning {
@@ -83,50 +83,50 @@
 		return err
 	}
 	p.Reset(d.shape, cost)
-	d.planner, d.planKey = p, key
+	d.planner, d.plannerKey = p, key
 	return nil
 }
 
-// plan runs the planner in a goroutine of its own once per PlanPeriod. In the loop, the
-// plan of a large group would delay the decisions that stopped ranks wait for.
-func (d *groupDriver) plan(ctx context.Context, now time.Time) {
-	if d.planning || !d.coord.Idle() || now.Sub(d.planned) < d.settings.PlanPeriod.D() {
+// startPlanning runs the planner in a goroutine of its own once per PlanPeriod. Planning
+// in the loop would delay the decisions that stopped ranks of a large group wait for.
+func (d *groupDriver) startPlanning(ctx context.Context, now time.Time) {
+	if d.planning || !d.coord.Idle() || now.Sub(d.plannedAt) < d.settings.PlanPeriod.D() {
 		return
 	}
 	d.planning = true
-	p, loads := d.planner, d.loads
-	d.loads = nil
+	p, windows := d.planner, d.pendingWindows
+	d.pendingWindows = nil
 	current := d.state.Map
 	name := d.row.Planner
 	go func() {
-		for _, l := range loads {
-			l.tell(p)
+		for _, w := range windows {
+			w.reportTo(p)
 		}
 		decision := p.Plan(now, rollout.ToMap(current))
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.planning, d.planned = false, d.clock()
+		d.planning, d.plannedAt = false, d.clock()
 		if ctx.Err() == nil {
-			d.follow(name, current, decision)
+			d.applyDecision(name, current, decision)
 		}
 	}()
 }
 
-// follow records a planner's decision and rolls out its map, unless the group has been
-// paused or pinned or has lost its row.
-func (d *groupDriver) follow(planner string, current *wire.GroupMap, p placement.Decision) {
-	d.last = &wire.MapReason{
-		By: "planner " + planner, Why: p.Why, Moves: uint32(len(p.Moves)),
-		SkewBefore: p.SkewBefore, SkewAfter: p.SkewAfter, Gain: p.Gain, Price: p.Price,
+// applyDecision records a planner's decision and rolls out its map, unless the group has
+// been paused or pinned or has lost its row.
+func (d *groupDriver) applyDecision(planner string, current *wire.GroupMap, decision placement.Decision) {
+	d.lastDecision = &wire.MapReason{
+		By: "planner " + planner, Why: decision.Why, Moves: uint32(len(decision.Moves)),
+		SkewBefore: decision.SkewBefore, SkewAfter: decision.SkewAfter, Gain: decision.Gain, Price: decision.Price,
 		AtMs: d.clock().UnixMilli(),
 	}
-	if p.Next == nil || d.row == nil || d.row.Paused || d.state.Pinned != 0 {
+	if decision.Next == nil || d.row == nil || d.row.Paused || d.state.Pinned != 0 {
 		return
 	}
-	if err := p.Next.Check(d.shape); err != nil {
+	if err := decision.Next.Check(d.shape); err != nil {
 		kernel.Warn(d.log, "Planner returned an invalid map.", "group", d.name, "planner", planner, "err", err)
-		d.last.Why = "refused: " + err.Error()
+		d.lastDecision.Why = "refused: " + err.Error()
 		return
 	}
-	d.coord.Roll(&rollout.Target{Base: current.Epoch, Map: rollout.FromMap(d.shape, p.Next), Reason: d.last})
+	d.coord.Roll(&rollout.Target{Base: current.Epoch, Map: rollout.FromMap(d.shape, decision.Next), Reason: d.lastDecision})
 }
--- a/control/groups.go
+++ b/control/groups.go
@@ -28,8 +28,8 @@
 	// groupIdleTick the interval while none has.
 	groupTick     = 20 * time.Millisecond
 	groupIdleTick = 100 * time.Millisecond
-	// leaseHolder is the prefix of control replicas among lease holders.
-	leaseHolder = "control "
+	// leaseHolderPrefix is the prefix of control replicas among lease holders.
+	leaseHolderPrefix = "control "
 	// leaseTimeout bounds the acquisition of a lease and the proposal of a group command.
 	leaseTimeout = 2 * time.Second
 )
@@ -62,12 +62,12 @@
 	return &groupLeader{settings: s.Groups, clock: s.Now, log: l, pool: pool, drivers: map[string]*groupDriver{}}
 }
 
-// groupsNow is a consistent snapshot of the groups in the log and the table.
-type groupsNow struct {
-	leads  bool
-	view   *table.View
-	states map[string]*wire.GroupState
-	tokens map[string]uint64
+// groupsSnapshot is a consistent snapshot of the groups in the log and the table.
+type groupsSnapshot struct {
+	isLeader bool
+	view     *table.View
+	states   map[string]*wire.GroupState
+	tokens   map[string]uint64
 }
 
 // run drives the groups until the replica stops.
@@ -75,7 +75,7 @@
 	if g.upstreams == nil {
 		return
 	}
-	defer g.drop()
+	defer g.dropDrivers()
 	changed, cancel := r.watchers.Subscribe()
 	defer cancel()
 	for {
@@ -96,22 +96,22 @@
 
 // tick runs one iteration and returns whether a group has work in progress.
 func (g *groupLeader) tick(ctx context.Context, r *Replica) bool {
-	n := r.groupsNow(ctx, g.led())
-	if !n.leads {
-		g.drop()
+	snap := r.readGroups(ctx, g.drivenGroups())
+	if !snap.isLeader {
+		g.dropDrivers()
 		return false
 	}
-	ranks := ranksOf(g.upstreams())
+	ranks := ranksByGroup(g.upstreams())
 	names := map[string]bool{}
-	for name := range n.view.Groups {
+	for name := range snap.view.Groups {
 		names[name] = true
 	}
 	// A group whose row was deleted may have an undecided switch, and ranks that
 	// have stopped to wait for the decision.
-	for name, s := range n.states {
+	for name, s := range snap.states {
 		names[name] = names[name] || rollout.Undecided(s.Switch)
 	}
-	for _, name := range g.led() {
+	for _, name := range g.drivenGroups() {
 		names[name] = true
 	}
 	busy := false
@@ -119,33 +119,33 @@
 		if !due {
 			continue
 		}
-		d := g.driver(ctx, r, name, n)
+		d := g.ensureDriver(ctx, r, name, snap)
 		if d == nil {
 			busy = true
 			continue
 		}
 		g.mu.Lock()
-		d.tick(ctx, g.clock(), n.view.Groups[name], n.states[name], ranks[name])
+		d.tick(ctx, g.clock(), snap.view.Groups[name], snap.states[name], ranks[name])
 		busy = busy || d.coord == nil || !d.coord.Quiet()
-		over := d.over(time.Now())
+		finished := d.finished(time.Now())
 		g.mu.Unlock()
-		if over {
-			g.release(ctx, r, d)
+		if finished {
+			g.stopDriver(ctx, r, d)
 		}
 	}
 	return busy
 }
 
-// led returns the names of the groups that have a driver.
-func (g *groupLeader) led() []string {
+// drivenGroups returns the names of the groups that have a driver.
+func (g *groupLeader) drivenGroups() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Collect(maps.Keys(g.drivers))
 }
 
-// release stops a group's driver and releases its lease. A driver that kept running
+// stopDriver stops a group's driver and releases its lease. A driver that kept running
 // would renew the lease, go on sending orders and lock out the next holder.
-func (g *groupLeader) release(ctx context.Context, r *Replica, d *groupDriver) {
+func (g *groupLeader) stopDriver(ctx context.Context, r *Replica, d *groupDriver) {
 	g.mu.Lock()
 	delete(g.drivers, d.name)
 	g.mu.Unlock()
@@ -157,26 +157,26 @@
 	kernel.Info(g.log, "Stopped leading a group whose row was deleted.", "group", d.name, "token", d.token, "err", err)
 }
 
-// groupsNow reads the groups' state in the replica's loop. It includes the fencing
-// tokens of the led groups, which may be neither in the log nor in the table any more.
-func (r *Replica) groupsNow(ctx context.Context, led []string) groupsNow {
-	n := groupsNow{states: map[string]*wire.GroupState{}, tokens: map[string]uint64{}}
+// readGroups reads the groups' state in the replica's loop. It includes the fencing
+// tokens of the driven groups, which may be neither in the log nor in the table any more.
+func (r *Replica) readGroups(ctx context.Context, driven []string) groupsSnapshot {
+	snap := groupsSnapshot{states: map[string]*wire.GroupState{}, tokens: map[string]uint64{}}
 	err := r.do(ctx, func() {
-		v, err := r.shareView()
+		v, err := r.tableView()
 		if err != nil || !r.node.IsLeader(r.now()) || r.failed != nil {
 			return
 		}
-		n.leads, n.view = true, v
+		snap.isLeader, snap.view = true, v
 		for _, name := range r.machine.groups.Groups() {
-			n.states[name] = r.machine.groups.Get(name)
-			n.tokens[name] = r.machine.fence.Token(name)
+			snap.states[name] = r.machine.groups.Get(name)
+			snap.tokens[name] = r.machine.fence.Token(name)
 		}
-		for _, name := range slices.AppendSeq(led, maps.Keys(v.Groups)) {
-			n.tokens[name] = r.machine.fence.Token(name)
+		for _, name := range slices.AppendSeq(driven, maps.Keys(v.Groups)) {
+			snap.tokens[name] = r.machine.fence.Token(name)
 		}
 	})
-	n.leads = n.leads && err == nil
-	return n
+	snap.isLeader = snap.isLeader && err == nil
+	return snap
 }
 
 // groupRanks are the upstreams that announce the ranks of one group.
@@ -186,8 +186,8 @@
 	conflict string
 }
 
-// ranksOf groups the announcements of ranks by the name of their group.
-func ranksOf(list []*wire.Announcement) map[string]groupRanks {
+// ranksByGroup groups the announcements of ranks by the name of their group.
+func ranksByGroup(list []*wire.Announcement) map[string]groupRanks {
 	groups := map[string]groupRanks{}
 	for _, a := range list {
 		if a.Group == "" {
@@ -207,14 +207,14 @@
 	return groups
 }
 
-// driver returns a group's driver if it runs under the lease in force. Otherwise it
+// ensureDriver returns a group's driver if it runs under the lease in force. Otherwise it
 // acquires the lease, creates a new driver and returns nil. It also returns nil if the
 // lease can't be acquired.
-func (g *groupLeader) driver(ctx context.Context, r *Replica, name string, n groupsNow) *groupDriver {
+func (g *groupLeader) ensureDriver(ctx context.Context, r *Replica, name string, snap groupsSnapshot) *groupDriver {
 	g.mu.Lock()
 	d := g.drivers[name]
 	g.mu.Unlock()
-	if d != nil && d.token == n.tokens[name] {
+	if d != nil && d.token == snap.tokens[name] {
 		return d
 	}
 	if d != nil {
@@ -222,7 +222,7 @@
 		delete(g.drivers, name)
 		g.mu.Unlock()
 	}
-	token, err := r.takeLease(ctx, name)
+	token, err := r.acquireGroupLease(ctx, name)
 	if err != nil {
 		if !errors.Is(err, ErrUnavailable) {
 			kernel.Warn(g.log, "Group lease can't be acquired.", "group", name, "err", err)
@@ -238,23 +238,23 @@
 	return nil
 }
 
-// takeLease acquires a group's lease for this replica and returns the fencing token.
-// It replaces an unexpired lease of another control replica: once the new token is
-// known, agents reject the orders of the former holder, and the log its commands. It
+// acquireGroupLease acquires a group's lease for this replica and returns the fencing
+// token. It doesn't wait until the lease of another control replica expires: agents that
+// know the new token reject the orders of the former holder, and the log its commands. It
 // returns ErrLease if the holder of an unexpired lease isn't a control replica.
-func (r *Replica) takeLease(ctx context.Context, group string) (uint64, error) {
+func (r *Replica) acquireGroupLease(ctx context.Context, group string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	holder := leaseHolder + idOf(r.identity)
+	holder := leaseHolderPrefix + idOf(r.identity)
 	var held *wire.Lease
-	var over bool
+	var expired bool
 	if err := r.do(ctx, func() {
 		held = r.machine.fence.Get(group)
-		over = held.Token == 0 || r.leads.over(group, r.clock())
+		expired = held.Token == 0 || r.leads.over(group, r.clock())
 	}); err != nil {
 		return 0, err
 	}
-	if len(held.Holder) > 0 && !isControl(held.Holder) && !over {
+	if len(held.Holder) > 0 && !isControlHolder(held.Holder) && !expired {
 		return 0, merry.Prependf(ErrLease, "held by %s", held.Holder)
 	}
 	v, err := r.propose(ctx, &wire.Command{Command: &wire.Command_Lease{
@@ -270,19 +270,20 @@
 	return l.Token, nil
 }
 
-func isControl(holder string) bool {
-	return len(holder) > len(leaseHolder) && holder[:len(leaseHolder)] == leaseHolder
+func isControlHolder(holder string) bool {
+	return len(holder) > len(leaseHolderPrefix) && holder[:len(leaseHolderPrefix)] == leaseHolderPrefix
 }
 
-// drop removes all drivers when this replica doesn't lead any more.
-func (g *groupLeader) drop() {
+// dropDrivers removes all drivers when this replica doesn't lead any more.
+func (g *groupLeader) dropDrivers() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.drivers)
 }
 
-// proposeGroup appends a group command to the log and returns the state machine's result.
-func (r *Replica) proposeGroup(ctx context.Context, c *wire.GroupCommand) (rollout.Result, error) {
+// proposeGroupCommand proposes a group command to the log and returns the state machine's
+// result.
+func (r *Replica) proposeGroupCommand(ctx context.Context, c *wire.GroupCommand) (rollout.Result, error) {
 	c.AtMs = r.clock().UnixMilli()
 	v, err := r.propose(ctx, &wire.Command{Command: &wire.Command_Group{Group: c}})
 	if err != nil {
--- a/control/groups_test.go
+++ b/control/groups_test.go
@@ -20,58 +20,59 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// rotate is a planner that hands each rank's experts to the next one, whatever
-// the load, as often as it is asked.
-type rotate struct {
-	shape placement.Shape
-	seen  int
-	slow  string
+// rotatingPlanner is a planner that moves all experts on by one rank in every plan,
+// whatever the load.
+type rotatingPlanner struct {
+	shape          placement.Shape
+	windows        int
+	slowRankReport string
 }
 
 func init() {
-	kernel.Register(kernel.Module{ID: "placement.test-rotate", New: func() any { return &rotate{} }})
+	kernel.Register(kernel.Module{ID: "placement.test-rotate", New: func() any { return &rotatingPlanner{} }})
 }
 
-func (p *rotate) Reset(s placement.Shape, _ placement.Cost) { p.shape = s }
+func (p *rotatingPlanner) Reset(s placement.Shape, _ placement.Cost) { p.shape = s }
 
-func (p *rotate) Observe(time.Time, placement.Load) { p.seen++ }
+func (p *rotatingPlanner) Observe(time.Time, placement.Load) { p.windows++ }
 
-func (p *rotate) ObserveTimes(times []time.Duration, m *placement.Map) {
-	loads := m.RankLoads(p.shape, 0, fakeLoad(0))
+func (p *rotatingPlanner) ObserveTimes(times []time.Duration, m *placement.Map) {
+	loads := m.RankLoads(p.shape, 0, expertLoad(0))
 	slowest := 0
 	for r := range times {
 		if times[r].Seconds()/loads[r] > 1.2*times[slowest].Seconds()/loads[slowest] {
 			slowest = r
 		}
 	}
-	p.slow = fmt.Sprintf("; rank %d is slow", slowest)
+	p.slowRankReport = fmt.Sprintf("; rank %d is slow", slowest)
 }
 
-func (p *rotate) Plan(_ time.Time, m *placement.Map) placement.Decision {
-	if p.seen == 0 {
+func (p *rotatingPlanner) Plan(_ time.Time, m *placement.Map) placement.Decision {
+	if p.windows == 0 {
 		return placement.Decision{Why: "no counters yet"}
 	}
-	by := p.shape.Slots
-	next := &placement.Map{Slots: append(slices.Clone(m.Slots[by:]), m.Slots[:by]...)}
-	return placement.Decision{Next: next, Why: fmt.Sprintf("rotated after %d windows%s", p.seen, p.slow)}
+	slots := p.shape.Slots
+	next := &placement.Map{Slots: append(slices.Clone(m.Slots[slots:]), m.Slots[:slots]...)}
+	return placement.Decision{Next: next, Why: fmt.Sprintf("rotated after %d windows%s", p.windows, p.slowRankReport)}
 }
 
-// ranks runs a fake group with an agent beside each rank.
-type ranks struct {
+// groupCluster runs a cluster of control replicas and a fake group with an agent for each
+// rank.
+type groupCluster struct {
 	*cluster
 	group   *fake.Group
 	engines []*fake.Engine
 	agents  []*agent.Agent
 }
 
-func fakeLoad(uint64) placement.Load { return placement.Load{80, 8, 8, 8, 8, 8, 8, 8} }
+func expertLoad(uint64) placement.Load { return placement.Load{80, 8, 8, 8, 8, 8, 8, 8} }
 
-func startGroup(t *testing.T, planner string) *ranks {
-	r := &ranks{cluster: newCluster(t, 3)}
+func startGroup(t *testing.T, planner string) *groupCluster {
+	r := &groupCluster{cluster: newCluster(t, 3)}
 	r.group = &fake.Group{
 		Name: "g", Shape: placement.Shape{Ranks: 4, Experts: 8, Layers: 1, Slots: 3},
 		Step: 2 * time.Millisecond, Load: 50 * time.Millisecond,
-		Tokens: fakeLoad, Slow: map[int]float64{2: 1.6},
+		Tokens: expertLoad, Slow: map[int]float64{2: 1.6},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -97,7 +98,7 @@
 	}
 }
 
-func (r *ranks) startAgent(i int, url string) {
+func (r *groupCluster) startAgent(i int, url string) {
 	set := agent.DefaultSettings()
 	set.ID = fmt.Sprintf("rank-%d-%d", i, len(r.agents))
 	set.FailureDomain = "hall-0"
@@ -114,7 +115,7 @@
 	r.agents = append(r.agents, a)
 }
 
-func (r *ranks) view() *wire.GroupView {
+func (r *groupCluster) groupView() *wire.GroupView {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	var reply *wire.GroupsReply
@@ -128,33 +129,33 @@
 	return reply.Groups[0]
 }
 
-func (r *ranks) waitFor(what string, ok func(v *wire.GroupView) bool) *wire.GroupView {
+func (r *groupCluster) waitFor(what string, ok func(v *wire.GroupView) bool) *wire.GroupView {
 	r.t.Helper()
 	var v *wire.GroupView
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if v = r.view(); ok(v) {
+		if v = r.groupView(); ok(v) {
 			return v
 		}
 	}
-	r.t.Fatalf("never came true: %s: %v, group %+v", what, v, r.group.History())
+	r.t.Fatalf("timed out waiting for: %s: %v, group %+v", what, v, r.group.History())
 	return nil
 }
 
-// known is the view of a leader that knows the group's map: one that was just
-// elected doesn't for a moment.
-func (r *ranks) known() *wire.GroupView {
+// viewWithMap waits for a view with the group's map, which a newly elected leader doesn't
+// have at once.
+func (r *groupCluster) viewWithMap() *wire.GroupView {
 	r.t.Helper()
 	return r.waitFor("a leader knows the map", func(v *wire.GroupView) bool { return v.GetState().GetMap() != nil })
 }
 
-func (r *ranks) waitForSteps(n int) {
+func (r *groupCluster) waitForSteps(n int) {
 	r.t.Helper()
 	from := r.group.History().Steps
 	r.waitFor("the group runs steps", func(*wire.GroupView) bool { return r.group.History().Steps >= from+n })
 }
 
-// change asks until a leader has answered.
-func (r *ranks) change(verb string, epoch uint64) *wire.GroupChangeReply {
+// changeGroup requests a change of the group, and repeats the request until it is answered.
+func (r *groupCluster) changeGroup(verb string, epoch uint64) *wire.GroupChangeReply {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -172,7 +173,7 @@
 	}
 }
 
-func (r *ranks) edit(columns map[string]string) {
+func (r *groupCluster) editRow(columns map[string]string) {
 	r.t.Helper()
 	rows, err := r.client.Read(context.Background(), &wire.ReadRequest{Kind: "group", Key: "g", Linearizable: true})
 	assert.NilError(r.t, err)
@@ -181,51 +182,51 @@
 	}})
 }
 
-// checkHistory says whether all ranks used one map in every step, and no map
-// came back.
-func (r *ranks) checkHistory() {
+// checkHistory checks that all ranks used the same map in every step, and that the epochs
+// of the maps never decreased.
+func (r *groupCluster) checkHistory() {
 	r.t.Helper()
 	h := r.group.History()
 	assert.Equal(r.t, h.Mixed, 0)
 	assert.Assert(r.t, slices.IsSorted(h.Epochs), "%v", h.Epochs)
 }
 
-func inForce(v *wire.GroupView) []*wire.SwitchRecord {
+// switchesInForce returns the records of switches whose map came into force, newest first.
+func switchesInForce(v *wire.GroupView) []*wire.SwitchRecord {
 	return slices.DeleteFunc(slices.Clone(v.GetState().GetRecords()), func(s *wire.SwitchRecord) bool {
 		return s.Outcome != rollout.OutcomeInForce
 	})
 }
 
-// The control leader dies while a switch is in progress, and again in the next.
-// Callers are held up for a moment at most: the next leader reads the switch from
-// the log, ends it, and goes on. No step mixes two maps.
-func TestLeaderDiesDuringASwitch(t *testing.T) {
+// If the control leader stops during a switch, the next leader reads the switch from the
+// log, ends it and plans again, and no step uses two maps.
+func TestNewLeaderFinishesSwitch(t *testing.T) {
 	r := startGroup(t, "test-rotate")
-	r.waitFor("a first switch", func(v *wire.GroupView) bool { return len(inForce(v)) > 0 })
+	r.waitFor("a first switch", func(v *wire.GroupView) bool { return len(switchesInForce(v)) > 0 })
 	for range 2 {
 		v := r.waitFor("a switch in progress", func(v *wire.GroupView) bool { return rollout.Undecided(v.GetState().GetSwitch()) })
-		dead := r.leader()
-		r.stop(dead)
+		stopped := r.leader()
+		r.stop(stopped)
 		epoch := v.State.Switch.Map.Epoch
 		later := r.waitFor("a later switch under another leader", func(v *wire.GroupView) bool {
-			done := inForce(v)
-			return v.Token > 0 && len(done) > 0 && done[0].Epoch > epoch
+			completed := switchesInForce(v)
+			return v.Token > 0 && len(completed) > 0 && completed[0].Epoch > epoch
 		})
 		assert.Assert(t, later.Token > v.Token)
 		assert.Assert(t, slices.ContainsFunc(later.State.Records, func(s *wire.SwitchRecord) bool { return s.Epoch == epoch }),
-			"the switch in doubt has an end in the decision log")
-		r.start(dead)
+			"the interrupted switch has no record")
+		r.start(stopped)
 		r.waitHealth(control.HealthOK)
 	}
 	r.waitForSteps(20)
 	r.checkHistory()
 }
 
-// A rank dies and comes back without a map. It runs nothing until it is told the
-// map in force; the others wait for it, and then the group goes on.
-func TestARankComesBackOnTheMapInForce(t *testing.T) {
+// A rank that restarts without a map runs no step until it is given the map in force. The
+// other ranks wait for it, and then the group goes on.
+func TestRestartedRankGetsMapInForce(t *testing.T) {
 	r := startGroup(t, "test-rotate")
-	r.waitFor("a first switch", func(v *wire.GroupView) bool { return len(inForce(v)) > 0 })
+	r.waitFor("a first switch", func(v *wire.GroupView) bool { return len(switchesInForce(v)) > 0 })
 	for rank := range r.group.Shape.Ranks {
 		r.group.Restart(rank)
 		r.waitForSteps(20)
@@ -233,13 +234,12 @@
 	r.checkHistory()
 }
 
-// An operator takes back the last change, pauses and unpins. The map that was
-// taken back stays away until the pin is taken off and the row goes on. In a paused
-// group, too, an operator can take a change back.
-func TestOperatorsPinPauseAndUndo(t *testing.T) {
+// After an undo, the restored map stays in force until the group is unpinned and not
+// paused. An undo also works in a paused group.
+func TestPinPauseAndUndo(t *testing.T) {
 	r := startGroup(t, "test-rotate")
-	r.waitFor("two switches", func(v *wire.GroupView) bool { return len(inForce(v)) > 1 })
-	assert.Assert(t, r.change(control.VerbUndo, 0).Accepted)
+	r.waitFor("two switches", func(v *wire.GroupView) bool { return len(switchesInForce(v)) > 1 })
+	assert.Assert(t, r.changeGroup(control.VerbUndo, 0).Accepted)
 	v := r.waitFor("the pinned map is in force", func(v *wire.GroupView) bool {
 		s := v.GetState()
 		if s.GetPinned() == 0 || s.Switch != nil {
@@ -250,27 +250,27 @@
 	})
 	held := v.State.Map.Epoch
 	r.waitForSteps(150)
-	assert.Equal(t, r.known().State.Map.Epoch, held)
-	r.edit(groupColumns("test-rotate", "yes"))
-	assert.Assert(t, r.change(control.VerbUnpin, 0).Accepted)
+	assert.Equal(t, r.viewWithMap().State.Map.Epoch, held)
+	r.editRow(groupColumns("test-rotate", "yes"))
+	assert.Assert(t, r.changeGroup(control.VerbUnpin, 0).Accepted)
 	r.waitForSteps(150)
-	assert.Equal(t, r.known().State.Map.Epoch, held, "the row is paused")
-	assert.Assert(t, r.change(control.VerbUndo, 0).Accepted)
+	assert.Equal(t, r.viewWithMap().State.Map.Epoch, held, "the row is paused")
+	assert.Assert(t, r.changeGroup(control.VerbUndo, 0).Accepted)
 	v = r.waitFor("the undo of a paused group", func(v *wire.GroupView) bool {
 		return v.GetState().GetMap().GetEpoch() > held && v.State.Switch == nil
 	})
 	held = v.State.Map.Epoch
-	assert.Assert(t, r.change(control.VerbUnpin, 0).Accepted)
-	r.edit(groupColumns("test-rotate", "no"))
+	assert.Assert(t, r.changeGroup(control.VerbUnpin, 0).Accepted)
+	r.editRow(groupColumns("test-rotate", "no"))
 	r.waitFor("planning goes on", func(v *wire.GroupView) bool { return v.GetState().GetMap().GetEpoch() > held })
-	refused := r.change(control.VerbPin, 1<<40)
-	assert.Assert(t, !refused.Accepted && strings.Contains(refused.Detail, "not kept"), refused.Detail)
+	reply := r.changeGroup(control.VerbPin, 1<<40)
+	assert.Assert(t, !reply.Accepted && strings.Contains(reply.Detail, "not kept"), reply.Detail)
 	r.checkHistory()
 }
 
-// A row names a planner that this build lacks. The group runs on the map in
-// force, and the row's error says so.
-func TestAnUnknownPlannerIsSaidAtTheRow(t *testing.T) {
+// If a row names an unknown planner, the group's view has an error, and the group keeps
+// running with the map in force.
+func TestUnknownPlannerIsReported(t *testing.T) {
 	r := startGroup(t, "nobody")
 	v := r.waitFor("an error", func(v *wire.GroupView) bool { return strings.Contains(v.Error, "planner") })
 	assert.Assert(t, strings.Contains(v.Error, "placement.nobody"), v.Error)
@@ -278,11 +278,11 @@
 	r.checkHistory()
 }
 
-// Two engines are set up as the same rank. Nothing is planned, and the error
-// names both; once one of them leaves, planning goes on.
-func TestTwoUpstreamsWithOneRankAreNamed(t *testing.T) {
+// If two engines announce the same rank, the error names both and planning stops; it
+// resumes once one of them leaves.
+func TestDuplicateRankIsReported(t *testing.T) {
 	r := startGroup(t, "test-rotate")
-	r.waitFor("a first switch", func(v *wire.GroupView) bool { return len(inForce(v)) > 0 })
+	r.waitFor("a first switch", func(v *wire.GroupView) bool { return len(switchesInForce(v)) > 0 })
 	e := &fake.Engine{Group: r.group, Rank: 1}
 	assert.NilError(t, e.Start())
 	t.Cleanup(e.Close)
@@ -294,40 +294,37 @@
 	defer cancel()
 	assert.NilError(t, r.agents[4].Drain(ctx))
 	r.agents[4].Stop()
-	before := r.view().GetState().GetMap().GetEpoch()
+	before := r.groupView().GetState().GetMap().GetEpoch()
 	r.waitFor("planning goes on", func(v *wire.GroupView) bool { return v.GetState().GetMap().GetEpoch() > before })
 	r.checkHistory()
 }
 
-// One rank is slow for a reason that isn't its experts. The planner is told how long
-// each rank is busy, whoever holds the busiest expert, and the operator reads of it in
-// the decision.
-func TestASlowRankIsReported(t *testing.T) {
+// The planner gets each rank's busy time, from which it can tell a slow rank from a loaded
+// one under any map, and its reason is shown to operators.
+func TestSlowRankIsReported(t *testing.T) {
 	r := startGroup(t, "test-rotate")
 	for range 2 {
-		seen := r.view().GetState().GetMap().GetEpoch()
+		seen := r.groupView().GetState().GetMap().GetEpoch()
 		r.waitFor("a report under another map", func(v *wire.GroupView) bool {
 			return v.GetState().GetMap().GetEpoch() > seen && strings.Contains(v.GetLast().GetWhy(), "; rank 2 is slow")
 		})
 	}
 }
 
-// An operator deletes the group's row while a switch is in progress. The leader ends the
-// switch, lets every rank go on with the map in force, and stops: it gives up the lease,
-// so that another holder can have it at once, and no order comes after. Otherwise its
-// orders would compete with those of whoever runs the group next. A new row for the
-// group is led again, under a new token.
-func TestADeletedGroupRowEndsOrdersAndFreesTheLease(t *testing.T) {
+// If the group's row is deleted during a switch, the leader ends the switch, releases the
+// lease and sends no more orders; otherwise its orders would compete with those of the
+// next holder. The group gets a new token when it has a row again.
+func TestDeletedRowStopsOrdersAndReleasesLease(t *testing.T) {
 	r := startGroup(t, "test-rotate")
 	v := r.waitFor("a switch in progress", func(v *wire.GroupView) bool { return rollout.Undecided(v.GetState().GetSwitch()) })
 	r.deleteRow()
-	r.waitFor("nobody leads the group", func(v *wire.GroupView) bool { return v.Group == "" })
-	lease := r.lease(&wire.LeaseRequest{Group: "g", Holder: "other", TtlMs: 1000})
+	r.waitFor("the group has no leader", func(v *wire.GroupView) bool { return v.Group == "" })
+	lease := r.requestLease(&wire.LeaseRequest{Group: "g", Holder: "other", TtlMs: 1000})
 	assert.Assert(t, lease.Granted && lease.Token > v.Token, "%v", lease)
-	given := r.ordersGiven()
+	orders := r.countLeaderOrders()
 	r.waitForSteps(200)
-	assert.Equal(t, r.ordersGiven(), given)
-	assert.Assert(t, r.lease(&wire.LeaseRequest{Group: "g", Holder: "other", Release: true}).Token == lease.Token)
+	assert.Equal(t, r.countLeaderOrders(), orders)
+	assert.Assert(t, r.requestLease(&wire.LeaseRequest{Group: "g", Holder: "other", Release: true}).Token == lease.Token)
 	r.accept(&wire.TableEdit{EditId: "again", By: "tester", Rows: []*wire.RowEdit{
 		{Kind: "group", Key: "g", Columns: groupColumns("test-rotate", "no")},
 	}})
@@ -337,7 +334,7 @@
 	r.checkHistory()
 }
 
-func (r *ranks) deleteRow() {
+func (r *groupCluster) deleteRow() {
 	r.t.Helper()
 	rows, err := r.client.Read(context.Background(), &wire.ReadRequest{Kind: "group", Key: "g", Linearizable: true})
 	assert.NilError(r.t, err)
@@ -346,7 +343,7 @@
 	}})
 }
 
-func (r *ranks) lease(req *wire.LeaseRequest) (reply *wire.LeaseReply) {
+func (r *groupCluster) requestLease(req *wire.LeaseRequest) (reply *wire.LeaseReply) {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -357,9 +354,10 @@
 	return reply
 }
 
-// ordersGiven counts the leader's orders. An agent asks its own rank for its status, too:
-// without an incarnation, as the leader does of a rank that it hasn't heard yet.
-func (r *ranks) ordersGiven() int {
+// countLeaderOrders counts the orders of the leader. It leaves out status orders without an
+// incarnation, which the agents send to their own ranks; the leader sends such orders only
+// to ranks that haven't answered it yet.
+func (r *groupCluster) countLeaderOrders() int {
 	n := 0
 	for _, e := range r.engines {
 		for _, o := range e.Orders() {
--- a/control/groupservice.go
+++ b/control/groupservice.go
@@ -107,12 +107,12 @@
 	if err := r.do(ctx, func() { state = r.machine.groups.Get(req.Group) }); err != nil {
 		return nil, err
 	}
-	pin, detail := pinOf(state, req)
+	pin, detail := pinForRequest(state, req)
 	if detail != "" {
 		return &wire.GroupChangeReply{Detail: detail}, nil
 	}
 	kernel.Info(s.log, "Group change requested.", "group", req.Group, "verb", req.Verb, "epoch", pin.Epoch, "by", req.By)
-	res, err := r.proposeGroup(ctx, &wire.GroupCommand{
+	res, err := r.proposeGroupCommand(ctx, &wire.GroupCommand{
 		Group: req.Group, Command: &wire.GroupCommand_Pin{Pin: pin},
 	})
 	if err != nil {
@@ -124,8 +124,8 @@
 	return &wire.GroupChangeReply{Accepted: res.Accepted, Detail: res.Detail}, nil
 }
 
-// pinOf converts an operator's request into a pin, or returns why it is rejected.
-func pinOf(s *wire.GroupState, req *wire.GroupChangeRequest) (*wire.PinMap, string) {
+// pinForRequest converts an operator's request into a pin, or returns why it is rejected.
+func pinForRequest(s *wire.GroupState, req *wire.GroupChangeRequest) (*wire.PinMap, string) {
 	if s == nil {
 		return nil, "no group " + req.Group + " has a map"
 	}
@@ -139,14 +139,14 @@
 		}
 		return &wire.PinMap{Epoch: epoch, By: req.By}, ""
 	case VerbUndo:
-		return undoOf(s, req.By)
+		return pinForUndo(s, req.By)
 	}
 	return nil, "unknown verb " + req.Verb
 }
 
-// undoOf returns a pin to the map before the last change: the map in force if the
-// change is undecided, and otherwise the map that the one in force replaced.
-func undoOf(s *wire.GroupState, by string) (*wire.PinMap, string) {
+// pinForUndo returns a pin to the map before the last change: the map in force if a
+// switch is undecided, and otherwise the map that the one in force replaced.
+func pinForUndo(s *wire.GroupState, by string) (*wire.PinMap, string) {
 	if rollout.Undecided(s.Switch) {
 		return &wire.PinMap{Epoch: s.Map.Epoch, By: by}, ""
 	}
--- a/control/leaseclock.go
+++ b/control/leaseclock.go
@@ -7,9 +7,9 @@
 // persisted: a new leader starts with an empty one and assumes that every lease was
 // renewed just before its leadership began.
 type leaseClock struct {
-	leading bool
-	since   time.Time
-	last    map[string]time.Time
+	leading   bool
+	since     time.Time
+	lastHeard map[string]time.Time
 	// ended holds the IDs of replicas that another process has replaced at their address.
 	ended   map[string]bool
 	expires map[string]time.Time
@@ -19,7 +19,7 @@
 func (c *leaseClock) follow(leads bool, now time.Time) {
 	if leads && !c.leading {
 		c.since = now
-		c.last = map[string]time.Time{}
+		c.lastHeard = map[string]time.Time{}
 		c.ended = map[string]bool{}
 		c.expires = map[string]time.Time{}
 	}
@@ -27,8 +27,8 @@
 }
 
 func (c *leaseClock) heard(id string, now time.Time) {
-	if c.last != nil {
-		c.last[id] = now
+	if c.lastHeard != nil {
+		c.lastHeard[id] = now
 	}
 }
 
@@ -45,7 +45,7 @@
 	if c.ended[id] {
 		return true
 	}
-	last, ok := c.last[id]
+	last, ok := c.lastHeard[id]
 	if !ok {
 		last = c.since
 	}
--- a/control/lockstep.go
+++ b/control/lockstep.go
@@ -20,27 +20,27 @@
 	// at which another replica checks whether it leads.
 	lockstepTick     = 25 * time.Millisecond
 	lockstepIdleTick = 200 * time.Millisecond
-	// lockstepGap is the delay before the tick that a rank's answer triggers, so that one
-	// tick handles the answers to a whole round of orders.
-	lockstepGap = 3 * time.Millisecond
-	// lockstepLease is the prefix of these groups in the names of leases.
-	lockstepLease = "lockstep/"
+	// lockstepReplyDelay is the delay before the tick that a rank's answer triggers, so
+	// that one tick handles many answers to a round of orders.
+	lockstepReplyDelay = 3 * time.Millisecond
+	// lockstepLeasePrefix is the prefix of these groups in the names of leases.
+	lockstepLeasePrefix = "lockstep/"
 	// surveyPeriod is the interval at which rank states are published to entries.
 	surveyPeriod = 200 * time.Millisecond
-	// dialRank bounds the time to connect to a rank.
-	dialRank = 500 * time.Millisecond
+	// rankDialTimeout bounds the time to connect to a rank.
+	rankDialTimeout = 500 * time.Millisecond
 )
 
 // lockstepLeader manages the groups whose ranks are called directly while its replica
 // leads.
 type lockstepLeader struct {
-	settings  *LockstepSettings
-	clock     func() time.Time
-	log       log.Logger
-	pool      *transport.Pool
-	ranks     dialect.Ranks
-	client    *direct.Client
-	upstreams func() []*wire.Announcement
+	settings    *LockstepSettings
+	clock       func() time.Time
+	log         log.Logger
+	pool        *transport.Pool
+	rankDialect dialect.Ranks
+	client      *direct.Client
+	upstreams   func() []*wire.Announcement
 
 	metrics *kernel.Metrics
 	// wake triggers a tick when a rank has answered an order.
@@ -51,24 +51,24 @@
 
 	mu     sync.Mutex
 	groups map[string]*lockstepGroup
-	// surveys publishes the states of the ranks; surveyed is when it last did, and
-	// numbered is the number of the latest survey.
-	surveys  *surveyFeed
-	surveyed time.Time
-	numbered uint64
+	// surveys publishes the states of the ranks; surveyedAt is when it last did, and
+	// surveyNumber is the number of the latest survey.
+	surveys      *surveyFeed
+	surveyedAt   time.Time
+	surveyNumber uint64
 
-	// ledAt is when this replica last led.
-	ledAt time.Time
-	// seen is the state of the directory and the log at seenAt. Ticks triggered by a
-	// rank's answer reuse it for up to lockstepTick.
-	seen   lockstepSeen
-	seenAt time.Time
+	// lastLedAt is when this replica last led.
+	lastLedAt time.Time
+	// snapshot is the state of the directory and the log at snapshotAt. Ticks triggered
+	// by a rank's answer reuse it for up to lockstepTick.
+	snapshot   lockstepSnapshot
+	snapshotAt time.Time
 }
 
-// lockstepSeen is the state of the directory and the log that a tick starts from.
-type lockstepSeen struct {
+// lockstepSnapshot is the state of the directory and the log that a tick starts from.
+type lockstepSnapshot struct {
 	groups map[string]directGroup
-	lockstepNow
+	lockstepLogState
 }
 
 func newLockstepLeader(s Settings, l log.Logger, pool *transport.Pool, m *kernel.Metrics, surveys *surveyFeed) (*lockstepLeader, error) {
@@ -80,29 +80,30 @@
 		return nil, err
 	}
 	return &lockstepLeader{
-		settings: s.Lockstep, clock: s.Now, log: kernel.PartLog(l, "lockstep"), pool: pool, ranks: d,
-		client: direct.NewClient(transport.NewDialer(dialRank).DialContext), groups: map[string]*lockstepGroup{},
+		settings: s.Lockstep, clock: s.Now, log: kernel.PartLog(l, "lockstep"), pool: pool, rankDialect: d,
+		client: direct.NewClient(transport.NewDialer(rankDialTimeout).DialContext), groups: map[string]*lockstepGroup{},
 		wake: make(chan struct{}, 1), metrics: m, surveys: surveys,
 	}, nil
 }
 
-// lockstepNow is the state of the log at one moment; tokens are the fencing tokens by group.
-type lockstepNow struct {
-	leads  bool
-	config *wire.RoutingConfig
-	tokens map[string]uint64
+// lockstepLogState is what the log says of the groups at one moment. tokens holds the
+// fencing token of each group.
+type lockstepLogState struct {
+	isLeader bool
+	config   *wire.RoutingConfig
+	tokens   map[string]uint64
 }
 
-func (r *Replica) lockstepNow(ctx context.Context, groups []string) lockstepNow {
-	n := lockstepNow{tokens: map[string]uint64{}}
+func (r *Replica) readLockstepState(ctx context.Context, groups []string) lockstepLogState {
+	state := lockstepLogState{tokens: map[string]uint64{}}
 	_ = r.do(ctx, func() {
-		n.leads = r.failed == nil && r.takesCalls()
-		n.config = r.machine.routing.Current()
+		state.isLeader = r.failed == nil && r.takesCalls()
+		state.config = r.machine.routing.Current()
 		for _, name := range groups {
-			n.tokens[name] = r.machine.fence.Token(lockstepLease + name)
+			state.tokens[name] = r.machine.fence.Token(lockstepLeasePrefix + name)
 		}
 	})
-	return n
+	return state
 }
 
 // run drives the groups until the replica stops.
@@ -118,15 +119,15 @@
 		case <-r.done:
 			return
 		case <-l.wake:
-			time.Sleep(lockstepGap)
+			time.Sleep(lockstepReplyDelay)
 		case <-time.After(wait):
 		}
 	}
 }
 
-// wakeUp makes run tick without waiting for the interval: during a switch the group may
-// be held until the next order.
-func (l *lockstepLeader) wakeUp() {
+// requestTick makes run tick without waiting for the interval: during a switch the group
+// may be held until the next order.
+func (l *lockstepLeader) requestTick() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -135,24 +136,24 @@
 
 // tick runs one iteration and returns whether this replica leads.
 func (l *lockstepLeader) tick(ctx context.Context, r *Replica) bool {
-	if now := l.clock(); now.Sub(l.seenAt) >= lockstepTick {
-		l.seen, l.seenAt = l.look(ctx, r), now
+	if now := l.clock(); now.Sub(l.snapshotAt) >= lockstepTick {
+		l.snapshot, l.snapshotAt = l.readSnapshot(ctx, r), now
 	}
-	if !l.seen.leads {
-		l.drop(l.clock())
+	if !l.snapshot.isLeader {
+		l.dropGroups(l.clock())
 		return false
 	}
-	l.ledAt = l.clock()
-	for name, g := range l.seen.groups {
-		l.tickGroup(ctx, r, name, g, l.seen.lockstepNow)
+	l.lastLedAt = l.clock()
+	for name, g := range l.snapshot.groups {
+		l.tickGroup(ctx, r, name, g, l.snapshot.lockstepLogState)
 	}
-	l.survey()
+	l.publishSurvey()
 	return true
 }
 
-// look reads the directory and the log, and adapts readPeriod to the groups' sizes.
-func (l *lockstepLeader) look(ctx context.Context, r *Replica) lockstepSeen {
-	s := lockstepSeen{groups: directGroups(l.upstreams())}
+// readSnapshot reads the directory and the log, and adapts readPeriod to the groups' sizes.
+func (l *lockstepLeader) readSnapshot(ctx context.Context, r *Replica) lockstepSnapshot {
+	s := lockstepSnapshot{groups: directGroups(l.upstreams())}
 	names := make([]string, 0, len(s.groups))
 	sizes := make([]int, 0, len(s.groups))
 	for name, g := range s.groups {
@@ -160,51 +161,51 @@
 		sizes = append(sizes, g.size)
 	}
 	l.readPeriod = l.settings.readPeriodFor(sizes)
-	s.lockstepNow = r.lockstepNow(ctx, names)
+	s.lockstepLogState = r.readLockstepState(ctx, names)
 	return s
 }
 
-// survey publishes the states of the ranks to the watchers of this replica once per
-// surveyPeriod.
-func (l *lockstepLeader) survey() {
+// publishSurvey publishes the states of the ranks to the watchers of this replica, once
+// per surveyPeriod.
+func (l *lockstepLeader) publishSurvey() {
 	now := l.clock()
-	if now.Sub(l.surveyed) < surveyPeriod {
+	if now.Sub(l.surveyedAt) < surveyPeriod {
 		return
 	}
-	l.surveyed = now
+	l.surveyedAt = now
 	var ranks []*wire.RankState
 	l.mu.Lock()
 	for _, g := range l.groups {
-		ranks = append(ranks, g.states(now)...)
+		ranks = append(ranks, g.rankStates(now)...)
 	}
 	l.mu.Unlock()
 	if len(ranks) == 0 {
 		return
 	}
-	states, err := encodeStates(ranks)
+	states, err := encodeRankStates(ranks)
 	if err != nil {
 		kernel.Warn(l.log, "Rank states can't be encoded.", "err", err)
 		return
 	}
-	l.numbered++
-	l.surveys.tell(&toldSurvey{number: l.numbered, states: states, at: now, own: true})
+	l.surveyNumber++
+	l.surveys.publish(&publishedSurvey{number: l.surveyNumber, states: states, takenAt: now, local: true})
 }
 
-func (l *lockstepLeader) tickGroup(ctx context.Context, r *Replica, name string, found directGroup, n lockstepNow) {
-	profile := profileOf(n.config, found.service)
+func (l *lockstepLeader) tickGroup(ctx context.Context, r *Replica, name string, found directGroup, state lockstepLogState) {
+	profile := engineProfileOf(state.config, found.service)
 	if profile.GetSets() == 0 {
 		return
 	}
 	l.mu.Lock()
 	g := l.groups[name]
 	l.mu.Unlock()
-	if g == nil || g.token != n.tokens[name] {
-		token, err := r.takeLease(ctx, lockstepLease+name)
+	if g == nil || g.token != state.tokens[name] {
+		token, err := r.acquireGroupLease(ctx, lockstepLeasePrefix+name)
 		if err != nil {
 			kernel.Debug(l.log, "Group lease can't be acquired yet.", "group", name, "err", err)
 			return
 		}
-		n.tokens[name] = token
+		state.tokens[name] = token
 		g = newLockstepGroup(l, name, token)
 		l.mu.Lock()
 		l.groups[name] = g
@@ -214,18 +215,18 @@
 	g.tick(ctx, l.clock(), found, profile)
 }
 
-// keepGroups is how long groups are kept after this replica last led. A leader that loses
-// its lease for a moment then needn't read the experts of all ranks again.
-const keepGroups = 5 * time.Second
+// groupRetention is how long groups are kept after this replica last led. A leader that
+// loses its lease for a moment then needn't read the experts of all ranks again.
+const groupRetention = 5 * time.Second
 
-// drop removes all groups once this replica hasn't led for keepGroups. Until then nothing
-// is read or ordered. Keeping them is safe: the fencing token of orders in flight is
-// superseded by the next leader's, and a group that another replica has led meanwhile has
-// another token in the log and is set up again.
-func (l *lockstepLeader) drop(now time.Time) {
+// dropGroups removes all groups once this replica hasn't led for groupRetention. Until
+// then nothing is read or ordered. Keeping them is safe: the fencing token of orders in
+// flight is superseded by the next leader's, and a group that another replica has led
+// meanwhile has another token in the log and is set up again.
+func (l *lockstepLeader) dropGroups(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.ledAt) > keepGroups {
+	if now.Sub(l.lastLedAt) > groupRetention {
 		clear(l.groups)
 	}
 }
@@ -233,7 +234,7 @@
 // directGroup is a group as registered by its ranks.
 type directGroup struct {
 	service string
-	latest  directory.GroupEpoch
+	epoch   directory.GroupEpoch
 	size    int
 	ranks   map[int]*wire.Announcement
 }
@@ -250,7 +251,7 @@
 		if !ok {
 			g = directGroup{service: a.Pools[0], ranks: map[int]*wire.Announcement{}}
 		}
-		g.latest.Take(a.Direct)
+		g.epoch.Take(a.Direct)
 		g.size = max(g.size, int(a.Direct.GroupSize))
 		if old := g.ranks[int(a.Rank)]; old == nil || a.Direct.GroupEpoch >= old.Direct.GroupEpoch {
 			g.ranks[int(a.Rank)] = a
@@ -260,8 +261,8 @@
 	return groups
 }
 
-// domains returns the failure domain of each rank; empty if the rank isn't registered.
-func (g *directGroup) domains() []string {
+// failureDomains returns the failure domain of each rank; empty if the rank isn't registered.
+func (g *directGroup) failureDomains() []string {
 	list := make([]string, g.size)
 	for i := range list {
 		list[i] = g.ranks[i].GetFailureDomain()
@@ -269,11 +270,11 @@
 	return list
 }
 
-// whole reports whether every rank is registered.
-func (g *directGroup) whole() bool { return g.size > 0 && len(g.ranks) == g.size }
+// complete reports whether every rank is registered.
+func (g *directGroup) complete() bool { return g.size > 0 && len(g.ranks) == g.size }
 
-// profileOf returns the engine profile of a service; nil if it has none.
-func profileOf(c *wire.RoutingConfig, service string) *wire.EngineProfile {
+// engineProfileOf returns the engine profile of a service; nil if it has none.
+func engineProfileOf(c *wire.RoutingConfig, service string) *wire.EngineProfile {
 	for _, s := range c.GetServices() {
 		if s.Name == service {
 			return s.Engine
--- a/control/lockstepcalls.go
+++ b/control/lockstepcalls.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	// relayReadLimit and relayOrderLimit bound how long a relay waits for its ranks, in
-	// addition to the time that a reading waits for a copy or that maps take to transfer.
-	// A rank whose host hangs delays the others of its part by up to this, once per
-	// sidecarRest.
-	relayReadLimit  = 250 * time.Millisecond
-	relayOrderLimit = 120 * time.Millisecond
-	// relayRate is the assumed bandwidth of a relay's link in bytes per second, from which
-	// the transfer time of maps is estimated.
-	relayRate = 500_000
-	// relaySlack is the allowance for the round trip to a relay.
-	relaySlack = 100 * time.Millisecond
+	// relayReadTimeout and relayOrderTimeout bound how long a relay waits for its ranks,
+	// in addition to the time that a reading waits for a copy or that maps take to
+	// transfer. A rank whose host hangs delays the others of its part by up to this, once
+	// per sidecarRetryDelay.
+	relayReadTimeout  = 250 * time.Millisecond
+	relayOrderTimeout = 120 * time.Millisecond
+	// relayBytesPerSecond is the assumed bandwidth of a relay's link, from which the
+	// transfer time of maps is estimated.
+	relayBytesPerSecond = 500_000
+	// relayRoundTrip is the allowance for the round trip to a relay.
+	relayRoundTrip = 100 * time.Millisecond
 )
 
-// orderLimit returns how long a relay may take for orders that each carry a map of
-// mapBytes bytes.
-func orderLimit(orders, mapBytes int) time.Duration {
-	return relayOrderLimit + time.Duration(orders*mapBytes)*time.Second/relayRate
+// relayOrderTimeoutFor returns how long a relay may take for orders that each carry a map
+// of mapBytes bytes.
+func relayOrderTimeoutFor(orders, mapBytes int) time.Duration {
+	return relayOrderTimeout + time.Duration(orders*mapBytes)*time.Second/relayBytesPerSecond
 }
 
-// partOf returns the part of the group, served by one relay, in which a rank is called
+// relayPart returns the part of the group, served by one relay, in which a rank is called
 // now. It is noPart if the rank is called on its own, e.g. while its sidecar doesn't answer.
-func (g *lockstepGroup) partOf(now time.Time, rank int) int {
+func (g *lockstepGroup) relayPart(now time.Time, rank int) int {
 	part, ok := g.relays.Part(rank)
-	if !ok || g.settings.SidecarPort == 0 || !now.After(g.links[rank].restUntil) {
+	if !ok || g.settings.SidecarPort == 0 || !now.After(g.links[rank].sidecarRetryAt) {
 		return noPart
 	}
 	return part
 }
 
-// relayOf returns the rank whose sidecar relays a call to some ranks of a part. A single
+// relayFor returns the rank whose sidecar relays a call to some ranks of a part. A single
 // rank is called without a relay, which would only add a hop.
-func (g *lockstepGroup) relayOf(now time.Time, part int, ranks []int) (via int, ok bool) {
+func (g *lockstepGroup) relayFor(now time.Time, part int, ranks []int) (via int, ok bool) {
 	if part == noPart || len(ranks) < 2 {
 		return 0, false
 	}
 	return g.relays.Via(now, part)
 }
 
-// relayFailed records that a sidecar did not answer as a relay.
-func (g *lockstepGroup) relayFailed(via int, err error) {
+// markRelayFailed records that a sidecar did not answer as a relay.
+func (g *lockstepGroup) markRelayFailed(via int, err error) {
 	kernel.Info(g.log, "Relay doesn't answer.", "group", g.name, "rank", via, "upstream", g.links[via].instance, "err", err)
 	g.metrics.Count("lockstep.relays.failed")
 	g.relays.Failed(g.clock(), via)
 }
 
-// sidecarOf returns the address of a rank's sidecar; empty if there is none.
-func (g *lockstepGroup) sidecarOf(link *rankLink) string {
+// sidecarAddress returns the address of a rank's sidecar; empty if there is none.
+func (g *lockstepGroup) sidecarAddress(link *rankLink) string {
 	host, _, err := net.SplitHostPort(link.address)
 	if err != nil || g.settings.SidecarPort == 0 {
 		return ""
@@ -73,16 +73,16 @@
 	return wire.NewDRPCSidecarClient(g.pool.Conn(context.Background(), address))
 }
 
-// readMany reads ranks of one part through the sidecar of rank via.
-func (g *lockstepGroup) readMany(ctx context.Context, via int, ranks []int, read *wire.ReadRankRequest) {
-	limit := relayReadLimit + time.Duration(read.AwaitMs)*time.Millisecond
-	ctx, cancel := context.WithTimeout(ctx, limit+relaySlack)
+// readThroughRelay reads ranks of one part through the sidecar of rank via.
+func (g *lockstepGroup) readThroughRelay(ctx context.Context, via int, ranks []int, read *wire.ReadRankRequest) {
+	limit := relayReadTimeout + time.Duration(read.AwaitMs)*time.Millisecond
+	ctx, cancel := context.WithTimeout(ctx, limit+relayRoundTrip)
 	defer cancel()
 	req := &wire.ReadRanksRequest{Read: read, LimitMs: uint32(limit.Milliseconds())}
 	g.mu.Lock()
-	at, epoch, links, relay := g.clock(), g.epoch, g.links, g.sidecarOf(g.links[via])
+	at, epoch, links, relay := g.clock(), g.epoch, g.links, g.sidecarAddress(g.links[via])
 	for _, i := range ranks {
-		req.Ranks = append(req.Ranks, &wire.RankPlace{Instance: links[i].instance, Sidecar: g.sidecarOf(links[i])})
+		req.Ranks = append(req.Ranks, &wire.RankPlace{Instance: links[i].instance, Sidecar: g.sidecarAddress(links[i])})
 	}
 	g.mu.Unlock()
 	reply, err := g.sidecarClient(relay).ReadRanks(ctx, req)
@@ -91,99 +91,101 @@
 	g.metrics.Count("lockstep.relayed.readings")
 	if err != nil || len(reply.Readings) != len(ranks) {
 		for _, i := range ranks {
-			links[i].reading = false
+			links[i].readInFlight = false
 		}
 		if g.epoch == epoch {
-			g.relayFailed(via, err)
+			g.markRelayFailed(via, err)
 		}
 		return
 	}
 	for n, i := range ranks {
 		reading := reply.Readings[n]
 		if reading.Report == nil {
-			links[i].reading = false
-			g.rest(links[i])
+			links[i].readInFlight = false
+			g.suspendSidecar(links[i])
 			continue
 		}
-		one := proto.Clone(read).(*wire.ReadRankRequest)
-		one.Instance = req.Ranks[n].Instance
-		g.believeReading(at, i, links[i], one, epoch, reading, nil)
+		rankRead := proto.Clone(read).(*wire.ReadRankRequest)
+		rankRead.Instance = req.Ranks[n].Instance
+		g.handleReading(at, i, links[i], rankRead, epoch, reading, nil)
 	}
 	if g.epoch == epoch {
-		g.observe(reply.Chosen)
+		g.observeChoices(reply.Chosen)
 	}
 }
 
-// rest stops calls to a sidecar that did not answer for sidecarRest. Its rank is called
-// directly meanwhile, so that it doesn't delay the other ranks of its part.
-func (g *lockstepGroup) rest(link *rankLink) {
-	link.restUntil = g.clock().Add(sidecarRest)
+// suspendSidecar stops calls to a rank's sidecar, which did not answer, for
+// sidecarRetryDelay. The rank is called directly meanwhile, so that it doesn't delay the
+// other ranks of its part.
+func (g *lockstepGroup) suspendSidecar(link *rankLink) {
+	link.sidecarRetryAt = g.clock().Add(sidecarRetryDelay)
 	kernel.Debug(g.log, "Sidecar doesn't answer.", "group", g.name, "upstream", link.instance)
 }
 
-// bundleKey identifies the orders that may share a call to a relay: those to one part of
-// the group with the same encoded map. experts points to the map's first byte; the map is
-// encoded once for all orders that carry it.
-type bundleKey struct {
-	part    int
-	experts *byte
+// orderBatchKey identifies the orders that may share a call to a relay: those to one part of
+// the group with the same encoded map. encodedMap points to the map's first byte; the map
+// is encoded once for all orders that carry it.
+type orderBatchKey struct {
+	part       int
+	encodedMap *byte
 }
 
-// sendAll sends the orders of one round, through relays where possible.
-func (g *lockstepGroup) sendAll(ctx context.Context, now time.Time, orders []lockstep.Order) {
-	bundles := map[bundleKey][]lockstep.Order{}
+// sendOrders sends the orders of one round, through relays where possible.
+func (g *lockstepGroup) sendOrders(ctx context.Context, now time.Time, orders []lockstep.Order) {
+	batches := map[orderBatchKey][]lockstep.Order{}
 	for _, o := range orders {
-		key := bundleKey{part: g.partOf(now, o.Rank)}
+		key := orderBatchKey{part: g.relayPart(now, o.Rank)}
 		if len(o.Map) > 0 {
-			key.experts = &o.Map[0]
+			key.encodedMap = &o.Map[0]
 		}
-		bundles[key] = append(bundles[key], o)
+		batches[key] = append(batches[key], o)
 	}
-	for key, list := range bundles {
+	for key, list := range batches {
 		ranks := make([]int, len(list))
 		for n, o := range list {
 			ranks[n] = o.Rank
 		}
-		if via, ok := g.relayOf(now, key.part, ranks); ok {
-			g.sendMany(ctx, via, list)
+		if via, ok := g.relayFor(now, key.part, ranks); ok {
+			g.sendThroughRelay(ctx, via, list)
 			continue
 		}
 		for _, o := range list {
-			g.send(ctx, o)
+			g.sendOrder(ctx, o)
 		}
 	}
 }
 
-// sendMany sends orders through the sidecar of rank via. All must carry the same map, or none.
-func (g *lockstepGroup) sendMany(ctx context.Context, via int, orders []lockstep.Order) {
-	limit := orderLimit(len(orders), len(orders[0].Map))
+// sendThroughRelay sends orders through the sidecar of rank via. All must carry the same
+// map, or none.
+func (g *lockstepGroup) sendThroughRelay(ctx context.Context, via int, orders []lockstep.Order) {
+	limit := relayOrderTimeoutFor(len(orders), len(orders[0].Map))
 	req := &wire.OrderRanksRequest{Map: orders[0].Map, LimitMs: uint32(limit.Milliseconds())}
-	links, switcher, relay, epoch := g.links, g.switcher, g.sidecarOf(g.links[via]), g.epoch
+	links, switcher, relay, epoch := g.links, g.switcher, g.sidecarAddress(g.links[via]), g.epoch
 	for _, o := range orders {
-		req.Orders = append(req.Orders, &wire.PlacedOrder{Order: withoutMap(o.RankOrder), Sidecar: g.sidecarOf(links[o.Rank])})
+		req.Orders = append(req.Orders, &wire.PlacedOrder{Order: withoutMap(o.RankOrder), Sidecar: g.sidecarAddress(links[o.Rank])})
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, limit+relaySlack)
+		ctx, cancel := context.WithTimeout(ctx, limit+relayRoundTrip)
 		defer cancel()
 		reply, err := g.sidecarClient(relay).OrderRanks(ctx, req)
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.metrics.Count("lockstep.relayed.orders")
-		whole := err == nil && len(reply.Replies) == len(orders)
-		if !whole && g.epoch == epoch {
-			g.relayFailed(via, err)
+		complete := err == nil && len(reply.Replies) == len(orders)
+		if !complete && g.epoch == epoch {
+			g.markRelayFailed(via, err)
 		}
 		for n, o := range orders {
-			var one *wire.RankOrderReply
-			if whole {
-				one = reply.Replies[n]
-				if one.After == nil {
-					g.rest(links[o.Rank])
+			var rankReply *wire.RankOrderReply
+			if complete {
+				rankReply = reply.Replies[n]
+				if rankReply.After == nil {
+					g.suspendSidecar(links[o.Rank])
 				}
 			}
-			g.answered(switcher, links[o.Rank], o, one, err)
+			g.handleReply(switcher, links[o.Rank], o, rankReply, err)
 		}
-		g.wakeUp()
+		g.requestTick()
 	}()
 }
 
@@ -195,8 +197,8 @@
 	}
 }
 
-// send sends an order without a relay and passes the answer to the switcher.
-func (g *lockstepGroup) send(ctx context.Context, o lockstep.Order) {
+// sendOrder sends an order without a relay and passes the answer to the switcher.
+func (g *lockstepGroup) sendOrder(ctx context.Context, o lockstep.Order) {
 	link, switcher := g.links[o.Rank], g.switcher
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -204,20 +206,20 @@
 		reply, err := callRank(g, link, func(c wire.DRPCSidecarClient) (*wire.RankOrderReply, error) { return c.Order(ctx, o.RankOrder) },
 			func(r *sidecar.Rank) (*wire.RankOrderReply, error) {
 				reply, err := r.Order(ctx, o.RankOrder)
-				g.age(reply.GetAfter())
+				g.setReportAge(reply.GetAfter())
 				return reply, err
 			})
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.answered(switcher, link, o, reply, err)
-		g.wakeUp()
+		g.handleReply(switcher, link, o, reply, err)
+		g.requestTick()
 	}()
 }
 
-// answered passes the answer to an order to the switcher; reply is nil if none came. An
+// handleReply passes the answer to an order to the switcher; reply is nil if none came. An
 // answer from another run of the rank counts as none.
-func (g *lockstepGroup) answered(switcher *lockstep.Switcher, link *rankLink, o lockstep.Order, reply *wire.RankOrderReply, err error) {
-	if err != nil || !link.said(reply.GetAfter()) {
+func (g *lockstepGroup) handleReply(switcher *lockstep.Switcher, link *rankLink, o lockstep.Order, reply *wire.RankOrderReply, err error) {
+	if err != nil || !link.isFromThisRun(reply.GetAfter()) {
 		reply = nil
 	}
 	g.metrics.Count("lockstep.orders")
@@ -233,15 +235,15 @@
 // did not answer lately.
 func callRank[R any](g *lockstepGroup, link *rankLink, viaSidecar func(wire.DRPCSidecarClient) (R, error), directly func(*sidecar.Rank) (R, error)) (R, error) {
 	g.mu.Lock()
-	address, sidecarAddress, retryAt := link.address, g.sidecarOf(link), link.restUntil
+	address, sidecarAddress, retryAt := link.address, g.sidecarAddress(link), link.sidecarRetryAt
 	g.mu.Unlock()
 	if sidecarAddress == "" || !g.clock().After(retryAt) {
-		return directly(sidecar.NewRank(g.client, g.ranks, address, farOrderAnswer))
+		return directly(sidecar.NewRank(g.client, g.rankDialect, address, directOrderTimeout))
 	}
 	reply, err := viaSidecar(g.sidecarClient(sidecarAddress))
 	if err != nil {
 		g.mu.Lock()
-		g.rest(link)
+		g.suspendSidecar(link)
 		g.mu.Unlock()
 	}
 	return reply, err
--- a/control/lockstepgroup.go
+++ b/control/lockstepgroup.go
@@ -20,23 +20,23 @@
 	name  string
 	token uint64
 
-	mu       sync.Mutex
-	epoch    uint64
-	shape    lockstep.Shape
-	links    []*rankLink
-	relays   *lockstep.Relays
-	switcher *lockstep.Switcher
-	demand   *lockstep.Demand
-	replan   lockstep.Replan
-	planning bool
-	phase    lockstep.Phase
-	proposal lockstep.Proposal
-	began    time.Time
-	// heldFrom is when the switch in progress began to hold the group; zero if it hasn't.
-	heldFrom    time.Time
-	stateLogged time.Time
-	// plannedShifts is the number of demand shifts seen when the latest switch began.
-	plannedShifts int
+	mu            sync.Mutex
+	epoch         uint64
+	shape         lockstep.Shape
+	links         []*rankLink
+	relays        *lockstep.Relays
+	switcher      *lockstep.Switcher
+	demand        *lockstep.Demand
+	replan        lockstep.Replan
+	planning      bool
+	loggedPhase   lockstep.Phase
+	proposal      lockstep.Proposal
+	switchBeganAt time.Time
+	// holdBeganAt is when the switch in progress began to hold the group; zero if it hasn't.
+	holdBeganAt   time.Time
+	stateLoggedAt time.Time
+	// shiftsAtBegin is the number of demand shifts seen when the latest switch began.
+	shiftsAtBegin int
 	// reportLag is the assumed maximum age of a report that a rank gives to another host.
 	reportLag time.Duration
 }
@@ -51,8 +51,8 @@
 	defer g.mu.Unlock()
 	// A switch in progress continues while a registration is missing: the group may be
 	// held, and the ranks can be reached at their last addresses.
-	begun := g.switcher != nil && g.switcher.Phase() != lockstep.Idle
-	if (!found.whole() || found.latest.Broken) && !begun {
+	switching := g.switcher != nil && g.switcher.Phase() != lockstep.Idle
+	if (!found.complete() || found.epoch.Broken) && !switching {
 		return
 	}
 	shape := lockstep.ShapeOf(profile, found.size)
@@ -60,19 +60,19 @@
 		return
 	}
 	g.reportLag = reportLagFactor * time.Duration(profile.GetReportLagMs()*float64(time.Millisecond))
-	g.follow(found, shape)
-	g.read(ctx, now)
-	g.sendAll(ctx, now, g.switcher.Tick(now))
+	g.updateLinks(found, shape)
+	g.readRanks(ctx, now)
+	g.sendOrders(ctx, now, g.switcher.Tick(now))
 	g.logPhase(now)
 	g.logState(now)
-	g.plan(ctx, now)
+	g.startPlanning(ctx, now)
 }
 
-// follow resets the state when the group has formed again or has another shape, and
-// updates the links of ranks that have restarted or moved.
-func (g *lockstepGroup) follow(found directGroup, shape lockstep.Shape) {
-	if g.switcher == nil || found.latest.Epoch > g.epoch || shape != g.shape {
-		g.reset(found, shape)
+// updateLinks updates the links of ranks that have restarted or moved. It first starts a
+// new epoch if the group has formed again or has another shape.
+func (g *lockstepGroup) updateLinks(found directGroup, shape lockstep.Shape) {
+	if g.switcher == nil || found.epoch.Epoch > g.epoch || shape != g.shape {
+		g.startEpoch(found, shape)
 	}
 	for i, link := range g.links {
 		a := found.ranks[i]
@@ -86,11 +86,11 @@
 	}
 }
 
-// reset starts a new epoch of the group.
-func (g *lockstepGroup) reset(found directGroup, shape lockstep.Shape) {
-	epoch := found.latest.Epoch
+// startEpoch resets the state for the epoch and the shape in which the group has formed.
+func (g *lockstepGroup) startEpoch(found directGroup, shape lockstep.Shape) {
+	epoch := found.epoch.Epoch
 	g.epoch, g.shape = epoch, shape
-	g.relays = lockstep.NewRelays(found.domains())
+	g.relays = lockstep.NewRelays(found.failureDomains())
 	cfg := lockstep.DefaultConfig(shape.Ranks, g.token, epoch)
 	if g.switcher != nil {
 		cfg.Used = g.switcher.Used()
@@ -104,14 +104,15 @@
 	for i := range g.links {
 		g.links[i] = &rankLink{}
 	}
-	g.phase = lockstep.Idle
+	g.loggedPhase = lockstep.Idle
 	kernel.Info(g.log, "Group formed.", "group", g.name, "epoch", epoch, "ranks", shape.Ranks, "calls", g.relays.Calls(), "read_ms", g.readPeriod.Milliseconds(), "token", g.token)
 }
 
-// plan looks for a better map in a goroutine of its own and begins the switch to it.
-func (g *lockstepGroup) plan(ctx context.Context, now time.Time) {
-	pace := g.pace()
-	if g.planning || !g.mayBegin(now) || !g.demand.Settled() || !g.replan.Due(now, g.demand.Shifts(), pace) {
+// startPlanning looks for a better map in a goroutine of its own and begins the switch to
+// it.
+func (g *lockstepGroup) startPlanning(ctx context.Context, now time.Time) {
+	pace := g.rankPaces()
+	if g.planning || !g.canBeginSwitch(now) || !g.demand.Settled() || !g.replan.Due(now, g.demand.Shifts(), pace) {
 		return
 	}
 	g.planning = true
@@ -125,16 +126,16 @@
 		if !ok {
 			g.replan.FoundNothing()
 		}
-		if !ok || ctx.Err() != nil || g.switcher != switcher || !g.mayBegin(g.clock()) {
+		if !ok || ctx.Err() != nil || g.switcher != switcher || !g.canBeginSwitch(g.clock()) {
 			return
 		}
-		g.proposal, g.began, g.plannedShifts = p, g.clock(), g.demand.Shifts()
+		g.proposal, g.switchBeganAt, g.shiftsAtBegin = p, g.clock(), g.demand.Shifts()
 		switcher.Begin(g.clock(), p.Map)
 	}()
 }
 
-// mayBegin reports whether a switch may begin now: the switcher is ready for one, or the
-// switch in progress is still preparing and the demand has shifted since it was planned.
-func (g *lockstepGroup) mayBegin(now time.Time) bool {
-	return g.switcher.Ready(now) || g.switcher.Phase() == lockstep.Preparing && g.demand.Shifts() != g.plannedShifts
+// canBeginSwitch reports whether a switch may begin now: the switcher is ready for one, or
+// the switch in progress is still preparing and the demand has shifted since it began.
+func (g *lockstepGroup) canBeginSwitch(now time.Time) bool {
+	return g.switcher.Ready(now) || g.switcher.Phase() == lockstep.Preparing && g.demand.Shifts() != g.shiftsAtBegin
 }
--- a/control/locksteplog.go
+++ b/control/locksteplog.go
@@ -8,15 +8,15 @@
 	"github.com/snipereach/snipereach/lockstep"
 )
 
-// statePeriod is the interval at which a group's state is logged.
-const statePeriod = time.Second
+// stateLogPeriod is the interval at which a group's state is logged.
+const stateLogPeriod = time.Second
 
-// logState logs the group's load, skew and pass time once per statePeriod.
+// logState logs the group's load, skew and pass time once per stateLogPeriod.
 func (g *lockstepGroup) logState(now time.Time) {
-	if now.Sub(g.stateLogged) < statePeriod || g.switcher.Current() == nil {
+	if now.Sub(g.stateLoggedAt) < stateLogPeriod || g.switcher.Current() == nil {
 		return
 	}
-	g.stateLogged = now
+	g.stateLoggedAt = now
 	running, waiting, busiest, oldest := uint32(0), uint32(0), uint32(0), time.Duration(0)
 	for _, link := range g.links {
 		running += link.running
@@ -26,30 +26,30 @@
 	}
 	skew, latest := 0.0, 0.0
 	if load := g.demand.Load(); load != nil {
-		skew = g.switcher.Current().Skew(load, g.pace())
-		latest = g.switcher.Current().Skew(g.demand.Latest(), g.pace())
+		skew = g.switcher.Current().Skew(load, g.rankPaces())
+		latest = g.switcher.Current().Skew(g.demand.Latest(), g.rankPaces())
 	}
 	kernel.Info(g.log, "Group's state.", "group", g.name, "epoch", g.epoch, "pass", g.switcher.PassTime().Round(time.Millisecond), "skew", math.Round(100*skew)/100, "latest_skew", math.Round(100*latest)/100,
 		"running", running, "waiting", waiting, "busiest", busiest, "oldest_ms", oldest.Milliseconds(), "phase", g.switcher.Phase(), "windows", g.demand.Windows())
 }
 
-// count counts switches, and records how long each one took and held the group.
-func (g *lockstepGroup) count(now time.Time, phase lockstep.Phase) {
+// recordPhase counts switches, and records how long each one took and held the group.
+func (g *lockstepGroup) recordPhase(now time.Time, phase lockstep.Phase) {
 	switch phase {
 	case lockstep.Preparing:
 		g.metrics.Count("lockstep.switches.begun")
 	case lockstep.Holding:
-		g.heldFrom = now
+		g.holdBeganAt = now
 	case lockstep.Cleaning:
 		g.metrics.Count("lockstep.switches.given_up")
 	case lockstep.Idle:
-		if g.phase == lockstep.Releasing {
+		if g.loggedPhase == lockstep.Releasing {
 			g.metrics.Count("lockstep.switches.in_force")
-			g.metrics.Latency("lockstep.switch_seconds").Record(now.Sub(g.began))
+			g.metrics.Latency("lockstep.switch_seconds").Record(now.Sub(g.switchBeganAt))
 		}
-		if !g.heldFrom.IsZero() {
-			g.metrics.Latency("lockstep.hold_seconds").Record(now.Sub(g.heldFrom))
-			g.heldFrom = time.Time{}
+		if !g.holdBeganAt.IsZero() {
+			g.metrics.Latency("lockstep.hold_seconds").Record(now.Sub(g.holdBeganAt))
+			g.holdBeganAt = time.Time{}
 		}
 	}
 }
@@ -57,11 +57,11 @@
 // logPhase logs and counts the phases of a switch.
 func (g *lockstepGroup) logPhase(now time.Time) {
 	phase := g.switcher.Phase()
-	if phase == g.phase {
+	if phase == g.loggedPhase {
 		return
 	}
-	g.count(now, phase)
-	kv := []any{"group", g.name, "epoch", g.epoch, "version", g.switcher.Version(), "phase", phase, "after", now.Sub(g.began).Round(time.Millisecond)}
+	g.recordPhase(now, phase)
+	kv := []any{"group", g.name, "epoch", g.epoch, "version", g.switcher.Version(), "phase", phase, "after", now.Sub(g.switchBeganAt).Round(time.Millisecond)}
 	if phase == lockstep.Preparing {
 		kv = append(kv, "copies", g.proposal.Copies, "skew", g.proposal.Before, "skew_after", g.proposal.After, "windows", g.demand.Windows())
 	}
@@ -69,5 +69,5 @@
 		kv = append(kv, "outcome", g.switcher.Outcome())
 	}
 	kernel.Info(g.log, "Switch of expert maps.", kv...)
-	g.phase = phase
+	g.loggedPhase = phase
 }
--- a/control/lockstepranks.go
+++ b/control/lockstepranks.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// readTimeout and orderTimeout bound one call to a rank, and mostAwait the part of
+	// readTimeout and orderTimeout bound one call to a rank, and maxCopyWait the part of
 	// readTimeout for which a reading waits until a copy is done.
 	readTimeout  = 400 * time.Millisecond
-	mostAwait    = readTimeout / 2
+	maxCopyWait  = readTimeout / 2
 	orderTimeout = 250 * time.Millisecond
-	// farOrderAnswer bounds the wait for a rank's answer to an order that is sent without
-	// a sidecar; the rest of orderTimeout is for reading its state.
-	farOrderAnswer = 150 * time.Millisecond
-	// busyReadPeriod is the interval between two readings of a rank that a switch waits
+	// directOrderTimeout bounds the wait for a rank's answer to an order that is sent
+	// without a sidecar; the rest of orderTimeout is for reading its state.
+	directOrderTimeout = 150 * time.Millisecond
+	// switchReadPeriod is the interval between two readings of a rank that a switch waits
 	// for, as the group may be held meanwhile.
-	busyReadPeriod = 60 * time.Millisecond
-	// sidecarRest is how long a sidecar that did not answer isn't called; its rank is
+	switchReadPeriod = 60 * time.Millisecond
+	// sidecarRetryDelay is how long a sidecar that did not answer isn't called; its rank is
 	// called directly meanwhile.
-	sidecarRest = 2 * time.Second
+	sidecarRetryDelay = 2 * time.Second
 )
 
 // rankLink holds the address of one rank and what was last read from it.
@@ -33,17 +33,17 @@
 	instance string
 	// incarnation distinguishes runs under one instance ID; it is onlyIncarnation if the
 	// rank doesn't report one.
-	incarnation uint64
-	address     string
-	reading     bool
-	readAt      time.Time
-	// countedAt is when its counters were last read.
-	countedAt time.Time
-	// restUntil is the time until which its sidecar isn't called.
-	restUntil time.Time
-	// held are the experts that the rank holds under map version heldMap.
-	held    []*wire.ExpertList
-	heldMap uint64
+	incarnation  uint64
+	address      string
+	readInFlight bool
+	lastReadAt   time.Time
+	// lastCountsAt is when its counters were last read.
+	lastCountsAt time.Time
+	// sidecarRetryAt is the time until which its sidecar isn't called.
+	sidecarRetryAt time.Time
+	// heldExperts are the experts that the rank holds under map version heldVersion.
+	heldExperts []*wire.ExpertList
+	heldVersion uint64
 	// pace is the recent duration of the rank's work relative to the usual one; above 1
 	// it is slower.
 	pace float64
@@ -52,43 +52,44 @@
 	stateAt          time.Time
 }
 
-// said reports whether a report comes from the registered run of the rank. A rank that
-// restarted under the same ID has lost the effects of earlier orders; until the directory
-// announces the restart, its answers must not be taken for those of the earlier run.
-func (l *rankLink) said(report *wire.RankReport) bool {
+// isFromThisRun reports whether a report comes from the registered run of the rank, or
+// doesn't say. A rank that restarted under the same ID has lost the effects of earlier
+// orders; until the directory announces the restart, its answers must not be taken for
+// those of the earlier run.
+func (l *rankLink) isFromThisRun(report *wire.RankReport) bool {
 	return report.GetIncarnation() == 0 || report.GetIncarnation() == l.incarnation
 }
 
-// read reads the ranks that are due. To bound the leader's CPU use, only those that a
+// readRanks reads the ranks that are due. To bound the leader's CPU use, only those that a
 // switch waits for are read more often, and one that copies answers when it is done.
-func (g *lockstepGroup) read(ctx context.Context, now time.Time) {
-	due := map[readKey][]int{}
+func (g *lockstepGroup) readRanks(ctx context.Context, now time.Time) {
+	due := map[readBatchKey][]int{}
 	for i, link := range g.links {
-		key, ok := g.due(now, i, link)
+		key, ok := g.dueRead(now, i, link)
 		if !ok {
 			continue
 		}
-		link.reading, link.readAt = true, now
+		link.readInFlight, link.lastReadAt = true, now
 		if key.counts {
-			link.countedAt = now
+			link.lastCountsAt = now
 		}
 		due[key] = append(due[key], i)
 	}
 	for key, ranks := range due {
-		if via, ok := g.relayOf(now, key.part, ranks); ok {
-			go g.readMany(ctx, via, ranks, g.readRequest(key))
+		if via, ok := g.relayFor(now, key.part, ranks); ok {
+			go g.readThroughRelay(ctx, via, ranks, g.readRequest(key))
 			continue
 		}
 		for _, i := range ranks {
 			req := g.readRequest(key)
 			req.Instance = g.links[i].instance
-			go g.readOne(ctx, i, g.links[i], req, g.epoch)
+			go g.readRank(ctx, i, g.links[i], req, g.epoch)
 		}
 	}
 }
 
-// readKey identifies the readings that may share a call to a relay.
-type readKey struct {
+// readBatchKey identifies the readings that may share a call to a relay.
+type readBatchKey struct {
 	part    int
 	counts  bool
 	copying bool
@@ -97,30 +98,30 @@
 // noPart is the part of ranks that are called without a relay.
 const noPart = -1
 
-// due reports whether a rank is to be read now, and how.
-func (g *lockstepGroup) due(now time.Time, i int, link *rankLink) (key readKey, ok bool) {
+// dueRead reports whether a rank is to be read now, and how.
+func (g *lockstepGroup) dueRead(now time.Time, i int, link *rankLink) (key readBatchKey, ok bool) {
 	usual := g.readPeriod
 	period := usual
 	if g.switcher.Awaits(i) {
-		period, key.copying = min(usual, busyReadPeriod), g.switcher.Phase() == lockstep.Preparing
+		period, key.copying = min(usual, switchReadPeriod), g.switcher.Phase() == lockstep.Preparing
 	}
-	if link.instance == "" || link.reading || now.Sub(link.readAt) < period {
+	if link.instance == "" || link.readInFlight || now.Sub(link.lastReadAt) < period {
 		return key, false
 	}
-	key.counts = key.copying || now.Sub(link.countedAt) >= usual
-	key.part = g.partOf(now, i)
+	key.counts = key.copying || now.Sub(link.lastCountsAt) >= usual
+	key.part = g.relayPart(now, i)
 	return key, true
 }
 
-func (g *lockstepGroup) readRequest(key readKey) *wire.ReadRankRequest {
+func (g *lockstepGroup) readRequest(key readBatchKey) *wire.ReadRankRequest {
 	req := &wire.ReadRankRequest{Counts: key.counts, HeldExperts: g.switcher.Current() == nil, Reader: g.token}
 	if key.copying {
-		req.AwaitPrepared, req.AwaitMs = g.switcher.Version(), uint32(min(g.readPeriod, mostAwait).Milliseconds())
+		req.AwaitPrepared, req.AwaitMs = g.switcher.Version(), uint32(min(g.readPeriod, maxCopyWait).Milliseconds())
 	}
 	return req
 }
 
-func (g *lockstepGroup) readOne(ctx context.Context, i int, link *rankLink, req *wire.ReadRankRequest, epoch uint64) {
+func (g *lockstepGroup) readRank(ctx context.Context, i int, link *rankLink, req *wire.ReadRankRequest, epoch uint64) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	at := g.clock()
@@ -128,31 +129,31 @@
 		func(r *sidecar.Rank) (*wire.RankReading, error) {
 			// Reading counters from another host would pause the group.
 			reading, err := r.Read(ctx, &wire.ReadRankRequest{Instance: req.Instance, HeldExperts: req.HeldExperts})
-			return g.aged(reading), err
+			return g.withReportLag(reading), err
 		})
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.believeReading(at, i, link, req, epoch, reading, err) {
-		g.observe(reading.Chosen)
+	if g.handleReading(at, i, link, req, epoch, reading, err) {
+		g.observeChoices(reading.Chosen)
 	}
 }
 
-// believeReading handles the result of a read. It returns whether the reading succeeded
+// handleReading handles the result of a read. It returns whether the reading succeeded
 // and is from the expected run of the rank and the current epoch.
-func (g *lockstepGroup) believeReading(at time.Time, i int, link *rankLink, req *wire.ReadRankRequest, epoch uint64, reading *wire.RankReading, err error) bool {
-	link.reading = false
+func (g *lockstepGroup) handleReading(at time.Time, i int, link *rankLink, req *wire.ReadRankRequest, epoch uint64, reading *wire.RankReading, err error) bool {
+	link.readInFlight = false
 	if err != nil {
 		kernel.Debug(g.log, "Rank can't be read.", "group", g.name, "rank", i, "upstream", req.Instance, "err", err)
 	}
-	if err != nil || g.epoch != epoch || link.instance != req.Instance || !link.said(reading.Report) {
+	if err != nil || g.epoch != epoch || link.instance != req.Instance || !link.isFromThisRun(reading.Report) {
 		return false
 	}
-	g.take(at, i, link, req, reading)
+	g.applyReading(at, i, link, req, reading)
 	return true
 }
 
-// observe adds the ranks' counts of chosen experts to the demand estimate.
-func (g *lockstepGroup) observe(packed []byte) {
+// observeChoices adds the ranks' counts of chosen experts to the demand estimate.
+func (g *lockstepGroup) observeChoices(packed []byte) {
 	chosen, err := lockstep.UnpackChoices(packed)
 	if err != nil {
 		kernel.Warn(g.log, "Expert choices can't be decoded.", "group", g.name, "err", err)
@@ -163,8 +164,8 @@
 	}
 }
 
-// take updates the state of a rank from a reading.
-func (g *lockstepGroup) take(at time.Time, i int, link *rankLink, req *wire.ReadRankRequest, reading *wire.RankReading) {
+// applyReading updates the state of a rank from a reading.
+func (g *lockstepGroup) applyReading(at time.Time, i int, link *rankLink, req *wire.ReadRankRequest, reading *wire.RankReading) {
 	if reading.Epoch != 0 && reading.Epoch != g.epoch {
 		// The group has formed again, and the directory is about to announce it.
 		return
@@ -172,39 +173,39 @@
 	// The report was read after the wait at the rank's host. Without this, the answer to
 	// an order during the wait would count as newer than the report.
 	at = at.Add(time.Duration(reading.WaitedMs) * time.Millisecond)
-	g.believePace(i, link, reading.Report.Pace)
+	g.updatePace(i, link, reading.Report.Pace)
 	link.running, link.waiting = reading.Report.Running, reading.Report.Waiting
 	link.stateAt = at.Add(-time.Duration(reading.Report.AgeMs) * time.Millisecond)
 	g.switcher.Heard(at, i, link.instance, reading.Report)
 	if req.AwaitPrepared != 0 && reading.Report.Prepared == req.AwaitPrepared {
-		g.wakeUp()
+		g.requestTick()
 	}
 	if req.HeldExperts && reading.Held != nil {
-		link.held, link.heldMap = reading.Held, reading.Report.Map
-		g.joinHeld()
+		link.heldExperts, link.heldVersion = reading.Held, reading.Report.Map
+		g.assembleMap()
 	}
 }
 
-// believePace records the pace of a rank, and logs when the rank becomes slow or recovers.
-func (g *lockstepGroup) believePace(i int, link *rankLink, pace float64) {
+// updatePace records the pace of a rank, and logs when the rank becomes slow or recovers.
+func (g *lockstepGroup) updatePace(i int, link *rankLink, pace float64) {
 	if (pace < lockstep.SlowPace) != (link.pace < lockstep.SlowPace) {
 		kernel.Info(g.log, "Rank pace changed.", "group", g.name, "rank", i, "upstream", link.instance, "pace", pace, "before", link.pace)
 	}
 	link.pace = pace
 }
 
-// joinHeld assembles the map in force once all ranks have reported the experts that they
-// hold under the same map version.
-func (g *lockstepGroup) joinHeld() {
+// assembleMap assembles the map in force once all ranks have reported the experts that
+// they hold under the same map version.
+func (g *lockstepGroup) assembleMap() {
 	if g.switcher.Current() != nil {
 		return
 	}
 	m := make(lockstep.Map, g.shape.Sets)
 	for _, link := range g.links {
-		if len(link.held) != g.shape.Sets || link.heldMap != g.links[0].heldMap {
+		if len(link.heldExperts) != g.shape.Sets || link.heldVersion != g.links[0].heldVersion {
 			return
 		}
-		for set, list := range link.held {
+		for set, list := range link.heldExperts {
 			m[set] = append(m[set], list.Experts)
 		}
 	}
@@ -215,32 +216,32 @@
 	g.switcher.SetCurrent(m)
 }
 
-// aged sets the age of a reading taken from another host, to which a rank reports its
-// state with a delay. Taken as fresh, a report from before a hold would show that the
+// withReportLag sets the age of a reading taken from another host, to which a rank reports
+// its state with a delay. Taken as fresh, a report from before a hold would show that the
 // group isn't held.
-func (g *lockstepGroup) aged(reading *wire.RankReading) *wire.RankReading {
-	g.age(reading.GetReport())
+func (g *lockstepGroup) withReportLag(reading *wire.RankReading) *wire.RankReading {
+	g.setReportAge(reading.GetReport())
 	return reading
 }
 
-// age sets the age of a report to reportLag.
-func (g *lockstepGroup) age(report *wire.RankReport) {
+// setReportAge sets the age of a report, if there is one, to reportLag.
+func (g *lockstepGroup) setReportAge(report *wire.RankReport) {
 	if report != nil {
 		report.AgeMs = uint32(g.reportLag.Milliseconds())
 	}
 }
 
-// surveyAge is the maximum age of a rank's state in a survey. An older state says little
+// maxSurveyAge is the maximum age of a rank's state in a survey. An older state says little
 // about the requests in progress.
-const surveyAge = 600 * time.Millisecond
+const maxSurveyAge = 600 * time.Millisecond
 
-// states returns the recent states of the ranks for a survey.
-func (g *lockstepGroup) states(now time.Time) (list []*wire.RankState) {
+// rankStates returns the states of the ranks for a survey, without outdated ones.
+func (g *lockstepGroup) rankStates(now time.Time) (list []*wire.RankState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, link := range g.links {
 		age := now.Sub(link.stateAt)
-		if link.stateAt.IsZero() || age > surveyAge {
+		if link.stateAt.IsZero() || age > maxSurveyAge {
 			continue
 		}
 		list = append(list, &wire.RankState{
@@ -251,8 +252,9 @@
 	return list
 }
 
-// pace returns the pace of each rank, with 1 for those that aren't slow; nil if none is.
-func (g *lockstepGroup) pace() lockstep.Pace {
+// rankPaces returns the pace of each rank, with 1 for those that aren't slow; nil if none
+// is slow.
+func (g *lockstepGroup) rankPaces() lockstep.Pace {
 	var pace lockstep.Pace
 	for i, link := range g.links {
 		if link.pace < lockstep.SlowPace {
--- a/control/share.go
+++ b/control/share.go
@@ -15,47 +15,47 @@
 )
 
 // shareHome is the state from which a leader divides limits between entries. The
-// allocator in home lasts for one leadership; the next leader's waits until all grants
-// of the previous one have expired.
+// allocator lasts for one leadership; the next leader's waits until all grants of the
+// previous one have expired.
 type shareHome struct {
-	home *admit.Home
-	term uint64
-	// homes counts the allocators created by this process.
-	homes int
-	// ring is the ring that was last passed to the allocator.
-	ring *wire.Ring
+	allocator *admit.Home
+	term      uint64
+	// allocatorCount counts the allocators created by this process.
+	allocatorCount int
+	// appliedRing is the ring that was last passed to the allocator.
+	appliedRing *wire.Ring
 	// view caches the table's typed view.
 	view *table.View
-	// holds is kept up to date on every replica: a new leader must know the timeouts of
-	// requests that the previous one admitted.
-	holds admit.Holds
-	// held is the table revision up to which rows have been applied.
-	held uint64
+	// requestTimeouts is kept up to date on every replica: a new leader must know the
+	// timeouts of requests that the previous one admitted.
+	requestTimeouts admit.Holds
+	// appliedRevision is the table revision up to which rows have been applied.
+	appliedRevision uint64
 }
 
 // followHome creates an allocator when a leadership begins and drops it when it ends.
 func (r *Replica) followHome() {
 	if !r.leads.leading {
-		r.shares.home = nil
+		r.shares.allocator = nil
 		return
 	}
 	// Leaderships are told apart by term as well as by the sampled role, because a
 	// process that stalled may have missed another leader in between. If the leader's
 	// lease expires and is renewed, one term has a second allocator; the counter gives
 	// it a name of its own, so that its epochs aren't taken for those of the first.
-	if st := r.node.Status(); r.shares.home == nil || r.shares.term != st.Term {
-		r.shares.homes++
-		r.shares.home = admit.NewHome(r.clock(), fmt.Sprintf("%s@%d.%d", st.ID, st.Term, r.shares.homes))
+	if st := r.node.Status(); r.shares.allocator == nil || r.shares.term != st.Term {
+		r.shares.allocatorCount++
+		r.shares.allocator = admit.NewHome(r.clock(), fmt.Sprintf("%s@%d.%d", st.ID, st.Term, r.shares.allocatorCount))
 		r.shares.term = st.Term
-		r.shares.ring = nil
+		r.shares.appliedRing = nil
 	}
 }
 
 func (s *shareHome) dump(now time.Time) []admit.SubjectState {
-	if s.home == nil {
+	if s.allocator == nil {
 		return nil
 	}
-	return s.home.Dump(now)
+	return s.allocator.Dump(now)
 }
 
 // Share implements the Control service. Only a leader with a valid lease grants shares:
@@ -80,53 +80,53 @@
 // grantShares fills in the reply to an entry's request; it runs in the replica's loop.
 func (r *Replica) grantShares(req *wire.ShareRequest, reply *wire.ShareReply) error {
 	r.followHome()
-	if !r.node.IsLeader(r.now()) || r.shares.home == nil {
+	if !r.node.IsLeader(r.now()) || r.shares.allocator == nil {
 		return merry.Prepend(ErrUnavailable, "not the leader")
 	}
-	v, err := r.shareView()
+	v, err := r.tableView()
 	if err != nil {
 		return err
 	}
 	now := r.clock()
-	r.followRing(now)
-	home := r.shares.home
+	r.updateRingMembership(now)
+	allocator := r.shares.allocator
 	report := admit.Report{Entry: req.Entry, Incarnation: req.Incarnation, Seq: req.Seq, Home: req.Home, Partial: req.Partial}
-	if !home.Hear(now, report) {
+	if !allocator.Hear(now, report) {
 		return nil
 	}
-	reply.Home = home.Name(now)
+	reply.Home = allocator.Name(now)
 	for _, d := range req.Demands {
 		l := v.Limit(d.Team, d.Service)
 		if l == nil {
 			continue
 		}
 		subject := admit.SubjectOf(l, d.Team, d.Service)
-		share := home.Grant(now, req.Entry, subject, admit.LimitOf(l), admit.Demand{
+		share := allocator.Grant(now, req.Entry, subject, admit.LimitOf(l), admit.Demand{
 			Wanted:  admit.Amounts{Requests: d.Requests, Tokens: d.Tokens, Concurrent: float64(d.Concurrent)},
 			Running: float64(d.Running), Ack: d.Ack,
-		}, r.shares.holds.Of(now, subject))
-		reply.Grants = append(reply.Grants, grantOf(d, share))
+		}, r.shares.requestTimeouts.Of(now, subject))
+		reply.Grants = append(reply.Grants, newShareGrant(d, share))
 	}
 	return nil
 }
 
-// followRing passes the entries of the ring in the log to the allocator. Its lists are
-// rebuilt only when the ring has changed, because every entry asks about once a second.
-func (r *Replica) followRing(now time.Time) {
-	ring, home := r.machine.ring, r.shares.home
+// updateRingMembership passes the entries of the ring in the log to the allocator. The
+// lists are rebuilt only when the ring has changed, as every entry asks about once a second.
+func (r *Replica) updateRingMembership(now time.Time) {
+	ring, allocator := r.machine.ring, r.shares.allocator
 	unchanged := now.Sub(r.rings.changed)
-	if r.shares.ring == ring {
-		home.SetUnchanged(unchanged)
+	if r.shares.appliedRing == ring {
+		allocator.SetUnchanged(unchanged)
 		return
 	}
-	r.shares.ring = ring
-	home.SetFleet(admit.Fleet{
-		Members: idsOf(ring.GetMembers()), Previous: idsOf(ring.GetPrevious()),
+	r.shares.appliedRing = ring
+	allocator.SetFleet(admit.Fleet{
+		Members: memberIDs(ring.GetMembers()), Previous: memberIDs(ring.GetPrevious()),
 		Unchanged: unchanged, MostOnce: claim.JointPeriod(claim.DefaultRegisterSettings().MaxTTL),
 	})
 }
 
-func idsOf(members []*wire.RingMember) []string {
+func memberIDs(members []*wire.RingMember) []string {
 	ids := make([]string, len(members))
 	for i, m := range members {
 		ids[i] = m.Id
@@ -134,7 +134,7 @@
 	return ids
 }
 
-func grantOf(d *wire.ShareDemand, s admit.Share) *wire.ShareGrant {
+func newShareGrant(d *wire.ShareDemand, s admit.Share) *wire.ShareGrant {
 	return &wire.ShareGrant{
 		Team: d.Team, Service: d.Service, Epoch: s.Epoch, RequestBurst: s.Burst,
 		RequestsPerSecond: s.Requests, TokensPerSecond: s.Tokens,
@@ -144,10 +144,10 @@
 	}
 }
 
-// shareView returns the table's typed view, updated if the revision has changed.
-func (r *Replica) shareView() (*table.View, error) {
+// tableView returns the table's typed view, updated if the revision has changed.
+func (r *Replica) tableView() (*table.View, error) {
 	if r.shares.view == nil || r.shares.view.Revision != r.machine.table.Revision() {
-		v, err := r.nextView(r.shares.view)
+		v, err := r.updatedView(r.shares.view)
 		if err != nil {
 			return nil, merry.Prepend(ErrUnavailable, err.Error())
 		}
@@ -156,9 +156,9 @@
 	return r.shares.view, nil
 }
 
-// nextView updates an earlier view with the rows changed since. It builds a new one if
+// updatedView updates an earlier view with the rows changed since. It builds a new one if
 // there is none or the table no longer keeps all those changes.
-func (r *Replica) nextView(old *table.View) (*table.View, error) {
+func (r *Replica) updatedView(old *table.View) (*table.View, error) {
 	t := r.machine.table
 	if old != nil {
 		if rows, whole := t.Since(old.Revision); !whole {
@@ -173,10 +173,10 @@
 // versions that the table keeps count as changed now.
 func (r *Replica) followRows(now time.Time) {
 	rev := r.machine.table.Revision()
-	if rev == r.shares.held {
+	if rev == r.shares.appliedRevision {
 		return
 	}
-	rows, whole := r.machine.table.Since(r.shares.held)
+	rows, whole := r.machine.table.Since(r.shares.appliedRevision)
 	pools := poolSettings{}
 	if old := r.pools.Load(); old != nil && !whole {
 		pools = *old
@@ -184,28 +184,28 @@
 	for _, row := range rows {
 		switch row.Kind {
 		case table.KindService:
-			r.followTimeouts(now, row)
+			r.recordTimeouts(now, row)
 		case table.KindPool:
 			pools = pools.with(row)
 		}
 	}
 	r.pools.Store(&pools)
-	r.shares.held = rev
+	r.shares.appliedRevision = rev
 }
 
-// followTimeouts records the timeouts of a service's versions after the revision held,
+// recordTimeouts records the timeouts of a service's versions after appliedRevision,
 // oldest first.
-func (r *Replica) followTimeouts(now time.Time, row *wire.Row) {
+func (r *Replica) recordTimeouts(now time.Time, row *wire.Row) {
 	versions := r.machine.table.History(row.Kind, row.Key, 0)
 	for i := len(versions) - 1; i >= 0; i-- {
-		if v := versions[i]; v.Revision > r.shares.held {
-			r.shares.holds.Set(now, v.Key, timeoutOf(v))
+		if v := versions[i]; v.Revision > r.shares.appliedRevision {
+			r.shares.requestTimeouts.Set(now, v.Key, serviceTimeout(v))
 		}
 	}
 }
 
-// timeoutOf returns the timeout of a service row; 0 if the row was deleted.
-func timeoutOf(row *wire.Row) time.Duration {
+// serviceTimeout returns the timeout of a service row; 0 if the row was deleted.
+func serviceTimeout(row *wire.Row) time.Duration {
 	if row.Deleted {
 		return 0
 	}
--- a/control/share_test.go
+++ b/control/share_test.go
@@ -12,10 +12,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A service's timeout is lowered from 40 s to 1 s, in one batch of the log or
-// before the replica restarted. Requests that were admitted under the old row may
-// run for 40 s more, so a home of this replica counts them for so long.
-func TestLoweredTimeoutCountsUntilItsRequestsEnded(t *testing.T) {
+// When a service's timeout is lowered, the old one counts until the requests admitted under
+// it have ended, also if both versions of the row are applied in one batch or after a restart.
+func TestOldTimeoutCountsUntilItsRequestsEnd(t *testing.T) {
 	r := &Replica{machine: newMachine()}
 	put := func(index uint64, base uint64, timeout int) {
 		reply := r.machine.table.Apply(index, &wire.TableEdit{EditId: fmt.Sprint(index), Rows: []*wire.RowEdit{
@@ -32,10 +31,10 @@
 	now := time.Unix(1000, 0)
 	r.followRows(now)
 	all := admit.Subject{Team: "growers", Service: "*"}
-	assert.Equal(t, r.shares.holds.Of(now.Add(39*time.Second), all), 40*time.Second)
-	assert.Equal(t, r.shares.holds.Of(now.Add(50*time.Second), all), time.Second)
+	assert.Equal(t, r.shares.requestTimeouts.Of(now.Add(39*time.Second), all), 40*time.Second)
+	assert.Equal(t, r.shares.requestTimeouts.Of(now.Add(50*time.Second), all), time.Second)
 	put(4, 2, 60_000)
 	r.followRows(now.Add(time.Minute))
-	assert.Equal(t, r.shares.holds.Of(now.Add(time.Minute), admit.Subject{Team: "growers", Service: "lm"}), time.Minute)
-	assert.Equal(t, r.shares.holds.Of(now.Add(time.Minute), admit.Subject{Team: "growers", Service: "other"}), time.Duration(0))
+	assert.Equal(t, r.shares.requestTimeouts.Of(now.Add(time.Minute), admit.Subject{Team: "growers", Service: "lm"}), time.Minute)
+	assert.Equal(t, r.shares.requestTimeouts.Of(now.Add(time.Minute), admit.Subject{Team: "growers", Service: "other"}), time.Duration(0))
 }
--- a/control/surveys.go
+++ b/control/surveys.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// surveyBeat is the longest time between two messages on a survey stream; an empty
+	// surveyKeepalive is the longest time between two messages on a survey stream; an empty
 	// message is sent if there is no new survey.
-	surveyBeat = 400 * time.Millisecond
-	// silentSurveys is how long a survey stream may be silent before it is reopened.
-	silentSurveys = 3 * surveyBeat
-	// resurvey is the delay before a survey stream that has ended is reopened.
-	resurvey = 150 * time.Millisecond
+	surveyKeepalive = 400 * time.Millisecond
+	// surveySilenceTimeout is how long a survey stream may be silent before it is reopened.
+	surveySilenceTimeout = 3 * surveyKeepalive
+	// surveyRetryDelay is the delay before a survey stream that has ended is reopened.
+	surveyRetryDelay = 150 * time.Millisecond
 )
 
 // surveyFeed holds the latest survey of rank states for the watchers of this replica:
@@ -30,39 +30,39 @@
 // to every entry.
 type surveyFeed struct {
 	mu       sync.Mutex
-	latest   *toldSurvey
+	latest   *publishedSurvey
 	watchers kernel.Watchers
 }
 
-// toldSurvey is a survey with the time, by this replica's clock, at which it was taken.
-type toldSurvey struct {
-	number uint64
-	states []byte
-	at     time.Time
-	// own is set if this replica took the survey as the groups' leader.
-	own bool
+// publishedSurvey is a survey with the time, by this replica's clock, at which it was taken.
+type publishedSurvey struct {
+	number  uint64
+	states  []byte
+	takenAt time.Time
+	// local is set if this replica took the survey as the groups' leader.
+	local bool
 }
 
-// tell publishes a survey to the watchers.
-func (f *surveyFeed) tell(s *toldSurvey) {
+// publish replaces the latest survey and wakes the watchers.
+func (f *surveyFeed) publish(s *publishedSurvey) {
 	f.mu.Lock()
 	f.latest = s
 	f.mu.Unlock()
 	f.watchers.Wake()
 }
 
-func (f *surveyFeed) current() *toldSurvey {
+func (f *surveyFeed) current() *publishedSurvey {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latest
 }
 
-// newFor returns the latest survey if it is to be sent to a watcher that last got told;
-// nil otherwise. A replica gets only surveys taken here: if replicas passed on surveys
+// nextSurvey returns the latest survey if it differs from the one that a watcher was last
+// sent; nil otherwise. Replicas get only surveys taken here: if they passed on surveys
 // that they received, they would keep stale ones in circulation.
-func (f *surveyFeed) newFor(told *toldSurvey, replica bool) *toldSurvey {
+func (f *surveyFeed) nextSurvey(sent *publishedSurvey, toReplica bool) *publishedSurvey {
 	s := f.current()
-	if s == nil || s == told || replica && !s.own {
+	if s == nil || s == sent || toReplica && !s.local {
 		return nil
 	}
 	return s
@@ -72,32 +72,32 @@
 func (s routingService) Survey(req *wire.WatchSurveyRequest, stream wire.DRPCRouting_SurveyStream) error {
 	changed, cancel := s.surveys.watchers.Subscribe()
 	defer cancel()
-	beat := time.NewTimer(surveyBeat)
-	defer beat.Stop()
+	keepalive := time.NewTimer(surveyKeepalive)
+	defer keepalive.Stop()
 	// A survey published before the watch began may be stale and isn't sent.
-	told := s.surveys.current()
+	sent := s.surveys.current()
 	for {
 		select {
 		case <-stream.Context().Done():
 			return nil
 		case <-changed:
-		case <-beat.C:
+		case <-keepalive.C:
 			if err := stream.Send(&wire.RankSurvey{}); err != nil {
 				return merry.Prepend(ErrUnavailable, err.Error())
 			}
-			beat.Reset(surveyBeat)
+			keepalive.Reset(surveyKeepalive)
 			continue
 		}
-		next := s.surveys.newFor(told, req.Replica)
+		next := s.surveys.nextSurvey(sent, req.Replica)
 		if next == nil {
 			continue
 		}
-		msg := &wire.RankSurvey{Number: next.number, States: next.states, AgeMs: millis(s.settings.Now().Sub(next.at))}
+		msg := &wire.RankSurvey{Number: next.number, States: next.states, AgeMs: millis(s.settings.Now().Sub(next.takenAt))}
 		if err := stream.Send(msg); err != nil {
 			return merry.Prepend(ErrUnavailable, err.Error())
 		}
-		told = next
-		beat.Reset(surveyBeat)
+		sent = next
+		keepalive.Reset(surveyKeepalive)
 	}
 }
 
@@ -110,18 +110,18 @@
 			kernel.Debug(c.log, "Survey stream of a replica ended.", "replica", addr, "err", err)
 			select {
 			case <-ctx.Done():
-			case <-time.After(resurvey):
+			case <-time.After(surveyRetryDelay):
 			}
 		}
 	})
 }
 
 // followSurvey publishes the surveys of one replica until its stream ends or is silent
-// for silentSurveys.
+// for surveySilenceTimeout.
 func (c *Control) followSurvey(ctx context.Context, watcher, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silentSurveys, cancel)
+	silence := time.AfterFunc(surveySilenceTimeout, cancel)
 	defer silence.Stop()
 	client := wire.NewDRPCRoutingClient(c.pool.Conn(ctx, addr))
 	stream, err := client.Survey(ctx, &wire.WatchSurveyRequest{Watcher: watcher, Replica: true})
@@ -134,15 +134,15 @@
 		if err != nil {
 			return err
 		}
-		silence.Reset(silentSurveys)
+		silence.Reset(surveySilenceTimeout)
 		if len(msg.States) > 0 {
 			at := c.settings.Now().Add(-time.Duration(msg.AgeMs) * time.Millisecond)
-			c.surveys.tell(&toldSurvey{number: msg.Number, states: msg.States, at: at})
+			c.surveys.publish(&publishedSurvey{number: msg.Number, states: msg.States, takenAt: at})
 		}
 	}
 }
 
-// encodeStates encodes the states of ranks, once for all watchers.
-func encodeStates(ranks []*wire.RankState) ([]byte, error) {
+// encodeRankStates encodes the states of ranks, once for all watchers.
+func encodeRankStates(ranks []*wire.RankState) ([]byte, error) {
 	return proto.Marshal(&wire.RankStates{Ranks: ranks})
 }
--- a/control/surveys_test.go
+++ b/control/surveys_test.go
@@ -6,31 +6,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// Two replicas hear of each other's surveys. What one has heard it tells entries, and no
-// replica: they would go on telling each other of a group that nobody leads any more, and
-// entries would send to ranks that are long full.
-func TestSurveysGoOneHopBetweenReplicas(t *testing.T) {
+// A survey received from another replica is sent to entries, but not to replicas. Otherwise
+// replicas would keep passing on the last survey of a group that has no leader any more, and
+// entries would choose ranks by outdated states.
+func TestReceivedSurveysAreNotSentToReplicas(t *testing.T) {
 	f := &surveyFeed{}
-	heard := &toldSurvey{number: 7, states: []byte{1}}
-	f.tell(heard)
-	assert.Assert(t, f.newFor(nil, true) == nil)
-	assert.Equal(t, f.newFor(nil, false), heard)
-	assert.Assert(t, f.newFor(heard, false) == nil, "told once")
+	received := &publishedSurvey{number: 7, states: []byte{1}}
+	f.publish(received)
+	assert.Assert(t, f.nextSurvey(nil, true) == nil)
+	assert.Equal(t, f.nextSurvey(nil, false), received)
+	assert.Assert(t, f.nextSurvey(received, false) == nil, "sent once only")
 
-	own := &toldSurvey{number: 8, states: []byte{2}, own: true}
-	f.tell(own)
-	assert.Equal(t, f.newFor(heard, true), own)
-	assert.Equal(t, f.newFor(heard, false), own)
+	local := &publishedSurvey{number: 8, states: []byte{2}, local: true}
+	f.publish(local)
+	assert.Equal(t, f.nextSurvey(received, true), local)
+	assert.Equal(t, f.nextSurvey(received, false), local)
 }
 
-func TestWatchersAreWokenBySurveys(t *testing.T) {
+func TestPublishWakesWatchers(t *testing.T) {
 	f := &surveyFeed{}
 	changed, cancel := f.watchers.Subscribe()
-	f.tell(&toldSurvey{number: 1})
-	f.tell(&toldSurvey{number: 2})
+	f.publish(&publishedSurvey{number: 1})
+	f.publish(&publishedSurvey{number: 2})
 	<-changed
-	assert.Equal(t, f.newFor(nil, false).number, uint64(2))
+	assert.Equal(t, f.nextSurvey(nil, false).number, uint64(2))
 	cancel()
-	f.tell(&toldSurvey{number: 3})
+	f.publish(&publishedSurvey{number: 3})
 	assert.Equal(t, len(changed), 0)
 }
