--- a/control/feed.go
+++ b/control/feed.go
@@ -44,9 +44,9 @@
 	if extra := len(next.changes) - maxKeptChanges; extra > maxKeptChanges/4 {
 		// All rows of a revision are dropped together, so that no watcher gets a
 		// part of an edit.
-		floor := next.changes[extra-1].Revision
-		first := sort.Search(len(next.changes), func(i int) bool { return next.changes[i].Revision > floor })
-		next.floor = floor
+		newFloor := next.changes[extra-1].Revision
+		first := sort.Search(len(next.changes), func(i int) bool { return next.changes[i].Revision > newFloor })
+		next.floor = newFloor
 		next.changes = append([]*wire.Row(nil), next.changes[first:]...)
 	}
 	f.state.Store(next)
--- a/control/lockstep.go
+++ b/control/lockstep.go
@@ -233,10 +233,10 @@
 
 // directGroup is a group as registered by its ranks.
 type directGroup struct {
-	service string
-	epoch   directory.GroupEpoch
-	size    int
-	ranks   map[int]*wire.Announcement
+	service     string
+	latestEpoch directory.GroupEpoch
+	size        int
+	ranks       map[int]*wire.Announcement
 }
 
 // directGroups groups the announcements of ranks that are called directly. Those of a
@@ -251,7 +251,7 @@
 		if !ok {
 			g = directGroup{service: a.Pools[0], ranks: map[int]*wire.Announcement{}}
 		}
-		g.epoch.Take(a.Direct)
+		g.latestEpoch.Take(a.Direct)
 		g.size = max(g.size, int(a.Direct.GroupSize))
 		if old := g.ranks[int(a.Rank)]; old == nil || a.Direct.GroupEpoch >= old.Direct.GroupEpoch {
 			g.ranks[int(a.Rank)] = a
--- a/control/lockstepcalls.go
+++ b/control/lockstepcalls.go
@@ -235,12 +235,12 @@
 // did not answer lately.
 func callRank[R any](g *lockstepGroup, link *rankLink, viaSidecar func(wire.DRPCSidecarClient) (R, error), directly func(*sidecar.Rank) (R, error)) (R, error) {
 	g.mu.Lock()
-	address, sidecarAddress, retryAt := link.address, g.sidecarAddress(link), link.sidecarRetryAt
+	address, sidecarAddr, retryAt := link.address, g.sidecarAddress(link), link.sidecarRetryAt
 	g.mu.Unlock()
-	if sidecarAddress == "" || !g.clock().After(retryAt) {
+	if sidecarAddr == "" || !g.clock().After(retryAt) {
 		return directly(sidecar.NewRank(g.client, g.rankDialect, address, directOrderTimeout))
 	}
-	reply, err := viaSidecar(g.sidecarClient(sidecarAddress))
+	reply, err := viaSidecar(g.sidecarClient(sidecarAddr))
 	if err != nil {
 		g.mu.Lock()
 		g.suspendSidecar(link)
--- a/control/lockstepgroup.go
+++ b/control/lockstepgroup.go
@@ -52,7 +52,7 @@
 	// A switch in progress continues while a registration is missing: the group may be
 	// held, and the ranks can be reached at their last addresses.
 	switching := g.switcher != nil && g.switcher.Phase() != lockstep.Idle
-	if (!found.complete() || found.epoch.Broken) && !switching {
+	if (!found.complete() || found.latestEpoch.Broken) && !switching {
 		return
 	}
 	shape := lockstep.ShapeOf(profile, found.size)
@@ -71,7 +71,7 @@
 // updateLinks updates the links of ranks that have restarted or moved. It first starts a
 // new epoch if the group has formed again or has another shape.
 func (g *lockstepGroup) updateLinks(found directGroup, shape lockstep.Shape) {
-	if g.switcher == nil || found.epoch.Epoch > g.epoch || shape != g.shape {
+	if g.switcher == nil || found.latestEpoch.Epoch > g.epoch || shape != g.shape {
 		g.startEpoch(found, shape)
 	}
 	for i, link := range g.links {
@@ -88,7 +88,7 @@
 
 // startEpoch resets the state for the epoch and the shape in which the group has formed.
 func (g *lockstepGroup) startEpoch(found directGroup, shape lockstep.Shape) {
-	epoch := found.epoch.Epoch
+	epoch := found.latestEpoch.Epoch
 	g.epoch, g.shape = epoch, shape
 	g.relays = lockstep.NewRelays(found.failureDomains())
 	cfg := lockstep.DefaultConfig(shape.Ranks, g.token, epoch)
