--- a/control/grouporders.go
+++ b/control/grouporders.go
@@ -11,18 +11,19 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// rankOrders keeps at most one order on its way to a rank, and the one that
-// follows it.
-type rankOrders struct {
-	busy bool
-	next *rollout.Outgoing
+// rankOrderQueue tracks whether an order to a rank is in flight, and the order to send
+// next.
+type rankOrderQueue struct {
+	inFlight bool
+	pending  *rollout.Outgoing
 }
 
-// act carries out what the coordinator asks for.
-func (d *groupDriver) act(ctx context.Context, now time.Time) {
+// runCoordinator advances the coordinator, sends the orders that it returns and proposes
+// its command.
+func (d *groupDriver) runCoordinator(ctx context.Context, now time.Time) {
 	e := d.coord.Tick(now)
 	for _, o := range e.Orders {
-		d.order(ctx, o)
+		d.sendOrder(ctx, o)
 	}
 	if e.Command == nil || d.proposing {
 		return
@@ -31,9 +32,9 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 		defer cancel()
-		r, err := d.replica.proposeGroup(ctx, e.Command)
+		r, err := d.replica.proposeGroupCommand(ctx, e.Command)
 		if err == nil && !r.Accepted {
-			kernel.Debug(d.log, "The log refused a command.", "group", d.name, "detail", r.Detail)
+			kernel.Debug(d.log, "Group command was rejected by the state machine.", "group", d.name, "detail", r.Detail)
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -41,15 +42,16 @@
 	}()
 }
 
-// order sends an order to a rank as soon as the one before it is answered.
-func (d *groupDriver) order(ctx context.Context, o rollout.Outgoing) {
+// sendOrder sends an order to a rank, after the reply to the one in flight if there is
+// one. A newer order replaces one that is still waiting.
+func (d *groupDriver) sendOrder(ctx context.Context, o rollout.Outgoing) {
 	q := d.orders[o.Rank]
 	if q == nil {
-		q = &rankOrders{}
+		q = &rankOrderQueue{}
 		d.orders[o.Rank] = q
 	}
-	if q.busy {
-		q.next = &o
+	if q.inFlight {
+		q.pending = &o
 		return
 	}
 	a := d.ranks[o.Rank]
@@ -57,27 +59,28 @@
 		d.details[o.Rank] = "no upstream announces this rank"
 		return
 	}
-	q.busy = true
+	q.inFlight = true
 	go func() {
-		reply, err := d.give(ctx, a, o.Verb, o.Order)
+		reply, err := d.callAgent(ctx, a, o.Verb, o.Order)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		q.busy = false
-		d.answered(o, reply, err)
-		next := q.next
-		q.next = nil
+		q.inFlight = false
+		d.handleReply(o, reply, err)
+		next := q.pending
+		q.pending = nil
 		if ctx.Err() != nil || d.drivers[d.name] != d {
 			return
 		}
 		if next != nil {
-			d.order(ctx, *next)
+			d.sendOrder(ctx, *next)
 		}
-		d.act(ctx, d.clock())
+		d.runCoordinator(ctx, d.clock())
 	}()
 }
 
-// answered takes a rank's answer.
-func (d *groupDriver) answered(o rollout.Outgoing, reply *wire.OrderReply, err error) {
+// handleReply passes the status in the reply to an order to the coordinator, or records
+// why there is none.
+func (d *groupDriver) handleReply(o rollout.Outgoing, reply *wire.OrderReply, err error) {
 	var s rollout.Status
 	if err == nil && reply.Accepted {
 		err = json.Unmarshal(reply.Body, &s)
@@ -94,9 +97,10 @@
 	d.coord.Heard(d.clock(), o.Rank, s)
 }
 
-// timeoutOf bounds an order. Those that carry no map are answered at once, and a
-// group may be waiting for them: a connection that hangs is given up early.
-func (d *groupDriver) timeoutOf(verb string) time.Duration {
+// orderTimeoutFor returns the timeout of an order. Arm, commit and abort carry no map and
+// are answered at once; as the group may have stopped to wait for them, a hanging
+// connection is given up early.
+func (d *groupDriver) orderTimeoutFor(verb string) time.Duration {
 	switch verb {
 	case rollout.VerbArm, rollout.VerbCommit, rollout.VerbAbort:
 		return min(d.cfg.Resend, d.settings.OrderTimeout.D())
@@ -104,9 +108,9 @@
 	return d.settings.OrderTimeout.D()
 }
 
-// give sends one order through the rank's agent.
-func (d *groupDriver) give(ctx context.Context, a *wire.Announcement, verb string, body any) (*wire.OrderReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, d.timeoutOf(verb))
+// callAgent sends one order to the rank's agent and returns its reply.
+func (d *groupDriver) callAgent(ctx context.Context, a *wire.Announcement, verb string, body any) (*wire.OrderReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, d.orderTimeoutFor(verb))
 	defer cancel()
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/control/groups.go
+++ b/control/groups.go
@@ -20,19 +20,21 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrLease is returned when a group's lease can't be taken.
-var ErrLease = merry.Sentinel("lease of the group can't be taken")
+// ErrLease is returned when a group's lease can't be acquired.
+var ErrLease = merry.Sentinel("group lease can't be acquired")
 
-// Intervals of the loop that looks after groups.
 const (
+	// groupTick is the tick interval while a group has work in progress, and
+	// groupIdleTick the interval while none has.
 	groupTick     = 20 * time.Millisecond
 	groupIdleTick = 100 * time.Millisecond
-	// leaseHolder is the prefix of control replicas among holders of leases.
-	leaseHolder  = "control "
+	// leaseHolderPrefix is the prefix of control replicas among lease holders.
+	leaseHolderPrefix = "control "
+	// leaseTimeout bounds the acquisition of a lease and the proposal of a group command.
 	leaseTimeout = 2 * time.Second
 )
 
-// UpstreamsOf lists the upstreams that a directory knows and that aren't gone.
+// UpstreamsOf returns a function that lists the upstreams in a directory that aren't gone.
 func UpstreamsOf(n *directory.Node) func() []*wire.Announcement {
 	return func() []*wire.Announcement {
 		var list []*wire.Announcement
@@ -43,7 +45,7 @@
 	}
 }
 
-// groupLeader looks after the expert maps of all groups while its replica leads.
+// groupLeader manages the expert maps of all groups while its replica leads.
 type groupLeader struct {
 	settings  GroupSettings
 	clock     func() time.Time
@@ -51,7 +53,7 @@
 	pool      *transport.Pool
 	upstreams func() []*wire.Announcement
 
-	// mu guards drivers and what they hold.
+	// mu guards drivers and the state of each driver.
 	mu      sync.Mutex
 	drivers map[string]*groupDriver
 }
@@ -60,12 +62,12 @@
 	return &groupLeader{settings: s.Groups, clock: s.Now, log: l, pool: pool, drivers: map[string]*groupDriver{}}
 }
 
-// groupsNow is what the log and the table say of groups at one moment.
-type groupsNow struct {
-	leads  bool
-	view   *table.View
-	states map[string]*wire.GroupState
-	tokens map[string]uint64
+// groupsSnapshot is a consistent snapshot of the groups in the log and the table.
+type groupsSnapshot struct {
+	isLeader bool
+	view     *table.View
+	states   map[string]*wire.GroupState
+	tokens   map[string]uint64
 }
 
 // run drives the groups until the replica stops.
@@ -73,7 +75,7 @@
 	if g.upstreams == nil {
 		return
 	}
-	defer g.drop()
+	defer g.dropDrivers()
 	changed, cancel := r.watchers.Subscribe()
 	defer cancel()
 	for {
@@ -92,24 +94,24 @@
 	}
 }
 
-// tick does what is due; it returns whether a group is waiting for something.
+// tick runs one iteration and returns whether a group has work in progress.
 func (g *groupLeader) tick(ctx context.Context, r *Replica) bool {
-	n := r.groupsNow(ctx, g.led())
-	if !n.leads {
-		g.drop()
+	snap := r.readGroups(ctx, g.drivenGroups())
+	if !snap.isLeader {
+		g.dropDrivers()
 		return false
 	}
-	ranks := ranksOf(g.upstreams())
+	ranks := ranksByGroup(g.upstreams())
 	names := map[string]bool{}
-	for name := range n.view.Groups {
+	for name := range snap.view.Groups {
 		names[name] = true
 	}
-	// A group whose row is gone may still have a switch in doubt, with ranks
-	// that have stopped for its decision.
-	for name, s := range n.states {
+	// A group whose row was deleted may have an undecided switch, and ranks that
+	// have stopped to wait for the decision.
+	for name, s := range snap.states {
 		names[name] = names[name] || rollout.Undecided(s.Switch)
 	}
-	for _, name := range g.led() {
+	for _, name := range g.drivenGroups() {
 		names[name] = true
 	}
 	busy := false
@@ -117,34 +119,33 @@
 		if !due {
 			continue
 		}
-		d := g.driver(ctx, r, name, n)
+		d := g.ensureDriver(ctx, r, name, snap)
 		if d == nil {
 			busy = true
 			continue
 		}
 		g.mu.Lock()
-		d.tick(ctx, g.clock(), n.view.Groups[name], n.states[name], ranks[name])
+		d.tick(ctx, g.clock(), snap.view.Groups[name], snap.states[name], ranks[name])
 		busy = busy || d.coord == nil || !d.coord.Quiet()
-		over := d.over(time.Now())
+		finished := d.finished(time.Now())
 		g.mu.Unlock()
-		if over {
-			g.release(ctx, r, d)
+		if finished {
+			g.stopDriver(ctx, r, d)
 		}
 	}
 	return busy
 }
 
-// led lists the groups that have a driver.
-func (g *groupLeader) led() []string {
+// drivenGroups returns the names of the groups that have a driver.
+func (g *groupLeader) drivenGroups() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Collect(maps.Keys(g.drivers))
 }
 
-// release stops a group's driver and frees its lease. A driver left running would go
-// on giving orders under a lease that it renews, and keep out whoever is to run the
-// group next.
-func (g *groupLeader) release(ctx context.Context, r *Replica, d *groupDriver) {
+// stopDriver stops a group's driver and releases its lease. A driver that kept running
+// would renew the lease, go on sending orders and lock out the next holder.
+func (g *groupLeader) stopDriver(ctx context.Context, r *Replica, d *groupDriver) {
 	g.mu.Lock()
 	delete(g.drivers, d.name)
 	g.mu.Unlock()
@@ -153,40 +154,40 @@
 			r.leads.renew(d.name, time.Now(), 0)
 		}
 	})
-	kernel.Info(g.log, "Leads a group no more: its row is gone.", "group", d.name, "token", d.token, "err", err)
+	kernel.Info(g.log, "Stopped leading a group whose row was deleted.", "group", d.name, "token", d.token, "err", err)
 }
 
-// groupsNow reads the groups' state in the replica's loop, also of those led that are
-// neither on the log nor in the table any more.
-func (r *Replica) groupsNow(ctx context.Context, led []string) groupsNow {
-	n := groupsNow{states: map[string]*wire.GroupState{}, tokens: map[string]uint64{}}
+// readGroups reads the groups' state in the replica's loop. It includes the fencing
+// tokens of the driven groups, which may be neither in the log nor in the table any more.
+func (r *Replica) readGroups(ctx context.Context, driven []string) groupsSnapshot {
+	snap := groupsSnapshot{states: map[string]*wire.GroupState{}, tokens: map[string]uint64{}}
 	err := r.do(ctx, func() {
-		v, err := r.shareView()
+		v, err := r.tableView()
 		if err != nil || !r.node.IsLeader(r.now()) || r.failed != nil {
 			return
 		}
-		n.leads, n.view = true, v
+		snap.isLeader, snap.view = true, v
 		for _, name := range r.machine.groups.Groups() {
-			n.states[name] = r.machine.groups.Get(name)
-			n.tokens[name] = r.machine.fence.Token(name)
+			snap.states[name] = r.machine.groups.Get(name)
+			snap.tokens[name] = r.machine.fence.Token(name)
 		}
-		for _, name := range slices.AppendSeq(led, maps.Keys(v.Groups)) {
-			n.tokens[name] = r.machine.fence.Token(name)
+		for _, name := range slices.AppendSeq(driven, maps.Keys(v.Groups)) {
+			snap.tokens[name] = r.machine.fence.Token(name)
 		}
 	})
-	n.leads = n.leads && err == nil
-	return n
+	snap.isLeader = snap.isLeader && err == nil
+	return snap
 }
 
 // groupRanks are the upstreams that announce the ranks of one group.
 type groupRanks struct {
 	byRank map[int]*wire.Announcement
-	// conflict names two upstreams that claim one rank.
+	// conflict describes two upstreams that announce the same rank; empty if none do.
 	conflict string
 }
 
-// ranksOf sorts the ranks that are up by group.
-func ranksOf(list []*wire.Announcement) map[string]groupRanks {
+// ranksByGroup groups the announcements of ranks by the name of their group.
+func ranksByGroup(list []*wire.Announcement) map[string]groupRanks {
 	groups := map[string]groupRanks{}
 	for _, a := range list {
 		if a.Group == "" {
@@ -206,13 +207,14 @@
 	return groups
 }
 
-// driver returns a group's driver under the lease in force, which it takes first
-// if this replica doesn't hold it; nil if it can't.
-func (g *groupLeader) driver(ctx context.Context, r *Replica, name string, n groupsNow) *groupDriver {
+// ensureDriver returns a group's driver if it runs under the lease in force. Otherwise it
+// acquires the lease, creates a new driver and returns nil. It also returns nil if the
+// lease can't be acquired.
+func (g *groupLeader) ensureDriver(ctx context.Context, r *Replica, name string, snap groupsSnapshot) *groupDriver {
 	g.mu.Lock()
 	d := g.drivers[name]
 	g.mu.Unlock()
-	if d != nil && d.token == n.tokens[name] {
+	if d != nil && d.token == snap.tokens[name] {
 		return d
 	}
 	if d != nil {
@@ -220,39 +222,40 @@
 		delete(g.drivers, name)
 		g.mu.Unlock()
 	}
-	token, err := r.takeLease(ctx, name)
+	token, err := r.acquireGroupLease(ctx, name)
 	if err != nil {
 		if !errors.Is(err, ErrUnavailable) {
-			kernel.Warn(g.log, "Group can't be led.", "group", name, "err", err)
+			kernel.Warn(g.log, "Group lease can't be acquired.", "group", name, "err", err)
 		}
 		return nil
 	}
-	kernel.Info(g.log, "Leads a group.", "group", name, "token", token)
+	kernel.Info(g.log, "Became leader of a group.", "group", name, "token", token)
 	d = newGroupDriver(g, r, name, token)
 	g.mu.Lock()
 	g.drivers[name] = d
 	g.mu.Unlock()
-	// Its first tick comes with a state that is read after the grant.
+	// The first tick must use state that was read after the lease was granted.
 	return nil
 }
 
-// takeLease gives a group's lease to this replica. It doesn't wait for the lease
-// of another control replica to end: with the new token that one's orders are
-// refused by every agent that has heard of it, and its commands by the log.
-func (r *Replica) takeLease(ctx context.Context, group string) (uint64, error) {
+// acquireGroupLease acquires a group's lease for this replica and returns the fencing
+// token. It doesn't wait until the lease of another control replica expires: agents that
+// know the new token reject the orders of the former holder, and the log its commands. It
+// returns ErrLease if the holder of an unexpired lease isn't a control replica.
+func (r *Replica) acquireGroupLease(ctx context.Context, group string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	holder := leaseHolder + idOf(r.identity)
+	holder := leaseHolderPrefix + idOf(r.identity)
 	var held *wire.Lease
-	var over bool
+	var expired bool
 	if err := r.do(ctx, func() {
 		held = r.machine.fence.Get(group)
-		over = held.Token == 0 || r.leads.over(group, r.clock())
+		expired = held.Token == 0 || r.leads.over(group, r.clock())
 	}); err != nil {
 		return 0, err
 	}
-	if len(held.Holder) > 0 && !isControl(held.Holder) && !over {
-		return 0, merry.Prependf(ErrLease, "%s holds it", held.Holder)
+	if len(held.Holder) > 0 && !isControlHolder(held.Holder) && !expired {
+		return 0, merry.Prependf(ErrLease, "held by %s", held.Holder)
 	}
 	v, err := r.propose(ctx, &wire.Command{Command: &wire.Command_Lease{
 		Lease: &wire.LeaseGrant{Group: group, Holder: holder, Replaces: held.Token},
@@ -262,24 +265,25 @@
 	}
 	l := v.(*wire.Lease)
 	if l.Holder != holder {
-		return 0, merry.Prependf(ErrLease, "%s holds it", l.Holder)
+		return 0, merry.Prependf(ErrLease, "held by %s", l.Holder)
 	}
 	return l.Token, nil
 }
 
-func isControl(holder string) bool {
-	return len(holder) > len(leaseHolder) && holder[:len(leaseHolder)] == leaseHolder
+func isControlHolder(holder string) bool {
+	return len(holder) > len(leaseHolderPrefix) && holder[:len(leaseHolderPrefix)] == leaseHolderPrefix
 }
 
-// drop forgets all groups: this replica doesn't lead.
-func (g *groupLeader) drop() {
+// dropDrivers removes all drivers when this replica doesn't lead any more.
+func (g *groupLeader) dropDrivers() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.drivers)
 }
 
-// proposeGroup puts a group command on the log.
-func (r *Replica) proposeGroup(ctx context.Context, c *wire.GroupCommand) (rollout.Result, error) {
+// proposeGroupCommand proposes a group command to the log and returns the state machine's
+// result.
+func (r *Replica) proposeGroupCommand(ctx context.Context, c *wire.GroupCommand) (rollout.Result, error) {
 	c.AtMs = r.clock().UnixMilli()
 	v, err := r.propose(ctx, &wire.Command{Command: &wire.Command_Group{Group: c}})
 	if err != nil {
--- a/control/lockstepgroup.go
+++ b/control/lockstepgroup.go
@@ -10,35 +10,34 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// reportLagFactor covers a report that is a little older than the service says.
+// reportLagFactor allows for reports that are older than the engine profile says.
 const reportLagFactor = 2
 
-// lockstepGroup leads one group under one fencing token: it gives a Switcher sockets
-// and a clock, and plans from what the ranks counted.
+// lockstepGroup runs one group under one fencing token: it connects a Switcher to the
+// network and the clock, and plans maps from the ranks' counters.
 type lockstepGroup struct {
 	*lockstepLeader
 	name  string
 	token uint64
 
-	mu       sync.Mutex
-	epoch    uint64
-	shape    lockstep.Shape
-	links    []*rankLink
-	relays   *lockstep.Relays
-	switcher *lockstep.Switcher
-	demand   *lockstep.Demand
-	replan   lockstep.Replan
-	planning bool
-	phase    lockstep.Phase
-	proposal lockstep.Proposal
-	began    time.Time
-	// heldFrom is when the hold of the switch in progress was ordered.
-	heldFrom time.Time
-	// stateLogged is when the group's state was logged last.
-	stateLogged time.Time
-	// plannedShifts counts the shifts of demand that the latest plan knew.
-	plannedShifts int
-	// reportLag is how old a report is at most that a rank gives to another host.
+	mu            sync.Mutex
+	epoch         uint64
+	shape         lockstep.Shape
+	links         []*rankLink
+	relays        *lockstep.Relays
+	switcher      *lockstep.Switcher
+	demand        *lockstep.Demand
+	replan        lockstep.Replan
+	planning      bool
+	loggedPhase   lockstep.Phase
+	proposal      lockstep.Proposal
+	switchBeganAt time.Time
+	// holdBeganAt is when the switch in progress began to hold the group; zero if it hasn't.
+	holdBeganAt   time.Time
+	stateLoggedAt time.Time
+	// shiftsAtBegin is the number of demand shifts seen when the latest switch began.
+	shiftsAtBegin int
+	// reportLag is the assumed maximum age of a report that a rank gives to another host.
 	reportLag time.Duration
 }
 
@@ -46,14 +45,14 @@
 	return &lockstepGroup{lockstepLeader: l, name: name, token: token}
 }
 
-// tick takes what the directory says and does what is due.
+// tick applies the ranks' registrations and the engine profile, and does what is due.
 func (g *lockstepGroup) tick(ctx context.Context, now time.Time, found directGroup, profile *wire.EngineProfile) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// A switch that has begun goes on also while a registration is missing: the group
-	// may be held, and the ranks are still where they were.
-	begun := g.switcher != nil && g.switcher.Phase() != lockstep.Idle
-	if (!found.whole() || found.latest.Broken) && !begun {
+	// A switch in progress continues while a registration is missing: the group may be
+	// held, and the ranks can be reached at their last addresses.
+	switching := g.switcher != nil && g.switcher.Phase() != lockstep.Idle
+	if (!found.complete() || found.latestEpoch.Broken) && !switching {
 		return
 	}
 	shape := lockstep.ShapeOf(profile, found.size)
@@ -61,19 +60,19 @@
 		return
 	}
 	g.reportLag = reportLagFactor * time.Duration(profile.GetReportLagMs()*float64(time.Millisecond))
-	g.follow(found, shape)
-	g.read(ctx, now)
-	g.sendAll(ctx, now, g.switcher.Tick(now))
+	g.updateLinks(found, shape)
+	g.readRanks(ctx, now)
+	g.sendOrders(ctx, now, g.switcher.Tick(now))
 	g.logPhase(now)
 	g.logState(now)
-	g.plan(ctx, now)
+	g.startPlanning(ctx, now)
 }
 
-// follow begins anew when the group has formed again or has another shape, and goes
-// along with ranks that have started again.
-func (g *lockstepGroup) follow(found directGroup, shape lockstep.Shape) {
-	if g.switcher == nil || found.latest.Epoch > g.epoch || shape != g.shape {
-		g.reset(found, shape)
+// updateLinks updates the links of ranks that have restarted or moved. It first starts a
+// new epoch if the group has formed again or has another shape.
+func (g *lockstepGroup) updateLinks(found directGroup, shape lockstep.Shape) {
+	if g.switcher == nil || found.latestEpoch.Epoch > g.epoch || shape != g.shape {
+		g.startEpoch(found, shape)
 	}
 	for i, link := range g.links {
 		a := found.ranks[i]
@@ -87,31 +86,33 @@
 	}
 }
 
-func (g *lockstepGroup) reset(found directGroup, shape lockstep.Shape) {
-	epoch := found.latest.Epoch
+// startEpoch resets the state for the epoch and the shape in which the group has formed.
+func (g *lockstepGroup) startEpoch(found directGroup, shape lockstep.Shape) {
+	epoch := found.latestEpoch.Epoch
 	g.epoch, g.shape = epoch, shape
-	g.relays = lockstep.NewRelays(found.domains())
+	g.relays = lockstep.NewRelays(found.failureDomains())
 	cfg := lockstep.DefaultConfig(shape.Ranks, g.token, epoch)
 	if g.switcher != nil {
 		cfg.Used = g.switcher.Used()
 	}
 	g.switcher = lockstep.New(cfg)
 	if g.demand == nil || len(g.links) != shape.Ranks {
-		// Demand outlives a group that forms again: callers ask for the same.
+		// The estimate is kept when the group forms again: the demand is the callers'.
 		g.demand = lockstep.NewDemand(lockstep.DemandSettingsFor(g.readPeriod), shape)
 	}
 	g.links = make([]*rankLink, shape.Ranks)
 	for i := range g.links {
 		g.links[i] = &rankLink{}
 	}
-	g.phase = lockstep.Idle
+	g.loggedPhase = lockstep.Idle
 	kernel.Info(g.log, "Group formed.", "group", g.name, "epoch", epoch, "ranks", shape.Ranks, "calls", g.relays.Calls(), "read_ms", g.readPeriod.Milliseconds(), "token", g.token)
 }
 
-// plan looks for a better map and begins the switch to it.
-func (g *lockstepGroup) plan(ctx context.Context, now time.Time) {
-	pace := g.pace()
-	if g.planning || !g.mayBegin(now) || !g.demand.Settled() || !g.replan.Due(now, g.demand.Shifts(), pace) {
+// startPlanning looks for a better map in a goroutine of its own and begins the switch to
+// it.
+func (g *lockstepGroup) startPlanning(ctx context.Context, now time.Time) {
+	pace := g.rankPaces()
+	if g.planning || !g.canBeginSwitch(now) || !g.demand.Settled() || !g.replan.Due(now, g.demand.Shifts(), pace) {
 		return
 	}
 	g.planning = true
@@ -125,16 +126,16 @@
 		if !ok {
 			g.replan.FoundNothing()
 		}
-		if !ok || ctx.Err() != nil || g.switcher != switcher || !g.mayBegin(g.clock()) {
+		if !ok || ctx.Err() != nil || g.switcher != switcher || !g.canBeginSwitch(g.clock()) {
 			return
 		}
-		g.proposal, g.began, g.plannedShifts = p, g.clock(), g.demand.Shifts()
+		g.proposal, g.switchBeganAt, g.shiftsAtBegin = p, g.clock(), g.demand.Shifts()
 		switcher.Begin(g.clock(), p.Map)
 	}()
 }
 
-// mayBegin says whether a switch may begin now: none is under way, or one that was
-// planned for what is no longer in demand and has only begun to copy.
-func (g *lockstepGroup) mayBegin(now time.Time) bool {
-	return g.switcher.Ready(now) || g.switcher.Phase() == lockstep.Preparing && g.demand.Shifts() != g.plannedShifts
+// canBeginSwitch reports whether a switch may begin now: the switcher is ready for one, or
+// the switch in progress is still preparing and the demand has shifted since it began.
+func (g *lockstepGroup) canBeginSwitch(now time.Time) bool {
+	return g.switcher.Ready(now) || g.switcher.Phase() == lockstep.Preparing && g.demand.Shifts() != g.shiftsAtBegin
 }
--- a/control/surveys.go
+++ b/control/surveys.go
@@ -14,52 +14,55 @@
 )
 
 const (
-	// surveyBeat is the longest time between two messages to a watcher of surveys.
-	surveyBeat = 400 * time.Millisecond
-	// silentSurveys is how long a watched replica may say nothing.
-	silentSurveys = 3 * surveyBeat
-	// resurvey is the pause before a watch of surveys that has ended is opened again.
-	resurvey = 150 * time.Millisecond
+	// surveyKeepalive is the longest time between two messages on a survey stream; an empty
+	// message is sent if there is no new survey.
+	surveyKeepalive = 400 * time.Millisecond
+	// surveySilenceTimeout is how long a survey stream may be silent before it is reopened.
+	surveySilenceTimeout = 3 * surveyKeepalive
+	// surveyRetryDelay is the delay before a survey stream that has ended is reopened.
+	surveyRetryDelay = 150 * time.Millisecond
 )
 
-// surveyFeed keeps the latest survey of ranks for the watchers of this replica: its own, if
-// it leads groups, or that which it hears from the replica that does.
+// surveyFeed holds the latest survey of rank states for the watchers of this replica:
+// its own if it leads groups, or one received from the replica that does.
 //
-// Entries watch one replica each. A leader that told every entry itself, 147 of them five
-// times a second, spent more on that than on all else that it does for its groups.
+// Each entry watches one replica, so that the leader doesn't have to send every survey
+// to every entry.
 type surveyFeed struct {
 	mu       sync.Mutex
-	latest   *toldSurvey
+	latest   *publishedSurvey
 	watchers kernel.Watchers
 }
 
-// toldSurvey is a survey as it was told at a time by this replica's clock.
-type toldSurvey struct {
-	number uint64
-	states []byte
-	at     time.Time
-	// own says that this replica leads the groups.
-	own bool
+// publishedSurvey is a survey with the time, by this replica's clock, at which it was taken.
+type publishedSurvey struct {
+	number  uint64
+	states  []byte
+	takenAt time.Time
+	// local is set if this replica took the survey as the groups' leader.
+	local bool
 }
 
-// tell makes a survey known to the watchers.
-func (f *surveyFeed) tell(s *toldSurvey) {
+// publish replaces the latest survey and wakes the watchers.
+func (f *surveyFeed) publish(s *publishedSurvey) {
 	f.mu.Lock()
 	f.latest = s
 	f.mu.Unlock()
 	f.watchers.Wake()
 }
 
-func (f *surveyFeed) current() *toldSurvey {
+func (f *surveyFeed) current() *publishedSurvey {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latest
 }
 
-// newFor is the latest survey if a watcher may be told of it and was not; nil otherwise.
-func (f *surveyFeed) newFor(told *toldSurvey, replica bool) *toldSurvey {
+// nextSurvey returns the latest survey if it differs from the one that a watcher was last
+// sent; nil otherwise. Replicas get only surveys taken here: if they passed on surveys
+// that they received, they would keep stale ones in circulation.
+func (f *surveyFeed) nextSurvey(sent *publishedSurvey, toReplica bool) *publishedSurvey {
 	s := f.current()
-	if s == nil || s == told || replica && !s.own {
+	if s == nil || s == sent || toReplica && !s.local {
 		return nil
 	}
 	return s
@@ -69,54 +72,56 @@
 func (s routingService) Survey(req *wire.WatchSurveyRequest, stream wire.DRPCRouting_SurveyStream) error {
 	changed, cancel := s.surveys.watchers.Subscribe()
 	defer cancel()
-	beat := time.NewTimer(surveyBeat)
-	defer beat.Stop()
-	// What was told before the watch began may be long over.
-	told := s.surveys.current()
+	keepalive := time.NewTimer(surveyKeepalive)
+	defer keepalive.Stop()
+	// A survey published before the watch began may be stale and isn't sent.
+	sent := s.surveys.current()
 	for {
 		select {
 		case <-stream.Context().Done():
 			return nil
 		case <-changed:
-		case <-beat.C:
+		case <-keepalive.C:
 			if err := stream.Send(&wire.RankSurvey{}); err != nil {
 				return merry.Prepend(ErrUnavailable, err.Error())
 			}
-			beat.Reset(surveyBeat)
+			keepalive.Reset(surveyKeepalive)
 			continue
 		}
-		next := s.surveys.newFor(told, req.Replica)
+		next := s.surveys.nextSurvey(sent, req.Replica)
 		if next == nil {
 			continue
 		}
-		msg := &wire.RankSurvey{Number: next.number, States: next.states, AgeMs: millis(s.settings.Now().Sub(next.at))}
+		msg := &wire.RankSurvey{Number: next.number, States: next.states, AgeMs: millis(s.settings.Now().Sub(next.takenAt))}
 		if err := stream.Send(msg); err != nil {
 			return merry.Prepend(ErrUnavailable, err.Error())
 		}
-		told = next
-		beat.Reset(surveyBeat)
+		sent = next
+		keepalive.Reset(surveyKeepalive)
 	}
 }
 
-// followSurveys hears the surveys of each other replica and tells them to the watchers of
-// this one.
+// followSurveys receives the surveys of each peer replica and publishes them to the
+// watchers of this one, until ctx is done.
 func (c *Control) followSurveys(ctx context.Context, watcher string, peers func() []string) {
 	directory.FollowList(ctx, peers, func(ctx context.Context, addr string) {
 		for ctx.Err() == nil {
 			err := c.followSurvey(ctx, watcher, addr)
-			kernel.Debug(c.log, "Surveys of a replica end.", "replica", addr, "err", err)
+			kernel.Debug(c.log, "Survey stream of a replica ended.", "replica", addr, "err", err)
 			select {
 			case <-ctx.Done():
-			case <-time.After(resurvey):
+			case <-time.After(surveyRetryDelay):
 			}
 		}
 	})
 }
 
+// followSurvey publishes the surveys of one replica until its stream ends or is silent
+// for surveySilenceTimeout.
 func (c *Control) followSurvey(ctx context.Context, watcher, addr string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silentSurveys, cancel)
+	silence := time.AfterFunc(surveySilenceTimeout, cancel)
 	defer silence.Stop()
 	client := wire.NewDRPCRoutingClient(c.pool.Conn(ctx, addr))
 	stream, err := client.Survey(ctx, &wire.WatchSurveyRequest{Watcher: watcher, Replica: true})
@@ -129,15 +134,15 @@
 		if err != nil {
 			return err
 		}
-		silence.Reset(silentSurveys)
+		silence.Reset(surveySilenceTimeout)
 		if len(msg.States) > 0 {
 			at := c.settings.Now().Add(-time.Duration(msg.AgeMs) * time.Millisecond)
-			c.surveys.tell(&toldSurvey{number: msg.Number, states: msg.States, at: at})
+			c.surveys.publish(&publishedSurvey{number: msg.Number, states: msg.States, takenAt: at})
 		}
 	}
 }
 
-// encodeStates encodes the states of ranks for all watchers.
-func encodeStates(ranks []*wire.RankState) ([]byte, error) {
+// encodeRankStates encodes the states of ranks, once for all watchers.
+func encodeRankStates(ranks []*wire.RankState) ([]byte, error) {
 	return proto.Marshal(&wire.RankStates{Ranks: ranks})
 }
