--- a/control/api.go
+++ b/control/api.go
@@ -21,37 +21,37 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// APISettings are the [api] section of snipereach-control: what it answers by HTTP
-// to operators, upstreams without an agent and callers that look for an entry.
+// APISettings are the [api] section of snipereach-control: the HTTP API for operators, for
+// upstreams without an agent and for callers that discover entries.
 type APISettings struct {
 	// Listen is the address for operators and upstreams.
 	Listen string `toml:"listen"`
-	// Discovery is the address for callers; it may be that of Listen.
+	// Discovery is the address for callers; it may equal Listen.
 	Discovery string `toml:"discovery_listen"`
-	// Dialect names the plug-in that knows their names and formats.
+	// Dialect names the plug-in that defines the paths and formats of the API.
 	Dialect string `toml:"dialect"`
-	// Keep is how long a caller may keep the list of entries.
+	// Keep is how long a caller may cache the list of entries.
 	Keep kernel.Duration `toml:"keep"`
-	// Lease is how long a registration lasts without another one.
+	// Lease is how long a registration lasts unless it is repeated.
 	Lease kernel.Duration `toml:"registration_lease"`
 }
 
 // Bounds of the API.
 const (
-	// maxDocument bounds a configuration, in bytes.
-	maxDocument = 8 << 20
-	// decideTimeout is how long a configuration or a read may take. Operators ask
-	// another replica after a second; an answer later than that is lost.
-	decideTimeout = 900 * time.Millisecond
-	// maxEntriesListed bounds the entries that a caller is told.
+	// maxConfigBytes bounds the body with a routing configuration.
+	maxConfigBytes = 8 << 20
+	// routingRequestTimeout bounds a write or read of the routing configuration. It is shorter
+	// than the second after which operators try another replica.
+	routingRequestTimeout = 900 * time.Millisecond
+	// maxEntriesListed bounds the number of entries in a discovery response.
 	maxEntriesListed = 64
-	// apiHeaderTimeout bounds the reading of a request's head.
+	// apiHeaderTimeout bounds the time to read a request's headers.
 	apiHeaderTimeout = 5 * time.Second
-	// apiIdleTimeout closes connections that nobody uses.
+	// apiIdleTimeout is how long an idle connection is kept.
 	apiIdleTimeout = 30 * time.Second
 )
 
-// Check names the first key that is wrong.
+// Check returns an error that names the first invalid key.
 func (s *APISettings) Check() error {
 	switch {
 	case s.Dialect == "":
@@ -64,7 +64,7 @@
 	return cmp.Or(kernel.CheckAddress("api.listen", s.Listen), kernel.CheckAddress("api.discovery_listen", s.Discovery))
 }
 
-// api answers HTTP for a control replica.
+// api is the HTTP API of a control replica.
 type api struct {
 	settings APISettings
 	dialect  dialect.Dialect
@@ -72,9 +72,9 @@
 	node     *directory.Node
 	pool     *transport.Pool
 	log      log.Logger
-	// refusals bounds the lines about registrations that were refused.
-	refusals *kernel.LineBudget
-	servers  []*http.Server
+	// rejectionLogBudget bounds the log records about rejected registrations.
+	rejectionLogBudget *kernel.LineBudget
+	servers            []*http.Server
 }
 
 func newAPI(s APISettings, c *Control, n *directory.Node, l log.Logger) (*api, error) {
@@ -82,10 +82,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &api{settings: s, dialect: d, control: c, node: n, pool: c.pool, log: kernel.PartLog(l, "api"), refusals: kernel.NewLineBudget(refusedRegistrationLines, c.settings.Now)}, nil
+	return &api{settings: s, dialect: d, control: c, node: n, pool: c.pool, log: kernel.PartLog(l, "api"), rejectionLogBudget: kernel.NewLineBudget(maxRejectionLogsPerSecond, c.settings.Now)}, nil
 }
 
-// start listens at the API's addresses.
+// start listens at the API's addresses and serves in the background.
 func (a *api) start() error {
 	if err := a.serve(a.settings.Listen, a.handler()); err != nil {
 		return err
@@ -138,17 +138,17 @@
 	return r
 }
 
-func (a *api) write(w http.ResponseWriter, status int, body []byte) {
+func (a *api) writeJSON(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-func (a *api) refuse(w http.ResponseWriter, status int, detail string) {
-	a.write(w, status, a.dialect.EncodeError(detail))
+func (a *api) writeError(w http.ResponseWriter, status int, detail string) {
+	a.writeJSON(w, status, a.dialect.EncodeError(detail))
 }
 
-// readBody reads a whole body, or answers why it can't.
+// readBody reads a request's body. If it can't, it answers with an error and returns false.
 func (a *api) readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
@@ -159,14 +159,15 @@
 	if errors.As(err, &tooLarge) {
 		status = http.StatusRequestEntityTooLarge
 	}
-	a.refuse(w, status, err.Error())
+	a.writeError(w, status, err.Error())
 	return nil, false
 }
 
-// putRouting takes a whole configuration. It is acknowledged once it is durable,
-// and also if a higher version is; it is refused only if no replica would take it.
+// putRouting sets the routing configuration. It answers 200 once the configuration, or one
+// with the same or a higher version, is durable, 4xx if the body is invalid or too large, and
+// 503 if the configuration could not be confirmed to be durable.
 func (a *api) putRouting(w http.ResponseWriter, r *http.Request) {
-	body, ok := a.readBody(w, r, maxDocument)
+	body, ok := a.readBody(w, r, maxConfigBytes)
 	if !ok {
 		return
 	}
@@ -176,49 +177,50 @@
 	}
 	if err != nil {
 		kernel.Info(a.log, "Routing configuration refused.", "version", c.GetVersion(), "err", err)
-		a.refuse(w, http.StatusBadRequest, err.Error())
+		a.writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), decideTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), routingRequestTimeout)
 	defer cancel()
 	reply, err := routingService{&service{a.control}}.Put(ctx, &wire.PutRoutingRequest{Config: c})
 	if err != nil {
-		a.refuse(w, http.StatusBadRequest, err.Error())
+		a.writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	if reply.Status == wire.PutRoutingStatus_PUT_ROUTING_STATUS_UNAVAILABLE {
-		a.refuse(w, http.StatusServiceUnavailable, reply.Detail)
+		a.writeError(w, http.StatusServiceUnavailable, reply.Detail)
 		return
 	}
-	a.write(w, http.StatusOK, []byte("{}"))
+	a.writeJSON(w, http.StatusOK, []byte("{}"))
 }
 
-// getRouting answers with the newest configuration for sure, or 503.
+// getRouting answers with the newest committed configuration. It answers 404 if there is none
+// and 503 if it can't be read from the leader.
 func (a *api) getRouting(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), decideTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), routingRequestTimeout)
 	defer cancel()
 	c, err := routingService{&service{a.control}}.Get(ctx, &wire.GetRoutingRequest{})
 	switch {
 	case err != nil:
-		a.refuse(w, http.StatusServiceUnavailable, err.Error())
+		a.writeError(w, http.StatusServiceUnavailable, err.Error())
 	case c.Version == 0:
-		a.refuse(w, http.StatusNotFound, "there is no configuration yet")
+		a.writeError(w, http.StatusNotFound, "there is no configuration yet")
 	default:
-		a.write(w, http.StatusOK, c.Source)
+		a.writeJSON(w, http.StatusOK, c.Source)
 	}
 }
 
-// resolve tells a caller which entries to connect to.
+// resolve answers with the addresses of the ready entries.
 func (a *api) resolve(w http.ResponseWriter, _ *http.Request) {
-	list := a.entries()
+	list := a.readyEntryAddresses()
 	if len(list) == 0 {
-		a.refuse(w, http.StatusServiceUnavailable, "no entry is known to be ready")
+		a.writeError(w, http.StatusServiceUnavailable, "no entry is known to be ready")
 		return
 	}
-	a.write(w, http.StatusOK, a.dialect.EncodeEntries(list, a.settings.Keep.D()))
+	a.writeJSON(w, http.StatusOK, a.dialect.EncodeEntries(list, a.settings.Keep.D()))
 }
 
-func (a *api) entries() []string {
+func (a *api) readyEntryAddresses() []string {
 	var list []string
 	for _, i := range a.node.Instances(wire.Role_ROLE_ENTRY) {
 		if i.Up() && i.Listed {
--- a/control/client.go
+++ b/control/client.go
@@ -13,21 +13,21 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// replicaTimeout is how long one replica may take with an edit or a read before
-// the next is asked. One that is cut off says nothing at all. It is longer than
-// forwardTimeout, so that a replica which asks a silent leader can still say so.
+// replicaTimeout bounds an edit or read at one replica before the next one is tried. It is
+// longer than forwardTimeout, so that a replica can still report that the leader doesn't
+// answer.
 const replicaTimeout = 3 * time.Second
 
-// Client calls whichever control replica answers.
+// Client calls control replicas and prefers the one that answered last.
 type Client struct {
 	pool  *transport.Pool
 	addrs []string
-	// last is the replica that answered last.
+	// last is the index in addrs of the replica that is tried first.
 	last atomic.Uint32
 }
 
-// NewClient makes a client of the replicas at these drpc addresses. The name
-// decides which one is asked first, so that clients spread over them.
+// NewClient returns a client of the replicas at these drpc addresses. The hash of the client's
+// name selects the replica that is called first, so that clients spread over the replicas.
 func NewClient(pool *transport.Pool, addrs []string, name string) *Client {
 	c := &Client{pool: pool, addrs: addrs}
 	if len(addrs) > 0 {
@@ -36,8 +36,8 @@
 	return c
 }
 
-// Call tries the replicas in turn, from the one that answered last, until one
-// call returns no error.
+// Call calls f for the replicas in turn, beginning with the one that answered last, until f
+// returns nil. It returns ErrUnavailable with the last error if none does or ctx ends.
 func (c *Client) Call(ctx context.Context, f func(context.Context, wire.DRPCControlClient) error) error {
 	return c.callAny(ctx, func(ctx context.Context, conn drpc.Conn) error { return f(ctx, wire.NewDRPCControlClient(conn)) })
 }
@@ -60,18 +60,19 @@
 			c.last.Store(uint32(n))
 			return nil
 		}
-		// A replica behind a silent cut eats the caller's whole time. The next
-		// call must not begin with it again, or the client never gets past it.
+		// A call to a partitioned replica may last until the caller's deadline. The next call
+		// must not begin with the same replica, or no other would ever be tried.
 		c.last.CompareAndSwap(uint32(n), uint32((n+1)%len(c.addrs)))
 		err = merry.Prependf(ErrUnavailable, "%s: %v", c.addrs[n], callErr)
 	}
 	return err
 }
 
-// retryInterval is the time between two rounds over the replicas.
+// retryInterval is the delay between two rounds of calls to all replicas.
 const retryInterval = 100 * time.Millisecond
 
-// Each calls every replica, each within a time, until f returns true.
+// Each calls f for the replicas in turn, each with its own timeout, until f returns true or
+// ctx ends.
 func (c *Client) Each(ctx context.Context, timeout time.Duration, f func(context.Context, wire.DRPCControlClient) bool) {
 	for _, addr := range c.addrs {
 		one, cancel := context.WithTimeout(ctx, timeout)
@@ -83,8 +84,8 @@
 	}
 }
 
-// callUntil goes on calling until one call returns no error or the context ends:
-// a fail-over takes longer than one round over the replicas.
+// callUntil repeats Call until it returns nil or ctx ends, because a failover may take longer
+// than one round of calls.
 func (c *Client) callUntil(ctx context.Context, f func(context.Context, wire.DRPCControlClient) error) error {
 	for {
 		err := c.Call(ctx, f)
@@ -99,8 +100,8 @@
 	}
 }
 
-// Edit sends an edit until a leader has decided it, or the context ends. It may
-// be sent more than once: the edit ID makes that safe.
+// Edit sends an edit until a leader has decided it or ctx ends. The edit may be sent several
+// times; its ID is the idempotency key.
 func (c *Client) Edit(ctx context.Context, e *wire.TableEdit) (*wire.EditReply, error) {
 	var reply *wire.EditReply
 	err := c.callUntil(ctx, func(ctx context.Context, cc wire.DRPCControlClient) error {
@@ -119,7 +120,7 @@
 	return reply, err
 }
 
-// Read returns rows, or an error when the context ends; see wire.ReadRequest.
+// Read reads rows and retries until ctx ends; see wire.ReadRequest.
 func (c *Client) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error) {
 	var reply *wire.ReadReply
 	err := c.callUntil(ctx, func(ctx context.Context, cc wire.DRPCControlClient) error {
--- a/control/control.go
+++ b/control/control.go
@@ -22,34 +22,33 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Intervals of forming and joining.
 const (
+	// joinInterval is the time between two attempts to form or join a cluster.
 	joinInterval    = 300 * time.Millisecond
 	identifyTimeout = time.Second
-	// standingInterval is how often a member looks whether it still hears a leader.
-	standingInterval = time.Second
-	// rejoinAfter is how long a member hears no leader before it asks to be taken
-	// in again; longer than any election.
+	// membershipCheckInterval is how often a member checks whether it knows a leader.
+	membershipCheckInterval = time.Second
+	// rejoinAfter is how long a member knows no leader before it asks to join again. It is
+	// longer than an election usually takes.
 	rejoinAfter = 3 * time.Second
-	// reopenInterval is the time between two tries to open the folder again after
-	// its disk has failed.
+	// reopenInterval is the time between two attempts to reopen the journal after a disk
+	// error.
 	reopenInterval = 500 * time.Millisecond
 )
 
-// Place says who and where a control replica is.
+// Place is the name and location of a control replica.
 type Place struct {
-	// Name is unique among the members.
+	// Name must be unique among the members.
 	Name          string
 	Address       string
 	FailureDomain string
 }
 
-// Control is a control replica with its way into a cluster: it opens the data
-// folder, forms a cluster or joins one, and then runs a Replica.
+// Control opens the data folder of a control replica, forms or joins a cluster, and then runs
+// a Replica.
 type Control struct {
-	// packed is the routing configuration as entries fetch it.
 	packed packedRouting
-	// routingWatchers counts the watches of the routing version.
+	// routingWatchers is the number of open watches of the routing version.
 	routingWatchers atomic.Int64
 
 	settings Settings
@@ -62,8 +61,8 @@
 	lockstep *lockstepLeader
 	surveys  *surveyFeed
 	metrics  *kernel.Metrics
-	// suspicions are those of requests that may end upstreams.
-	suspicions *suspicions
+	// suspicions are about requests that may crash upstreams.
+	suspicions *suspicionStore
 
 	mu       sync.Mutex
 	identity *wire.Identity
@@ -72,25 +71,25 @@
 	cancel   context.CancelFunc
 }
 
-// New makes a control replica from checked settings.
+// New returns a control replica. It returns an error if the settings are invalid.
 func New(s Settings, l log.Logger, pool *transport.Pool) (*Control, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
 	s.Now = s.clock()
-	c := &Control{settings: s, log: kernel.PartLog(l, "control"), pool: pool, surveys: &surveyFeed{}, metrics: kernel.NewMetrics(), suspicions: newSuspicions(s.Now)}
+	c := &Control{settings: s, log: kernel.PartLog(l, "control"), pool: pool, surveys: &surveyFeed{}, metrics: kernel.NewMetrics(), suspicions: newSuspicionStore(s.Now)}
 	c.groups = newGroupLeader(s, kernel.PartLog(l, "groups"), pool)
 	var err error
 	c.lockstep, err = newLockstepLeader(s, l, pool, c.metrics, c.surveys)
 	return c, err
 }
 
-// SetEntries tells where a leader learns which entries are up. It is called
-// before Start; without it there is no ring of claim registers.
+// SetEntries sets the source from which a leader learns which entries are up. It must be
+// called before Start; without it there is no ring of claim registers.
 func (c *Control) SetEntries(f func() []*wire.RingMember) { c.entries = f }
 
-// SetUpstreams tells where a leader learns which ranks of groups are up. It is
-// called before Start; without it no group is looked after.
+// SetUpstreams sets the source from which a leader learns which ranks of groups are up. It
+// must be called before Start; without it groups are not managed.
 func (c *Control) SetUpstreams(f func() []*wire.Announcement) {
 	c.groups.upstreams = f
 	if c.lockstep != nil {
@@ -112,17 +111,17 @@
 	return wire.DRPCRegisterControl(mux, &service{c})
 }
 
-// Start opens the folder and, in the background, takes part as soon as it
-// belongs to a cluster.
+// Start opens the journal. If the replica belongs to a cluster, Start runs it; otherwise it
+// forms or joins a cluster in the background.
 func (c *Control) Start(ctx context.Context, p Place) error {
 	c.place = p
 	ctx, c.cancel = context.WithCancel(ctx)
-	j, st, err := c.openFolder()
+	j, st, err := c.openJournal()
 	if err != nil {
 		return err
 	}
 	if st.TornBytes > 0 {
-		kernel.Info(c.log, "Cut a torn write from the journal.", "bytes", st.TornBytes)
+		kernel.Info(c.log, "Truncated a torn write at the end of the journal.", "bytes", st.TornBytes)
 	}
 	id := st.Identity
 	if id == nil {
@@ -131,14 +130,14 @@
 	id.Address, id.FailureDomain = p.Address, p.FailureDomain
 	c.setIdentity(id)
 	if id.Cluster != "" {
-		return c.run(ctx, j, st)
+		return c.runReplica(ctx, j, st)
 	}
-	go c.enter(ctx, j, st)
+	go c.enterCluster(ctx, j, st)
 	return nil
 }
 
-// openFolder opens the disk of the settings, or else the data folder.
-func (c *Control) openFolder() (*wal.Journal, *wal.State, error) {
+// openJournal opens the journal in Settings.FS if that is set, or else in the data folder.
+func (c *Control) openJournal() (*wal.Journal, *wal.State, error) {
 	fs := c.settings.FS
 	if fs == nil {
 		var err error
@@ -168,8 +167,9 @@
 	return c.replica
 }
 
-// run starts the replica over an open journal.
-func (c *Control) run(ctx context.Context, j *wal.Journal, st *wal.State) error {
+// runReplica restores the replica from an open journal and starts it and the loops that serve
+// it. It closes the journal on an error, which is ErrStopped after Stop.
+func (c *Control) runReplica(ctx context.Context, j *wal.Journal, st *wal.State) error {
 	id := c.currentIdentity()
 	restored := consensus.Restored{Hard: st.Hard, Snapshot: st.Snapshot, Entries: st.Entries}
 	restored.Fresh = st.Hard == nil && st.Snapshot == nil && len(st.Entries) == 0
@@ -185,8 +185,8 @@
 		j.Close()
 		return err
 	}
-	r.entries, r.quarantined = c.entries, c.suspicions.learn
-	r.tellQuarantined(r.machine.quarantine.Told(r.clock())...)
+	r.liveEntries, r.onQuarantines = c.entries, c.suspicions.merge
+	r.notifyQuarantines(r.machine.quarantine.Told(r.clock())...)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
@@ -195,8 +195,8 @@
 	}
 	r.start(ctx)
 	c.replica = r
-	go c.keepJoined(ctx, r)
-	go c.keepSettled(ctx, r)
+	go c.ensureJoined(ctx, r)
+	go c.syncQuarantinesToLog(ctx, r)
 	go c.groups.run(ctx, r)
 	if c.lockstep != nil {
 		go c.lockstep.run(ctx, r)
@@ -205,15 +205,14 @@
 	return nil
 }
 
-// reopenOnFailure starts the replica again from what its disk holds after a write
-// or a sync has failed. A full disk refuses every write and is emptied later: a
-// replica that stayed out until its process is restarted would leave the others
-// without one voter for good.
+// reopenOnFailure waits until the replica fails, e.g. because the disk is full, and then
+// retries to restart it from its journal. Without this the cluster would lack a voter until
+// the process is restarted.
 func (c *Control) reopenOnFailure(ctx context.Context, r *Replica) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-r.broken:
+	case <-r.failedCh:
 	}
 	r.close()
 	c.mu.Lock()
@@ -230,32 +229,33 @@
 			kernel.Info(c.log, "Replica runs again.", "err", err)
 			return
 		}
-		kernel.Debug(c.log, "Folder can't be opened again yet.", "err", err)
+		kernel.Debug(c.log, "Replica could not be reopened; it will be retried.", "err", err)
 	}
 }
 
 func (c *Control) reopen(ctx context.Context) error {
-	j, st, err := c.openFolder()
+	j, st, err := c.openJournal()
 	if err != nil {
 		return err
 	}
-	return c.run(ctx, j, st)
+	return c.runReplica(ctx, j, st)
 }
 
-// enter finds the cluster that the members belong to, or forms one.
-func (c *Control) enter(ctx context.Context, j *wal.Journal, st *wal.State) {
+// enterCluster retries until it has found the cluster that the members belong to or may form
+// one. It then writes the identity to the journal and runs the replica.
+func (c *Control) enterCluster(ctx context.Context, j *wal.Journal, st *wal.State) {
 	for {
-		id, ok := c.choose(ctx)
+		id, ok := c.chooseCluster(ctx)
 		if ok {
 			if err := j.WriteIdentity(id); err != nil {
-				kernel.Warn(c.log, "Identity can't be written.", "err", err)
+				kernel.Warn(c.log, "Identity could not be written.", "err", err)
 				j.Close()
 				return
 			}
 			c.setIdentity(id)
-			kernel.Info(c.log, "Belongs to a cluster.", "cluster", id.Cluster, "replica", idOf(id), "founder", id.Founder)
-			if err := c.run(ctx, j, st); err != nil && !errors.Is(err, ErrStopped) {
-				kernel.Warn(c.log, "Replica can't run.", "err", err)
+			kernel.Info(c.log, "Found or formed a cluster.", "cluster", id.Cluster, "replica", idOf(id), "founder", id.Founder)
+			if err := c.runReplica(ctx, j, st); err != nil && !errors.Is(err, ErrStopped) {
+				kernel.Warn(c.log, "Replica could not be started.", "err", err)
 			}
 			return
 		}
@@ -268,14 +268,15 @@
 	}
 }
 
-// choose asks every other member who it is. If one belongs to a cluster, that
-// is ours. If all answer and none does, the one with the lowest name forms a
-// cluster; one silent member is enough to wait, because it may know of a
-// cluster whose accepted rows a new one would not have.
-func (c *Control) choose(ctx context.Context) (*wire.Identity, bool) {
+// chooseCluster asks every other member for its identity and returns this replica's own
+// identity with a cluster. If a member belongs to a cluster, it is that one. If all members
+// answer and none belongs to a cluster, the one with the lowest name forms a new one. While a
+// member doesn't answer, no cluster is formed, because that member may belong to a cluster
+// whose rows would be missing in a new one.
+func (c *Control) chooseCluster(ctx context.Context) (*wire.Identity, bool) {
 	own := proto.Clone(c.currentIdentity()).(*wire.Identity)
 	lowest, answers := true, 0
-	for _, addr := range c.others() {
+	for _, addr := range c.otherMembers() {
 		peer, err := c.identify(ctx, addr)
 		if err != nil {
 			continue
@@ -289,11 +290,11 @@
 			lowest = false
 		}
 	}
-	if !c.settings.FormCluster || !lowest || answers < len(c.others()) {
+	if !c.settings.FormCluster || !lowest || answers < len(c.otherMembers()) {
 		return nil, false
 	}
 	if !slices.Contains(c.settings.Members, c.place.Address) {
-		// Two that are both no member could each find itself the lowest.
+		// Of several replicas that Members doesn't list, each could find itself the lowest.
 		return nil, false
 	}
 	own.Cluster = rand.Text()
@@ -301,7 +302,7 @@
 	return own, true
 }
 
-func (c *Control) others() []string {
+func (c *Control) otherMembers() []string {
 	var list []string
 	for _, m := range c.settings.Members {
 		if m != c.place.Address {
@@ -321,20 +322,20 @@
 	return id, nil
 }
 
-// keepJoined asks to be taken in while the membership doesn't name this replica,
-// or no leader is heard: one that was replaced while it was cut off still finds
-// itself named in its own log.
-func (c *Control) keepJoined(ctx context.Context, r *Replica) {
-	var leaderless time.Time
+// ensureJoined requests to join while the membership doesn't include this replica, or when it
+// has known no leader for rejoinAfter. The latter is for a replica that was removed during a
+// partition: its own log still includes it.
+func (c *Control) ensureJoined(ctx context.Context, r *Replica) {
+	var hadLeaderAt time.Time
 	for ctx.Err() == nil {
 		now := c.settings.Now()
-		member, led := r.standing(ctx)
-		if led {
-			leaderless = now
+		member, hasLeader := r.membershipStatus(ctx)
+		if hasLeader {
+			hadLeaderAt = now
 		}
-		wait := standingInterval
-		if !member || now.Sub(leaderless) > rejoinAfter {
-			c.askAllToJoin(ctx)
+		wait := membershipCheckInterval
+		if !member || now.Sub(hadLeaderAt) > rejoinAfter {
+			c.requestJoinFromAll(ctx)
 			wait = joinInterval
 		}
 		select {
@@ -346,10 +347,10 @@
 	}
 }
 
-// knownPeers are the addresses of the members in the settings and of those in the
-// log; either may be out of date.
-func (c *Control) knownPeers(ctx context.Context) []string {
-	list := c.others()
+// knownReplicaAddresses returns the addresses of the other members in the settings and on the
+// log. Either may be out of date.
+func (c *Control) knownReplicaAddresses(ctx context.Context) []string {
+	list := c.otherMembers()
 	for _, p := range c.DirectoryReplicas(ctx) {
 		if p.Address != c.place.Address && !slices.Contains(list, p.Address) {
 			list = append(list, p.Address)
@@ -358,14 +359,13 @@
 	return list
 }
 
-// askAllToJoin asks every replica that is known, and those that these know. The
-// settings name some of the members only, and on an empty folder the log names none: a
-// leader that the settings don't name would never be asked, and the next loss of a disk
-// would leave no quorum.
-func (c *Control) askAllToJoin(ctx context.Context) {
-	list := c.knownPeers(ctx)
+// requestJoinFromAll requests to join at every known replica and at the replicas that these
+// return. Otherwise a replica with an empty data folder could not find a leader that its
+// settings don't list.
+func (c *Control) requestJoinFromAll(ctx context.Context) {
+	list := c.knownReplicaAddresses(ctx)
 	for i := 0; i < len(list) && ctx.Err() == nil; i++ {
-		for _, addr := range c.askToJoin(ctx, list[i]) {
+		for _, addr := range c.requestJoin(ctx, list[i]) {
 			if addr != c.place.Address && !slices.Contains(list, addr) {
 				list = append(list, addr)
 			}
@@ -373,23 +373,23 @@
 	}
 }
 
-// askToJoin asks a replica to take this one in. One that can't returns the members that
-// it knows.
-func (c *Control) askToJoin(ctx context.Context, addr string) []string {
+// requestJoin asks a replica to add this one to the membership. It returns the addresses of
+// the members that the replica knows, if it isn't the leader.
+func (c *Control) requestJoin(ctx context.Context, addr string) []string {
 	ctx, cancel := context.WithTimeout(ctx, identifyTimeout)
 	defer cancel()
 	reply, err := wire.NewDRPCRaftClient(c.pool.Conn(ctx, addr)).Join(ctx, &wire.JoinRequest{Identity: c.currentIdentity()})
 	if err != nil {
-		kernel.Debug(c.log, "Replica can't be asked to take this one in.", "addr", addr, "err", err)
+		kernel.Debug(c.log, "Join request failed.", "addr", addr, "err", err)
 		return nil
 	}
 	if !reply.Accepted && reply.Detail != "" {
-		kernel.Debug(c.log, "Not taken in yet.", "by", addr, "detail", reply.Detail)
+		kernel.Debug(c.log, "Join request was refused; it will be retried.", "by", addr, "detail", reply.Detail)
 	}
 	return reply.Members
 }
 
-// Stop ends the replica and releases the folder.
+// Stop stops the replica and closes the journal.
 func (c *Control) Stop() {
 	c.mu.Lock()
 	c.stopped = true
@@ -403,7 +403,8 @@
 	}
 }
 
-// Formed says whether the cluster takes edits.
+// Formed reports whether the cluster is formed and accepts edits. It is false if the replica
+// doesn't run or ctx ends.
 func (c *Control) Formed(ctx context.Context) bool {
 	r := c.current()
 	formed := false
@@ -421,7 +422,7 @@
 		Identity *wire.Identity `json:"identity"`
 		Replica  any            `json:"replica,omitempty"`
 		Groups   []groupDump    `json:"groups,omitempty"`
-		// Suspicions are of requests under which upstreams ended.
+		// Suspicions are about requests that may crash upstreams.
 		Suspicions []quarantine.Shown `json:"suspicions"`
 	}{Identity: c.currentIdentity(), Groups: c.groups.dump(), Suspicions: quarantine.Show(c.suspicions.all())}
 	if r := c.current(); r != nil {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -31,8 +31,8 @@
 	running []*runningReplica
 	pool    *transport.Pool
 	client  *control.Client
-	// change adapts the settings of replicas, if set.
-	change func(*control.Settings)
+	// configure, if set, changes the settings of each replica.
+	configure func(*control.Settings)
 }
 
 type runningReplica struct {
@@ -40,13 +40,13 @@
 	srv  *transport.Server
 	pool *transport.Pool
 	lis  net.Listener
-	// unfollow ends the watches of the other replicas' directories.
-	unfollow context.CancelFunc
+	// stopFollowing ends the watches of the other replicas' directories.
+	stopFollowing context.CancelFunc
 }
 
-// heldAddress returns an address that nobody else is given until the test ends, also while the
-// replica there is stopped.
-func heldAddress(t *testing.T) string {
+// reserveAddress returns an address whose port stays reserved until the test ends, also while
+// the replica at the address is stopped.
+func reserveAddress(t *testing.T) string {
 	address, release, err := fake.HoldPort()
 	assert.NilError(t, err)
 	t.Cleanup(release)
@@ -55,10 +55,10 @@
 
 func newCluster(t *testing.T, n int) *cluster { return newClusterWith(t, n, nil) }
 
-func newClusterWith(t *testing.T, n int, change func(*control.Settings)) *cluster {
-	c := &cluster{t: t, dir: t.TempDir(), pool: transport.NewPool(sec), running: make([]*runningReplica, n), change: change}
+func newClusterWith(t *testing.T, n int, configure func(*control.Settings)) *cluster {
+	c := &cluster{t: t, dir: t.TempDir(), pool: transport.NewPool(sec), running: make([]*runningReplica, n), configure: configure}
 	for range n {
-		c.addrs = append(c.addrs, heldAddress(t))
+		c.addrs = append(c.addrs, reserveAddress(t))
 	}
 	for i := range n {
 		c.start(i)
@@ -90,8 +90,8 @@
 	r := &runningReplica{srv: transport.NewServer(sec), pool: transport.NewPool(sec), lis: lis}
 	s.Groups.CounterPeriod = kernel.Duration(60 * time.Millisecond)
 	s.Groups.PlanPeriod = kernel.Duration(200 * time.Millisecond)
-	if c.change != nil {
-		c.change(&s)
+	if c.configure != nil {
+		c.configure(&s)
 	}
 	r.ctl, err = control.New(s, log.NewNopLogger(), r.pool)
 	assert.NilError(c.t, err)
@@ -103,7 +103,7 @@
 	place := control.Place{Name: fmt.Sprintf("c%d", i), Address: c.addrs[i], FailureDomain: fmt.Sprintf("hall-%d", i)}
 	assert.NilError(c.t, r.ctl.Start(context.Background(), place))
 	ctx, cancel := context.WithCancel(context.Background())
-	r.unfollow = cancel
+	r.stopFollowing = cancel
 	node.FollowPeers(ctx, c.addrs, c.addrs[i], r.pool.Conn, place.Name)
 	c.running[i] = r
 }
@@ -115,7 +115,7 @@
 	}
 	c.running[i] = nil
 	_ = r.lis.Close()
-	r.unfollow()
+	r.stopFollowing()
 	r.srv.Close()
 	r.ctl.Stop()
 	r.pool.Close()
@@ -123,7 +123,7 @@
 
 const patience = 20 * time.Second
 
-// edit sends an edit until it is decided.
+// edit sends an edit until it is accepted or refused.
 func (c *cluster) edit(e *wire.TableEdit) *wire.EditReply {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -219,10 +219,10 @@
 	}
 }
 
-// Two operators edit one row from the same version. One is accepted; the other
-// is told the row in force. The first one's answer was lost: the edit sent again,
-// after the leader died, gets the same answer and changes nothing.
-func TestEqualVersionsAndResends(t *testing.T) {
+// Of two edits of the same row version one is accepted, and the other is refused with the row
+// in force. Sending an accepted edit again to another leader returns the same result and
+// changes nothing. Reusing its ID for another edit is refused.
+func TestConflictingAndRepeatedEdits(t *testing.T) {
 	c := newCluster(t, 3)
 	first := c.accept(poolEdit("a", "lm", "8", 0))
 	second := c.edit(poolEdit("b", "lm", "9", 0))
@@ -237,10 +237,9 @@
 	assert.Equal(t, reused.Status, wire.EditStatus_EDIT_STATUS_INVALID)
 }
 
-// A host loses its disk and comes back empty: it joins under a new identity and
-// the repair reads "degraded" until it holds everything. Then a second host is
-// lost. Every accepted row is still there.
-func TestSecondHostLostRightAfterARepair(t *testing.T) {
+// A replica that has lost its disk joins again, and the health is "degraded" until it has
+// caught up. After the loss of a second disk every accepted row is still there.
+func TestRowsSurviveSecondDiskLossAfterRepair(t *testing.T) {
 	c := newCluster(t, 3)
 	want := map[string]string{}
 	put := func(n int) {
@@ -268,8 +267,8 @@
 	assert.DeepEqual(t, c.rows(), want)
 }
 
-// All hosts lose power at once and start again. What was accepted is in force.
-func TestWholeClusterRestarts(t *testing.T) {
+// Accepted rows and edit IDs survive a restart of all replicas.
+func TestRowsSurviveFullClusterRestart(t *testing.T) {
 	c := newCluster(t, 3)
 	for n := range 30 {
 		c.accept(poolEdit(fmt.Sprint(n), "lm", fmt.Sprint(n+1), uint64(n)))
@@ -284,9 +283,9 @@
 	assert.Assert(t, c.edit(poolEdit("7", "lm", "8", 7)).Replayed)
 }
 
-// An operator orders the last quorum to be removed. The order is refused with
-// the reason, and the cluster goes on.
-func TestRemovingTheLastQuorumIsRefused(t *testing.T) {
+// Removing a member that is needed for a quorum is refused with a reason, and the cluster keeps
+// accepting edits.
+func TestRemovalThatLosesQuorumIsRefused(t *testing.T) {
 	c := newCluster(t, 3)
 	c.accept(poolEdit("a", "lm", "8", 0))
 	members := c.waitHealth(control.HealthOK)
@@ -310,8 +309,8 @@
 	c.accept(poolEdit("b", "lm", "9", 1))
 }
 
-// A replica's gauges say who leads, and that one which has stopped tells nothing.
-func TestGaugesTellWhoLeads(t *testing.T) {
+// The gauges report the leader, and -1 for a replica that has stopped.
+func TestGaugesReportLeader(t *testing.T) {
 	c := newCluster(t, 3)
 	c.accept(poolEdit("a", "lm", "8", 0))
 	c.waitHealth(control.HealthOK)
@@ -329,7 +328,7 @@
 			}
 		}
 	}
-	assert.Assert(t, leader >= 0, "no replica says that it leads")
+	assert.Assert(t, leader >= 0, "no replica reports that it leads")
 	assert.Assert(t, gauge(leader, "control.revision") > 0)
 	assert.Equal(t, gauge(leader, "control.failed"), int64(0))
 	c.stop(leader)
--- a/control/daemon.go
+++ b/control/daemon.go
@@ -18,38 +18,38 @@
 
 // Defaults of the [api] section.
 const (
-	// defaultKeep lets a caller come back to a list that has changed within a few
-	// seconds, and costs one small answer a caller in that time.
+	// defaultKeep lets callers notice a changed list of entries within a few seconds.
 	defaultKeep = 2 * time.Second
-	// defaultRegistrationLease outlives two heartbeats of about a second that come
-	// late.
+	// defaultRegistrationLease is long enough for two late heartbeats of upstreams that send
+	// one about every second.
 	defaultRegistrationLease = 4 * time.Second
 )
 
-// ErrStart is returned when the daemon can't come up.
+// ErrStart is returned if the daemon or its API can't listen.
 var ErrStart = merry.Sentinel("control can't start")
 
-// DaemonSettings are those of snipereach-control.
+// DaemonSettings are the settings of snipereach-control.
 type DaemonSettings struct {
 	ID            string                `toml:"id"`
 	FailureDomain string                `toml:"failure_domain"`
 	ClusterSecret string                `toml:"cluster_secret"`
 	TLS           transport.TLSSettings `toml:"tls"`
-	// Listen is the drpc address; Advertise is told to others, Listen if empty.
+	// Listen is the drpc address. Advertise is the address that other processes use; it
+	// defaults to the listener's address.
 	Listen    string `toml:"listen"`
 	Advertise string `toml:"advertise"`
-	// Operators is the HTTP address of metrics and the state dump; empty is off.
+	// Operators is the HTTP address of the metrics and the state dump; empty disables it.
 	Operators string `toml:"operators_listen"`
-	// API is what the replica answers by HTTP; it is off if the section isn't there.
+	// API configures the HTTP API; nil disables it.
 	API       *APISettings    `toml:"api"`
 	Control   Settings        `toml:"control"`
 	StopLimit kernel.Duration `toml:"stop_limit"`
-	// Dial opens connections to other processes if set: who embeds a replica may
-	// want a network of its own.
+	// Dial, if set, opens connections to other processes. Programs that embed a replica may
+	// set it.
 	Dial transport.DialFunc `toml:"-"`
 }
 
-// DefaultDaemonSettings returns the defaults.
+// DefaultDaemonSettings returns the default settings.
 func DefaultDaemonSettings() *DaemonSettings {
 	return &DaemonSettings{
 		Listen:    "127.0.0.1:0",
@@ -58,7 +58,7 @@
 	}
 }
 
-// Check names the first key that is wrong.
+// Check returns an error that names the first invalid key.
 func (s *DaemonSettings) Check() error {
 	bad := kernel.BadKey
 	switch {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Daemon is a control replica on a host of its own. It implements kernel.Daemon.
+// Daemon is the process of a control replica, snipereach-control. It implements kernel.Daemon.
 type Daemon struct {
 	settings *DaemonSettings
 	log      log.Logger
@@ -103,7 +103,7 @@
 	cancel   context.CancelFunc
 }
 
-// NewDaemon makes a daemon from checked settings.
+// NewDaemon returns a daemon. It returns an error if the settings are invalid.
 func NewDaemon(s *DaemonSettings, l log.Logger) (*Daemon, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -154,7 +154,7 @@
 	if err := d.control.Start(ctx, place); err != nil {
 		return err
 	}
-	peers := func() []string { return d.control.knownPeers(ctx) }
+	peers := func() []string { return d.control.knownReplicaAddresses(ctx) }
 	d.node.FollowEach(ctx, peers, d.pool.Conn, &wire.DirectoryWatchRequest{Watcher: d.settings.ID, LocalOnly: true})
 	if d.settings.Control.Lockstep != nil {
 		go d.control.followSurveys(ctx, d.settings.ID, peers)
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// Drain implements kernel.Daemon: a replica that leads hands over.
+// Drain implements kernel.Daemon. A replica that leads transfers leadership.
 func (d *Daemon) Drain(ctx context.Context) error {
 	d.control.Drain(ctx)
 	return nil
@@ -220,7 +220,7 @@
 	return 0
 }
 
-// Reload implements kernel.Reloader.
+// Reload implements kernel.Reloader. It reloads the TLS certificates.
 func (d *Daemon) Reload() error {
 	if d.certs == nil {
 		return nil
--- a/control/fuzz_test.go
+++ b/control/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// start brings up a system with control hosts for a fuzz target.
-func start(f *testing.F) *quickstart.System {
+// startSystem starts a system with three control replicas for a fuzz target.
+func startSystem(f *testing.F) *quickstart.System {
 	f.Helper()
 	sys, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewNopLogger(), FakeDisks: true, Controls: 3})
 	if err != nil {
@@ -25,10 +25,10 @@
 	return sys
 }
 
-// A peer that knows the cluster secret sends malformed messages to a control
-// replica. It goes on answering, and its memory stays bounded.
+// FuzzPeers sends malformed messages of a peer that has the cluster secret to a control
+// replica. The system must stay healthy and its memory bounded.
 func FuzzPeers(f *testing.F) {
-	sys := start(f)
+	sys := startSystem(f)
 	peers := surface.NewPeers(sys.Members()[0], quickstart.Secret,
 		wire.DRPCControlDescription{}, wire.DRPCRaftDescription{}, wire.DRPCDirectoryDescription{})
 	peers.Seed(f)
@@ -39,10 +39,10 @@
 	})
 }
 
-// Whoever reaches a control host's port for the state dump and the metrics sends
-// whatever it likes. The host goes on answering there, and its memory stays bounded.
+// FuzzOperators sends arbitrary bytes to the port of a control replica's state dump and
+// metrics. The port must keep answering and the process's memory stay bounded.
 func FuzzOperators(f *testing.F) {
-	address := start(f).OperatorAddress("control-1")
+	address := startSystem(f).OperatorAddress("control-1")
 	for _, r := range surface.Dumps() {
 		f.Add([]byte(r))
 	}
--- a/control/gauges.go
+++ b/control/gauges.go
@@ -10,11 +10,11 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// gaugeTimeout bounds a look at the replica; a loop that is stuck must not hold
-// up whoever reads the metrics.
+// gaugeTimeout bounds the read of a gauge, so that a blocked loop doesn't block the metrics
+// endpoint.
 const gaugeTimeout = 500 * time.Millisecond
 
-// RegisterMetrics adds the replica's gauges, read when the metrics are asked for.
+// RegisterMetrics registers the replica's gauges, which are computed when they are read.
 func (c *Control) RegisterMetrics(r metrics.Registry) {
 	for name, value := range map[string]func(*Replica, consensus.Status) int64{
 		"control.leader":   func(_ *Replica, s consensus.Status) int64 { return kernel.OneIf(s.Lease) },
@@ -27,23 +27,22 @@
 		},
 		"control.failed": func(r *Replica, _ consensus.Status) int64 { return kernel.OneIf(r.failed != nil) },
 	} {
-		metrics.NewRegisteredFunctionalGauge(name, r, func() int64 { return c.look(value) })
+		metrics.NewRegisteredFunctionalGauge(name, r, func() int64 { return c.readGauge(value) })
 	}
 }
 
-// look reads a value in the replica's loop; -1 if there is no replica yet, or its
-// loop doesn't answer.
-func (c *Control) look(value func(*Replica, consensus.Status) int64) int64 {
+// readGauge returns a value that is computed in the replica's loop, or -1 if there is no
+// replica or its loop doesn't answer within gaugeTimeout.
+func (c *Control) readGauge(value func(*Replica, consensus.Status) int64) int64 {
 	r := c.current()
 	if r == nil {
 		return -1
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), gaugeTimeout)
 	defer cancel()
-	// The loop may run the function after the time is over: the value goes
-	// through a channel that nobody needs to read.
+	// The loop may run the function after the timeout, so the channel is buffered.
 	got := make(chan int64, 1)
-	if err := r.post(ctx, func() { got <- value(r, r.node.Status()) }); err != nil {
+	if err := r.postToLoop(ctx, func() { got <- value(r, r.node.Status()) }); err != nil {
 		return -1
 	}
 	select {
--- a/control/leader.go
+++ b/control/leader.go
@@ -7,33 +7,36 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// leaderWait is how long a call waits for a leader to be known. A transfer takes
-// a few milliseconds, in which no replica could do anything else than refuse.
-const leaderWait = 100 * time.Millisecond
+// leaderWaitTimeout is how long a call waits while no leader is known, so that calls are not
+// refused during a leader transfer.
+const leaderWaitTimeout = 100 * time.Millisecond
 
-// leaderWatch tells of changes of the leader. Its loop owns it.
-type leaderWatch struct {
+// leaderState is the leader as last seen by the replica's loop, which owns it. changed is
+// closed when a newer state replaces it.
+type leaderState struct {
 	leads   bool
 	address string
 	changed chan struct{}
 }
 
-// followLeader wakes the calls that wait for a leader.
-func (r *Replica) followLeader() {
+// updateLeaderState updates the leader state and, if it has changed, wakes the calls that wait
+// for a leader.
+func (r *Replica) updateLeaderState() {
 	leads, address := r.takesCalls(), r.leaderAddress()
 	if leads == r.leader.leads && address == r.leader.address {
 		return
 	}
 	st := r.node.Status()
-	kernel.Info(r.log, "Leader changes.", "leads", leads, "leader", st.Leader, "term", st.Term, "role", st.Role,
+	kernel.Info(r.log, "Leader changed.", "leads", leads, "leader", st.Leader, "term", st.Term, "role", st.Role,
 		"commit", st.Commit, "last", st.Last, "confirmed_age_ms", millis(r.feed.age(r.now())))
 	close(r.leader.changed)
-	r.leader = leaderWatch{leads: leads, address: address, changed: make(chan struct{})}
+	r.leader = leaderState{leads: leads, address: address, changed: make(chan struct{})}
 }
 
-// takesCalls says whether this replica leads, and isn't about to hand over.
+// takesCalls reports whether this replica leads and isn't transferring leadership.
 func (r *Replica) takesCalls() bool { return r.node.IsLeader(r.now()) && !r.node.Transferring() }
 
+// leaderAddress returns the address of another replica that leads, or "".
 func (r *Replica) leaderAddress() string {
 	leader := r.node.Leader()
 	for _, p := range r.node.Peers() {
@@ -44,15 +47,15 @@
 	return ""
 }
 
-// findLeader returns whether this replica leads, or else the leader's address. It
-// waits a little for a leader that isn't known yet.
+// findLeader reports whether this replica leads, or else returns the leader's address. It
+// waits up to leaderWaitTimeout while no leader is known, and then returns "".
 func (r *Replica) findLeader(ctx context.Context) (leads bool, address string, err error) {
-	limit := time.NewTimer(leaderWait)
+	limit := time.NewTimer(leaderWaitTimeout)
 	defer limit.Stop()
 	for {
 		var changed <-chan struct{}
 		err = r.do(ctx, func() {
-			r.followLeader()
+			r.updateLeaderState()
 			leads, address, changed = r.leader.leads, r.leader.address, r.leader.changed
 		})
 		if err != nil || leads || address != "" {
--- a/control/handover_test.go
+++ b/control/leadertransfer_test.go
@@ -14,10 +14,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// The leader is stopped as planned while operators edit. Each edit is accepted,
-// and another replica leads before the first one's process ends: the election
-// timeout is far longer than the test, so it can't have been an election.
-func TestPlannedStopHandsLeadershipOver(t *testing.T) {
+// Draining a leader transfers leadership, and concurrent edits are all accepted. The election
+// timeout is longer than the test, so the new leader can't come from an ordinary election.
+func TestDrainTransfersLeadership(t *testing.T) {
 	c := newClusterWith(t, 3, func(s *control.Settings) { s.ElectionTimeout = kernel.Duration(time.Minute) })
 	c.accept(poolEdit("a", "lm", "8", 0))
 	c.waitHealth(control.HealthOK)
@@ -39,7 +38,7 @@
 	defer cancel()
 	c.running[old].ctl.Drain(ctx)
 	assert.NilError(t, ctx.Err())
-	assert.Assert(t, c.leader() != old, "another leads while the first still runs")
+	assert.Assert(t, c.leader() != old, "no other replica leads after the drain")
 	c.stop(old)
 	wg.Wait()
 	for i, r := range replies {
@@ -50,9 +49,8 @@
 	assert.Equal(t, len(c.rows()), edits+1)
 }
 
-// The only replica, one that follows, and one that belongs to no cluster yet have
-// nothing to hand over: their stop doesn't wait.
-func TestPlannedStopWithoutAHandoverDoesNotWait(t *testing.T) {
+// Draining a follower or the only replica of a cluster returns at once and changes no leader.
+func TestDrainReturnsAtOnceWithoutTransfer(t *testing.T) {
 	c := newClusterWith(t, 3, func(s *control.Settings) { s.ElectionTimeout = kernel.Duration(time.Minute) })
 	c.accept(poolEdit("a", "lm", "8", 0))
 	c.waitHealth(control.HealthOK)
@@ -70,9 +68,9 @@
 	alone.accept(poolEdit("b", "lm", "9", 1))
 }
 
-// The leader is stopped as planned just after another replica died, which it may
-// still take for live and choose. The stop ends all the same, and edits go on.
-func TestPlannedStopEndsWhenTheTargetIsDead(t *testing.T) {
+// Draining a leader ends even if the transfer target has just died but still counts as live.
+// Edits are accepted afterwards.
+func TestDrainEndsWhenTransferTargetIsDead(t *testing.T) {
 	c := newCluster(t, 3)
 	c.accept(poolEdit("a", "lm", "8", 0))
 	c.waitHealth(control.HealthOK)
--- a/control/calls_test.go
+++ b/control/loopcalls_test.go
@@ -7,10 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A disk stalls, and the replica's loop stands in a sync. An operator's call is given
-// up at its deadline instead of hanging for as long as the disk does, and what it asked
-// for isn't done later behind the operator's back.
-func TestCallIsGivenUpWhileTheLoopStands(t *testing.T) {
+// While a stalled disk blocks the loop, a call must end when its context does, and its function
+// must not run later.
+func TestDoReturnsAtDeadlineWhileLoopIsBlocked(t *testing.T) {
 	r := &Replica{calls: make(chan func(), 1), done: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := false
--- a/control/machine.go
+++ b/control/machine.go
@@ -1,6 +1,6 @@
-// Package control is a control replica: it drives the replicated log over a
-// journal and a transport, applies the state machines on it (table, leases),
-// and answers entries, agents and operators.
+// Package control implements a control replica. It runs the replicated log on top of a
+// write-ahead log and a transport, applies committed commands to the state machines (table,
+// leases, groups, routing, quarantine) and serves entries, agents and operators.
 package control
 
 import (
@@ -16,66 +16,62 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of the state machines.
+// Errors of decoding replicated state.
 var (
-	// ErrMachine is returned for state that can't be read back.
-	ErrMachine = merry.Sentinel("replicated state can't be read")
+	// ErrMachine is returned for a snapshot that this release can't restore.
+	ErrMachine = merry.Sentinel("snapshot of replicated state can't be read")
 	// ErrCommand is returned for a committed command that this release can't apply.
-	ErrCommand = merry.Sentinel("committed command is not known to this release")
+	ErrCommand = merry.Sentinel("committed command is not supported by this release")
 )
 
-// rules numbers the way in which committed commands are applied. It goes up with
-// each change by which one log would lead to another state: a new kind of command, a
-// reference or a value that must be unique. A release that brings new rules knows the
-// old ones, too, and proposes by them until all replicas run it.
-const rules = 4
+// commandVersion is the highest version of the command format and of the apply logic that
+// this release supports. It must be incremented with each change by which the same log would
+// lead to another state, e.g. a new kind of command. A release supports all earlier versions.
+const commandVersion = 4
 
-// firstRules are those of all commands but the ones below. A command says the
-// lowest rules that carry it out, so that replicas of an older release go on as
-// long as nothing new is used.
-const firstRules = 1
+// baseCommandVersion is the version of all commands that have no version of their own. A
+// command carries the lowest version that supports it, so that replicas of an older release
+// keep running as long as no newer command is used.
+const baseCommandVersion = 1
 
-// rulesOf returns the rules that a command needs.
-func rulesOf(c *wire.Command) uint32 {
+// requiredCommandVersion returns the lowest version that supports a command.
+func requiredCommandVersion(c *wire.Command) uint32 {
 	switch {
 	case c.GetQuarantine() != nil:
-		return quarantineRules
+		return quarantineCommandVersion
 	case c.GetRouting() != nil:
-		return routingRules
+		return routingCommandVersion
 	}
-	return firstRules
+	return baseCommandVersion
 }
 
 const (
-	// routingRules are those of routing configurations.
-	routingRules = 2
-	// deflatedRules are those of deflated commands.
-	deflatedRules = 3
-	// quarantineRules are those of requests in quarantine.
-	quarantineRules = 4
-	// leastDeflated is the size from which on a command is deflated. A configuration of
-	// 400 routes, with the operator's document, is 200 kB on the log of each voter and 15
-	// deflated; on hosts of a tenth of a core sending it to four others took 0.1 s, in
-	// which the leader gave no sign of life.
-	leastDeflated = 4 << 10
-	// mostInflated bounds a deflated command: above the largest body that operators may
-	// send, in its two forms.
-	mostInflated = 64 << 20
+	// routingCommandVersion is the version of routing configurations.
+	routingCommandVersion = 2
+	// deflatedCommandVersion is the version of compressed commands.
+	deflatedCommandVersion = 3
+	// quarantineCommandVersion is the version of quarantine commands.
+	quarantineCommandVersion = 4
+	// minDeflatedSize is the least size, in bytes, of a command that is compressed. Sending
+	// large routing configurations uncompressed could delay the leader's heartbeats.
+	minDeflatedSize = 4 << 10
+	// maxInflatedSize bounds a decompressed command, in bytes. It is above twice
+	// maxConfigBytes: a routing command holds the operator's document and its decoded form.
+	maxInflatedSize = 64 << 20
 )
 
-// machine joins the state machines on one log.
+// machine holds the state machines that share one log.
 type machine struct {
-	table  *table.Machine
-	fence  *fence.Machine
-	formed bool
-	ring   *wire.Ring
-	groups *rollout.Machine
-	// routing holds the routing configuration.
+	table      *table.Machine
+	fence      *fence.Machine
+	formed     bool
+	ring       *wire.Ring
+	groups     *rollout.Machine
 	routing    routing.Machine
 	quarantine quarantine.Machine
 }
 
-// quarantineResult is the result of a committed quarantine, and the command.
+// quarantineResult is the result of a committed quarantine command.
 type quarantineResult struct {
 	quarantine.Result
 	command *wire.QuarantineCommand
@@ -85,45 +81,46 @@
 	return &machine{table: table.NewMachine(), fence: fence.NewMachine(), ring: &wire.Ring{}, groups: rollout.NewMachine()}
 }
 
-// encode makes the log entry of a command.
+// encode sets a command's version and returns its log entry, compressed if it is large.
 func encode(c *wire.Command) ([]byte, error) {
-	c.Rules = rulesOf(c)
+	c.Rules = requiredCommandVersion(c)
 	data, err := proto.Marshal(c)
-	if err != nil || len(data) < leastDeflated {
+	if err != nil || len(data) < minDeflatedSize {
 		return data, err
 	}
 	packed, err := deflate.Pack(data)
 	if err != nil {
 		return nil, err
 	}
-	return proto.Marshal(&wire.Command{Rules: deflatedRules, Command: &wire.Command_Deflated{Deflated: packed}})
+	return proto.Marshal(&wire.Command{Rules: deflatedCommandVersion, Command: &wire.Command_Deflated{Deflated: packed}})
 }
 
-// decode reads a log entry.
+// decode returns the command of a log entry. It returns ErrCommand if the entry is malformed
+// or needs a higher version than commandVersion.
 func decode(index uint64, data []byte) (*wire.Command, error) {
 	c := &wire.Command{}
 	if err := proto.Unmarshal(data, c); err != nil {
 		return nil, merry.Prependf(ErrCommand, "entry %d: %v", index, err)
 	}
-	if c.Rules > rules {
-		return nil, merry.Prependf(ErrCommand, "entry %d: rules %d, this release knows %d", index, c.Rules, rules)
+	if c.Rules > commandVersion {
+		return nil, merry.Prependf(ErrCommand, "entry %d: command version %d, this release supports up to %d", index, c.Rules, commandVersion)
 	}
 	if c.GetDeflated() == nil {
 		return c, nil
 	}
-	data, err := deflate.Unpack(c.GetDeflated(), mostInflated)
+	data, err := deflate.Unpack(c.GetDeflated(), maxInflatedSize)
 	if err != nil {
 		return nil, merry.Prependf(ErrCommand, "entry %d: %v", index, err)
 	}
 	return decode(index, data)
 }
 
-// apply carries out a committed command. The result is a *wire.EditReply, a
-// *wire.Lease, a rollout.Result, a routingResult, a quarantineResult or nil.
+// apply applies a committed command. The result is a *wire.EditReply, a *wire.Lease, a
+// rollout.Result, a routingResult, a quarantineResult or nil.
 //
-// A replica of an older release that passed over a command of a newer one would go on
-// with another state than the others: the row that it serves, or the snapshot that it
-// sends, would lack what was accepted. It stops instead, and goes on once upgraded.
+// It returns ErrCommand for a command that this release doesn't support. The replica must
+// then stop until it is upgraded: skipping the command would let its state diverge from that
+// of the other replicas.
 func (m *machine) apply(index uint64, data []byte) (any, error) {
 	c, err := decode(index, data)
 	if err != nil {
@@ -144,26 +141,26 @@
 	case c.GetFormed() != nil:
 		m.formed = true
 	case c.GetRing() != nil:
-		// Two leaders in turn may propose the same epoch; the first holds.
+		// Successive leaders may propose the same epoch; the first to be committed wins.
 		if r := c.GetRing(); r.Epoch == m.ring.Epoch+1 {
 			m.ring = r
 		}
 	default:
-		return nil, merry.Prependf(ErrCommand, "entry %d: no known kind", index)
+		return nil, merry.Prependf(ErrCommand, "entry %d: unknown kind of command", index)
 	}
 	return nil, nil
 }
 
 func (m *machine) snapshot() ([]byte, error) {
-	needs := uint32(firstRules)
+	required := uint32(baseCommandVersion)
 	if m.routing.Current() != nil {
-		needs = routingRules
+		required = routingCommandVersion
 	}
 	if !m.quarantine.Empty() {
-		needs = quarantineRules
+		required = quarantineCommandVersion
 	}
 	return proto.Marshal(&wire.MachineSnapshot{
-		Rules: needs, Table: m.table.Snapshot(), Fence: m.fence.Snapshot(), Formed: m.formed, Ring: m.ring,
+		Rules: required, Table: m.table.Snapshot(), Fence: m.fence.Snapshot(), Formed: m.formed, Ring: m.ring,
 		Groups: m.groups.Snapshot(), Routing: m.routing.Current(), Quarantine: m.quarantine.Snapshot(),
 	})
 }
@@ -173,8 +170,8 @@
 	if err := proto.Unmarshal(data, s); err != nil {
 		return merry.Prepend(ErrMachine, err.Error())
 	}
-	if s.Rules > rules {
-		return merry.Prependf(ErrMachine, "snapshot by rules %d, this release knows %d", s.Rules, rules)
+	if s.Rules > commandVersion {
+		return merry.Prependf(ErrMachine, "snapshot version %d, this release supports up to %d", s.Rules, commandVersion)
 	}
 	m.table.Restore(s.Table)
 	m.fence.Restore(s.Fence)
--- a/control/machine_test.go
+++ b/control/machine_test.go
@@ -11,39 +11,37 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A newer release leads and puts a command on the log that this one doesn't know. The
-// replica must not pass over it and go on with another state than the others'; it
-// stops with an error that names the entry and what is missing.
-func TestUnknownCommandsStopTheReplica(t *testing.T) {
-	later, err := encode(&wire.Command{Command: &wire.Command_Formed{Formed: &wire.Formed{}}})
+// A command of a newer release must cause an error that names the entry and the reason;
+// skipping it would let the replica's state diverge.
+func TestUnknownCommandsAreErrors(t *testing.T) {
+	formed, err := encode(&wire.Command{Command: &wire.Command_Formed{Formed: &wire.Formed{}}})
 	assert.NilError(t, err)
 	m := newMachine()
-	_, err = m.apply(7, later)
+	_, err = m.apply(7, formed)
 	assert.NilError(t, err)
 	assert.Assert(t, m.formed)
 
-	byNewRules := append(later[:len(later):len(later)], 6<<3, rules+1)
+	newerVersion := append(formed[:len(formed):len(formed)], 6<<3, commandVersion+1)
 	newKind := []byte{15<<3 | 2, 0}
-	for name, data := range map[string][]byte{
-		fmt.Sprintf("rules %d, this release knows %d", rules+1, rules): byNewRules,
-		"no known kind": newKind,
-		"entry 8":       {0xff},
+	for message, data := range map[string][]byte{
+		fmt.Sprintf("command version %d, this release supports up to %d", commandVersion+1, commandVersion): newerVersion,
+		"unknown kind of command": newKind,
+		"entry 8":                 {0xff},
 	} {
 		_, err := m.apply(8, data)
 		assert.ErrorIs(t, err, ErrCommand)
-		assert.ErrorContains(t, err, name)
+		assert.ErrorContains(t, err, message)
 	}
 
 	snap, err := m.snapshot()
 	assert.NilError(t, err)
 	assert.NilError(t, newMachine().restore(snap))
-	assert.ErrorIs(t, newMachine().restore(append(snap, 15<<3, rules+1)), ErrMachine)
+	assert.ErrorIs(t, newMachine().restore(append(snap, 15<<3, commandVersion+1)), ErrMachine)
 }
 
-// A configuration of hundreds of routes, with the operator's document, goes to the log
-// of each voter; deflated it is a tenth, and comes to the same state. A replica of an
-// older release stops rather than pass over it.
-func TestLargeCommandIsDeflatedOnTheLog(t *testing.T) {
+// A large routing configuration is compressed on the log and applied to the same state. A
+// damaged compressed command is an error.
+func TestLargeCommandIsCompressedOnTheLog(t *testing.T) {
 	c := &wire.RoutingConfig{Version: 7}
 	for i := range 400 {
 		c.Routes = append(c.Routes, &wire.Route{
@@ -68,7 +66,7 @@
 
 	outer := &wire.Command{}
 	assert.NilError(t, proto.Unmarshal(data, outer))
-	assert.Equal(t, outer.Rules, uint32(deflatedRules))
+	assert.Equal(t, outer.Rules, uint32(deflatedCommandVersion))
 	outer.Command = &wire.Command_Deflated{Deflated: data[:len(data)/2]}
 	damaged, err := proto.Marshal(outer)
 	assert.NilError(t, err)
--- /dev/null
+++ b/control/maintenance.go
@@ -0,0 +1,73 @@
+package control
+
+import (
+	"github.com/snipereach/snipereach/kernel"
+	"github.com/snipereach/snipereach/wire"
+)
+
+// maintainMembership updates the state that belongs to one leadership. On a leader it then
+// proposes, at most once per membershipInterval, that the cluster is formed, the next ring of
+// claim registers and the next membership change.
+func (r *Replica) maintainMembership() {
+	r.leads.follow(r.node.IsLeader(r.now()), r.clock())
+	r.followHome()
+	if !r.node.IsLeader(r.now()) || r.clock().Sub(r.lastMaintenance) < membershipInterval {
+		return
+	}
+	r.lastMaintenance = r.clock()
+	members := r.memberList()
+	voters := 0
+	for _, m := range members {
+		if !m.Learner && m.live {
+			voters++
+		}
+	}
+	if !r.machine.formed && voters >= r.settings.voterTarget() {
+		r.proposeFormed()
+	}
+	r.proposeNextRing()
+	s := nextMembershipChange(members, r.settings.voterTarget())
+	var err error
+	switch {
+	case s.promote != "":
+		err = r.node.Promote(r.now(), s.promote)
+	case s.remove != "":
+		err = r.node.Remove(r.now(), s.remove)
+	default:
+		return
+	}
+	r.logMembershipChange(s, err)
+}
+
+// logMembershipChange logs a membership change that was proposed. A refused change that is
+// tried again and again is logged once.
+func (r *Replica) logMembershipChange(s membershipChange, err error) {
+	switch {
+	case err == nil:
+		kernel.Info(r.log, "Membership change proposed.", "promote", s.promote, "remove", s.remove)
+	case s != r.refusedChange:
+		kernel.Warn(r.log, "Membership change was refused; it will be tried again.", "promote", s.promote, "remove", s.remove, "err", err)
+	}
+	r.refusedChange = membershipChange{}
+	if err != nil {
+		r.refusedChange = s
+	}
+}
+
+// presumedLive reports whether a replica was live within ReplaceAfter; until it is heard, time
+// counts from the start of this leadership. A replica whose address another incarnation has
+// taken over is never presumed live.
+func (r *Replica) presumedLive(id string) bool {
+	if r.node.Live(id) && !r.leads.ended[id] {
+		r.leads.heard(id, r.clock())
+		return true
+	}
+	return !r.leads.silentFor(id, r.clock(), r.settings.ReplaceAfter.D())
+}
+
+func (r *Replica) proposeFormed() {
+	data, err := encode(&wire.Command{Command: &wire.Command_Formed{Formed: &wire.Formed{}}})
+	if err == nil {
+		_, _, _ = r.node.Propose(r.now(), data)
+	}
+}
--- a/control/members.go
+++ b/control/members.go
@@ -9,30 +9,31 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Verbs of a members request.
+// Verbs of wire.MembersRequest.
 const (
 	VerbList   = "list"
 	VerbRemove = "remove"
-	// VerbReplace makes the next step of replacing a lost replica by one that has
-	// caught up: promote the newcomer, then remove the lost one.
+	// VerbReplace proposes the next membership change of replacing a lost replica by a
+	// caught-up one: first the replacement is promoted, then the lost replica is removed.
 	VerbReplace = "replace"
 )
 
-// Health of a cluster.
+// Values of wire.MembersReply.Health.
 const (
 	HealthOK       = "ok"
 	HealthDegraded = "degraded"
 	HealthForming  = "forming"
 )
 
-// members lists the replicas, or takes one out.
-func (r *Replica) members(req *wire.MembersRequest, reply *wire.MembersReply) {
+// handleMembers carries out a members request. The reply always lists the replicas and the
+// cluster's health.
+func (r *Replica) handleMembers(req *wire.MembersRequest, reply *wire.MembersReply) {
 	switch req.Verb {
 	case "", VerbList:
 	case VerbRemove:
-		r.remove(req.Member, reply)
+		r.removeMember(req.Member, reply)
 	case VerbReplace:
-		r.replace(req.Member, reply)
+		r.replaceMember(req.Member, reply)
 	default:
 		reply.Refused = true
 		reply.Detail = fmt.Sprintf("unknown verb %q", req.Verb)
@@ -60,7 +61,7 @@
 	}
 }
 
-func (r *Replica) remove(m *wire.Member, reply *wire.MembersReply) {
+func (r *Replica) removeMember(m *wire.Member, reply *wire.MembersReply) {
 	if m == nil || m.Id == "" {
 		reply.Refused, reply.Detail = true, "a member ID is needed"
 		return
@@ -70,8 +71,8 @@
 	}
 }
 
-func (r *Replica) replace(m *wire.Member, reply *wire.MembersReply) {
-	s, refused := replaceStep(r.memberList(), m.GetId(), r.settings.voterTarget())
+func (r *Replica) replaceMember(m *wire.Member, reply *wire.MembersReply) {
+	s, refused := nextReplacementChange(r.memberList(), m.GetId(), r.settings.voterTarget())
 	if refused != "" {
 		reply.Refused, reply.Detail = true, refused
 		return
@@ -94,23 +95,23 @@
 	}
 }
 
-// memberList is what the leader knows of its peers.
+// memberList returns the peers as the leader sees them.
 func (r *Replica) memberList() []member {
 	var list []member
 	for _, p := range r.node.Peers() {
-		list = append(list, member{Peer: p, live: r.alive(p.Id), caughtUp: r.node.CaughtUp(p.Id)})
+		list = append(list, member{Peer: p, live: r.presumedLive(p.Id), caughtUp: r.node.CaughtUp(p.Id)})
 	}
 	return list
 }
 
-// dump is the replica's state for a state dump.
+// dump returns the replica's state for a state dump.
 func (r *Replica) dump() any {
 	return struct {
 		Status   any    `json:"status"`
 		Formed   bool   `json:"formed"`
 		Revision uint64 `json:"revision"`
 		Failed   string `json:"failed,omitempty"`
-		// Shares are the parts of limits that a leader has granted.
+		// Shares are the shares of limits that this leader has granted to entries.
 		Shares []admit.SubjectState `json:"shares,omitempty"`
 	}{r.node.Status(), r.machine.formed, r.machine.table.Revision(), errText(r.failed), r.shares.dump(r.clock())}
 }
--- a/control/membership.go
+++ b/control/membership.go
@@ -8,48 +8,48 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// member is what a leader knows of one peer when it looks after the membership.
+// member is a peer as the leader sees it when it decides about membership changes.
 type member struct {
 	*wire.Peer
 	live     bool
 	caughtUp bool
 }
 
-// NameOf returns the name of the replica with an ID: NAME/INCARNATION.
+// NameOf returns the name part of a replica ID of the form NAME/INCARNATION.
 func NameOf(id string) string {
 	name, _, _ := strings.Cut(id, "/")
 	return name
 }
 
-// step is one membership change.
-type step struct {
+// membershipChange is one membership change.
+type membershipChange struct {
 	promote, remove string
 }
 
-// nextStep chooses the next membership change, or none:
+// nextMembershipChange returns the next membership change, or the zero value if there is
+// none:
 //
-//  1. A dead replica whose name a live, caught-up one has taken gives way to it:
-//     the newcomer is promoted first, so that the number of voters that hold
-//     everything never falls, and then the dead one is removed.
-//  2. While there are fewer live voters than wanted, the learner is promoted whose
-//     failure domain has the fewest voters, if no failure domain would then
-//     hold a majority that another choice avoids. So a host that is gone for good
-//     is made up for by one of another name.
-//  3. While there are more voters than wanted, a dead one is removed.
+//  1. A dead replica is replaced by a live, caught-up replica of the same name. The
+//     replacement is promoted before the dead replica is removed, so that the number of
+//     caught-up voters never decreases.
+//  2. While there are fewer live voters than target, and no excess voters, the live,
+//     caught-up learner is promoted whose failure domain has the fewest live voters. This
+//     replaces a lost host by a host of another name.
+//  3. While there are more voters than target, a dead one is removed.
 //
-// A host that is only cut off can't be told from one that is gone. The harm of a
-// wrong guess is small: one change at a time, the newcomer holds everything
-// before it counts, and the one that comes back joins again as a learner.
-func nextStep(members []member, target int) step {
+// A partitioned host looks the same as a lost one. Replacing it by mistake is safe: there is
+// one change at a time, a replacement is caught up before it votes, and the partitioned
+// replica joins again as a learner when it returns.
+func nextMembershipChange(members []member, target int) membershipChange {
 	for _, dead := range members {
-		heir := heirOf(members, dead)
+		heir := replacementOf(members, dead)
 		if heir == nil {
 			continue
 		}
 		if dead.Learner || !heir.Learner {
-			return step{remove: dead.Id}
+			return membershipChange{remove: dead.Id}
 		}
-		return step{promote: heir.Id}
+		return membershipChange{promote: heir.Id}
 	}
 	voters, live := 0, 0
 	domains := map[string]int{}
@@ -64,7 +64,7 @@
 		}
 	}
 	if live >= target || voters > target {
-		return removeDead(members, voters, target)
+		return removeExcessDeadVoter(members, voters, target)
 	}
 	var best *member
 	for i, m := range members {
@@ -76,56 +76,56 @@
 		}
 	}
 	if best == nil {
-		return step{}
+		return membershipChange{}
 	}
-	return step{promote: best.Id}
+	return membershipChange{promote: best.Id}
 }
 
-// removeDead removes a dead voter where there are more than wanted.
-func removeDead(members []member, voters, target int) step {
+// removeExcessDeadVoter removes a dead voter if there are more voters than target.
+func removeExcessDeadVoter(members []member, voters, target int) membershipChange {
 	if voters <= target {
-		return step{}
+		return membershipChange{}
 	}
 	for _, m := range members {
 		if !m.Learner && !m.live {
-			return step{remove: m.Id}
+			return membershipChange{remove: m.Id}
 		}
 	}
-	return step{}
+	return membershipChange{}
 }
 
-// replaceStep chooses the next step of replacing a lost replica on an operator's
-// order, or says why the order is refused. The heir is the replica that took the
-// lost one's name, else a learner that has caught up, one in the lost one's
-// failure domain first. It votes before the lost one is removed: the number of
-// voters that hold everything never falls.
-func replaceStep(members []member, old string, target int) (step, string) {
+// nextReplacementChange returns the next membership change of an operator's request to
+// replace the replica with ID old, or the reason for refusing the request. The replacement
+// is a caught-up replica of the same name, or else a caught-up learner, preferably in the
+// same failure domain. It is promoted before the lost replica is removed, so that the number
+// of caught-up voters never decreases.
+func nextReplacementChange(members []member, old string, target int) (membershipChange, string) {
 	i := slices.IndexFunc(members, func(m member) bool { return m.Id == old })
 	if i < 0 {
-		return step{}, fmt.Sprintf("%q is no member; IDs are NAME/INCARNATION as members shows them", old)
+		return membershipChange{}, fmt.Sprintf("%q is no member; IDs are NAME/INCARNATION as members shows them", old)
 	}
 	lost := members[i]
 	if lost.live {
-		return step{}, old + " is live, or was within replace_after: stop it first"
+		return membershipChange{}, old + " is live, or was within replace_after: stop it first"
 	}
-	if lost.Learner || otherVoters(members, old) >= target {
-		return step{remove: old}, ""
+	if lost.Learner || healthyVotersExcept(members, old) >= target {
+		return membershipChange{remove: old}, ""
 	}
-	heir := heirOf(members, lost)
+	heir := replacementOf(members, lost)
 	if heir == nil {
-		heir = spareFor(members, lost)
+		heir = bestLearnerFor(members, lost)
 	}
 	switch {
 	case heir == nil:
-		return step{}, "no replica that could take its place has caught up: start one on an empty data folder and wait until it has"
+		return membershipChange{}, "no replica that could take its place has caught up: start one on an empty data folder and wait until it has"
 	case heir.Learner:
-		return step{promote: heir.Id}, ""
+		return membershipChange{promote: heir.Id}, ""
 	}
-	return step{remove: old}, ""
+	return membershipChange{remove: old}, ""
 }
 
-// otherVoters counts the voters besides one that are live and have caught up.
-func otherVoters(members []member, id string) int {
+// healthyVotersExcept counts the voters other than id that are live and caught up.
+func healthyVotersExcept(members []member, id string) int {
 	n := 0
 	for _, m := range members {
 		if m.Id != id && !m.Learner && m.live && m.caughtUp {
@@ -135,8 +135,9 @@
 	return n
 }
 
-// spareFor returns the learner that is to vote in a lost voter's place.
-func spareFor(members []member, lost member) *member {
+// bestLearnerFor returns a live, caught-up learner to replace a lost voter, preferably one in
+// the same failure domain, or nil.
+func bestLearnerFor(members []member, lost member) *member {
 	var best *member
 	for i, m := range members {
 		if !m.Learner || !m.live || !m.caughtUp {
@@ -149,8 +150,9 @@
 	return best
 }
 
-// heirOf returns the live, caught-up replica that has taken a dead one's name.
-func heirOf(members []member, dead member) *member {
+// replacementOf returns the live, caught-up replica that has the same name as a dead one, or
+// nil. It returns nil if dead is live.
+func replacementOf(members []member, dead member) *member {
 	if dead.live {
 		return nil
 	}
--- a/control/membership_test.go
+++ b/control/membership_test.go
@@ -9,8 +9,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// parse reads members as "ID DOMAIN FLAGS": v votes, l is live, c has caught up.
-func parse(text string) []member {
+// parseMembers parses members of the form "ID DOMAIN FLAGS", separated by semicolons. The flags
+// are v for a voter, l for live and c for caught up.
+func parseMembers(text string) []member {
 	var list []member
 	for line := range strings.SplitSeq(text, ";") {
 		f := strings.Fields(line)
@@ -22,10 +23,10 @@
 	return list
 }
 
-// An operator orders a lost replica to be replaced. Wrong orders are refused with
-// the reason; a right one first gives the newcomer its vote and then removes the
-// lost one, so that the voters that hold everything never get fewer.
-func TestReplaceOrders(t *testing.T) {
+// Invalid replacement requests are refused with the reason. A valid one promotes the
+// replacement before the lost replica is removed, so that the number of caught-up voters never
+// decreases.
+func TestNextReplacementChange(t *testing.T) {
 	for _, c := range []struct {
 		members, old, promote, remove, refused string
 	}{
@@ -40,29 +41,28 @@
 		{"a/1 x vlc;b/1 y vlc;c/1 z v;d/1 x vl", "c/1", "", "", "has caught up"},
 		{"a/1 x vlc;b/1 y vlc;c/1 z vlc;d/1 x ", "d/1", "", "d/1", ""},
 	} {
-		s, refused := replaceStep(parse(c.members), c.old, 3)
-		assert.Equal(t, s, step{promote: c.promote, remove: c.remove}, c.members)
+		s, refused := nextReplacementChange(parseMembers(c.members), c.old, 3)
+		assert.Equal(t, s, membershipChange{promote: c.promote, remove: c.remove}, c.members)
 		assert.Equal(t, refused != "", c.refused != "", refused)
 		assert.Assert(t, strings.Contains(refused, c.refused), refused)
 	}
 }
 
-// A host is gone for good and another one comes under another name. It holds everything
-// before it counts, the dead voter goes after it, and at no step are there fewer live
-// voters than before.
-func TestNextStepMakesUpForLostVoters(t *testing.T) {
-	for _, c := range []struct{ what, members, promote, remove string }{
-		{"nothing to do", "a/1 x vlc;b/1 y vlc;c/1 z vlc", "", ""},
-		{"a learner more", "a/1 x vlc;b/1 y vlc;c/1 z vlc;d/1 z lc", "", ""},
-		{"no heir", "a/1 x vlc;b/1 y vlc;c/1 z v", "", ""},
-		{"heir not caught up", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 z l", "", ""},
-		{"heir of another name", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 z lc", "d/1", ""},
-		{"the dead one goes after it", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 z vlc", "", "c/1"},
-		{"the one that was only cut off came back meanwhile", "a/1 x vlc;b/1 y vlc;c/1 z vlc;d/1 z vlc", "", ""},
-		{"heir of the same name goes first", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 x lc;c/2 z lc", "c/2", ""},
-		{"the emptiest failure domain", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 x lc;e/1 z lc", "e/1", ""},
-		{"a dead learner stays", "a/1 x vlc;b/1 y vlc;c/1 z vlc;d/1 z ", "", ""},
+// A lost voter is replaced by a caught-up learner, which is promoted before the dead voter is
+// removed.
+func TestNextMembershipChange(t *testing.T) {
+	for _, c := range []struct{ name, members, promote, remove string }{
+		{"all voters live", "a/1 x vlc;b/1 y vlc;c/1 z vlc", "", ""},
+		{"spare learner", "a/1 x vlc;b/1 y vlc;c/1 z vlc;d/1 z lc", "", ""},
+		{"no replacement", "a/1 x vlc;b/1 y vlc;c/1 z v", "", ""},
+		{"replacement not caught up", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 z l", "", ""},
+		{"replacement with another name", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 z lc", "d/1", ""},
+		{"dead voter removed after the promotion", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 z vlc", "", "c/1"},
+		{"partitioned voter returned after the promotion", "a/1 x vlc;b/1 y vlc;c/1 z vlc;d/1 z vlc", "", ""},
+		{"replacement with the same name preferred", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 x lc;c/2 z lc", "c/2", ""},
+		{"failure domain with the fewest voters preferred", "a/1 x vlc;b/1 y vlc;c/1 z v;d/1 x lc;e/1 z lc", "e/1", ""},
+		{"dead learner kept", "a/1 x vlc;b/1 y vlc;c/1 z vlc;d/1 z ", "", ""},
 	} {
-		assert.Equal(t, nextStep(parse(c.members), 3), step{promote: c.promote, remove: c.remove}, c.what)
+		assert.Equal(t, nextMembershipChange(parseMembers(c.members), 3), membershipChange{promote: c.promote, remove: c.remove}, c.name)
 	}
 }
--- a/control/peers.go
+++ b/control/peers.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// peerQueue bounds messages that wait for a peer; more are dropped, as a
-	// network would. The log sends again.
-	peerQueue   = 1024
-	redialDelay = 100 * time.Millisecond
+	// peerQueueSize bounds the messages that wait for a peer. Further ones are dropped; the
+	// consensus node sends again what is still needed.
+	peerQueueSize = 1024
+	redialDelay   = 100 * time.Millisecond
 )
 
-// peers sends consensus messages, one stream to each peer.
-type peers struct {
+// raftSender sends consensus messages over one stream to each peer.
+type raftSender struct {
 	pool    *transport.Pool
 	address string
 	ctx     context.Context
 
-	mu   sync.Mutex
-	outs map[string]*peerOut
+	mu      sync.Mutex
+	streams map[string]*peerStream
 }
 
-type peerOut struct {
+// peerStream is the queue of messages to the peer at an address.
+type peerStream struct {
 	address string
 	queue   chan *wire.RaftMessage
 	cancel  context.CancelFunc
 }
 
-func newPeers(pool *transport.Pool, address string) *peers {
-	return &peers{pool: pool, address: address, outs: map[string]*peerOut{}}
+func newRaftSender(pool *transport.Pool, address string) *raftSender {
+	return &raftSender{pool: pool, address: address, streams: map[string]*peerStream{}}
 }
 
-func (p *peers) start(ctx context.Context) { p.ctx = ctx }
+func (p *raftSender) start(ctx context.Context) { p.ctx = ctx }
 
-func (p *peers) send(members []*wire.Peer, list []*wire.RaftMessage) {
+func (p *raftSender) send(members []*wire.Peer, list []*wire.RaftMessage) {
 	if len(list) == 0 {
 		return
 	}
@@ -47,61 +48,62 @@
 		addrs[m.Id] = m.Address
 	}
 	for _, m := range list {
-		out := p.out(m.To, addrs[m.To])
-		if out == nil {
+		s := p.streamTo(m.To, addrs[m.To])
+		if s == nil {
 			continue
 		}
 		select {
-		case out.queue <- m:
+		case s.queue <- m:
 		default:
 		}
 	}
 }
 
-// out returns the queue to a peer. A peer that this replica's log doesn't name
-// yet (a newer leader, to one that just joined) is answered at the address that
-// it was heard from.
-func (p *peers) out(id, address string) *peerOut {
+// streamTo returns the stream to a peer and starts it if it is missing or has another address.
+// If address is empty, it returns the existing stream, or nil. So a peer that this replica's
+// log doesn't include yet is answered at the address that it has sent from.
+func (p *raftSender) streamTo(id, address string) *peerStream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o := p.outs[id]
-	if o != nil && (address == "" || o.address == address) {
-		return o
+	s := p.streams[id]
+	if s != nil && (address == "" || s.address == address) {
+		return s
 	}
 	if address == "" {
 		return nil
 	}
-	if o != nil {
-		o.cancel()
+	if s != nil {
+		s.cancel()
 	}
 	ctx, cancel := context.WithCancel(p.ctx)
-	o = &peerOut{address: address, queue: make(chan *wire.RaftMessage, peerQueue), cancel: cancel}
-	p.outs[id] = o
-	go p.pump(ctx, o)
-	return o
+	s = &peerStream{address: address, queue: make(chan *wire.RaftMessage, peerQueueSize), cancel: cancel}
+	p.streams[id] = s
+	go p.runStream(ctx, s)
+	return s
 }
 
-// learn notes where a sender is reached.
-func (p *peers) learn(id, address string) {
+// setAddress records the address of a peer that has sent a message.
+func (p *raftSender) setAddress(id, address string) {
 	if id != "" && address != "" {
-		p.out(id, address)
+		p.streamTo(id, address)
 	}
 }
 
-func (p *peers) pump(ctx context.Context, o *peerOut) {
+// runStream sends queued messages until ctx ends and reconnects after errors.
+func (p *raftSender) runStream(ctx context.Context, o *peerStream) {
 	for ctx.Err() == nil {
-		p.stream(ctx, o)
+		p.sendFromQueue(ctx, o)
 		select {
 		case <-ctx.Done():
 		case <-time.After(redialDelay):
 		}
-		drop(o.queue)
+		drainQueue(o.queue)
 	}
 }
 
-// drop empties a queue after a broken stream: what waited is old, and the log
-// sends again what is still needed.
-func drop(q chan *wire.RaftMessage) {
+// drainQueue drops the queued messages after a stream has failed. They are out of date; the
+// consensus node sends again what is still needed.
+func drainQueue(q chan *wire.RaftMessage) {
 	for {
 		select {
 		case <-q:
@@ -111,7 +113,7 @@
 	}
 }
 
-func (p *peers) stream(ctx context.Context, o *peerOut) {
+func (p *raftSender) sendFromQueue(ctx context.Context, o *peerStream) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s, err := wire.NewDRPCRaftClient(p.pool.Conn(ctx, o.address)).Send(ctx)
@@ -131,8 +133,8 @@
 	}
 }
 
-// DirectoryReplicas lists the replicas of the log, which also take
-// announcements, with their failure domains.
+// DirectoryReplicas lists the replicas in the membership, all of which accept announcements.
+// It returns nil if this replica belongs to no cluster yet.
 func (c *Control) DirectoryReplicas(ctx context.Context) []*wire.DirectoryReplica {
 	r := c.current()
 	if r == nil {
--- a/control/pools.go
+++ b/control/pools.go
@@ -9,10 +9,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// poolSettings is the queue settings by pool; it is replaced and never changed.
+// poolSettings maps pool names to queue settings. It is immutable: a change makes a new map.
 type poolSettings map[string]*wire.PoolSettings
 
-// with returns the settings after a pool row has changed.
+// with returns a copy of the settings that includes a changed or deleted pool row.
 func (p poolSettings) with(row *wire.Row) poolSettings {
 	next := poolSettings{}
 	for key, s := range p {
@@ -30,7 +30,7 @@
 	return next
 }
 
-// cell returns the number in a checked row's column, or the column's default.
+// cell returns the number in a column of a validated row, or the column's default.
 func cell(row *wire.Row, name string) int {
 	text := row.Columns[name]
 	for _, col := range table.Schema[row.Kind] {
@@ -42,14 +42,15 @@
 	return n
 }
 
-// DirectoryService answers announcements with the queue settings of the pools
-// that they name, so that an agent needs no watch of the table.
+// DirectoryService is a directory service that answers announcements with the queue settings
+// of the announced pools, so that agents need not watch the table.
 type DirectoryService struct {
 	*directory.Node
 	control *Control
 }
 
-// NewDirectoryService joins a directory node with the replica beside it.
+// NewDirectoryService returns the directory service of a directory node and the control
+// replica in the same process.
 func NewDirectoryService(n *directory.Node, c *Control) DirectoryService {
 	return DirectoryService{n, c}
 }
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -13,87 +13,89 @@
 )
 
 const (
-	// settleRetry is the pause before a quarantine that could not be put on the log is tried
-	// again: there may be no leader.
-	settleRetry = 500 * time.Millisecond
-	// settleTimeout bounds one such try.
-	settleTimeout = 2 * time.Second
+	// quarantineLogRetryDelay is the delay before the next attempt after a quarantine could
+	// not be written to the log, e.g. because there is no leader.
+	quarantineLogRetryDelay = 500 * time.Millisecond
+	// quarantineLogTimeout bounds one attempt.
+	quarantineLogTimeout = 2 * time.Second
 )
 
-// suspicions is what a replica knows of requests under which upstreams ended: what entries
-// tell, and what is on the log. Each replica knows it for itself: an entry tells all of them, so
-// no loss of a leader or of some replicas keeps word from the other entries.
-type suspicions struct {
+// suspicionStore holds what a replica knows of requests during which upstreams crashed: the
+// reports of entries and the quarantines on the log. Each entry reports to all replicas, so
+// reports reach the other entries even if the leader or some of the replicas are lost.
+type suspicionStore struct {
 	now func() time.Time
-	// settle is sent to when a quarantine may have to be put on the log.
-	settle chan struct{}
+	// logSyncRequests wakes syncQuarantinesToLog.
+	logSyncRequests chan struct{}
 
 	mu    sync.Mutex
 	table *quarantine.Table
-	// woken is the table's version at which watchers were woken last.
-	woken uint64
+	// notifiedVersion is the table's version at the last call of merge.
+	notifiedVersion uint64
 }
 
-func newSuspicions(now func() time.Time) *suspicions {
-	return &suspicions{now: now, settle: make(chan struct{}, 1), table: quarantine.NewTable(quarantine.DefaultSettings())}
+func newSuspicionStore(now func() time.Time) *suspicionStore {
+	return &suspicionStore{now: now, logSyncRequests: make(chan struct{}, 1), table: quarantine.NewTable(quarantine.DefaultSettings())}
 }
 
-// learn takes messages that were checked. It says whether watchers are to be told something.
-func (s *suspicions) learn(list ...*wire.Suspicion) (news bool) {
+// merge adds validated suspicions to the table. It reports whether the table has changed in a
+// way that watchers must be sent.
+func (s *suspicionStore) merge(list ...*wire.Suspicion) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, m := range list {
 		s.table.Learn(now, m)
 	}
-	told := s.table.Since(now, s.woken)
-	s.woken = s.table.Version()
+	told := s.table.Since(now, s.notifiedVersion)
+	s.notifiedVersion = s.table.Version()
 	return len(told.Suspicions) > 0
 }
 
-// since is what a watcher that knows a version is to be told.
-func (s *suspicions) since(version uint64) quarantine.Told {
+// changesSince returns what a watcher that has seen a version of the table must be sent.
+func (s *suspicionStore) changesSince(version uint64) quarantine.Told {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Since(s.now(), version)
 }
 
-// all are those against which something is held.
-func (s *suspicions) all() []*wire.Suspicion {
+// all returns the suspicions of all requests that are suspected or in quarantine.
+func (s *suspicionStore) all() []*wire.Suspicion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.All(s.now())
 }
 
-// wantSettled has the log compared with what is known.
-func (s *suspicions) wantSettled() {
+// requestLogSync makes syncQuarantinesToLog compare the log with the table.
+func (s *suspicionStore) requestLogSync() {
 	select {
-	case s.settle <- struct{}{}:
+	case s.logSyncRequests <- struct{}{}:
 	default:
 	}
 }
 
-// keepSettled puts the quarantines that this replica knows of on the log, until all are there.
-// A process that starts after all were killed has them from there.
-func (c *Control) keepSettled(ctx context.Context, r *Replica) {
+// syncQuarantinesToLog writes the quarantines in this replica's table to the replicated log,
+// so that they survive a restart of all processes. It runs until ctx ends or r stops.
+func (c *Control) syncQuarantinesToLog(ctx context.Context, r *Replica) {
 	for {
 		var retry <-chan time.Time
-		if err := c.settleOnce(ctx, r); err != nil {
-			kernel.Debug(c.log, "Quarantine isn't on the log yet.", "err", err)
-			retry = time.After(settleRetry)
+		if err := c.logMissingQuarantines(ctx, r); err != nil {
+			kernel.Debug(c.log, "Quarantine could not be written to the log; it will be retried.", "err", err)
+			retry = time.After(quarantineLogRetryDelay)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-r.done:
 			return
-		case <-c.suspicions.settle:
+		case <-c.suspicions.logSyncRequests:
 		case <-retry:
 		}
 	}
 }
 
-func (c *Control) settleOnce(ctx context.Context, r *Replica) error {
+// logMissingQuarantines proposes the quarantines of the table that the log doesn't cover.
+func (c *Control) logMissingQuarantines(ctx context.Context, r *Replica) error {
 	var missing []*wire.Suspicion
 	known := c.suspicions.all()
 	if len(known) == 0 {
@@ -110,17 +112,19 @@
 		return err
 	}
 	for _, m := range missing {
-		if _, err := (quarantineService{&service{c}}).decideInTime(ctx, m); err != nil {
+		if _, err := (quarantineService{&service{c}}).decideWithTimeout(ctx, m); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// quarantineService answers entries and operators about requests that end upstreams.
+// quarantineService implements the Quarantine service, which entries and operators call about
+// requests that crash upstreams.
 type quarantineService struct{ *service }
 
-// Tell implements the Quarantine service.
+// Tell implements the Quarantine service. Suspicions older than the last lifting of a
+// request's quarantine are ignored, and their keys returned.
 func (s quarantineService) Tell(ctx context.Context, req *wire.TellSuspicionsRequest) (*wire.TellSuspicionsReply, error) {
 	if len(req.Suspicions) > quarantine.MostTold {
 		return nil, merry.Prependf(quarantine.ErrMessage, "%d suspicions", len(req.Suspicions))
@@ -135,7 +139,7 @@
 		return nil, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
 	reply := &wire.TellSuspicionsReply{}
-	var holds, lift []*wire.Suspicion
+	var accepted, lift []*wire.Suspicion
 	err := r.do(ctx, func() {
 		for _, m := range req.Suspicions {
 			ended := r.clock().Add(-quarantine.Age(m))
@@ -146,16 +150,16 @@
 			case m.Cleared && r.machine.quarantine.Get(m.Key) != nil:
 				lift = append(lift, m)
 			}
-			holds = append(holds, m)
+			accepted = append(accepted, m)
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	if s.suspicions.learn(holds...) {
+	if s.suspicions.merge(accepted...) {
 		r.watchers.Wake()
 	}
-	s.suspicions.wantSettled()
+	s.suspicions.requestLogSync()
 	for _, m := range lift {
 		if _, err := s.Lift(ctx, &wire.LiftQuarantineRequest{Key: m.Key}); err != nil {
 			return nil, err
@@ -164,18 +168,19 @@
 	return reply, nil
 }
 
-func (s quarantineService) decideInTime(ctx context.Context, m *wire.Suspicion) (*wire.DecideQuarantineReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+func (s quarantineService) decideWithTimeout(ctx context.Context, m *wire.Suspicion) (*wire.DecideQuarantineReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, quarantineLogTimeout)
 	defer cancel()
 	return s.Decide(ctx, m)
 }
 
-// Decide implements the Quarantine service.
+// Decide implements the Quarantine service. It commits the quarantine unless the log has one
+// that lasts as long.
 func (s quarantineService) Decide(ctx context.Context, m *wire.Suspicion) (*wire.DecideQuarantineReply, error) {
 	if err := quarantine.Check(m); err != nil {
 		return nil, err
 	}
-	reply, done, err := passOnBy(ctx, s.service, wire.NewDRPCQuarantineClient, func(ctx context.Context, c wire.DRPCQuarantineClient) (*wire.DecideQuarantineReply, error) {
+	reply, done, err := forwardServiceToLeader(ctx, s.service, wire.NewDRPCQuarantineClient, func(ctx context.Context, c wire.DRPCQuarantineClient) (*wire.DecideQuarantineReply, error) {
 		return c.Decide(ctx, m)
 	})
 	if done || err != nil {
@@ -194,12 +199,13 @@
 	return &wire.DecideQuarantineReply{}, err
 }
 
-// Lift implements the Quarantine service.
+// Lift implements the Quarantine service. It commits the end of a request's quarantine, if
+// the log has one.
 func (s quarantineService) Lift(ctx context.Context, req *wire.LiftQuarantineRequest) (*wire.LiftQuarantineReply, error) {
 	if err := quarantine.Check(&wire.Suspicion{Key: req.Key, Cleared: true}); err != nil {
 		return nil, err
 	}
-	reply, done, err := passOnBy(ctx, s.service, wire.NewDRPCQuarantineClient, func(ctx context.Context, c wire.DRPCQuarantineClient) (*wire.LiftQuarantineReply, error) {
+	reply, done, err := forwardServiceToLeader(ctx, s.service, wire.NewDRPCQuarantineClient, func(ctx context.Context, c wire.DRPCQuarantineClient) (*wire.LiftQuarantineReply, error) {
 		return c.Lift(ctx, req)
 	})
 	if done || err != nil {
@@ -221,7 +227,7 @@
 	return &wire.Command{Command: &wire.Command_Quarantine{Quarantine: c}}
 }
 
-// List implements the Quarantine service.
+// List implements the Quarantine service. It returns the suspicions that this replica knows.
 func (s quarantineService) List(context.Context, *wire.ListSuspicionsRequest) (*wire.ListSuspicionsReply, error) {
 	return &wire.ListSuspicionsReply{Suspicions: s.suspicions.all()}, nil
 }
--- a/control/raftservice.go
+++ b/control/raftservice.go
@@ -7,7 +7,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// raftService answers other control replicas.
+// raftService implements the Raft service, which other control replicas call.
 type raftService struct{ *Control }
 
 // Identify implements the Raft service.
@@ -15,7 +15,8 @@
 	return c.currentIdentity(), nil
 }
 
-// Send implements the Raft service.
+// Send implements the Raft service. It passes consensus messages to the replica; they are
+// dropped while this process belongs to no cluster.
 func (c raftService) Send(stream wire.DRPCRaft_SendStream) error {
 	for {
 		env, err := stream.Recv()
@@ -26,14 +27,15 @@
 		if r == nil || env.Message == nil {
 			continue
 		}
-		r.peers.learn(env.Message.From, env.Address)
-		if err := r.post(stream.Context(), func() { r.node.Step(r.now(), env.Message) }); err != nil {
+		r.peers.setAddress(env.Message.From, env.Address)
+		if err := r.postToLoop(stream.Context(), func() { r.node.Step(r.now(), env.Message) }); err != nil {
 			return err
 		}
 	}
 }
 
-// Join implements the Raft service.
+// Join implements the Raft service. A leader adds the caller as a learner; another replica
+// returns the addresses of the members that it knows.
 func (c raftService) Join(ctx context.Context, req *wire.JoinRequest) (*wire.JoinReply, error) {
 	r := c.current()
 	id := req.Identity
@@ -44,11 +46,11 @@
 		return &wire.JoinReply{Detail: "replica belongs to another cluster"}, nil
 	}
 	reply := &wire.JoinReply{}
-	err := r.do(ctx, func() { r.join(id, reply) })
+	err := r.do(ctx, func() { r.handleJoin(id, reply) })
 	return reply, err
 }
 
-func (r *Replica) join(id *wire.Identity, reply *wire.JoinReply) {
+func (r *Replica) handleJoin(id *wire.Identity, reply *wire.JoinReply) {
 	if !r.node.IsLeader(r.now()) {
 		reply.Detail = "not the leader"
 		for _, p := range r.node.Peers() {
@@ -61,13 +63,13 @@
 			continue
 		}
 		if p.Address == id.Address {
-			// Only one process listens at an address: the earlier one has ended.
+			// Only one process can listen at an address, so the earlier incarnation has ended.
 			r.leads.end(p.Id)
 			continue
 		}
-		if r.alive(p.Id) {
-			// Two hosts that use one name would otherwise take turns in throwing
-			// each other out.
+		if r.presumedLive(p.Id) {
+			// Two hosts that are configured with the same name would otherwise keep replacing
+			// each other.
 			reply.Detail = "the name is in use by a live replica: " + p.Id
 			return
 		}
@@ -78,17 +80,17 @@
 		return
 	}
 	reply.Accepted = true
-	kernel.Info(r.log, "Took in a replica as a learner.", "replica", idOf(id), "addr", id.Address)
+	kernel.Info(r.log, "Added a replica as a learner.", "replica", idOf(id), "addr", id.Address)
 }
 
-// standing says whether the membership names this replica, and whether it follows
-// a leader or is one.
-func (r *Replica) standing(ctx context.Context) (member, led bool) {
+// membershipStatus reports whether the membership includes this replica, and whether it knows
+// a leader, which may be itself.
+func (r *Replica) membershipStatus(ctx context.Context) (member, hasLeader bool) {
 	_ = r.do(ctx, func() {
 		for _, p := range r.node.Peers() {
 			member = member || p.Id == idOf(r.identity)
 		}
-		led = r.node.Leader() != ""
+		hasLeader = r.node.Leader() != ""
 	})
-	return member, led
+	return member, hasLeader
 }
--- a/control/registrations.go
+++ b/control/registrations.go
@@ -14,51 +14,52 @@
 )
 
 const (
-	// maxRegistration bounds a registration, in bytes.
-	maxRegistration = 64 << 10
-	// spreadTimeout is how long the word that an upstream leaves may take to reach
-	// the other replicas before its sender is answered.
-	spreadTimeout = 400 * time.Millisecond
-	// onlyIncarnation is that of upstreams that don't tell when they started: such a one
-	// takes a new ID at each start. It is below all that are told.
+	// maxRegistrationBytes bounds the body of a registration.
+	maxRegistrationBytes = 64 << 10
+	// departureNotifyTimeout bounds how long an upstream that leaves waits for the other
+	// replicas to be notified.
+	departureNotifyTimeout = 400 * time.Millisecond
+	// onlyIncarnation is the incarnation of upstreams that register without one; they take a
+	// new ID at each start. It is lower than any incarnation that upstreams send.
 	onlyIncarnation = 1
-	// refusedRegistrationLines bounds the lines about refused registrations, a second: a
-	// writer that is wrong may be wrong each time.
-	refusedRegistrationLines = 4
+	// maxRejectionLogsPerSecond bounds the log records about rejected registrations, since a
+	// faulty upstream may repeat its registration.
+	maxRejectionLogsPerSecond = 4
 )
 
 func (a *api) register(w http.ResponseWriter, r *http.Request) {
-	body, ok := a.readBody(w, r, maxRegistration)
+	body, ok := a.readBody(w, r, maxRegistrationBytes)
 	if !ok {
 		return
 	}
 	id := mux.Vars(r)[a.dialect.Calls().InstanceID]
 	msg, err := a.dialect.DecodeRegistration(id, body)
 	if err != nil {
-		a.refuseRegistration(w, id, err.Error())
+		a.rejectRegistration(w, id, err.Error())
 		return
 	}
 	if msg.Incarnation == 0 {
 		msg.Incarnation = onlyIncarnation
 	}
 	if a.node.Contradicts(msg) {
-		a.refuseRegistration(w, id, "the same run of the upstream has registered at another address or for another service")
+		a.rejectRegistration(w, id, "the same run of the upstream has registered at another address or for another service")
 		return
 	}
 	msg.LeaseMs = uint32(a.settings.Lease.D().Milliseconds())
 	a.announce(w, r, msg)
 }
 
-// refuseRegistration answers a registration that names no upstream to use. What is known
-// of the ID holds: a writer that is wrong must not take away an upstream that is right.
-func (a *api) refuseRegistration(w http.ResponseWriter, id, detail string) {
-	if ok, leftOut := a.refusals.Take(); ok {
+// rejectRegistration answers an invalid registration. It leaves an existing registration of
+// the ID in place: a faulty registration must not remove a working upstream.
+func (a *api) rejectRegistration(w http.ResponseWriter, id, detail string) {
+	if ok, leftOut := a.rejectionLogBudget.Take(); ok {
 		kernel.Warn(a.log, "Registration refused.", "upstream", id, "detail", detail, "lines_left_out", leftOut)
 	}
-	a.refuse(w, http.StatusBadRequest, detail)
+	a.writeError(w, http.StatusBadRequest, detail)
 }
 
-// deregister ends the run of an upstream that is known here: the call names none.
+// deregister ends the incarnation of an upstream that this replica knows, because the call
+// doesn't name one.
 func (a *api) deregister(w http.ResponseWriter, r *http.Request) {
 	id := mux.Vars(r)[a.dialect.Calls().InstanceID]
 	a.announce(w, r, &wire.Announcement{
@@ -67,49 +68,49 @@
 	})
 }
 
-// announce takes what an upstream says of itself.
+// announce adds an upstream's announcement to the directory and answers the call.
 //
-// That it leaves is told to the other replicas before it is acknowledged: from
-// then on the upstream counts the seconds until it stops, and this replica may
-// be lost before the entries have heard of it.
+// If the upstream leaves, other replicas are notified before the call is acknowledged: the
+// upstream stops soon after the acknowledgement, and this replica may fail before entries
+// have learned of the departure from it. With other replicas, at least one must accept it.
 func (a *api) announce(w http.ResponseWriter, r *http.Request, msg *wire.Announcement) {
 	if _, err := a.node.Announce(r.Context(), msg); err != nil {
-		a.refuse(w, http.StatusServiceUnavailable, err.Error())
+		a.writeError(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
 	if msg.Phase != wire.Phase_PHASE_UP {
-		told, others := a.spread(r.Context(), msg)
-		kernel.Info(a.log, "An upstream leaves.", "upstream", msg.Id, "incarnation", msg.Incarnation, "addr", msg.Address, "phase", msg.Phase, "seq", msg.Seq, "told", told, "others", others)
-		if others > 0 && told == 0 {
-			a.refuse(w, http.StatusServiceUnavailable, "no other replica has heard of it")
+		notified, others := a.notifyReplicas(r.Context(), msg)
+		kernel.Info(a.log, "An upstream leaves.", "upstream", msg.Id, "incarnation", msg.Incarnation, "addr", msg.Address, "phase", msg.Phase, "seq", msg.Seq, "told", notified, "others", others)
+		if others > 0 && notified == 0 {
+			a.writeError(w, http.StatusServiceUnavailable, "no other replica could be notified")
 			return
 		}
 	}
-	a.write(w, http.StatusOK, a.dialect.EncodeRegistered())
+	a.writeJSON(w, http.StatusOK, a.dialect.EncodeRegistered())
 }
 
-// spread tells the other replicas of an announcement and returns how many have
-// taken it.
-func (a *api) spread(ctx context.Context, msg *wire.Announcement) (told, others int) {
-	ctx, cancel := context.WithTimeout(ctx, spreadTimeout)
+// notifyReplicas sends an announcement to the other replicas. It returns how many accepted it,
+// and how many there are.
+func (a *api) notifyReplicas(ctx context.Context, msg *wire.Announcement) (notified, others int) {
+	ctx, cancel := context.WithTimeout(ctx, departureNotifyTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, addr := range a.control.knownPeers(ctx) {
+	for _, addr := range a.control.knownReplicaAddresses(ctx) {
 		others++
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			_, err := wire.NewDRPCDirectoryClient(a.pool.Conn(ctx, addr)).Announce(ctx, msg)
 			if err != nil {
-				kernel.Debug(a.log, "A replica did not hear that an upstream leaves.", "replica", addr, "upstream", msg.Id, "err", err)
+				kernel.Debug(a.log, "Replica could not be notified that an upstream leaves.", "replica", addr, "upstream", msg.Id, "err", err)
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			told++
+			notified++
 		}()
 	}
 	wg.Wait()
-	return told, others
+	return notified, others
 }
--- a/control/replica.go
+++ b/control/replica.go
@@ -20,25 +20,28 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
+// Errors of a replica.
 var (
+	// ErrUnavailable is returned if a call can't be answered now. A command that was proposed
+	// may still be committed.
 	ErrUnavailable = merry.Sentinel("control replica can't answer now")
-	// ErrLost says that the log took another entry in the command's place: it
-	// was not accepted.
-	ErrLost    = merry.Sentinel("command was not accepted")
+	// ErrLost is returned for a command that was not accepted because another leader's entry
+	// took its place on the log.
+	ErrLost = merry.Sentinel("command was not accepted")
+	// ErrStopped is returned if the replica has stopped or failed.
 	ErrStopped = merry.Sentinel("control replica has stopped")
 )
 
 const (
 	tickInterval = 25 * time.Millisecond
-	// callQueue bounds the calls that wait for the loop.
-	callQueue = 2048
-	// careInterval is how often a leader looks after the membership.
-	careInterval = 250 * time.Millisecond
+	// callQueueSize bounds the calls that wait for the loop.
+	callQueueSize = 2048
+	// membershipInterval is the least time between two membership checks of a leader.
+	membershipInterval = 250 * time.Millisecond
 )
 
-// Replica drives one control replica. All state is owned by its loop; methods
-// hand work to it.
+// Replica runs the consensus node and state machines of one control replica. Unless noted
+// otherwise, its state is owned by its loop, to which methods hand functions.
 type Replica struct {
 	settings Settings
 	log      log.Logger
@@ -46,7 +49,7 @@
 	journal  *wal.Journal
 	node     *consensus.Node
 	machine  *machine
-	peers    *peers
+	peers    *raftSender
 	started  time.Time
 	clock    func() time.Time
 
@@ -54,46 +57,47 @@
 	done  chan struct{}
 	stop  context.CancelFunc
 
-	waiting  map[uint64]waiter
-	reads    map[uint64]chan<- error
-	queued   map[uint64][]uint64
-	readID   uint64
-	hard     *wire.HardState
-	sinceCut int
-	// refusedStep is the membership change that could not begin when it was tried last.
-	refusedStep step
-	lastCare    time.Time
-	leads       leaseClock
-	leader      leaderWatch
-	lateness    lateness
-	rings       ringClock
-	shares      shareHome
-	// pools is read by announcements, outside the loop.
+	proposals            map[uint64]pendingProposal
+	pendingReads         map[uint64]chan<- error
+	queued               map[uint64][]uint64
+	lastReadID           uint64
+	hardState            *wire.HardState
+	entriesSinceSnapshot int
+	// refusedChange is the last membership change if it was refused.
+	refusedChange   membershipChange
+	lastMaintenance time.Time
+	leads           leaseClock
+	leader          leaderState
+	ticks           tickMonitor
+	rings           ringTracker
+	shares          shareHome
+	// pools is also read outside the loop, by announcements.
 	pools atomic.Pointer[poolSettings]
-	// routingVersion is that of the configuration applied here; watchers read it
-	// outside the loop.
+	// routingVersion is the version of the applied configuration. It is also read outside the
+	// loop, by watchers.
 	routingVersion atomic.Uint64
 	feed           feed
-	// proposedEpoch is the ring epoch that was proposed last, and when.
+	// proposedEpoch is the last proposed ring epoch, and proposedAt the time of its proposal.
 	proposedEpoch uint64
 	proposedAt    time.Time
 	failed        error
-	// broken is closed once the replica has failed.
-	broken chan struct{}
+	// failedCh is closed when failed is set.
+	failedCh chan struct{}
 
-	// entries lists the entries that are up, for the ring of claim registers.
-	entries func() []*wire.RingMember
-	// quarantined is called with what is decided about requests in quarantine.
-	quarantined func(...*wire.Suspicion) (news bool)
+	// liveEntries lists the entries that are up, for the ring of claim registers.
+	liveEntries func() []*wire.RingMember
+	// onQuarantines is called with committed quarantines and liftings.
+	onQuarantines func(...*wire.Suspicion) (changed bool)
 
 	// watchers are woken after each change.
 	watchers kernel.Watchers
 }
 
-// idOf returns a replica's name/incarnation.
+// idOf returns a replica's ID, NAME/INCARNATION.
 func idOf(i *wire.Identity) string { return i.Name + "/" + i.Incarnation }
 
-// newReplica makes a replica over an open journal.
+// newReplica returns a replica that restores its state from st and writes to the open journal
+// j. It must be started.
 func newReplica(s Settings, l log.Logger, id *wire.Identity, j *wal.Journal, st consensus.Restored, pool *transport.Pool) (*Replica, error) {
 	m := newMachine()
 	if st.Snapshot != nil && len(st.Snapshot.Data) > 0 {
@@ -108,32 +112,31 @@
 	r := &Replica{
 		settings: s, log: l, identity: id, journal: j, machine: m,
 		node:    consensus.New(cfg, st, 0),
-		peers:   newPeers(pool, id.Address),
+		peers:   newRaftSender(pool, id.Address),
 		started: s.Now(), clock: s.Now,
-		calls:   make(chan func(), callQueue),
-		done:    make(chan struct{}),
-		broken:  make(chan struct{}),
-		waiting: map[uint64]waiter{},
-		reads:   map[uint64]chan<- error{},
-		queued:  map[uint64][]uint64{},
-		hard:    st.Hard,
-		leads:   leaseClock{expires: map[string]time.Time{}},
-		leader:  leaderWatch{changed: make(chan struct{})},
-		rings:   ringClock{changed: s.Now()},
+		calls:        make(chan func(), callQueueSize),
+		done:         make(chan struct{}),
+		failedCh:     make(chan struct{}),
+		proposals:    map[uint64]pendingProposal{},
+		pendingReads: map[uint64]chan<- error{},
+		queued:       map[uint64][]uint64{},
+		hardState:    st.Hard,
+		leads:        leaseClock{expires: map[string]time.Time{}},
+		leader:       leaderState{changed: make(chan struct{})},
+		rings:        ringTracker{changed: s.Now()},
 	}
 	r.feed.reset(m.table.Revision(), m.ring, r.rings.changed)
 	r.routingVersion.Store(m.routing.Current().GetVersion())
-	r.confirm()
+	r.updateConfirmation()
 	return r, nil
 }
 
-// confirm tells watchers since when the rows are current. A failed replica goes
-// on hearing of commits that it doesn't apply.
+// updateConfirmation updates the time at which the applied state was last known to be current.
+// A failed replica is skipped, since its node may learn of commits that are not applied.
 //
-// Watchers are woken when the rows become current: an entry that has just started takes
-// its first configuration from a replica that is, and was told so up to half a second
-// later, while its callers waited.
-func (r *Replica) confirm() {
+// It wakes the watchers when the state becomes current, because an entry that starts takes its
+// first configuration only from a current replica.
+func (r *Replica) updateConfirmation() {
 	if r.failed != nil {
 		return
 	}
@@ -158,11 +161,11 @@
 	r.journal.Close()
 }
 
-// now is the replica's monotonic time.
+// now returns the monotonic time since the replica was made.
 func (r *Replica) now() consensus.Time { return r.clock().Sub(r.started) }
 
-// loop runs calls in batches: what gathers while one batch is synced shares the
-// next sync.
+// loop runs ticks and calls until ctx ends. Calls that arrive while a batch is synced to disk
+// form the next batch and share one sync.
 func (r *Replica) loop(ctx context.Context) {
 	defer close(r.done)
 	tick := time.NewTicker(tickInterval)
@@ -170,28 +173,29 @@
 	for {
 		select {
 		case <-ctx.Done():
-			r.failAll(ErrStopped)
+			r.failPending(ErrStopped)
 			return
 		case <-tick.C:
-			late := r.lateness.late(r.clock())
-			r.tellLate(late)
-			if r.lateness.postpone(late) {
+			delay := r.ticks.delayOf(r.clock())
+			r.logLateTick(delay)
+			if r.ticks.shouldSkip(delay) {
 				continue
 			}
 			r.node.Tick(r.now())
-			r.care()
-			r.confirm()
+			r.maintainMembership()
+			r.updateConfirmation()
 		case f := <-r.calls:
 			f()
-			r.runQueued()
+			r.runQueuedCalls()
 		}
 		r.node.Flush()
-		r.process()
-		r.followLeader()
+		r.processReady()
+		r.updateLeaderState()
 	}
 }
 
-func (r *Replica) runQueued() {
+// runQueuedCalls runs calls that already wait, up to MaxBatch with the one before.
+func (r *Replica) runQueuedCalls() {
 	for range r.settings.MaxBatch - 1 {
 		select {
 		case f := <-r.calls:
@@ -202,8 +206,9 @@
 	}
 }
 
-// process does what the log asks for, in the order that Ready demands.
-func (r *Replica) process() {
+// processReady sends, persists and applies what the consensus node has ready, in the order
+// that consensus.Ready requires.
+func (r *Replica) processReady() {
 	for r.failed == nil {
 		rd := r.node.Ready()
 		if rd.Empty() {
@@ -228,10 +233,10 @@
 
 func (r *Replica) persist(rd *consensus.Ready) error {
 	if rd.Hard != nil {
-		r.hard = rd.Hard
+		r.hardState = rd.Hard
 	}
 	if rd.Snapshot != nil {
-		if err := r.journal.Compact(rd.Snapshot, r.hard, nil); err != nil {
+		if err := r.journal.Compact(rd.Snapshot, r.hardState, nil); err != nil {
 			return err
 		}
 	}
@@ -248,8 +253,8 @@
 		}
 		r.feed.reset(r.machine.table.Revision(), r.machine.ring, r.rings.changed)
 		r.routingVersion.Store(r.machine.routing.Current().GetVersion())
-		r.forgetWaiting(rd.Snapshot.Index)
-		r.tellQuarantined(r.machine.quarantine.Told(r.clock())...)
+		r.failSnapshottedProposals(rd.Snapshot.Index)
+		r.notifyQuarantines(r.machine.quarantine.Told(r.clock())...)
 		r.watchers.Wake()
 	}
 	var changed []*wire.Row
@@ -265,11 +270,11 @@
 			changed = append(changed, reply.Rows...)
 		}
 		if q, ok := v.(quarantineResult); ok {
-			r.quarantineDecided(q)
+			r.handleQuarantineResult(q)
 		}
-		r.answer(e, v)
-		r.rings.follow(r.machine.ring.Epoch, r.clock())
-		r.sinceCut++
+		r.completeProposal(e, v)
+		r.rings.setEpoch(r.machine.ring.Epoch, r.clock())
+		r.entriesSinceSnapshot++
 	}
 	r.followRows(r.clock())
 	r.routingVersion.Store(r.machine.routing.Current().GetVersion())
@@ -278,36 +283,37 @@
 		r.watchers.Wake()
 	}
 	for _, rs := range rd.Reads {
-		r.answerRead(rs)
+		r.completeRead(rs)
 	}
 	return r.maybeCompact()
 }
 
-// quarantineDecided takes a committed quarantine, or the end of one. Its times are those of the
-// decision: a replica that starts applies it again, days later, between others.
-func (r *Replica) quarantineDecided(q quarantineResult) {
+// handleQuarantineResult logs a committed quarantine or lifting and passes it on. Its times
+// derive from the time in the command, because a replica that restarts applies old commands
+// again.
+func (r *Replica) handleQuarantineResult(q quarantineResult) {
 	if !q.Changed {
 		return
 	}
 	m := quarantine.Decided(r.clock(), q.command)
 	kernel.Info(r.log, "Quarantine decided.", "key", hex.EncodeToString(m.Key), "route", m.Route, "team", m.Team, "lifted", m.Cleared,
 		"upstreams", strings.Join(quarantine.Upstreams(m), ","), "terms", m.Terms, "left_ms", m.QuarantineMs)
-	r.tellQuarantined(m)
+	r.notifyQuarantines(m)
 }
 
-func (r *Replica) tellQuarantined(list ...*wire.Suspicion) {
-	if r.quarantined != nil && len(list) > 0 {
-		r.quarantined(list...)
+func (r *Replica) notifyQuarantines(list ...*wire.Suspicion) {
+	if r.onQuarantines != nil && len(list) > 0 {
+		r.onQuarantines(list...)
 	}
 }
 
-// maybeCompact takes a snapshot once enough entries have gathered, so that a
-// start reads a bounded log however many edits there were.
+// maybeCompact takes a snapshot every SnapshotEvery applied entries, which bounds the log that
+// a start must read.
 func (r *Replica) maybeCompact() error {
-	if r.sinceCut < r.settings.SnapshotEvery {
+	if r.entriesSinceSnapshot < r.settings.SnapshotEvery {
 		return nil
 	}
-	r.sinceCut = 0
+	r.entriesSinceSnapshot = 0
 	data, err := r.machine.snapshot()
 	if err != nil {
 		return err
@@ -317,14 +323,14 @@
 	if s == nil {
 		return nil
 	}
-	return r.journal.Compact(s, r.hard, r.node.EntriesAfter(s.Index))
+	return r.journal.Compact(s, r.hardState, r.node.EntriesAfter(s.Index))
 }
 
-// fail stops the replica for good: it can no longer promise that what it says
-// is durable.
+// fail stops the replica for good and fails pending calls. After an error its in-memory state
+// may differ from what is durable.
 func (r *Replica) fail(err error) {
 	r.failed = err
-	close(r.broken)
-	kernel.Warn(r.log, "Replica has failed and takes part no more.", "err", err)
-	r.failAll(merry.Prepend(ErrStopped, err.Error()))
+	close(r.failedCh)
+	kernel.Warn(r.log, "Replica has failed and stopped.", "err", err)
+	r.failPending(merry.Prepend(ErrStopped, err.Error()))
 }
--- a/control/ring.go
+++ b/control/ring.go
@@ -11,86 +11,91 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Times after which the ring of claim registers follows the directory.
+// Delays with which the ring of claim registers follows the directory.
 const (
-	// firstRingAfter lets the entries of a new cluster announce themselves.
-	firstRingAfter = 500 * time.Millisecond
-	// joinRingAfter and leaveRingAfter keep a restart from changing the ring.
-	joinRingAfter  = 10 * time.Second
-	leaveRingAfter = time.Minute
-	// leaveDurableAfter is for members with a data folder, while without them too
-	// few failure domains have one.
-	leaveDurableAfter = time.Hour
+	// firstRingDelay lets the entries of a new cluster announce themselves before the first
+	// ring is made.
+	firstRingDelay = 500 * time.Millisecond
+	// ringJoinDelay and ringLeaveDelay prevent ring changes when an entry restarts.
+	ringJoinDelay  = 10 * time.Second
+	ringLeaveDelay = time.Minute
+	// durableRingLeaveDelay replaces ringLeaveDelay if otherwise the members with a data
+	// folder would cover too few failure domains.
+	durableRingLeaveDelay = time.Hour
 )
 
-// ringClock is a replica's soft knowledge about the ring: since when it knows
-// the epoch, and since when a leader has seen each entry up or missed it.
-type ringClock struct {
-	epoch   uint64
+// ringTracker is soft state from which a leader decides about ring changes. Every replica
+// records the ring's epoch; only a leader records which entries are up.
+type ringTracker struct {
+	epoch uint64
+	// changed is when this replica applied the epoch.
 	changed time.Time
-	since   map[string]time.Time
-	seen    map[string]time.Time
+	// upSince is when each entry that is up came up, and lastSeen when each entry was last seen
+	// up.
+	upSince  map[string]time.Time
+	lastSeen map[string]time.Time
 }
 
-func (c *ringClock) follow(epoch uint64, now time.Time) {
+// setEpoch records the epoch of the ring in force, and the time if it has changed.
+func (c *ringTracker) setEpoch(epoch uint64, now time.Time) {
 	if epoch != c.epoch {
 		c.epoch = epoch
 		c.changed = now
 	}
 }
 
-// observe notes which entries are up.
-func (c *ringClock) observe(up []*wire.RingMember, now time.Time) {
-	if c.since == nil {
-		c.since, c.seen = map[string]time.Time{}, map[string]time.Time{}
+// recordLive records which entries are up.
+func (c *ringTracker) recordLive(up []*wire.RingMember, now time.Time) {
+	if c.upSince == nil {
+		c.upSince, c.lastSeen = map[string]time.Time{}, map[string]time.Time{}
 	}
 	live := map[string]bool{}
 	for _, m := range up {
 		live[m.Id] = true
-		c.seen[m.Id] = now
-		if _, ok := c.since[m.Id]; !ok {
-			c.since[m.Id] = now
+		c.lastSeen[m.Id] = now
+		if _, ok := c.upSince[m.Id]; !ok {
+			c.upSince[m.Id] = now
 		}
 	}
-	for id := range c.since {
+	for id := range c.upSince {
 		if !live[id] {
-			delete(c.since, id)
+			delete(c.upSince, id)
 		}
 	}
 }
 
-// nextRing returns the ring that should follow, or nil. A ring is changed at
-// most once in the period in which claims need majorities of two rings, so that
-// two are always enough.
-func (c *ringClock) nextRing(ring *wire.Ring, up []*wire.RingMember, leadingSince, now time.Time) *wire.Ring {
+// nextRing returns the next ring to propose, or nil if the ring should stay. The ring changes
+// at most once per claim.JointPeriod, so that a claim never needs majorities of more than two
+// rings.
+func (c *ringTracker) nextRing(ring *wire.Ring, up []*wire.RingMember, leadingSince, now time.Time) *wire.Ring {
 	if len(ring.Members) == 0 {
-		if now.Sub(leadingSince) < firstRingAfter || len(up) < claim.Majority {
+		if now.Sub(leadingSince) < firstRingDelay || len(up) < claim.Majority {
 			return nil
 		}
-		first, _ := durableFirst(up)
-		return &wire.Ring{Epoch: ring.Epoch + 1, Members: sorted(first)}
+		first, _ := preferDurable(up)
+		return &wire.Ring{Epoch: ring.Epoch + 1, Members: sortedByID(first)}
 	}
 	maxTTL := claim.DefaultRegisterSettings().MaxTTL
 	if now.Sub(c.changed) < claim.JointPeriod(maxTTL) {
 		return nil
 	}
-	members, durable := durableFirst(c.candidates(ring, up, leadingSince, now, leaveRingAfter))
+	members, durable := preferDurable(c.candidates(ring, up, leadingSince, now, ringLeaveDelay))
 	if !durable {
-		// Better two of three registers that forget nothing than more that do. A
-		// host that stays away for longer is left out all the same.
-		if waited, ok := durableFirst(c.candidates(ring, up, leadingSince, now, leaveDurableAfter)); ok {
-			members = waited
+		// Two of three durable registers are safer than three of which some lose their state
+		// in a restart, so an absent durable member is kept for durableRingLeaveDelay.
+		if withAbsent, ok := preferDurable(c.candidates(ring, up, leadingSince, now, durableRingLeaveDelay)); ok {
+			members = withAbsent
 		}
 	}
 	if sameMembers(members, ring.Members) || len(members) < claim.Majority {
 		return nil
 	}
-	return &wire.Ring{Epoch: ring.Epoch + 1, Members: sorted(members), Previous: ring.Members}
+	return &wire.Ring{Epoch: ring.Epoch + 1, Members: sortedByID(members), Previous: ring.Members}
 }
 
-// durableFirst returns the members with a data folder, if those cover as many
-// failure domains as a key has registers; else all.
-func durableFirst(members []*wire.RingMember) (chosen []*wire.RingMember, durable bool) {
+// preferDurable returns the members with a data folder if they cover at least claim.Copies
+// failure domains, else all members. durable reports which.
+func preferDurable(members []*wire.RingMember) (chosen []*wire.RingMember, durable bool) {
 	domains := map[string]bool{}
 	for _, m := range members {
 		if m.Durable {
@@ -113,30 +118,32 @@
 	return len(a) == len(b)
 }
 
-// candidates lists the members that were up lately, as far as this leader can
-// tell, and those that have been up for long enough to join.
-func (c *ringClock) candidates(ring *wire.Ring, up []*wire.RingMember, leadingSince, now time.Time, patience time.Duration) []*wire.RingMember {
+// candidates returns the members of the ring that were up within maxAbsence, and the other
+// entries that have been up for ringJoinDelay. A member that this leader has not seen counts
+// as up until leadingSince.
+func (c *ringTracker) candidates(ring *wire.Ring, up []*wire.RingMember, leadingSince, now time.Time, maxAbsence time.Duration) []*wire.RingMember {
 	var list []*wire.RingMember
 	for _, m := range ring.Members {
 		last := leadingSince
-		if at, ok := c.seen[m.Id]; ok && at.After(last) {
+		if at, ok := c.lastSeen[m.Id]; ok && at.After(last) {
 			last = at
 		}
-		if now.Sub(last) < patience {
-			list = append(list, asAnnounced(m, up))
+		if now.Sub(last) < maxAbsence {
+			list = append(list, withCurrentDurability(m, up))
 		}
 	}
 	for _, m := range up {
-		if !claim.Contains(list, m.Id) && now.Sub(c.since[m.Id]) >= joinRingAfter {
+		if !claim.Contains(list, m.Id) && now.Sub(c.upSince[m.Id]) >= ringJoinDelay {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// asAnnounced returns a member of the ring with what it says of its data folder
-// now. Its life stays the one that the ring took in: a later one has forgotten.
-func asAnnounced(m *wire.RingMember, up []*wire.RingMember) *wire.RingMember {
+// withCurrentDurability returns a member of the ring with its Durable flag as announced now.
+// Its incarnation stays the one that joined the ring, because a later one may have lost the
+// registers' state.
+func withCurrentDurability(m *wire.RingMember, up []*wire.RingMember) *wire.RingMember {
 	for _, u := range up {
 		if u.Id == m.Id && u.Durable != m.Durable {
 			c := proto.Clone(m).(*wire.RingMember)
@@ -147,22 +154,22 @@
 	return m
 }
 
-func sorted(list []*wire.RingMember) []*wire.RingMember {
+func sortedByID(list []*wire.RingMember) []*wire.RingMember {
 	out := append([]*wire.RingMember(nil), list...)
 	sort.Slice(out, func(i, j int) bool { return out[i].Id < out[j].Id })
 	return out
 }
 
-// careRing lets a leader propose the next ring.
-func (r *Replica) careRing() {
-	if r.entries == nil || !r.machine.formed {
+// proposeNextRing lets a leader propose the next ring.
+func (r *Replica) proposeNextRing() {
+	if r.liveEntries == nil || !r.machine.formed {
 		return
 	}
 	now := r.clock()
-	up := r.entries()
-	r.rings.observe(up, now)
+	up := r.liveEntries()
+	r.rings.recordLive(up, now)
 	next := r.rings.nextRing(r.machine.ring, up, r.leads.since, now)
-	if next == nil || r.ringPending(next.Epoch) {
+	if next == nil || r.ringProposedRecently(next.Epoch) {
 		return
 	}
 	data, err := encode(&wire.Command{Command: &wire.Command_Ring{Ring: next}})
@@ -170,13 +177,13 @@
 		return
 	}
 	if _, _, err := r.node.Propose(r.now(), data); err == nil {
-		kernel.Info(r.log, "Ring of claim registers changes.", "epoch", next.Epoch, "members", len(next.Members))
+		kernel.Info(r.log, "Ring change of claim registers proposed.", "epoch", next.Epoch, "members", len(next.Members))
 	}
 }
 
-// ringPending says whether this epoch was proposed within the last second, so
-// that one change is not proposed at every look.
-func (r *Replica) ringPending(epoch uint64) bool {
+// ringProposedRecently reports whether this epoch was proposed within the last second, so that
+// a change isn't proposed again on each check. Otherwise it records a proposal now.
+func (r *Replica) ringProposedRecently(epoch uint64) bool {
 	if r.proposedEpoch == epoch && r.clock().Sub(r.proposedAt) < time.Second {
 		return true
 	}
--- a/control/routing.go
+++ b/control/routing.go
@@ -15,33 +15,34 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// routingConfirmInterval is how often a watcher of the routing version is told how
-// current the sender is, while nothing changes; more seldom where there are many watchers
-// (directory.SpeakInterval).
+// routingConfirmInterval is how often the age of the replica's state is sent to a watcher of
+// the routing version while nothing changes. The interval is longer if there are many
+// watchers; see directory.SpeakInterval.
 const routingConfirmInterval = 500 * time.Millisecond
 
-// routingResult is the result of a committed routing configuration.
+// routingResult is the result of a committed routing command. version is that of the
+// configuration in force.
 type routingResult struct {
 	accepted bool
 	version  uint64
 }
 
-// routingService answers operators and entries about the routing configuration.
+// routingService implements the Routing service, which operators and entries call.
 type routingService struct{ *service }
 
-// passRoutingOn calls the leader's Routing service if this replica isn't the
-// leader. done is true when the reply or the error is final.
-func passRoutingOn[R any](ctx context.Context, s *service, call func(context.Context, wire.DRPCRoutingClient) (R, error)) (reply R, done bool, err error) {
-	return passOnBy(ctx, s, wire.NewDRPCRoutingClient, call)
+// forwardRoutingToLeader calls the leader's Routing service if this replica isn't the leader.
+// done is false if this replica is the leader and must answer itself.
+func forwardRoutingToLeader[R any](ctx context.Context, s *service, call func(context.Context, wire.DRPCRoutingClient) (R, error)) (reply R, done bool, err error) {
+	return forwardServiceToLeader(ctx, s, wire.NewDRPCRoutingClient, call)
 }
 
-// Put implements the Routing service. It answers once the configuration is
-// durable on a majority of the voters, or a version that is not lower is.
+// Put implements the Routing service. It returns once the configuration, or one with the same
+// or a higher version, is durable on a majority of the voters.
 func (s routingService) Put(ctx context.Context, req *wire.PutRoutingRequest) (*wire.PutRoutingReply, error) {
 	if err := routing.Check(req.GetConfig()); err != nil {
 		return nil, err
 	}
-	reply, done, err := passRoutingOn(ctx, s.service, func(ctx context.Context, c wire.DRPCRoutingClient) (*wire.PutRoutingReply, error) {
+	reply, done, err := forwardRoutingToLeader(ctx, s.service, func(ctx context.Context, c wire.DRPCRoutingClient) (*wire.PutRoutingReply, error) {
 		return c.Put(ctx, req)
 	})
 	if done && err == nil {
@@ -61,7 +62,7 @@
 		return nil, merry.Prepend(ErrUnavailable, "the cluster is being formed")
 	}
 	r := s.current()
-	old, err := s.appliedVersion(ctx, r, c.Version)
+	old, err := s.replyIfNotNewer(ctx, r, c.Version)
 	if err != nil {
 		return nil, err
 	}
@@ -85,24 +86,25 @@
 	return &wire.PutRoutingReply{Status: status, Version: res.version}
 }
 
-// appliedVersion answers a version that is not higher than the one in force without
-// another entry on the log: documents are large, and operators send them again
-// whenever an answer is lost.
-func (s routingService) appliedVersion(ctx context.Context, r *Replica, version uint64) (*wire.PutRoutingReply, error) {
-	var held uint64
-	if err := r.do(ctx, func() { held = r.machine.routing.Current().GetVersion() }); err != nil {
+// replyIfNotNewer returns the reply to a configuration whose version is not higher than the
+// one in force, or nil. It saves a log entry for documents that an operator sends again after
+// a lost reply.
+func (s routingService) replyIfNotNewer(ctx context.Context, r *Replica, version uint64) (*wire.PutRoutingReply, error) {
+	var applied uint64
+	if err := r.do(ctx, func() { applied = r.machine.routing.Current().GetVersion() }); err != nil {
 		return nil, err
 	}
-	if version > held {
+	if version > applied {
 		return nil, nil
 	}
-	// What is applied is committed, so the answer is true whoever leads now.
-	return putReply(routingResult{version: held}), nil
+	// An applied version is committed, so the reply is right even if this replica no longer
+	// leads.
+	return putReply(routingResult{version: applied}), nil
 }
 
-// Get implements the Routing service.
+// Get implements the Routing service. The read is linearizable.
 func (s routingService) Get(ctx context.Context, req *wire.GetRoutingRequest) (*wire.RoutingConfig, error) {
-	reply, done, err := passRoutingOn(ctx, s.service, func(ctx context.Context, c wire.DRPCRoutingClient) (*wire.RoutingConfig, error) {
+	reply, done, err := forwardRoutingToLeader(ctx, s.service, func(ctx context.Context, c wire.DRPCRoutingClient) (*wire.RoutingConfig, error) {
 		return c.Get(ctx, req)
 	})
 	if done || err != nil {
@@ -112,12 +114,12 @@
 	if err := r.barrier(ctx); err != nil {
 		return nil, err
 	}
-	return s.applied(ctx)
+	return s.appliedConfig(ctx)
 }
 
-// applied is the configuration that this replica has applied; it has version 0 if
+// appliedConfig is the configuration that this replica has appliedConfig; it has version 0 if
 // there is none.
-func (s routingService) applied(ctx context.Context) (*wire.RoutingConfig, error) {
+func (s routingService) appliedConfig(ctx context.Context) (*wire.RoutingConfig, error) {
 	r := s.current()
 	if r == nil {
 		return nil, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
@@ -132,23 +134,24 @@
 	return c, nil
 }
 
-// Fetch implements the Routing service.
+// Fetch implements the Routing service. It returns the configuration that this replica has
+// applied, which may be out of date.
 func (s routingService) Fetch(ctx context.Context, _ *wire.GetRoutingRequest) (*wire.PackedRouting, error) {
-	c, err := s.applied(ctx)
+	c, err := s.appliedConfig(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return s.packed.of(c)
+	return s.packed.forConfig(c)
 }
 
-// packedRouting keeps the latest configuration as entries fetch it, packed once for all
-// of them.
+// packedRouting caches the latest configuration in the packed form that entries fetch.
 type packedRouting struct {
 	mu     sync.Mutex
 	latest *wire.PackedRouting
 }
 
-func (p *packedRouting) of(c *wire.RoutingConfig) (*wire.PackedRouting, error) {
+// forConfig returns the packed form of a configuration, from the cache if it has the version.
+func (p *packedRouting) forConfig(c *wire.RoutingConfig) (*wire.PackedRouting, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.latest != nil && p.latest.Version == c.Version {
@@ -164,7 +167,8 @@
 	return packed, nil
 }
 
-// Watch implements the Routing service.
+// Watch implements the Routing service. It sends the applied version and new suspicions when
+// they change or the replica becomes current, and otherwise at intervals.
 func (s routingService) Watch(_ *wire.WatchRoutingRequest, stream wire.DRPCRouting_WatchStream) error {
 	r := s.current()
 	if r == nil {
@@ -180,7 +184,7 @@
 	suspected := uint64(0)
 	for {
 		version, confirmed := r.routingVersion.Load(), r.feed.current(r.now())
-		told := s.suspicions.since(suspected)
+		told := s.suspicions.changesSince(suspected)
 		if due || version != sent || confirmed && !current || len(told.Suspicions) > 0 {
 			next := directory.SpeakInterval(routingConfirmInterval, int(s.routingWatchers.Load()))
 			if err := sendVersion(stream, r, version, next, told.Suspicions); err != nil {
--- a/control/service.go
+++ b/control/service.go
@@ -12,28 +12,30 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Bounds of leases and watches.
 const (
+	// minLease and maxLease bound the TTL of a group's lease.
 	minLease = 500 * time.Millisecond
 	maxLease = 30 * time.Second
-	// confirmInterval is how often a watcher is told that its rows are current.
+	// confirmInterval is the longest time between two messages on a table watch. Each message
+	// has the age of the replica's state.
 	confirmInterval = time.Second
 	forwardTimeout  = 2 * time.Second
-	forwardedKey    = "forwarded"
+	// forwardedKey is the metadata key of a forwarded call, which must not be forwarded again.
+	forwardedKey = "forwarded"
 )
 
-// service answers entries, agents and operators. What only a leader may answer,
-// another replica passes on to it once.
+// service implements the Control service, which entries, agents and operators call. Calls that
+// need the leader are forwarded to it, at most once.
 type service struct{ *Control }
 
-// passOn calls the leader if this replica isn't it. done is true when the reply
-// or the error is final.
+// passOn forwards a call of the Control service to the leader if this replica isn't the
+// leader. done is false if this replica is the leader and must answer itself.
 func passOn[R any](ctx context.Context, s *service, call func(context.Context, wire.DRPCControlClient) (R, error)) (reply R, done bool, err error) {
-	return passOnBy(ctx, s, wire.NewDRPCControlClient, call)
+	return forwardServiceToLeader(ctx, s, wire.NewDRPCControlClient, call)
 }
 
-// passOnBy is passOn for any of the leader's services.
-func passOnBy[R, C any](ctx context.Context, s *service, client func(drpc.Conn) C, call func(context.Context, C) (R, error)) (reply R, done bool, err error) {
+// forwardServiceToLeader is passOn for any service; client makes the service's client.
+func forwardServiceToLeader[R, C any](ctx context.Context, s *service, client func(drpc.Conn) C, call func(context.Context, C) (R, error)) (reply R, done bool, err error) {
 	r := s.current()
 	if r == nil {
 		return reply, true, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
@@ -55,11 +57,11 @@
 	return reply, true, err
 }
 
-func unavailable(err error) *wire.EditReply {
+func unavailableReply(err error) *wire.EditReply {
 	return &wire.EditReply{Status: wire.EditStatus_EDIT_STATUS_UNAVAILABLE, Detail: err.Error()}
 }
 
-// Edit implements the Control service.
+// Edit implements the Control service. Errors are returned as EDIT_STATUS_UNAVAILABLE.
 func (s *service) Edit(ctx context.Context, e *wire.TableEdit) (*wire.EditReply, error) {
 	if bad := table.Check(e); bad != nil {
 		return bad, nil
@@ -68,23 +70,23 @@
 		return c.Edit(ctx, e)
 	})
 	if err != nil {
-		return unavailable(err), nil
+		return unavailableReply(err), nil
 	}
 	if done {
 		return reply, nil
 	}
 	if !s.Formed(ctx) {
-		return unavailable(merry.Prepend(ErrUnavailable, "the cluster is being formed")), nil
+		return unavailableReply(merry.Prepend(ErrUnavailable, "the cluster is being formed")), nil
 	}
 	e.AtMs = s.current().clock().UnixMilli()
 	v, err := s.current().propose(ctx, &wire.Command{Command: &wire.Command_Edit{Edit: e}})
 	if err != nil {
-		return unavailable(err), nil
+		return unavailableReply(err), nil
 	}
 	return v.(*wire.EditReply), nil
 }
 
-// Read implements the Control service.
+// Read implements the Control service. A linearizable read is answered by the leader.
 func (s *service) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error) {
 	if req.Linearizable {
 		reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.ReadReply, error) {
@@ -137,17 +139,17 @@
 	from := req.FromRevision
 	ringSent, suspected := uint64(0), uint64(0)
 	for {
-		u, err := s.update(stream.Context(), r, from)
+		u, err := s.tableUpdate(stream.Context(), r, from)
 		if err != nil {
 			return err
 		}
 		if u.Ring.GetEpoch() == ringSent && ringSent > 0 {
-			// The members went before on this stream; with thousands of them each
-			// confirmation would be tens of kilobytes.
+			// The members were sent before on this stream; with thousands of them, each
+			// message would be large.
 			u.Ring = &wire.Ring{Epoch: ringSent}
 		}
 		ringSent = u.Ring.GetEpoch()
-		told := s.suspicions.since(suspected)
+		told := s.suspicions.changesSince(suspected)
 		u.Suspicions, suspected = told.Suspicions, told.Version
 		if err := stream.Send(u); err != nil {
 			return err
@@ -164,8 +166,9 @@
 	}
 }
 
-// update is what a watcher that holds a revision lacks.
-func (s *service) update(ctx context.Context, r *Replica, from uint64) (*wire.TableUpdate, error) {
+// tableUpdate returns the changes after revision from, or the whole table if those changes are
+// no longer known.
+func (s *service) tableUpdate(ctx context.Context, r *Replica, from uint64) (*wire.TableUpdate, error) {
 	st := r.feed.state.Load()
 	u := &wire.TableUpdate{
 		Cluster: s.currentIdentity().Cluster, Revision: st.revision, Ring: st.ring,
@@ -183,9 +186,9 @@
 	return u, err
 }
 
-// millis is d in the messages' unit, within what the field holds. Cut off at its
-// width instead, the age of a replica that is alone for seven weeks would begin
-// again at zero, and its followers would take it for current.
+// millis returns d in milliseconds, limited to the range of a message field. Without the
+// limit, the age of a replica that is partitioned for weeks would wrap around, and watchers
+// would consider it current.
 func millis(d time.Duration) uint32 { return uint32(min(max(0, d.Milliseconds()), 1<<31)) }
 
 // Acquire implements the Control service.
@@ -196,20 +199,21 @@
 	if done || err != nil {
 		return reply, err
 	}
-	return s.current().acquire(ctx, req)
+	return s.current().acquireLease(ctx, req)
 }
 
-// acquire grants, renews or releases a group's lease on the leader.
-func (r *Replica) acquire(ctx context.Context, req *wire.LeaseRequest) (*wire.LeaseReply, error) {
+// acquireLease grants, renews or releases a group's lease. The TTL is limited to minLease and
+// maxLease. It returns ErrUnavailable if this replica doesn't lead.
+func (r *Replica) acquireLease(ctx context.Context, req *wire.LeaseRequest) (*wire.LeaseReply, error) {
 	ttl := min(max(time.Duration(req.TtlMs)*time.Millisecond, minLease), maxLease)
 	if err := r.barrier(ctx); err != nil {
 		return nil, err
 	}
 	reply := &wire.LeaseReply{TtlMs: uint32(ttl.Milliseconds())}
 	var replaces uint64
-	settled := false
-	err := r.do(ctx, func() { replaces, settled = r.renew(req, ttl, reply) })
-	if err != nil || settled {
+	answered := false
+	err := r.do(ctx, func() { replaces, answered = r.renewLease(req, ttl, reply) })
+	if err != nil || answered {
 		return reply, err
 	}
 	v, err := r.propose(ctx, &wire.Command{Command: &wire.Command_Lease{
@@ -225,22 +229,23 @@
 	return reply, err
 }
 
-// renew answers without the log where it can: a lease that its holder keeps, or
-// that another one holds.
-func (r *Replica) renew(req *wire.LeaseRequest, ttl time.Duration, reply *wire.LeaseReply) (replaces uint64, settled bool) {
+// renewLease answers a request that needs no log entry: a renewal or release by the holder of
+// a lease, or a request while another holder's lease is live. It then sets reply and returns
+// answered. replaces is the token of the last lease, which a new one replaces.
+func (r *Replica) renewLease(req *wire.LeaseRequest, ttl time.Duration, reply *wire.LeaseReply) (replaces uint64, answered bool) {
 	l := r.machine.fence.Get(req.Group)
 	reply.Holder, reply.Token = l.Holder, l.Token
 	now := r.clock()
-	over := l.Token == 0 || r.leads.over(req.Group, now)
+	expired := l.Token == 0 || r.leads.over(req.Group, now)
 	switch {
 	case l.Holder != req.Holder:
-		return l.Token, !over
+		return l.Token, !expired
 	case req.Release:
 		r.leads.renew(req.Group, now, 0)
 		return l.Token, true
-	case over:
-		// A lease that ran out is granted anew, with a new token: another
-		// holder may have been told meanwhile that it is free.
+	case expired:
+		// An expired lease is granted again with a new token, because another requester may
+		// have been told meanwhile that the lease is free.
 		return l.Token, false
 	}
 	r.leads.renew(req.Group, now, ttl)
@@ -275,6 +280,6 @@
 	}
 	r := s.current()
 	reply = &wire.MembersReply{}
-	err = r.do(ctx, func() { r.members(req, reply) })
+	err = r.do(ctx, func() { r.handleMembers(req, reply) })
 	return reply, err
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -10,83 +10,80 @@
 	"github.com/snipereach/snipereach/wal"
 )
 
-// Settings of a control replica: the [control] section of an entry's file, or
-// the file of snipereach-control.
+// Settings are the settings of a control replica: the [control] section of the settings of an
+// entry or of snipereach-control.
 type Settings struct {
-	// DataDir is the one folder for durable state.
+	// DataDir is the folder for durable state.
 	DataDir string `toml:"data_dir"`
-	// FS is used in place of DataDir if set: who embeds a replica may bring a
-	// disk of its own.
+	// FS, if set, is used instead of DataDir. Programs that embed a replica may set it.
 	FS wal.FS `toml:"-"`
-	// Now is the clock in place of kernel.BootClock if set: who embeds a replica may want to
-	// hold its time, as that of a host that is frozen.
+	// Now, if set, is used instead of kernel.BootClock, e.g. to simulate a frozen host.
 	Now func() time.Time `toml:"-"`
-	// Members lists the drpc addresses of all control replicas, this one too.
+	// Members lists the drpc addresses of all control replicas, including this one. If
+	// Tolerate is set, it lists those to contact first, and others may join.
 	Members []string `toml:"members"`
-	// FormCluster lets a new cluster be formed when all members are new. Turn it
-	// off once the cluster stands.
+	// FormCluster allows forming a new cluster if all members are new. It should be turned
+	// off once the cluster is formed.
 	FormCluster bool `toml:"form_cluster"`
-	// PeerPort replaces the port of each member if set, where the members are
-	// known by another address of the same hosts.
+	// PeerPort, if not 0, replaces the port of each address in Members. It is used if Members
+	// lists other addresses of the same hosts.
 	PeerPort int `toml:"peer_port"`
-	// Voters is how many members vote at most; the others are learners.
+	// Voters is the maximum number of voters; other members are learners.
 	Voters int `toml:"voters"`
-	// Tolerate sets the number of voters by what may be lost at once. Members are
-	// then only those to ask first: more may join.
+	// Tolerate, if set, derives the number of voters from the losses to survive.
 	Tolerate *Tolerance `toml:"tolerate"`
-	// ElectionTimeout and Heartbeat of the replicated log.
+	// ElectionTimeout and Heartbeat are those of the replicated log.
 	ElectionTimeout kernel.Duration `toml:"election_timeout"`
 	Heartbeat       kernel.Duration `toml:"heartbeat"`
-	// SnapshotEvery is how many log entries pass between snapshots.
+	// SnapshotEvery is the number of log entries between snapshots.
 	SnapshotEvery int `toml:"snapshot_every"`
-	// MaxBatch bounds the calls that share one sync; 1 turns group commit off.
+	// MaxBatch bounds the calls that share one disk sync; 1 disables group commit.
 	MaxBatch int `toml:"max_batch"`
-	// ReplaceAfter is how long a member must be silent before another folder
-	// may take its name.
+	// ReplaceAfter is how long a member must be silent before it counts as dead and a replica
+	// with another data folder may take its name.
 	ReplaceAfter kernel.Duration `toml:"replace_after"`
-	// Groups is how a leader looks after the expert maps of groups.
+	// Groups configures how a leader manages the expert maps of groups.
 	Groups GroupSettings `toml:"groups"`
-	// Lockstep is the same for groups whose ranks are called directly; off if the
-	// section isn't there.
+	// Lockstep configures groups whose ranks are called directly; nil disables them.
 	Lockstep *LockstepSettings `toml:"lockstep"`
 }
 
 // LockstepSettings is the [control.lockstep] section.
 type LockstepSettings struct {
-	// Dialect names the plug-in that knows the ranks' names.
+	// Dialect names the plug-in that defines the names that ranks use.
 	Dialect string `toml:"dialect"`
-	// SidecarPort is where the process beside each rank listens; 0 if there is none.
+	// SidecarPort is the port of the sidecar of each rank; 0 if there are no sidecars.
 	SidecarPort int `toml:"sidecar_port"`
-	// ReadPeriod is the least time between two readings of one rank's counters. It is
-	// longer where there are many ranks (mostReadings).
+	// ReadPeriod is the minimum time between two readings of one rank's counters. The time is
+	// longer if there are many ranks; see maxReadingsPerSecond.
 	ReadPeriod kernel.Duration `toml:"read_period"`
 }
 
 const (
-	// defaultReadPeriod is also that of the windows of an estimate of demand, so that each
-	// one has a reading of every rank. A shift of demand shows in the first whole window
-	// after it and is planned for after the second: with 150 ms that took 0.55 s, and until
-	// its copies are made all callers wait for the busiest rank.
+	// defaultReadPeriod is also the length of the windows of the demand estimate, so that each
+	// window has a reading of every rank. A shift of demand is planned for after two whole
+	// windows, so the period bounds how soon a plan can follow it.
 	defaultReadPeriod = 75 * time.Millisecond
-	// mostReadings bounds the readings of all ranks, a second: at 480, of 72 ranks that are
-	// read one by one, a leader spends 0.05 cores on them.
-	mostReadings = 480
-	// relayedReadings is how many readings a call to a relay counts as: it brings the states
-	// of a dozen ranks, and one sum of their counters.
-	relayedReadings = 5
+	// maxReadingsPerSecond bounds the readings of all ranks together, to limit the leader's
+	// CPU time.
+	maxReadingsPerSecond = 480
+	// readingsPerRelayCall is the number of readings that one call to a relay counts as. The
+	// reply has the states of several ranks and the sum of their counters.
+	readingsPerRelayCall = 5
 )
 
-// readPeriodFor is the time between two readings of one rank, of groups of these sizes.
+// readPeriodFor returns the time between two readings of one rank if there are groups of
+// these sizes, in ranks.
 func (s *LockstepSettings) readPeriodFor(groups []int) time.Duration {
 	readings := 0
 	for _, ranks := range groups {
 		if calls, relayed := lockstep.CallsFor(ranks); relayed {
-			readings += relayedReadings * calls
+			readings += readingsPerRelayCall * calls
 		} else {
 			readings += calls
 		}
 	}
-	return max(s.ReadPeriod.D(), time.Duration(readings)*time.Second/mostReadings)
+	return max(s.ReadPeriod.D(), time.Duration(readings)*time.Second/maxReadingsPerSecond)
 }
 
 func (s *LockstepSettings) check(bad func(key, detail string) error) error {
@@ -101,35 +98,35 @@
 	return nil
 }
 
-// Tolerance is the [control.tolerate] section: how much may be lost at the same
-// time with everything accepted kept and edits still taken.
+// Tolerance is the [control.tolerate] section: the simultaneous losses after which all
+// accepted edits are kept and new ones are still accepted.
 type Tolerance struct {
-	// Hosts and Domains are numbers of hosts and of whole failure domains.
+	// Hosts and Domains are the numbers of lost hosts and of lost failure domains.
 	Hosts   int `toml:"hosts"`
 	Domains int `toml:"domains"`
 }
 
-// voters returns how many voters outlive the loss: a majority of 2f+1 is left
-// after f, if no failure domain holds more voters than another by two.
+// voters returns the number of voters needed: of 2f+1 voters, a majority is left after f are
+// lost. For domains this assumes that voters are spread evenly over the failure domains.
 func (t Tolerance) voters() int { return 2*max(t.Hosts, t.Domains) + 1 }
 
 // GroupSettings is the [control.groups] section.
 type GroupSettings struct {
-	// CounterPeriod is the time between two windows of expert counters.
+	// CounterPeriod is the time between two windows of the expert counters.
 	CounterPeriod kernel.Duration `toml:"counter_period"`
-	// CounterRanks is how many ranks of a group are asked in one window, in turn;
-	// 0 is all. The others count on until it is their turn.
+	// CounterRanks is the number of ranks of a group that are read in one window, in turn; 0
+	// is all. The counters of the others accumulate until they are read.
 	CounterRanks int `toml:"counter_ranks"`
 	// PlanPeriod is the time between two plans of one group.
 	PlanPeriod kernel.Duration `toml:"plan_period"`
-	// StageTimeout and ArmTimeout bound the phases of a switch.
+	// StageTimeout and ArmTimeout bound the phases of a map switch.
 	StageTimeout kernel.Duration `toml:"stage_timeout"`
 	ArmTimeout   kernel.Duration `toml:"arm_timeout"`
 	// OrderTimeout bounds one order to a rank.
 	OrderTimeout kernel.Duration `toml:"order_timeout"`
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Voters:          5,
@@ -148,7 +145,7 @@
 	}
 }
 
-// clock returns the clock that the settings name.
+// clock returns Now, or the default clock if it isn't set.
 func (s *Settings) clock() func() time.Time {
 	if s.Now == nil {
 		return kernel.BootClock()
@@ -156,7 +153,7 @@
 	return s.Now
 }
 
-// SetDefaults fills in what a section leaves out.
+// SetDefaults replaces zero values by their defaults and applies PeerPort to Members.
 func (s *Settings) SetDefaults() {
 	d := DefaultSettings()
 	s.Voters = cmp.Or(s.Voters, d.Voters)
@@ -177,7 +174,7 @@
 	g.OrderTimeout = cmp.Or(g.OrderTimeout, d.Groups.OrderTimeout)
 }
 
-// Check names the first key that is wrong.
+// Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
 	bad := func(key, detail string) error { return kernel.BadKey("control."+key, detail) }
 	switch {
@@ -201,7 +198,7 @@
 	if s.Groups.CounterRanks < 0 {
 		return bad("groups.counter_ranks", "must not be negative")
 	}
-	if key := s.Groups.notPositive(); key != "" {
+	if key := s.Groups.firstNonPositiveKey(); key != "" {
 		return bad("groups."+key, "must be positive")
 	}
 	if s.Lockstep != nil {
@@ -212,8 +209,8 @@
 	return kernel.CheckAddress("control.members", s.Members...)
 }
 
-// notPositive names the first time that isn't, or "".
-func (g *GroupSettings) notPositive() string {
+// firstNonPositiveKey returns the key of the first duration that isn't positive, or "".
+func (g *GroupSettings) firstNonPositiveKey() string {
 	for _, d := range []struct {
 		key   string
 		value kernel.Duration
@@ -231,7 +228,7 @@
 	return ""
 }
 
-// voterTarget is how many voters the cluster should have.
+// voterTarget returns the number of voters that the cluster should have. It is odd.
 func (s *Settings) voterTarget() int {
 	if s.Tolerate != nil {
 		return s.Tolerate.voters()
