--- a/control/leadertransfer.go
+++ b/control/leadertransfer.go
@@ -80,7 +80,7 @@
 		return transferState{next: next, done: !led || settled}
 	}
 	_, err := r.node.Transfer(r.now())
-	// A leader that was just elected again has no live peers yet, so it must not give up.
-	noTarget := errors.Is(err, consensus.ErrNoTarget) && !led
-	return transferState{leads: !noTarget, done: noTarget}
+	// A leader that was just elected again has no live peers yet and must try again.
+	giveUp := errors.Is(err, consensus.ErrNoTarget) && !led
+	return transferState{leads: !giveUp, done: giveUp}
 }
--- a/control/machine_test.go
+++ b/control/machine_test.go
@@ -14,14 +14,14 @@
 // A command of a newer release must cause an error that names the entry and the reason;
 // skipping it would let the replica's state diverge.
 func TestUnknownCommandsAreErrors(t *testing.T) {
-	formed, err := encode(&wire.Command{Command: &wire.Command_Formed{Formed: &wire.Formed{}}})
+	known, err := encode(&wire.Command{Command: &wire.Command_Formed{Formed: &wire.Formed{}}})
 	assert.NilError(t, err)
 	m := newMachine()
-	_, err = m.apply(7, formed)
+	_, err = m.apply(7, known)
 	assert.NilError(t, err)
 	assert.Assert(t, m.formed)
 
-	newerVersion := append(formed[:len(formed):len(formed)], 6<<3, commandVersion+1)
+	newerVersion := append(known[:len(known):len(known)], 6<<3, commandVersion+1)
 	newKind := []byte{15<<3 | 2, 0}
 	for message, data := range map[string][]byte{
 		fmt.Sprintf("command version %d, this release supports up to %d", commandVersion+1, commandVersion): newerVersion,
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -39,8 +39,8 @@
 	r.logMembershipChange(s, err)
 }
 
-// logMembershipChange logs a membership change that was proposed. A refused change that is
-// tried again and again is logged once.
+// logMembershipChange logs a proposed or refused membership change. A change that is refused
+// repeatedly is logged once.
 func (r *Replica) logMembershipChange(s membershipChange, err error) {
 	switch {
 	case err == nil:
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -47,9 +47,9 @@
 	for _, m := range list {
 		s.table.Learn(now, m)
 	}
-	told := s.table.Since(now, s.notifiedVersion)
+	changes := s.table.Since(now, s.notifiedVersion)
 	s.notifiedVersion = s.table.Version()
-	return len(told.Suspicions) > 0
+	return len(changes.Suspicions) > 0
 }
 
 // changesSince returns what a watcher that has seen a version of the table must be sent.
@@ -123,8 +123,9 @@
 // requests that crash upstreams.
 type quarantineService struct{ *service }
 
-// Tell implements the Quarantine service. Suspicions older than the last lifting of a
-// request's quarantine are ignored, and their keys returned.
+// Tell implements the Quarantine service. Suspicions whose last crash precedes the last lifting
+// of the request's quarantine are ignored, and their keys returned. A cleared suspicion lifts
+// the request's quarantine on the log.
 func (s quarantineService) Tell(ctx context.Context, req *wire.TellSuspicionsRequest) (*wire.TellSuspicionsReply, error) {
 	if len(req.Suspicions) > quarantine.MostTold {
 		return nil, merry.Prependf(quarantine.ErrMessage, "%d suspicions", len(req.Suspicions))
--- a/control/ring_test.go
+++ b/control/ring_test.go
@@ -29,7 +29,7 @@
 	return list
 }
 
-func memberIDs(r *wire.Ring) []string {
+func ringMemberIDs(r *wire.Ring) []string {
 	var list []string
 	for _, m := range r.GetMembers() {
 		list = append(list, m.Id)
@@ -68,12 +68,12 @@
 func TestRingPrefersDurableEntries(t *testing.T) {
 	r := newRingSim()
 	r.advance(time.Minute, ringMembers("A1", "a2", "B1", "b2", "C1", "c2"))
-	assert.DeepEqual(t, memberIDs(r.ring), []string{"A1", "B1", "C1"})
+	assert.DeepEqual(t, ringMemberIDs(r.ring), []string{"A1", "B1", "C1"})
 
 	// Only two failure domains have durable entries.
 	r = newRingSim()
 	r.advance(time.Minute, ringMembers("A1", "a2", "B1", "b2", "c2"))
-	assert.DeepEqual(t, memberIDs(r.ring), []string{"A1", "B1", "a2", "b2", "c2"})
+	assert.DeepEqual(t, ringMemberIDs(r.ring), []string{"A1", "B1", "a2", "b2", "c2"})
 }
 
 // When entries become durable, the ring changes at most once in a joint period, and the
@@ -87,7 +87,7 @@
 	}
 	assert.Equal(t, r.advance(jointPeriod()-2*time.Minute, later), 0)
 	assert.Equal(t, r.advance(4*time.Minute, later), 1)
-	assert.DeepEqual(t, memberIDs(r.ring), []string{"a1", "b1", "c1"})
+	assert.DeepEqual(t, ringMemberIDs(r.ring), []string{"a1", "b1", "c1"})
 	assert.Equal(t, r.ring.Members[0].Incarnation, uint64(1))
 	assert.Equal(t, len(r.ring.Previous), 4)
 }
@@ -100,7 +100,7 @@
 	left := ringMembers("B1", "b2", "C1")
 	assert.Equal(t, r.advance(durableRingLeaveDelay-time.Minute, left), 0)
 	assert.Equal(t, r.advance(2*time.Minute, left), 1)
-	assert.DeepEqual(t, memberIDs(r.ring), []string{"B1", "C1", "b2"})
+	assert.DeepEqual(t, ringMemberIDs(r.ring), []string{"B1", "C1", "b2"})
 }
 
 // A durable entry in the failure domain of a lost durable member joins at the next possible
@@ -109,5 +109,5 @@
 	r := newRingSim()
 	r.advance(2*jointPeriod(), ringMembers("A1", "B1", "C1"))
 	assert.Equal(t, r.advance(jointPeriod()+time.Minute, ringMembers("A2", "B1", "C1")), 2)
-	assert.DeepEqual(t, memberIDs(r.ring), []string{"A2", "B1", "C1"})
+	assert.DeepEqual(t, ringMemberIDs(r.ring), []string{"A2", "B1", "C1"})
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -117,7 +117,7 @@
 	return s.appliedConfig(ctx)
 }
 
-// appliedConfig is the configuration that this replica has appliedConfig; it has version 0 if
+// appliedConfig returns the configuration that this replica has applied. Its version is 0 if
 // there is none.
 func (s routingService) appliedConfig(ctx context.Context) (*wire.RoutingConfig, error) {
 	r := s.current()
@@ -181,20 +181,20 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	sent, current, due := uint64(0), false, true
-	suspected := uint64(0)
+	suspicionVersion := uint64(0)
 	for {
 		version, confirmed := r.routingVersion.Load(), r.feed.current(r.now())
-		told := s.suspicions.changesSince(suspected)
-		if due || version != sent || confirmed && !current || len(told.Suspicions) > 0 {
+		changes := s.suspicions.changesSince(suspicionVersion)
+		if due || version != sent || confirmed && !current || len(changes.Suspicions) > 0 {
 			next := directory.SpeakInterval(routingConfirmInterval, int(s.routingWatchers.Load()))
-			if err := sendVersion(stream, r, version, next, told.Suspicions); err != nil {
+			if err := sendVersion(stream, r, version, next, changes.Suspicions); err != nil {
 				return err
 			}
-			sent, suspected = version, told.Version
+			sent, suspicionVersion = version, changes.Version
 			timer.Reset(next)
 		}
 		current, due = confirmed, false
-		if len(told.Suspicions) == quarantine.MostTold {
+		if len(changes.Suspicions) == quarantine.MostTold {
 			continue
 		}
 		select {
--- a/control/service.go
+++ b/control/service.go
@@ -137,7 +137,7 @@
 	tick := time.NewTicker(confirmInterval)
 	defer tick.Stop()
 	from := req.FromRevision
-	ringSent, suspected := uint64(0), uint64(0)
+	ringSent, suspicionVersion := uint64(0), uint64(0)
 	for {
 		u, err := s.tableUpdate(stream.Context(), r, from)
 		if err != nil {
@@ -149,8 +149,8 @@
 			u.Ring = &wire.Ring{Epoch: ringSent}
 		}
 		ringSent = u.Ring.GetEpoch()
-		told := s.suspicions.changesSince(suspected)
-		u.Suspicions, suspected = told.Suspicions, told.Version
+		changes := s.suspicions.changesSince(suspicionVersion)
+		u.Suspicions, suspicionVersion = changes.Suspicions, changes.Version
 		if err := stream.Send(u); err != nil {
 			return err
 		}
@@ -202,8 +202,8 @@
 	return s.current().acquireLease(ctx, req)
 }
 
-// acquireLease grants, renews or releases a group's lease. The TTL is limited to minLease and
-// maxLease. It returns ErrUnavailable if this replica doesn't lead.
+// acquireLease grants, renews or releases a group's lease. The TTL is clamped to the range from
+// minLease to maxLease. It returns ErrUnavailable if this replica doesn't lead.
 func (r *Replica) acquireLease(ctx context.Context, req *wire.LeaseRequest) (*wire.LeaseReply, error) {
 	ttl := min(max(time.Duration(req.TtlMs)*time.Millisecond, minLease), maxLease)
 	if err := r.barrier(ctx); err != nil {
