--- a/control/control.go
+++ b/control/control.go
@@ -322,9 +322,9 @@
 	return id, nil
 }
 
-// ensureJoined requests to join while the membership doesn't include this replica, or when it
-// has known no leader for rejoinAfter. The latter is for a replica that was removed during a
-// partition: its own log still includes it.
+// ensureJoined requests to join while the membership doesn't include this replica, or while it
+// has known no leader for rejoinAfter or since its start. The latter is for a replica that was
+// removed during a partition: its own log still includes it.
 func (c *Control) ensureJoined(ctx context.Context, r *Replica) {
 	var hadLeaderAt time.Time
 	for ctx.Err() == nil {
