--- a/consensus/confirm_test.go
+++ b/consensus/confirmed_age_test.go
@@ -11,33 +11,33 @@
 
 // A follower is cut off, and a heartbeat that left before reaches it five seconds
 // later. Its rows are as old as the cut, however new the heartbeat looks.
-func TestLateHeartbeatConfirmsNothingNew(t *testing.T) {
-	s := newSim(12, 3, simSwitches{})
+func TestDelayedHeartbeatDoesNotRenewConfirmedAge(t *testing.T) {
+	s := newSim(12, 3, disabledSafeguards{})
 	l := s.waitLeader(t, nil)
 	for range 50 {
 		s.step()
 	}
-	f := s.replicas[l.node.heir().Id]
+	f := s.replicas[l.node.transferTarget().Id]
 	assert.Assert(t, f.node.ConfirmedAge(s.clock(f)) < 3*DefaultConfig("").Heartbeat)
-	var late *wire.RaftMessage
-	for late == nil {
+	var delayed *wire.RaftMessage
+	for delayed == nil {
 		s.step()
-		for _, m := range s.queued(wire.RaftKind_RAFT_KIND_APPEND) {
+		for _, m := range s.queuedMessages(wire.RaftKind_RAFT_KIND_APPEND) {
 			if m.To == f.id {
-				late = m
+				delayed = m
 			}
 		}
 	}
-	for _, id := range s.order {
-		s.cut[[2]string{id, f.id}] = true
-		s.cut[[2]string{f.id, id}] = true
+	for _, id := range s.replicaIDs {
+		s.cutLinks[[2]string{id, f.id}] = true
+		s.cutLinks[[2]string{f.id, id}] = true
 	}
 	const delay = 5 * time.Second
 	for end := s.now + delay; s.now < end; {
 		s.step()
 	}
-	f.node.Step(s.clock(f), late)
-	s.drain(f)
+	f.node.Step(s.clock(f), delayed)
+	s.processReady(f)
 	assert.Assert(t, f.node.ConfirmedAge(s.clock(f)) >= delay)
 }
 
@@ -45,28 +45,28 @@
 // elect its target at once. The two still hear each other, and the old leader was
 // heard by a majority a moment ago; but nothing that is accepted over there
 // reaches them, so neither may call its rows current.
-func TestMinorityConfirmsNothing(t *testing.T) {
-	s := newSim(13, 5, simSwitches{})
-	l, target := s.handOver(t)
-	s.drain(l)
-	f := s.replicas[s.order[0]]
+func TestMinorityDoesNotRenewConfirmedAge(t *testing.T) {
+	s := newSim(13, 5, disabledSafeguards{})
+	l, target := s.startTransfer(t)
+	s.processReady(l)
+	f := s.replicas[s.replicaIDs[0]]
 	for i := 1; f == l || f == target; i++ {
-		f = s.replicas[s.order[i]]
+		f = s.replicas[s.replicaIDs[i]]
 	}
 	for _, a := range []string{l.id, f.id} {
-		for _, b := range s.order {
+		for _, b := range s.replicaIDs {
 			if b != l.id && b != f.id {
-				s.cut[[2]string{a, b}] = true
-				s.cut[[2]string{b, a}] = true
+				s.cutLinks[[2]string{a, b}] = true
+				s.cutLinks[[2]string{b, a}] = true
 			}
 		}
 	}
 	cutAt := s.now
-	assert.Assert(t, s.grant(s.waitLeader(t, l), time.Second) > 0)
+	assert.Assert(t, s.grantLease(s.waitLeader(t, l), time.Second) > 0)
 	for range 100 {
 		s.step()
 		for _, r := range []*simReplica{l, f} {
-			age := time.Duration(float64(r.node.ConfirmedAge(s.clock(r))) / r.rate)
+			age := time.Duration(float64(r.node.ConfirmedAge(s.clock(r))) / r.clockRate)
 			assert.Assert(t, age >= s.now-cutAt-DefaultConfig("").Heartbeat, "%s: %v", r.id, age)
 		}
 	}
@@ -74,14 +74,14 @@
 
 // A replica starts, and hears of a leader that is ahead of it. It has confirmed
 // nothing yet, and must not pass for as young as its process.
-func TestNothingIsConfirmedAfterAStart(t *testing.T) {
-	s := newSim(14, 3, simSwitches{})
+func TestRestartedReplicaIsUnconfirmed(t *testing.T) {
+	s := newSim(14, 3, disabledSafeguards{})
 	l := s.waitLeader(t, nil)
-	r := s.replicas[l.node.heir().Id]
+	r := s.replicas[l.node.transferTarget().Id]
 	s.crash(r)
-	s.boot(r)
-	for _, id := range s.order {
-		s.cut[[2]string{r.id, id}] = true
+	s.start(r)
+	for _, id := range s.replicaIDs {
+		s.cutLinks[[2]string{r.id, id}] = true
 	}
 	for range 20 {
 		s.step()
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -27,22 +27,22 @@
 	return ids
 }
 
-func (n *Node) onlyVoter() bool {
+func (n *Node) isOnlyVoter() bool {
 	v := n.voters()
 	return len(v) == 1 && v[0] == n.cfg.ID
 }
 
 // quorum says whether a set of voters is a majority.
-func (n *Node) quorum(has func(id string) bool) bool { return majority(n.voters(), has) }
+func (n *Node) hasQuorum(contains func(id string) bool) bool { return isMajority(n.voters(), contains) }
 
-func majority(voters []string, has func(id string) bool) bool {
-	yes := 0
+func isMajority(voters []string, contains func(id string) bool) bool {
+	count := 0
 	for _, id := range voters {
-		if has(id) {
-			yes++
+		if contains(id) {
+			count++
 		}
 	}
-	return yes > len(voters)/2
+	return count > len(voters)/2
 }
 
 // sayHello asks the voters what they saw of this replica.
@@ -51,13 +51,13 @@
 // would vote twice in a term or elect a leader without accepted entries. A
 // majority is asked, and not all: a replica must be able to start while another
 // one is lost. What it leaves open stands in docs/design/consensus.md.
-func (n *Node) sayHello() {
-	n.hellos[n.cfg.ID] = true
-	if n.checkVerified() || n.now < n.nextBeat {
+func (n *Node) sendHellos() {
+	n.helloReplies[n.cfg.ID] = true
+	if n.tryVerify() || n.now < n.nextHeartbeat {
 		return
 	}
-	n.nextBeat = n.now + n.cfg.Heartbeat
-	for _, p := range n.newest.config.Peers {
+	n.nextHeartbeat = n.now + n.cfg.Heartbeat
+	for _, p := range n.latestConfig.config.Peers {
 		if p.Id == n.cfg.ID {
 			continue
 		}
@@ -68,19 +68,19 @@
 	}
 }
 
-func (n *Node) checkVerified() bool {
-	voters := votersOf(n.newest.config)
-	if len(voters) > 0 && !majority(voters, func(id string) bool { return n.hellos[id] }) {
+func (n *Node) tryVerify() bool {
+	voters := votersOf(n.latestConfig.config)
+	if len(voters) > 0 && !isMajority(voters, func(id string) bool { return n.helloReplies[id] }) {
 		return false
 	}
 	n.verified = true
-	n.heard = n.now
-	n.resetDeadline()
+	n.lastLeaderContact = n.now
+	n.resetElectionDeadline()
 	return true
 }
 
-func (n *Node) answerHello(m *wire.RaftMessage) {
-	seen := n.witnessed[m.From]
+func (n *Node) handleHello(m *wire.RaftMessage) {
+	seen := n.observed[m.From]
 	n.send(&wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_HELLO_REPLY, To: m.From,
 		PrevIndex: seen.index, PrevTerm: seen.term,
@@ -88,24 +88,24 @@
 	})
 }
 
-func (n *Node) takeHello(m *wire.RaftMessage) {
+func (n *Node) handleHelloReply(m *wire.RaftMessage) {
 	if n.verified {
 		return
 	}
-	own := position{n.log.lastTerm(), n.log.lastIndex()}
-	if own.before(position{m.PrevTerm, m.PrevIndex}) {
-		n.failed = merry.Prependf(ErrRolledBack,
+	ownLast := position{n.log.lastTerm(), n.log.lastIndex()}
+	if ownLast.before(position{m.PrevTerm, m.PrevIndex}) {
+		n.fatalErr = merry.Prependf(ErrRolledBack,
 			"%s was seen to hold index %d of term %d, its folder ends at %d of term %d",
-			n.cfg.ID, m.PrevIndex, m.PrevTerm, own.index, own.term)
+			n.cfg.ID, m.PrevIndex, m.PrevTerm, ownLast.index, ownLast.term)
 		return
 	}
 	// The membership may have changed while this replica was down; the voters of
 	// its own folder may be gone for good.
-	if s := m.Snapshot; s != nil && s.Config != nil && s.Index > n.newest.index {
-		n.newest = indexedConfig{s.Index, s.Config}
+	if latest := m.Snapshot; latest != nil && latest.Config != nil && latest.Index > n.latestConfig.index {
+		n.latestConfig = indexedConfig{latest.Index, latest.Config}
 	}
-	n.hellos[m.From] = true
-	n.checkVerified()
+	n.helloReplies[m.From] = true
+	n.tryVerify()
 }
 
 // campaign asks for votes, or first whether votes would be granted. Pre-votes
@@ -136,25 +136,25 @@
 	}
 }
 
-func (n *Node) answerVote(m *wire.RaftMessage) {
-	pre := m.Kind == wire.RaftKind_RAFT_KIND_PRE_VOTE
+func (n *Node) handleVoteRequest(m *wire.RaftMessage) {
+	preVote := m.Kind == wire.RaftKind_RAFT_KIND_PRE_VOTE
 	kind := wire.RaftKind_RAFT_KIND_VOTE_REPLY
-	if pre {
+	if preVote {
 		kind = wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY
 	}
-	free := n.vote == "" || n.vote == m.From
-	if pre {
-		free = m.Term > n.term
+	canVote := n.vote == "" || n.vote == m.From
+	if preVote {
+		canVote = m.Term > n.term
 	}
-	withhold := n.hearsLeader() && !m.Transfer
-	grant := free && !withhold && n.upToDate(m)
+	withinLease := n.withinLeaderLease() && !m.Transfer
+	grant := canVote && !withinLease && n.upToDate(m)
 	reply := &wire.RaftMessage{Kind: kind, To: m.From, Reject: !grant}
-	if grant && pre {
+	if grant && preVote {
 		reply.Term = m.Term
 	}
-	if grant && !pre {
+	if grant && !preVote {
 		n.vote = m.From
-		n.resetDeadline()
+		n.resetElectionDeadline()
 	}
 	n.send(reply)
 }
@@ -168,12 +168,12 @@
 	return m.PrevIndex >= n.log.lastIndex()
 }
 
-func (n *Node) takeVote(m *wire.RaftMessage) {
-	pre := m.Kind == wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY
-	if pre && (n.role != PreCandidate || !m.Reject && m.Term != n.term+1) {
+func (n *Node) handleVoteReply(m *wire.RaftMessage) {
+	preVote := m.Kind == wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY
+	if preVote && (n.role != PreCandidate || !m.Reject && m.Term != n.term+1) {
 		return
 	}
-	if !pre && n.role != Candidate {
+	if !preVote && n.role != Candidate {
 		return
 	}
 	if !m.Reject {
@@ -184,7 +184,7 @@
 
 // countVotes moves on when a majority has granted.
 func (n *Node) countVotes() bool {
-	if !n.quorum(func(id string) bool { return n.votes[id] }) {
+	if !n.hasQuorum(func(id string) bool { return n.votes[id] }) {
 		return false
 	}
 	if n.role == PreCandidate {
--- a/consensus/fence_test.go
+++ b/consensus/fence_test.go
@@ -11,16 +11,16 @@
 
 // grant puts a lease for a replica on the log, as a leader does, and returns its
 // fencing token: the log index of the grant, or 0 if it was not committed in time.
-func (s *sim) grant(l *simReplica, patience time.Duration) uint64 {
+func (s *sim) grantLease(l *simReplica, timeout time.Duration) uint64 {
 	index, _, err := l.node.Propose(s.clock(l), []byte("lease of "+l.id))
 	if err != nil {
 		return 0
 	}
 	l.node.Flush()
-	s.drain(l)
-	for end := s.now + patience; s.now < end; {
+	s.processReady(l)
+	for end := s.now + timeout; s.now < end; {
 		s.step()
-		if l.up && l.at >= index && l.node.role == Leader {
+		if l.up && l.applied >= index && l.node.role == Leader {
 			return index
 		}
 	}
@@ -28,11 +28,11 @@
 }
 
 // waitLeader steps until a replica other than one leads.
-func (s *sim) waitLeader(t *testing.T, not *simReplica) *simReplica {
+func (s *sim) waitLeader(t *testing.T, except *simReplica) *simReplica {
 	t.Helper()
 	for range 1000 {
 		s.step()
-		if l := s.leader(); l != nil && l != not {
+		if l := s.leader(); l != nil && l != except {
 			return l
 		}
 	}
@@ -44,51 +44,51 @@
 // goes on giving orders under its lease, and they reach the agent up to a minute
 // late. Another leader is elected and gives its first order. From then on no
 // order of the old one passes the agent's guard, and it gets no new token.
-func TestCutOffLeadersOrdersEndWithTheNewOnesFirst(t *testing.T) {
+func TestFencingRejectsPartitionedLeader(t *testing.T) {
 	for mode, name := range []string{"nothing leaves it", "nothing reaches it", "both"} {
 		t.Run(name, func(t *testing.T) {
-			s := newSim(uint64(100+mode), 3, simSwitches{})
+			s := newSim(uint64(100+mode), 3, disabledSafeguards{})
 			old := s.waitLeader(t, nil)
-			oldToken := s.grant(old, time.Second)
+			oldToken := s.grantLease(old, time.Second)
 			assert.Assert(t, oldToken > 0)
 			guard := fence.NewGuard()
 			guard.Learn("group", oldToken)
 			assert.Assert(t, guard.Admit("group", oldToken))
-			for _, id := range s.order {
-				s.cut[[2]string{old.id, id}] = mode != 1
-				s.cut[[2]string{id, old.id}] = mode != 0
+			for _, id := range s.replicaIDs {
+				s.cutLinks[[2]string{old.id, id}] = mode != 1
+				s.cutLinks[[2]string{id, old.id}] = mode != 0
 			}
 			next := s.waitLeader(t, old)
-			newToken := s.grant(next, 5*time.Second)
+			newToken := s.grantLease(next, 5*time.Second)
 			assert.Assert(t, newToken > oldToken, "%d, %d", newToken, oldToken)
-			late := []time.Duration{}
-			passed, gotToken := 0, uint64(0)
-			first := false
+			arrivals := []time.Duration{}
+			oldAdmitted, laterOldToken := 0, uint64(0)
+			newAdmitted := false
 			for end := s.now + 10*time.Minute; s.now < end; {
 				s.step()
-				late = append(late, s.now+time.Duration(s.rnd.Int64N(int64(time.Minute))))
-				if !first && s.rnd.IntN(50) == 0 {
-					first = true
+				arrivals = append(arrivals, s.now+time.Duration(s.rnd.Int64N(int64(time.Minute))))
+				if !newAdmitted && s.rnd.IntN(50) == 0 {
+					newAdmitted = true
 					assert.Assert(t, guard.Admit("group", newToken))
 				}
-				kept := late[:0]
-				for _, at := range late {
+				pending := arrivals[:0]
+				for _, at := range arrivals {
 					if at > s.now {
-						kept = append(kept, at)
+						pending = append(pending, at)
 						continue
 					}
-					if guard.Admit("group", oldToken) && first {
-						passed++
+					if guard.Admit("group", oldToken) && newAdmitted {
+						oldAdmitted++
 					}
 				}
-				late = kept
+				arrivals = pending
 				if old.node.role == Leader && s.rnd.IntN(500) == 0 {
-					gotToken = max(gotToken, s.grant(old, 100*time.Millisecond))
+					laterOldToken = max(laterOldToken, s.grantLease(old, 100*time.Millisecond))
 				}
 			}
-			assert.Assert(t, first)
-			assert.Equal(t, passed, 0)
-			assert.Equal(t, gotToken, uint64(0))
+			assert.Assert(t, newAdmitted)
+			assert.Equal(t, oldAdmitted, 0)
+			assert.Equal(t, laterOldToken, uint64(0))
 		})
 	}
 }
--- a/consensus/follower.go
+++ b/consensus/follower.go
@@ -2,24 +2,24 @@
 
 import "github.com/snipereach/snipereach/wire"
 
-func (n *Node) follow(m *wire.RaftMessage) {
+func (n *Node) followLeader(m *wire.RaftMessage) {
 	if n.role != Follower {
 		n.becomeFollower(m.Term, m.From)
 	}
 	n.leader = m.From
-	n.heard = n.now
-	n.patience.heard(n.now, m.From)
-	n.resetDeadline()
-	n.deadline += n.patience.extra(n.cfg.ElectionTimeout)
-	n.takeWitness(m.Witness)
+	n.lastLeaderContact = n.now
+	n.leaderGaps.recordAppend(n.now, m.From)
+	n.resetElectionDeadline()
+	n.electionDeadline += n.leaderGaps.extraTimeout(n.cfg.ElectionTimeout)
+	n.mergeObserved(m.Witness)
 }
 
-func (n *Node) takeAppend(m *wire.RaftMessage) {
-	n.follow(m)
-	reply := n.replyTo(m)
+func (n *Node) handleAppend(m *wire.RaftMessage) {
+	n.followLeader(m)
+	reply := n.newAppendReply(m)
 	if m.PrevIndex < n.log.committed {
 		// Committed entries equal the leader's; only what comes after can differ.
-		n.confirm(m)
+		n.updateConfirmedAt(m)
 		reply.Index = n.log.committed
 		n.send(reply)
 		return
@@ -30,32 +30,32 @@
 		n.send(reply)
 		return
 	}
-	n.take(m.Entries)
+	n.mergeEntries(m.Entries)
 	last := m.PrevIndex + uint64(len(m.Entries))
 	n.log.commitTo(min(m.Commit, last))
-	n.confirm(m)
+	n.updateConfirmedAt(m)
 	reply.Index = last
 	n.send(reply)
 }
 
-func (n *Node) replyTo(m *wire.RaftMessage) *wire.RaftMessage {
+func (n *Node) newAppendReply(m *wire.RaftMessage) *wire.RaftMessage {
 	return &wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_APPEND_REPLY, To: m.From, Round: m.Round,
-		Boot: n.boot, AskedNs: int64(n.now),
+		Boot: n.bootID, AskedNs: int64(n.now),
 	}
 }
 
 // confirm notes since when this replica's state was current: not since an append
 // came, which may have been long under way, but since this replica sent the
 // reply that the leader had got before it sent the append.
-func (n *Node) confirm(m *wire.RaftMessage) {
+func (n *Node) updateConfirmedAt(m *wire.RaftMessage) {
 	// The times of an earlier process are of another clock.
-	if m.Boot != n.boot || n.log.committed < m.Commit {
+	if m.Boot != n.bootID || n.log.committed < m.Commit {
 		return
 	}
-	n.confirmed = max(n.confirmed, Time(m.AskedNs))
-	if n.cfg.off.echo {
-		n.confirmed = n.now
+	n.confirmedAt = max(n.confirmedAt, Time(m.AskedNs))
+	if n.cfg.disabled.echoedTimes {
+		n.confirmedAt = n.now
 	}
 }
 
@@ -75,7 +75,7 @@
 }
 
 // take appends entries and drops those of ours that conflict.
-func (n *Node) take(entries []*wire.LogEntry) {
+func (n *Node) mergeEntries(entries []*wire.LogEntry) {
 	for _, e := range entries {
 		if term, ok := n.log.term(e.Index); ok {
 			if term == e.Term {
@@ -87,9 +87,9 @@
 	}
 }
 
-func (n *Node) takeSnapshot(m *wire.RaftMessage) {
-	n.follow(m)
-	reply := n.replyTo(m)
+func (n *Node) handleSnapshot(m *wire.RaftMessage) {
+	n.followLeader(m)
+	reply := n.newAppendReply(m)
 	s := m.Snapshot
 	if s == nil || s.Index <= n.log.committed {
 		reply.Index = n.log.committed
@@ -98,7 +98,7 @@
 	}
 	s = cloneSnapshot(s)
 	n.log.restore(s)
-	n.installed = s
+	n.installedSnapshot = s
 	reply.Index = s.Index
 	n.send(reply)
 }
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -13,11 +13,11 @@
 type progress struct {
 	match, next uint64
 	// acked is the latest round that the peer acknowledged.
-	acked uint64
+	ackedRound uint64
 	// probing peers get appends with a heartbeat only, until one matches.
 	probing bool
 	// snapshotUntil holds appends back while a snapshot is on its way.
-	snapshotUntil Time
+	snapshotRetryAt Time
 	// boot and askedNs are echoed; see wire.RaftMessage.
 	boot    uint32
 	askedNs int64
@@ -26,7 +26,7 @@
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.cfg.ID
-	n.sinceLead = n.now
+	n.leaderSince = n.now
 	n.votes = nil
 	n.progress = map[string]*progress{}
 	n.sentAt = map[uint64]Time{}
@@ -39,15 +39,15 @@
 
 // syncProgress follows the membership.
 func (n *Node) syncProgress() {
-	live := map[string]bool{}
+	members := map[string]bool{}
 	for _, p := range n.log.config().Peers {
-		live[p.Id] = true
+		members[p.Id] = true
 		if n.progress[p.Id] == nil {
 			n.progress[p.Id] = &progress{next: n.log.lastIndex() + 1, probing: true}
 		}
 	}
 	for id := range n.progress {
-		if !live[id] {
+		if !members[id] {
 			delete(n.progress, id)
 		}
 	}
@@ -68,31 +68,31 @@
 	// before it campaigns: one whose process stood still for longer than its lease finds
 	// the answers of the others right after it wakes, and goes on in its term.
 	if n.transfer != nil && n.now >= n.transfer.deadline {
-		n.giveUpTransfer()
+		n.abortTransfer()
 		return
 	}
-	if n.now >= n.sinceLead+2*n.cfg.ElectionTimeout && !n.quorumHeardIn(2*n.cfg.ElectionTimeout) && !n.cfg.off.lease {
+	if n.now >= n.leaderSince+2*n.cfg.ElectionTimeout && !n.ackedByQuorumWithin(2*n.cfg.ElectionTimeout) && !n.cfg.disabled.leaseCheck {
 		n.becomeFollower(n.term, "")
 		return
 	}
-	if n.now >= n.nextBeat {
+	if n.now >= n.nextHeartbeat {
 		n.broadcast()
 	}
 }
 
 // broadcast sends each peer what it lacks, or a heartbeat.
 func (n *Node) broadcast() {
-	n.nextBeat = n.now + n.cfg.Heartbeat
+	n.nextHeartbeat = n.now + n.cfg.Heartbeat
 	n.round++
 	n.sentAt[n.round] = n.now
-	n.forgetRounds()
+	n.pruneRounds()
 	for _, id := range n.peerIDs() {
 		n.sendAppend(id, true)
 	}
-	if n.onlyVoter() {
+	if n.isOnlyVoter() {
 		n.confirmReads()
 	}
-	n.tellTarget()
+	n.sendTimeoutNow()
 }
 
 // peerIDs lists the other peers, sorted, so that a run is repeatable.
@@ -107,14 +107,14 @@
 	return ids
 }
 
-const keptRounds = 4096
+const maxTrackedRounds = 4096
 
-func (n *Node) forgetRounds() {
-	if len(n.sentAt) <= keptRounds {
+func (n *Node) pruneRounds() {
+	if len(n.sentAt) <= maxTrackedRounds {
 		return
 	}
 	for r := range n.sentAt {
-		if r+keptRounds/2 < n.round {
+		if r+maxTrackedRounds/2 < n.round {
 			delete(n.sentAt, r)
 		}
 	}
@@ -122,26 +122,26 @@
 
 // sendAppend sends entries from the peer's next index; beat forces a message
 // without any.
-func (n *Node) sendAppend(id string, beat bool) {
+func (n *Node) sendAppend(id string, heartbeat bool) {
 	p := n.progress[id]
 	prev := p.next - 1
 	prevTerm, ok := n.log.term(prev)
 	if !ok {
-		n.sendSnapshot(id, p, beat)
+		n.sendSnapshot(id, p, heartbeat)
 		return
 	}
 	var entries []*wire.LogEntry
-	if !p.probing || beat {
+	if !p.probing || heartbeat {
 		entries = n.log.slice(p.next, n.cfg.MaxEntries, n.cfg.MaxBytes)
 	}
-	if len(entries) == 0 && !beat {
+	if len(entries) == 0 && !heartbeat {
 		return
 	}
 	m := &wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_APPEND, To: id, PrevIndex: prev, PrevTerm: prevTerm,
-		Entries: entries, Commit: n.log.committed, Round: n.round, Witness: n.witness(),
+		Entries: entries, Commit: n.log.committed, Round: n.round, Witness: n.observedPositions(),
 	}
-	if n.ready() && n.leaseLive() {
+	if n.committedInTerm() && n.leaseLive() {
 		m.Boot, m.AskedNs = p.boot, p.askedNs
 	}
 	n.sendEarly(m)
@@ -155,12 +155,12 @@
 func (n *Node) sendEarly(m *wire.RaftMessage) {
 	m.From = n.cfg.ID
 	m.Term = n.term
-	n.early = append(n.early, m)
+	n.earlyMessages = append(n.earlyMessages, m)
 }
 
-func (n *Node) sendSnapshot(id string, p *progress, beat bool) {
-	if n.now < p.snapshotUntil {
-		if beat {
+func (n *Node) sendSnapshot(id string, p *progress, heartbeat bool) {
+	if n.now < p.snapshotRetryAt {
+		if heartbeat {
 			n.sendEarly(&wire.RaftMessage{
 				Kind: wire.RaftKind_RAFT_KIND_APPEND, To: id, PrevIndex: n.log.snapshot.Index,
 				PrevTerm: n.log.snapshot.Term, Commit: n.log.committed, Round: n.round,
@@ -168,19 +168,19 @@
 		}
 		return
 	}
-	p.snapshotUntil = n.now + 10*n.cfg.Heartbeat
+	p.snapshotRetryAt = n.now + 10*n.cfg.Heartbeat
 	n.sendEarly(&wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_SNAPSHOT, To: id, Snapshot: n.log.snapshot,
 		Round: n.round, Commit: n.log.committed,
 	})
 }
 
-func (n *Node) takeAppendReply(m *wire.RaftMessage) {
+func (n *Node) handleAppendReply(m *wire.RaftMessage) {
 	p := n.progress[m.From]
 	if n.role != Leader || p == nil {
 		return
 	}
-	p.acked = max(p.acked, m.Round)
+	p.ackedRound = max(p.ackedRound, m.Round)
 	p.boot, p.askedNs = m.Boot, m.AskedNs
 	n.confirmReads()
 	if m.Reject {
@@ -192,15 +192,15 @@
 		return
 	}
 	p.probing = false
-	p.snapshotUntil = 0
+	p.snapshotRetryAt = 0
 	if m.Index > p.match {
 		p.match = m.Index
-		n.seeMatch(m.From, m.Index)
+		n.observeMatch(m.From, m.Index)
 		n.advanceCommit()
 	}
 	p.next = max(p.next, p.match+1)
-	if !n.yielded {
-		n.tellTarget()
+	if !n.leaseReleased {
+		n.sendTimeoutNow()
 	}
 	if p.next <= n.log.lastIndex() {
 		n.sendAppend(m.From, false)
@@ -223,16 +223,16 @@
 	if term, ok := n.log.term(index); !ok || term != n.term || index <= n.log.committed {
 		return
 	}
-	before := n.log.committed
+	prevCommit := n.log.committed
 	n.log.commitTo(index)
 	n.confirmReads()
-	n.afterCommit(before)
+	n.afterCommit(prevCommit)
 }
 
 // afterCommit makes a leader that is no longer a voter step down, and tells the
 // peers of the commit without waiting for the next heartbeat.
-func (n *Node) afterCommit(before uint64) {
-	if ci := n.log.configIndex(); ci > before && ci <= n.log.committed && !n.isVoter(n.cfg.ID) {
+func (n *Node) afterCommit(prevCommit uint64) {
+	if ci := n.log.configIndex(); ci > prevCommit && ci <= n.log.committed && !n.isVoter(n.cfg.ID) {
 		n.becomeFollower(n.term, "")
 		return
 	}
@@ -245,7 +245,7 @@
 
 // leaseStart is when the latest append left that a majority has acknowledged.
 func (n *Node) leaseStart() (Time, bool) {
-	if n.onlyVoter() {
+	if n.isOnlyVoter() {
 		return n.now, true
 	}
 	var rounds []uint64
@@ -254,7 +254,7 @@
 		case id == n.cfg.ID:
 			rounds = append(rounds, n.round)
 		case n.progress[id] != nil:
-			rounds = append(rounds, n.progress[id].acked)
+			rounds = append(rounds, n.progress[id].ackedRound)
 		default:
 			rounds = append(rounds, 0)
 		}
@@ -272,26 +272,26 @@
 // A leader that has told another to campaign has no lease any more: the voters
 // are free to grant their votes from that moment.
 func (n *Node) leaseLive() bool {
-	if n.yielded && !n.cfg.off.transfer {
+	if n.leaseReleased && !n.cfg.disabled.leaseRelease {
 		return false
 	}
-	return n.quorumHeard()
+	return n.ackedByQuorumWithinLease()
 }
 
 // quorumHeard says whether a majority acknowledged an append that left within
 // the length of a lease.
-func (n *Node) quorumHeard() bool {
-	return n.quorumHeardIn(time.Duration(float64(n.cfg.ElectionTimeout) / n.cfg.ClockRatio))
+func (n *Node) ackedByQuorumWithinLease() bool {
+	return n.ackedByQuorumWithin(time.Duration(float64(n.cfg.ElectionTimeout) / n.cfg.ClockRatio))
 }
 
-func (n *Node) quorumHeardIn(length time.Duration) bool {
+func (n *Node) ackedByQuorumWithin(length time.Duration) bool {
 	start, ok := n.leaseStart()
 	return ok && n.now < start+length
 }
 
 // ready says whether an entry of this leader's term is committed. Before that, a
 // new leader doesn't know which earlier entries are.
-func (n *Node) ready() bool {
+func (n *Node) committedInTerm() bool {
 	term, ok := n.log.term(n.log.committed)
 	return ok && term == n.term
 }
@@ -329,14 +329,14 @@
 	if n.role != Leader {
 		return ErrNotLeader
 	}
-	if !n.ready() {
+	if !n.committedInTerm() {
 		return ErrNotReady
 	}
-	if n.leaseLive() || n.cfg.off.lease {
+	if n.leaseLive() || n.cfg.disabled.leaseCheck {
 		n.readStates = append(n.readStates, ReadState{ID: id, Index: n.log.committed, OK: true})
 		return nil
 	}
-	n.reads = append(n.reads, pendingRead{id: id, index: n.log.committed, after: n.round + 1})
+	n.reads = append(n.reads, pendingRead{id: id, index: n.log.committed, minRound: n.round + 1})
 	n.broadcast()
 	return nil
 }
@@ -346,8 +346,8 @@
 func (n *Node) confirmReads() {
 	kept := n.reads[:0]
 	for _, r := range n.reads {
-		ok := n.quorum(func(id string) bool {
-			return id == n.cfg.ID || n.progress[id] != nil && n.progress[id].acked >= r.after
+		ok := n.hasQuorum(func(id string) bool {
+			return id == n.cfg.ID || n.progress[id] != nil && n.progress[id].ackedRound >= r.minRound
 		})
 		if !ok {
 			kept = append(kept, r)
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -14,8 +14,8 @@
 	committed uint64
 	applied   uint64
 	// handed was given to the driver to make durable; stable is durable.
-	handed uint64
-	stable uint64
+	handedToDriver uint64
+	stable         uint64
 	// configs holds the membership by the index that set it, oldest first.
 	configs []indexedConfig
 }
@@ -34,15 +34,15 @@
 		committed: s.Index, applied: s.Index,
 		configs: []indexedConfig{{s.Index, s.Config}},
 	}
-	l.handed = l.lastIndex()
-	l.stable = l.handed
+	l.handedToDriver = l.lastIndex()
+	l.stable = l.handedToDriver
 	for _, e := range entries {
-		l.noteConfig(e)
+		l.recordConfig(e)
 	}
 	return l
 }
 
-func (l *raftLog) noteConfig(e *wire.LogEntry) {
+func (l *raftLog) recordConfig(e *wire.LogEntry) {
 	if e.Type != wire.EntryType_ENTRY_TYPE_CONFIG {
 		return
 	}
@@ -99,7 +99,7 @@
 
 func (l *raftLog) append(e *wire.LogEntry) {
 	l.entries = append(l.entries, e)
-	l.noteConfig(e)
+	l.recordConfig(e)
 }
 
 // truncate drops entries from an index on. Committed entries are never dropped:
@@ -113,7 +113,7 @@
 	for len(l.configs) > 1 && l.configs[len(l.configs)-1].index >= from {
 		l.configs = l.configs[:len(l.configs)-1]
 	}
-	l.handed = min(l.handed, from-1)
+	l.handedToDriver = min(l.handedToDriver, from-1)
 	l.stable = min(l.stable, from-1)
 }
 
@@ -124,12 +124,12 @@
 // takeUnstable returns entries that the driver must make durable. A journal
 // reads them as replacing all entries from their first index on.
 func (l *raftLog) takeUnstable() []*wire.LogEntry {
-	if l.handed >= l.lastIndex() {
+	if l.handedToDriver >= l.lastIndex() {
 		return nil
 	}
-	out := l.slice(l.handed+1, len(l.entries), int(^uint(0)>>1))
-	l.handed = l.lastIndex()
-	return out
+	unstable := l.slice(l.handedToDriver+1, len(l.entries), int(^uint(0)>>1))
+	l.handedToDriver = l.lastIndex()
+	return unstable
 }
 
 func (l *raftLog) takeCommitted() []*wire.LogEntry {
@@ -150,7 +150,7 @@
 	s := &wire.LogSnapshot{Index: index, Term: term, Config: l.configAt(index), Data: data}
 	l.entries = append([]*wire.LogEntry(nil), l.entries[index+1-l.firstIndex():]...)
 	l.snapshot = s
-	l.dropConfigs()
+	l.compactConfigs()
 	return s
 }
 
@@ -164,7 +164,7 @@
 	return c
 }
 
-func (l *raftLog) dropConfigs() {
+func (l *raftLog) compactConfigs() {
 	kept := []indexedConfig{{l.snapshot.Index, l.snapshot.Config}}
 	for _, ic := range l.configs {
 		if ic.index > l.snapshot.Index {
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -14,7 +14,7 @@
 func (n *Node) AddLearner(now Time, p *wire.Peer) error {
 	learner := proto.Clone(p).(*wire.Peer)
 	learner.Learner = true
-	return n.change(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
+	return n.changeMembership(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
 		for _, old := range peers {
 			if old.Id == p.Id {
 				return peers, nil
@@ -32,7 +32,7 @@
 	if !n.CaughtUp(id) {
 		return merry.Prepend(ErrNotCaughtUp, id)
 	}
-	return n.change(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
+	return n.changeMembership(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
 		for _, p := range peers {
 			if p.Id == id {
 				p.Learner = false
@@ -45,7 +45,7 @@
 
 // Remove takes a replica out.
 func (n *Node) Remove(now Time, id string) error {
-	return n.change(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
+	return n.changeMembership(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
 		var kept []*wire.Peer
 		for _, p := range peers {
 			if p.Id != id {
@@ -82,15 +82,15 @@
 	if p == nil {
 		return false
 	}
-	at, ok := n.sentAt[p.acked]
-	return ok && n.now < at+n.cfg.ElectionTimeout
+	ackedSentAt, ok := n.sentAt[p.ackedRound]
+	return ok && n.now < ackedSentAt+n.cfg.ElectionTimeout
 }
 
 // change appends a membership that differs by one replica. Two majorities that
 // differ by one replica always share one, so no joint phase is needed; the
 // change before must be committed, and so must an entry of this leader's term
 // (Ongaro's correction of 2015).
-func (n *Node) change(now Time, edit func([]*wire.Peer) ([]*wire.Peer, error)) error {
+func (n *Node) changeMembership(now Time, edit func([]*wire.Peer) ([]*wire.Peer, error)) error {
 	n.now = max(n.now, now)
 	if n.role != Leader {
 		return ErrNotLeader
@@ -101,7 +101,7 @@
 	if n.log.configIndex() > n.log.committed {
 		return ErrConfigPending
 	}
-	if !n.ready() {
+	if !n.committedInTerm() {
 		return ErrNotReady
 	}
 	next := proto.Clone(n.log.config()).(*wire.Configuration)
@@ -113,7 +113,7 @@
 	if proto.Equal(next, n.log.config()) {
 		return nil
 	}
-	if err := n.checkQuorumAfter(next); err != nil {
+	if err := n.checkLiveQuorum(next); err != nil {
 		return err
 	}
 	data, err := proto.Marshal(next)
@@ -128,19 +128,19 @@
 
 // checkQuorumAfter refuses a membership whose live voters are no majority: it
 // could never commit itself, nor be undone.
-func (n *Node) checkQuorumAfter(c *wire.Configuration) error {
-	live, all := 0, 0
+func (n *Node) checkLiveQuorum(c *wire.Configuration) error {
+	live, voters := 0, 0
 	for _, p := range c.Peers {
 		if p.Learner {
 			continue
 		}
-		all++
+		voters++
 		if n.Live(p.Id) {
 			live++
 		}
 	}
-	if all == 0 || live <= all/2 {
-		return merry.Prependf(ErrLastVoter, "%d of %d voters would be live", live, all)
+	if voters == 0 || live <= voters/2 {
+		return merry.Prependf(ErrLastVoter, "%d of %d voters would be live", live, voters)
 	}
 	return nil
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -26,7 +26,7 @@
 )
 
 // neverConfirmed is the age of a state that was not confirmed since the start.
-const neverConfirmed = 24 * time.Hour
+const initialConfirmedAge = 24 * time.Hour
 
 // Time is monotonic time since any fixed moment of one process.
 type Time = time.Duration
@@ -51,20 +51,20 @@
 	// Rand draws election timeouts.
 	Rand *rand.Rand
 	// off turns safeguards off; only this package's tests can set it.
-	off safeguards
+	disabled safeguards
 }
 
 // safeguards names what tests turn off to show that the suite would catch its
 // absence.
 type safeguards struct {
 	// lease lets a leader answer reads without a live lease.
-	lease bool
+	leaseCheck bool
 	// identity lets a replica vote before its peers have told what they saw.
-	identity bool
+	rollbackCheck bool
 	// transfer lets a leader keep its lease after it told another to campaign.
-	transfer bool
+	leaseRelease bool
 	// echo lets a follower take an append as sent when it came.
-	echo bool
+	echoedTimes bool
 }
 
 // DefaultConfig suits links of a few milliseconds.
@@ -153,83 +153,83 @@
 
 	leader string
 	// heard is when a leader was last heard; votes are withheld after it.
-	heard    Time
-	deadline Time
-	patience patience
+	lastLeaderContact Time
+	electionDeadline  Time
+	leaderGaps        gapTracker
 	// confirmed is when the applied state was last known to be current, while
 	// another led.
-	confirmed Time
+	confirmedAt Time
 	// boot tells this process from earlier ones of the same replica.
-	boot uint32
+	bootID uint32
 
 	votes    map[string]bool
 	progress map[string]*progress
 	// round numbers appends; see wire.RaftMessage.round.
-	round     uint64
-	sentAt    map[uint64]Time
-	nextBeat  Time
-	reads     []pendingRead
-	sinceLead Time
+	round         uint64
+	sentAt        map[uint64]Time
+	nextHeartbeat Time
+	reads         []pendingRead
+	leaderSince   Time
 	// transfer is in progress unless nil. yielded: the lease of this term is given
 	// up for good.
-	transfer *transfer
-	yielded  bool
+	transfer      *transfer
+	leaseReleased bool
 
-	verified bool
-	failed   error
-	hellos   map[string]bool
+	verified     bool
+	fatalErr     error
+	helloReplies map[string]bool
 	// newest is the latest membership heard of while not verified.
-	newest indexedConfig
+	latestConfig indexedConfig
 	// witnessed is what each peer was seen to hold, savedWitness what of it is
 	// durable.
-	witnessed, savedWitness map[string]position
+	observed, savedObserved map[string]position
 	// nextWitness is when it may next be made durable without other records, and
 	// saveWitness that it is to be now.
-	nextWitness Time
-	saveWitness bool
+	nextObservedSave Time
+	saveObserved     bool
 
-	early, messages []*wire.RaftMessage
-	readStates      []ReadState
-	installed       *wire.LogSnapshot
+	earlyMessages, messages []*wire.RaftMessage
+	readStates              []ReadState
+	installedSnapshot       *wire.LogSnapshot
 }
 
 type pendingRead struct {
 	id    uint64
 	index uint64
 	// after is the round of which a quorum must acknowledge.
-	after uint64
+	minRound uint64
 }
 
 // New makes a replica from what its folder held.
 func New(cfg Config, r Restored, now Time) *Node {
 	n := &Node{
-		cfg:       cfg,
-		now:       now,
-		log:       newLog(r.Snapshot, r.Entries),
-		heard:     now,
-		confirmed: now - neverConfirmed,
-		boot:      cfg.Rand.Uint32() | 1,
-		hellos:    map[string]bool{},
-		witnessed: map[string]position{},
-		verified:  r.Fresh || cfg.off.identity,
-		sentAt:    map[uint64]Time{},
+		cfg:               cfg,
+		now:               now,
+		log:               newLog(r.Snapshot, r.Entries),
+		lastLeaderContact: now,
+		confirmedAt:       now - initialConfirmedAge,
+		bootID:            cfg.Rand.Uint32() | 1,
+		helloReplies:      map[string]bool{},
+		observed:          map[string]position{},
+		verified:          r.Fresh || cfg.disabled.rollbackCheck,
+		sentAt:            map[uint64]Time{},
 	}
-	n.newest = indexedConfig{n.log.configIndex(), n.log.config()}
+	n.latestConfig = indexedConfig{n.log.configIndex(), n.log.config()}
 	if r.Hard != nil {
 		n.term, n.vote = r.Hard.Term, r.Hard.Vote
 		// Kept over a restart: a host whose folder is an older copy would otherwise
 		// pass unseen when its peers restart with it.
-		n.takeWitness(r.Hard.Witness)
-		n.savedWitness = maps.Clone(n.witnessed)
+		n.mergeObserved(r.Hard.Witness)
+		n.savedObserved = maps.Clone(n.observed)
 		n.log.commitTo(min(r.Hard.Commit, n.log.lastIndex()))
 		n.persisted = proto.Clone(r.Hard).(*wire.HardState)
 	} else {
 		n.persisted = &wire.HardState{}
 	}
-	n.resetDeadline()
-	if n.onlyVoter() {
+	n.resetElectionDeadline()
+	if n.isOnlyVoter() {
 		n.verified = true
-		n.deadline = now
+		n.electionDeadline = now
 	}
 	return n
 }
@@ -245,27 +245,27 @@
 	}
 }
 
-func (n *Node) resetDeadline() {
+func (n *Node) resetElectionDeadline() {
 	jitter := n.cfg.Rand.Int64N(int64(n.cfg.ElectionTimeout))
-	n.deadline = n.now + n.cfg.ElectionTimeout + time.Duration(jitter)
+	n.electionDeadline = n.now + n.cfg.ElectionTimeout + time.Duration(jitter)
 }
 
 // Tick moves time on.
 func (n *Node) Tick(now Time) {
 	n.now = max(n.now, now)
-	if n.failed != nil {
+	if n.fatalErr != nil {
 		return
 	}
 	if !n.verified {
-		n.sayHello()
+		n.sendHellos()
 		return
 	}
-	n.keepWitness()
+	n.scheduleObservedSave()
 	if n.role == Leader {
 		n.tickLeader()
 		return
 	}
-	if n.now >= n.deadline && n.isVoter(n.cfg.ID) {
+	if n.now >= n.electionDeadline && n.isVoter(n.cfg.ID) {
 		n.campaign(PreCandidate, false)
 	}
 }
@@ -273,33 +273,33 @@
 // Step takes a message.
 func (n *Node) Step(now Time, m *wire.RaftMessage) {
 	n.now = max(n.now, now)
-	if n.failed != nil || m.To != n.cfg.ID {
+	if n.fatalErr != nil || m.To != n.cfg.ID {
 		return
 	}
 	switch m.Kind {
 	case wire.RaftKind_RAFT_KIND_HELLO:
-		n.answerHello(m)
+		n.handleHello(m)
 		return
 	case wire.RaftKind_RAFT_KIND_HELLO_REPLY:
-		n.takeHello(m)
+		n.handleHelloReply(m)
 		return
 	}
 	if !n.verified {
 		return
 	}
-	if m.Term > n.term && !n.meetNewTerm(m) {
+	if m.Term > n.term && !n.handleHigherTerm(m) {
 		return
 	}
 	if m.Term < n.term {
-		n.answerOldTerm(m)
+		n.handleLowerTerm(m)
 		return
 	}
-	n.stepTerm(m)
+	n.stepCurrentTerm(m)
 }
 
 // meetNewTerm takes a message of a later term; it returns false if the message
 // goes no further.
-func (n *Node) meetNewTerm(m *wire.RaftMessage) bool {
+func (n *Node) handleHigherTerm(m *wire.RaftMessage) bool {
 	switch m.Kind {
 	case wire.RaftKind_RAFT_KIND_PRE_VOTE:
 		return true
@@ -311,7 +311,7 @@
 	case wire.RaftKind_RAFT_KIND_VOTE:
 		// A replica that returns from a cut must not depose a leader that the
 		// others hear, and a vote within the lease would let two leaders answer.
-		if n.hearsLeader() && !m.Transfer {
+		if n.withinLeaderLease() && !m.Transfer {
 			return false
 		}
 	}
@@ -325,19 +325,19 @@
 
 // hearsLeader says whether a leader may hold a live lease that this replica is
 // part of.
-func (n *Node) hearsLeader() bool {
+func (n *Node) withinLeaderLease() bool {
 	if n.role == Leader {
 		return n.leaseLive()
 	}
-	return n.now < n.heard+n.cfg.ElectionTimeout
+	return n.now < n.lastLeaderContact+n.cfg.ElectionTimeout
 }
 
 // answerOldTerm tells a replica of an earlier term about ours, so that a
 // deposed leader or a stuck candidate moves on.
-func (n *Node) answerOldTerm(m *wire.RaftMessage) {
+func (n *Node) handleLowerTerm(m *wire.RaftMessage) {
 	switch m.Kind {
 	case wire.RaftKind_RAFT_KIND_APPEND, wire.RaftKind_RAFT_KIND_SNAPSHOT:
-		reply := n.replyTo(m)
+		reply := n.newAppendReply(m)
 		reply.Reject = true
 		reply.Index = n.log.lastIndex()
 		n.send(reply)
@@ -346,20 +346,20 @@
 	}
 }
 
-func (n *Node) stepTerm(m *wire.RaftMessage) {
+func (n *Node) stepCurrentTerm(m *wire.RaftMessage) {
 	switch m.Kind {
 	case wire.RaftKind_RAFT_KIND_PRE_VOTE, wire.RaftKind_RAFT_KIND_VOTE:
-		n.answerVote(m)
+		n.handleVoteRequest(m)
 	case wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY, wire.RaftKind_RAFT_KIND_VOTE_REPLY:
-		n.takeVote(m)
+		n.handleVoteReply(m)
 	case wire.RaftKind_RAFT_KIND_APPEND:
-		n.takeAppend(m)
+		n.handleAppend(m)
 	case wire.RaftKind_RAFT_KIND_SNAPSHOT:
-		n.takeSnapshot(m)
+		n.handleSnapshot(m)
 	case wire.RaftKind_RAFT_KIND_APPEND_REPLY:
-		n.takeAppendReply(m)
+		n.handleAppendReply(m)
 	case wire.RaftKind_RAFT_KIND_TIMEOUT_NOW:
-		n.takeTimeoutNow()
+		n.handleTimeoutNow()
 	}
 }
 
@@ -377,46 +377,46 @@
 		n.vote = ""
 	}
 	n.failReads()
-	n.confirmed = n.now - n.ConfirmedAge(n.now)
+	n.confirmedAt = n.now - n.ConfirmedAge(n.now)
 	n.role = Follower
 	n.leader = leader
 	n.votes = nil
 	n.progress = nil
-	n.transfer, n.yielded = nil, false
-	n.resetDeadline()
+	n.transfer, n.leaseReleased = nil, false
+	n.resetElectionDeadline()
 }
 
 // Ready returns what is to be done, and forgets it.
 func (n *Node) Ready() Ready {
-	r := Ready{Early: n.early, Messages: n.messages, Reads: n.readStates, Snapshot: n.installed}
+	r := Ready{Early: n.earlyMessages, Messages: n.messages, Reads: n.readStates, Snapshot: n.installedSnapshot}
 	r.Entries = n.log.takeUnstable()
 	r.Apply = n.log.takeCommitted()
 	hard := &wire.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed}
-	if hard.Term != n.persisted.Term || hard.Vote != n.persisted.Vote || n.saveWitness || (r.Durable() && hard.Commit != n.persisted.Commit) {
+	if hard.Term != n.persisted.Term || hard.Vote != n.persisted.Vote || n.saveObserved || (r.Durable() && hard.Commit != n.persisted.Commit) {
 		// Appends of a term that a crash could undo must wait for its sync: a
 		// sole voter would otherwise lead the same term twice, with other entries.
 		if hard.Term != n.persisted.Term {
 			r.Messages = append(r.Early, r.Messages...)
 			r.Early = nil
 		}
-		n.recordWitness(hard)
+		n.putObserved(hard)
 		r.Hard = hard
 		n.persisted = hard
 	}
-	n.early, n.messages, n.readStates, n.installed = nil, nil, nil, nil
+	n.earlyMessages, n.messages, n.readStates, n.installedSnapshot = nil, nil, nil, nil
 	return r
 }
 
 // Persisted tells that all records of the last Ready are durable. A leader
 // counts its own log only from here on.
 func (n *Node) Persisted() {
-	n.log.stable = n.log.handed
+	n.log.stable = n.log.handedToDriver
 	if n.role != Leader {
 		return
 	}
 	if p := n.progress[n.cfg.ID]; p != nil {
 		p.match = min(n.log.stable, n.log.lastIndex())
-		n.seeMatch(n.cfg.ID, p.match)
+		n.observeMatch(n.cfg.ID, p.match)
 		n.advanceCommit()
 	}
 }
@@ -427,7 +427,7 @@
 }
 
 // Err returns why the replica has stopped, or nil.
-func (n *Node) Err() error { return n.failed }
+func (n *Node) Err() error { return n.fatalErr }
 
 // Status describes a replica.
 type Status struct {
@@ -483,11 +483,11 @@
 // acknowledged, for a follower when it asked a leader with a live lease.
 func (n *Node) ConfirmedAge(now Time) time.Duration {
 	now = max(n.now, now)
-	at := n.confirmed
-	if n.role == Leader && n.ready() {
+	confirmedAt := n.confirmedAt
+	if n.role == Leader && n.committedInTerm() {
 		if start, ok := n.leaseStart(); ok {
-			at = max(at, start)
+			confirmedAt = max(confirmedAt, start)
 		}
 	}
-	return now - at
+	return now - confirmedAt
 }
--- a/consensus/witness.go
+++ b/consensus/observed.go
@@ -19,54 +19,54 @@
 }
 
 // see notes what a peer was seen to hold durably.
-func (n *Node) see(id string, p position) {
-	if n.witnessed[id].before(p) {
-		n.witnessed[id] = p
+func (n *Node) observe(id string, p position) {
+	if n.observed[id].before(p) {
+		n.observed[id] = p
 	}
 }
 
 // seeMatch notes that a peer's log equals this leader's up to an index.
-func (n *Node) seeMatch(id string, index uint64) {
+func (n *Node) observeMatch(id string, index uint64) {
 	if term, ok := n.log.term(index); ok {
-		n.see(id, position{term, index})
+		n.observe(id, position{term, index})
 	}
 }
 
 // witness tells every peer what the others hold, so that any of them can tell a
 // replica that its folder is an older copy.
-func (n *Node) witness() map[string]*wire.LogPosition {
-	w := make(map[string]*wire.LogPosition, len(n.progress))
+func (n *Node) observedPositions() map[string]*wire.LogPosition {
+	positions := make(map[string]*wire.LogPosition, len(n.progress))
 	for id := range n.progress {
-		if p, ok := n.witnessed[id]; ok {
-			w[id] = &wire.LogPosition{Term: p.term, Index: p.index}
+		if p, ok := n.observed[id]; ok {
+			positions[id] = &wire.LogPosition{Term: p.term, Index: p.index}
 		}
 	}
-	return w
+	return positions
 }
 
-func (n *Node) takeWitness(w map[string]*wire.LogPosition) {
-	for id, p := range w {
-		n.see(id, position{p.GetTerm(), p.GetIndex()})
+func (n *Node) mergeObserved(positions map[string]*wire.LogPosition) {
+	for id, p := range positions {
+		n.observe(id, position{p.GetTerm(), p.GetIndex()})
 	}
 }
 
 // keepWitness makes what was seen of the peers durable soon after it was seen. It
 // goes with other records while there are any; what was seen after the last would
 // be lost if all restart, and a folder without its last records would pass.
-func (n *Node) keepWitness() {
-	if n.now < n.nextWitness || maps.Equal(n.witnessed, n.savedWitness) {
+func (n *Node) scheduleObservedSave() {
+	if n.now < n.nextObservedSave || maps.Equal(n.observed, n.savedObserved) {
 		return
 	}
-	n.nextWitness = n.now + n.cfg.Heartbeat
-	n.saveWitness = true
+	n.nextObservedSave = n.now + n.cfg.Heartbeat
+	n.saveObserved = true
 }
 
 // recordWitness puts what was seen of all peers into a hard state.
-func (n *Node) recordWitness(h *wire.HardState) {
-	h.Witness = make(map[string]*wire.LogPosition, len(n.witnessed))
-	for id, p := range n.witnessed {
+func (n *Node) putObserved(h *wire.HardState) {
+	h.Witness = make(map[string]*wire.LogPosition, len(n.observed))
+	for id, p := range n.observed {
 		h.Witness[id] = &wire.LogPosition{Term: p.term, Index: p.index}
 	}
-	n.savedWitness = maps.Clone(n.witnessed)
-	n.saveWitness = false
+	n.savedObserved = maps.Clone(n.observed)
+	n.saveObserved = false
 }
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -18,15 +18,15 @@
 // sim runs replicas in virtual time under a seeded schedule of faults. It
 // checks the invariants after every step and panics with a violation.
 type sim struct {
-	rnd      *rand.Rand
-	now      time.Duration
-	replicas map[string]*simReplica
-	order    []string
-	queue    simQueue
-	seq      int
-	cut      map[[2]string]bool
-	off      simSwitches
-	lossy    bool
+	rnd        *rand.Rand
+	now        time.Duration
+	replicas   map[string]*simReplica
+	replicaIDs []string
+	queue      simQueue
+	seq        int
+	cutLinks   map[[2]string]bool
+	disabled   disabledSafeguards
+	lossy      bool
 
 	leaders   map[uint64]string
 	committed map[uint64]uint64
@@ -34,47 +34,47 @@
 	// acceptances holds the highest accepted index by time.
 	acceptances []acceptance
 
-	history  []porcupine.Operation
-	pending  map[string]*simOp
-	inflight map[string]map[uint64]*simOp
-	nextID   uint64
-	repairs  map[string]string
-	born     int
-	config   *wire.Configuration
-	trace    []string
+	history        []porcupine.Operation
+	proposedWrites map[string]*simOp
+	inflightReads  map[string]map[uint64]*simOp
+	nextID         uint64
+	replacements   map[string]string
+	incarnations   int
+	lastConfig     *wire.Configuration
+	trace          []string
 }
 
 // simSwitches turns safeguards off.
-type simSwitches struct {
+type disabledSafeguards struct {
 	node safeguards
 	// sync sends messages before their records are durable.
-	sync bool
+	syncBeforeSend bool
 	// newIdentity lets a replica whose folder was lost come back under its old identity.
-	newIdentity bool
+	newIdentityAfterLoss bool
 }
 
 type simReplica struct {
-	id    string
-	node  *Node
-	disk  simDisk
-	up    bool
-	rate  float64
-	value string
-	at    uint64
+	id        string
+	node      *Node
+	disk      simDisk
+	up        bool
+	clockRate float64
+	value     string
+	applied   uint64
 	// bootedAt is when the process started; its clock starts there.
 	bootedAt time.Duration
 	// lost says that the folder is gone: this identity never comes back.
-	lost bool
+	diskLost bool
 	// frozen is until when the process stands still; what comes meanwhile waits.
-	frozen time.Duration
+	pausedUntil time.Duration
 }
 
 // simDisk is what a folder durably holds.
 type simDisk struct {
-	hard  *wire.HardState
-	snap  *wire.LogSnapshot
-	log   []*wire.LogEntry
-	fresh bool
+	hard     *wire.HardState
+	snapshot *wire.LogSnapshot
+	log      []*wire.LogEntry
+	fresh    bool
 }
 
 type simOp struct {
@@ -85,21 +85,21 @@
 }
 
 type acceptance struct {
-	at    time.Duration
-	index uint64
+	acceptedAt time.Duration
+	index      uint64
 }
 
 type simMessage struct {
-	at  time.Duration
-	seq int
-	m   *wire.RaftMessage
+	deliverAt time.Duration
+	seq       int
+	message   *wire.RaftMessage
 }
 
 type simQueue []simMessage
 
 func (q simQueue) Len() int { return len(q) }
 func (q simQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+	return q[i].deliverAt < q[j].deliverAt || q[i].deliverAt == q[j].deliverAt && q[i].seq < q[j].seq
 }
 func (q simQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *simQueue) Push(x any)   { *q = append(*q, x.(simMessage)) }
@@ -119,97 +119,97 @@
 	lostEntry    = "accepted entry lost"
 	lostAck      = "acknowledged record lost"
 	staleRead    = "reads are not linearizable"
-	staleRows    = "rows are older than said"
+	staleState   = "rows are older than said"
 )
 
-func (s *sim) fail(format string, args ...any) {
+func (s *sim) failf(format string, args ...any) {
 	panic(violation{fmt.Sprintf("t=%v: ", s.now) + fmt.Sprintf(format, args...) + "\n" + strings.Join(s.trace, "\n")})
 }
 
-func (s *sim) note(format string, args ...any) {
+func (s *sim) tracef(format string, args ...any) {
 	s.trace = append(s.trace, fmt.Sprintf("%8v ", s.now)+fmt.Sprintf(format, args...))
 }
 
-func newSim(seed uint64, voters int, off simSwitches) *sim {
+func newSim(seed uint64, voters int, disabled disabledSafeguards) *sim {
 	s := &sim{
 		rnd:      rand.New(rand.NewPCG(seed, 77)),
-		replicas: map[string]*simReplica{}, cut: map[[2]string]bool{}, off: off,
+		replicas: map[string]*simReplica{}, cutLinks: map[[2]string]bool{}, disabled: disabled,
 		leaders: map[uint64]string{}, committed: map[uint64]uint64{}, accepted: map[uint64]string{},
-		pending: map[string]*simOp{}, inflight: map[string]map[uint64]*simOp{}, repairs: map[string]string{},
+		proposedWrites: map[string]*simOp{}, inflightReads: map[string]map[uint64]*simOp{}, replacements: map[string]string{},
 	}
 	var peers []*wire.Peer
 	for i := range voters {
 		peers = append(peers, &wire.Peer{Id: fmt.Sprintf("r%d", i)})
 	}
-	s.config = &wire.Configuration{Peers: peers}
-	snap := &wire.LogSnapshot{Index: 1, Term: 1, Config: s.config}
+	s.lastConfig = &wire.Configuration{Peers: peers}
+	snapshot := &wire.LogSnapshot{Index: 1, Term: 1, Config: s.lastConfig}
 	for _, p := range peers {
-		s.add(p.Id, simDisk{hard: &wire.HardState{Term: 1, Commit: 1}, snap: snap, fresh: true})
+		s.addReplica(p.Id, simDisk{hard: &wire.HardState{Term: 1, Commit: 1}, snapshot: snapshot, fresh: true})
 	}
 	return s
 }
 
-func (s *sim) add(id string, d simDisk) {
-	r := &simReplica{id: id, disk: d, rate: 1 + 0.08*s.rnd.Float64()}
+func (s *sim) addReplica(id string, d simDisk) {
+	r := &simReplica{id: id, disk: d, clockRate: 1 + 0.08*s.rnd.Float64()}
 	s.replicas[id] = r
-	s.order = append(s.order, id)
-	s.boot(r)
+	s.replicaIDs = append(s.replicaIDs, id)
+	s.start(r)
 }
 
-func (s *sim) boot(r *simReplica) {
+func (s *sim) start(r *simReplica) {
 	cfg := DefaultConfig(r.id)
 	cfg.Rand = s.rnd
-	cfg.off = s.off.node
+	cfg.disabled = s.disabled.node
 	cfg.MaxEntries = 4
 	r.bootedAt = s.now
 	r.node = New(cfg, Restored{
-		Hard: r.disk.hard, Snapshot: r.disk.snap,
+		Hard: r.disk.hard, Snapshot: r.disk.snapshot,
 		Entries: append([]*wire.LogEntry(nil), r.disk.log...), Fresh: r.disk.fresh,
 	}, 0)
 	r.up = true
-	r.value, r.at = "", 0
-	if r.disk.snap != nil {
-		r.value, r.at = string(r.disk.snap.Data), r.disk.snap.Index
+	r.value, r.applied = "", 0
+	if r.disk.snapshot != nil {
+		r.value, r.applied = string(r.disk.snapshot.Data), r.disk.snapshot.Index
 	}
-	s.inflight[r.id] = map[uint64]*simOp{}
+	s.inflightReads[r.id] = map[uint64]*simOp{}
 }
 
 func (s *sim) clock(r *simReplica) time.Duration {
-	return time.Duration(float64(s.now-r.bootedAt) * r.rate)
+	return time.Duration(float64(s.now-r.bootedAt) * r.clockRate)
 }
 
 // drain does what a Ready asks for; a crash may come at each point.
-func (s *sim) drain(r *simReplica) {
+func (s *sim) processReady(r *simReplica) {
 	for r.up {
 		rd := r.node.Ready()
 		if rd.Empty() {
 			break
 		}
 		s.sendAll(rd.Early)
-		if s.off.sync {
+		if s.disabled.syncBeforeSend {
 			s.sendAll(rd.Messages)
 		}
 		if rd.Durable() && s.lossy && s.rnd.IntN(400) == 0 {
-			s.note("%s crashes before its sync", r.id)
+			s.tracef("%s crashes before its sync", r.id)
 			s.crash(r)
 			return
 		}
-		r.disk.write(&rd)
+		r.disk.persist(&rd)
 		r.node.Persisted()
-		if !s.off.sync {
+		if !s.disabled.syncBeforeSend {
 			s.sendAll(rd.Messages)
 		}
 		s.apply(r, &rd)
 	}
-	s.check(r)
+	s.checkReplica(r)
 }
 
-func (d *simDisk) write(rd *Ready) {
+func (d *simDisk) persist(rd *Ready) {
 	if rd.Hard != nil {
 		d.hard = rd.Hard
 	}
 	if rd.Snapshot != nil {
-		d.snap, d.log = rd.Snapshot, nil
+		d.snapshot, d.log = rd.Snapshot, nil
 	}
 	if len(rd.Entries) > 0 {
 		keep := 0
@@ -225,34 +225,34 @@
 
 func (s *sim) apply(r *simReplica, rd *Ready) {
 	if rd.Snapshot != nil {
-		r.value, r.at = string(rd.Snapshot.Data), rd.Snapshot.Index
+		r.value, r.applied = string(rd.Snapshot.Data), rd.Snapshot.Index
 	}
 	for _, e := range rd.Apply {
-		if e.Index != r.at+1 {
-			s.fail("%s applies %d after %d", r.id, e.Index, r.at)
+		if e.Index != r.applied+1 {
+			s.failf("%s applies %d after %d", r.id, e.Index, r.applied)
 		}
 		s.checkCommitted(r, e)
-		r.at = e.Index
+		r.applied = e.Index
 		if e.Type == wire.EntryType_ENTRY_TYPE_COMMAND {
 			r.value = string(e.Data)
 		}
-		s.answerWrite(r, e)
+		s.completeWrite(r, e)
 	}
 	for _, rs := range rd.Reads {
-		s.answerRead(r, rs)
+		s.completeRead(r, rs)
 	}
-	if r.at > r.node.Status().First+20 {
-		if snap := r.node.Compact(r.at, []byte(r.value)); snap != nil {
-			r.disk.compact(snap)
+	if r.applied > r.node.Status().First+20 {
+		if snapshot := r.node.Compact(r.applied, []byte(r.value)); snapshot != nil {
+			r.disk.compact(snapshot)
 		}
 	}
 }
 
-func (d *simDisk) compact(snap *wire.LogSnapshot) {
-	d.snap = snap
+func (d *simDisk) compact(snapshot *wire.LogSnapshot) {
+	d.snapshot = snapshot
 	var kept []*wire.LogEntry
 	for _, e := range d.log {
-		if e.Index > snap.Index {
+		if e.Index > snapshot.Index {
 			kept = append(kept, e)
 		}
 	}
@@ -269,16 +269,16 @@
 func (s *sim) checkCommitted(r *simReplica, e *wire.LogEntry) {
 	d := digest(e)
 	if old, ok := s.committed[e.Index]; ok && old != d {
-		s.fail(changedEntry+": %s applies another entry at %d", r.id, e.Index)
+		s.failf(changedEntry+": %s applies another entry at %d", r.id, e.Index)
 	}
 	s.committed[e.Index] = d
 }
 
 // check: at most one leader a term.
-func (s *sim) check(r *simReplica) {
+func (s *sim) checkReplica(r *simReplica) {
 	if r.up && r.node.role == Leader {
 		if old, ok := s.leaders[r.node.term]; ok && old != r.id {
-			s.fail(twoLeaders+": %s and %s lead term %d", old, r.id, r.node.term)
+			s.failf(twoLeaders+": %s and %s lead term %d", old, r.id, r.node.term)
 		}
 		s.leaders[r.node.term] = r.id
 	}
@@ -290,16 +290,16 @@
 // checkConfirmed: a replica has applied all that was accepted before the time at
 // which it says its state was current.
 func (s *sim) checkConfirmed(r *simReplica) {
-	age := time.Duration(float64(r.node.ConfirmedAge(s.clock(r))) / r.rate)
+	age := time.Duration(float64(r.node.ConfirmedAge(s.clock(r))) / r.clockRate)
 	// The clock rate makes for rounding errors.
-	at := s.now - age - time.Microsecond
-	n := sort.Search(len(s.acceptances), func(i int) bool { return s.acceptances[i].at >= at })
-	if n > 0 && s.acceptances[n-1].index > r.at {
-		s.fail(staleRows+": %s at %d says that it was current at %v, when %d was accepted", r.id, r.at, at, s.acceptances[n-1].index)
+	confirmedAt := s.now - age - time.Microsecond
+	n := sort.Search(len(s.acceptances), func(i int) bool { return s.acceptances[i].acceptedAt >= confirmedAt })
+	if n > 0 && s.acceptances[n-1].index > r.applied {
+		s.failf(staleState+": %s at %d says that it was current at %v, when %d was accepted", r.id, r.applied, confirmedAt, s.acceptances[n-1].index)
 	}
 }
 
-func (s *sim) noteAccepted(index uint64) {
+func (s *sim) recordAcceptance(index uint64) {
 	if n := len(s.acceptances); n > 0 {
 		index = max(index, s.acceptances[n-1].index)
 	}
@@ -313,7 +313,7 @@
 }
 
 func (s *sim) transmit(m *wire.RaftMessage) {
-	if s.cut[[2]string{m.From, m.To}] {
+	if s.cutLinks[[2]string{m.From, m.To}] {
 		return
 	}
 	copies := 1
@@ -343,90 +343,90 @@
 // step moves time on by one tick and delivers what is due.
 func (s *sim) step() {
 	s.now += 20 * time.Millisecond
-	for len(s.queue) > 0 && s.queue[0].at <= s.now {
+	for len(s.queue) > 0 && s.queue[0].deliverAt <= s.now {
 		msg := heap.Pop(&s.queue).(simMessage)
-		m := msg.m
+		m := msg.message
 		if r := s.replicas[m.To]; r != nil && r.up {
-			if r.frozen > s.now {
-				msg.at = r.frozen
+			if r.pausedUntil > s.now {
+				msg.deliverAt = r.pausedUntil
 				heap.Push(&s.queue, msg)
 				continue
 			}
 			r.node.Step(s.clock(r), m)
-			s.drain(r)
+			s.processReady(r)
 		}
 	}
-	for _, id := range s.order {
+	for _, id := range s.replicaIDs {
 		r := s.replicas[id]
-		if !r.up || r.frozen > s.now {
+		if !r.up || r.pausedUntil > s.now {
 			continue
 		}
 		r.node.Tick(s.clock(r))
-		s.drain(r)
+		s.processReady(r)
 		if r.up && r.node.Err() != nil {
-			s.fail(lostAck+": %v", r.node.Err())
+			s.failf(lostAck+": %v", r.node.Err())
 		}
 	}
-	s.repair()
-	s.anyConfig()
+	s.replaceLostReplicas()
+	s.lastKnownConfig()
 }
 
 // client behaviour: writes and reads at any replica that believes it leads.
-func (s *sim) client() {
-	for _, id := range s.order {
+func (s *sim) runClients() {
+	for _, id := range s.replicaIDs {
 		r := s.replicas[id]
 		if !r.up || r.node.role != Leader || s.rnd.IntN(6) != 0 {
 			continue
 		}
 		s.nextID++
 		if s.rnd.IntN(2) == 0 {
-			s.write(r)
+			s.proposeWrite(r)
 			continue
 		}
-		s.inflight[id][s.nextID] = &simOp{client: int(s.nextID), call: s.now}
+		s.inflightReads[id][s.nextID] = &simOp{client: int(s.nextID), call: s.now}
 		if r.node.Read(s.clock(r), s.nextID) != nil {
-			delete(s.inflight[id], s.nextID)
+			delete(s.inflightReads[id], s.nextID)
 		}
-		s.drain(r)
+		s.processReady(r)
 	}
 }
 
-func (s *sim) write(r *simReplica) {
+func (s *sim) proposeWrite(r *simReplica) {
 	v := fmt.Sprintf("v%d", s.nextID)
 	if _, _, err := r.node.Propose(s.clock(r), []byte(v)); err != nil {
 		return
 	}
-	s.pending[v] = &simOp{client: int(s.nextID), write: v, call: s.now}
+	s.proposedWrites[v] = &simOp{client: int(s.nextID), write: v, call: s.now}
 	r.node.Flush()
-	s.drain(r)
+	s.processReady(r)
 }
 
 // answerWrite accepts a write when a replica that leads applies it. Any client
 // would do; the invariant is the same.
-func (s *sim) answerWrite(r *simReplica, e *wire.LogEntry) {
-	op := s.pending[string(e.Data)]
+func (s *sim) completeWrite(r *simReplica, e *wire.LogEntry) {
+	op := s.proposedWrites[string(e.Data)]
 	if op == nil || op.done || r.node.role != Leader {
 		return
 	}
 	op.done = true
 	s.accepted[e.Index] = op.write
-	s.noteAccepted(e.Index)
+	s.recordAcceptance(e.Index)
 	s.history = append(s.history, porcupine.Operation{
 		ClientId: op.client, Input: op.write, Call: int64(op.call), Output: "", Return: int64(s.now) + 1,
 	})
 }
 
-func (s *sim) answerRead(r *simReplica, rs ReadState) {
-	op := s.inflight[r.id][rs.ID]
+func (s *sim) completeRead(r *simReplica, rs ReadState) {
+	op := s.inflightReads[r.id][rs.ID]
 	if op == nil {
 		return
 	}
-	delete(s.inflight[r.id], rs.ID)
+	delete(s.inflightReads[r.id], rs.ID)
 	if !rs.OK {
 		return
 	}
-	if r.at < rs.Index {
-		s.fail("%s answers a read at %d, applied %d", r.id, rs.Index, r.at)
+	if r.applied < rs.Index {
+		s.failf("%s answers a read at %d, applied %d", r.id, rs.Index, r.applied)
 	}
 	s.history = append(s.history, porcupine.Operation{
 		ClientId: op.client, Input: "", Call: int64(op.call), Output: r.value, Return: int64(s.now) + 1,
@@ -453,49 +453,49 @@
 			seen[out] = true
 		}
 	}
-	keys := make([]string, 0, len(s.pending))
-	for v := range s.pending {
+	keys := make([]string, 0, len(s.proposedWrites))
+	for v := range s.proposedWrites {
 		keys = append(keys, v)
 	}
 	sort.Strings(keys)
 	for _, v := range keys {
-		if op := s.pending[v]; !op.done && seen[v] {
+		if op := s.proposedWrites[v]; !op.done && seen[v] {
 			ops = append(ops, porcupine.Operation{ClientId: op.client, Input: v, Call: int64(op.call), Output: "", Return: int64(s.now) + 2})
 		}
 	}
 	if porcupine.CheckOperationsTimeout(registerModel, ops, 5*time.Second) == porcupine.Illegal {
-		s.fail(staleRead)
+		s.failf(staleRead)
 	}
 }
 
 // loseDisk empties a replica's folder. It comes back under a new identity, as a
 // learner, and is promoted once caught up.
 func (s *sim) loseDisk(r *simReplica) {
-	s.note("%s loses its folder", r.id)
+	s.tracef("%s loses its folder", r.id)
 	s.crash(r)
-	if s.off.newIdentity {
-		r.disk = simDisk{snap: &wire.LogSnapshot{Index: 1, Term: 1, Config: s.anyConfig()}, hard: &wire.HardState{Term: 1, Commit: 1}, fresh: true}
-		s.boot(r)
+	if s.disabled.newIdentityAfterLoss {
+		r.disk = simDisk{snapshot: &wire.LogSnapshot{Index: 1, Term: 1, Config: s.lastKnownConfig()}, hard: &wire.HardState{Term: 1, Commit: 1}, fresh: true}
+		s.start(r)
 		return
 	}
-	r.lost = true
-	s.born++
-	id := fmt.Sprintf("%s.%d", r.id[:2], s.born)
-	s.repairs[id] = r.id
-	s.add(id, simDisk{fresh: true})
+	r.diskLost = true
+	s.incarnations++
+	id := fmt.Sprintf("%s.%d", r.id[:2], s.incarnations)
+	s.replacements[id] = r.id
+	s.addReplica(id, simDisk{fresh: true})
 }
 
 // anyConfig is the membership that the last leader knew.
-func (s *sim) anyConfig() *wire.Configuration {
+func (s *sim) lastKnownConfig() *wire.Configuration {
 	if l := s.leader(); l != nil {
-		s.config = l.node.log.config()
+		s.lastConfig = l.node.log.config()
 	}
-	return s.config
+	return s.lastConfig
 }
 
 // repair does what an operator's replace does, through whichever leader there is.
-func (s *sim) repair() {
-	for id, old := range s.repairs {
+func (s *sim) replaceLostReplicas() {
+	for id, old := range s.replacements {
 		l := s.leader()
 		if l == nil {
 			return
@@ -509,10 +509,10 @@
 		case hasPeer(l.node, old):
 			_ = l.node.Remove(now, old)
 		case l.node.log.configIndex() <= l.node.log.committed:
-			s.note("%s has replaced %s", id, old)
-			delete(s.repairs, id)
+			s.tracef("%s has replaced %s", id, old)
+			delete(s.replacements, id)
 		}
-		s.drain(l)
+		s.processReady(l)
 	}
 }
 
@@ -526,7 +526,7 @@
 }
 
 func (s *sim) leader() *simReplica {
-	for _, id := range s.order {
+	for _, id := range s.replicaIDs {
 		if r := s.replicas[id]; r.up && r.node.IsLeader(s.clock(r)) {
 			return r
 		}
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -33,14 +33,14 @@
 	if n.transfer != nil {
 		return n.transfer.target, nil
 	}
-	heir := n.heir()
-	if heir == nil {
+	peer := n.transferTarget()
+	if peer == nil {
 		return "", ErrNoTarget
 	}
-	n.transfer = &transfer{target: heir.Id, deadline: n.now + n.cfg.ElectionTimeout}
-	n.sendAppend(heir.Id, true)
-	n.tellTarget()
-	return heir.Id, nil
+	n.transfer = &transfer{target: peer.Id, deadline: n.now + n.cfg.ElectionTimeout}
+	n.sendAppend(peer.Id, true)
+	n.sendTimeoutNow()
+	return peer.Id, nil
 }
 
 // Transferring says whether leadership is being handed over.
@@ -49,11 +49,11 @@
 // heir returns the live voter that is to lead next, or nil. A stop often comes
 // with work on the whole failure domain, so one in another failure domain goes
 // before, unless it lags.
-func (n *Node) heir() *wire.Peer {
-	own := ""
+func (n *Node) transferTarget() *wire.Peer {
+	ownDomain := ""
 	for _, p := range n.Peers() {
 		if p.Id == n.cfg.ID {
-			own = p.FailureDomain
+			ownDomain = p.FailureDomain
 		}
 	}
 	var best *wire.Peer
@@ -61,30 +61,30 @@
 		if p.Learner || p.Id == n.cfg.ID || !n.Live(p.Id) {
 			continue
 		}
-		if best == nil || n.goesBefore(p, best, own) {
+		if best == nil || n.isBetterTarget(p, best, ownDomain) {
 			best = p
 		}
 	}
 	return best
 }
 
-func (n *Node) goesBefore(a, b *wire.Peer, own string) bool {
-	if up := n.CaughtUp(a.Id); up != n.CaughtUp(b.Id) {
-		return up
+func (n *Node) isBetterTarget(a, b *wire.Peer, ownDomain string) bool {
+	if caughtUp := n.CaughtUp(a.Id); caughtUp != n.CaughtUp(b.Id) {
+		return caughtUp
 	}
-	if out := a.FailureDomain != own; out != (b.FailureDomain != own) {
-		return out
+	if otherDomain := a.FailureDomain != ownDomain; otherDomain != (b.FailureDomain != ownDomain) {
+		return otherDomain
 	}
 	return n.Match(a.Id) > n.Match(b.Id)
 }
 
 // tellTarget tells an up-to-date target to campaign. It is repeated with each
 // heartbeat, because the message may be lost.
-func (n *Node) tellTarget() {
+func (n *Node) sendTimeoutNow() {
 	if n.transfer == nil || n.Match(n.transfer.target) < n.log.lastIndex() {
 		return
 	}
-	n.yielded = true
+	n.leaseReleased = true
 	n.send(&wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_TIMEOUT_NOW, To: n.transfer.target})
 }
 
@@ -95,8 +95,8 @@
 // reads here would be stale. In a term of its own that a majority has voted for,
 // this replica is safe from it: the target's campaign is of the same term or
 // older and finds no majority.
-func (n *Node) giveUpTransfer() {
-	if !n.yielded {
+func (n *Node) abortTransfer() {
+	if !n.leaseReleased {
 		n.transfer = nil
 		return
 	}
@@ -105,7 +105,7 @@
 
 // takeTimeoutNow campaigns on the word of the leader of this term. Pre-votes
 // would be refused, since the others have just heard that leader.
-func (n *Node) takeTimeoutNow() {
+func (n *Node) handleTimeoutNow() {
 	if n.role != Leader && n.isVoter(n.cfg.ID) {
 		n.campaign(Candidate, true)
 	}
--- a/consensus/transfer_test.go
+++ b/consensus/transfer_test.go
@@ -12,12 +12,12 @@
 )
 
 // handOver begins a transfer on a leader with a live lease.
-func (s *sim) handOver(t *testing.T) (old, target *simReplica) {
+func (s *sim) startTransfer(t *testing.T) (old, target *simReplica) {
 	t.Helper()
 	old = s.waitLeader(t, nil)
 	for range 20 {
 		s.step()
-		s.client()
+		s.runClients()
 	}
 	id, err := old.node.Transfer(s.clock(old))
 	assert.NilError(t, err)
@@ -25,11 +25,11 @@
 }
 
 // queued returns copies of the messages of a kind that are under way.
-func (s *sim) queued(kind wire.RaftKind) []*wire.RaftMessage {
+func (s *sim) queuedMessages(kind wire.RaftKind) []*wire.RaftMessage {
 	var list []*wire.RaftMessage
 	for _, q := range s.queue {
-		if q.m.Kind == kind {
-			list = append(list, proto.Clone(q.m).(*wire.RaftMessage))
+		if q.message.Kind == kind {
+			list = append(list, proto.Clone(q.message).(*wire.RaftMessage))
 		}
 	}
 	return list
@@ -37,30 +37,30 @@
 
 // A leader is stopped as planned. It takes no more writes, and the one that it
 // chose leads long before an election could have begun, with all that was accepted.
-func TestTransferNeedsNoElectionTimeout(t *testing.T) {
-	s := newSim(7, 3, simSwitches{})
-	old, target := s.handOver(t)
+func TestTransferCompletesBeforeElectionTimeout(t *testing.T) {
+	s := newSim(7, 3, disabledSafeguards{})
+	old, target := s.startTransfer(t)
 	_, _, err := old.node.Propose(s.clock(old), []byte("late"))
 	assert.ErrorIs(t, err, ErrTransferring)
 	assert.ErrorIs(t, old.node.AddLearner(s.clock(old), &wire.Peer{Id: "r9"}), ErrTransferring)
-	s.drain(old)
+	s.processReady(old)
 	assert.Assert(t, !old.node.IsLeader(s.clock(old)), "the lease ends before the target may campaign")
 	began := s.now
 	next := s.waitLeader(t, old)
 	assert.Equal(t, next, target)
 	assert.Assert(t, s.now-began < DefaultConfig("").ElectionTimeout/4, "%v", s.now-began)
-	s.settle()
+	s.checkConvergence()
 }
 
 // The target dies with the handover under way. The leader gives up after the
 // election timeout, leads on in a new term, and takes writes and reads again.
-func TestTransferIsGivenUpWhenItsTargetDies(t *testing.T) {
-	for _, told := range []bool{true, false} {
-		s := newSim(8, 3, simSwitches{})
+func TestTransferIsAbortedWhenTargetCrashes(t *testing.T) {
+	for _, timeoutNowSent := range []bool{true, false} {
+		s := newSim(8, 3, disabledSafeguards{})
 		old := s.waitLeader(t, nil)
-		target := s.replicas[old.node.heir().Id]
+		target := s.replicas[old.node.transferTarget().Id]
 		term := old.node.term
-		if !told {
+		if !timeoutNowSent {
 			// A write that the target lacks: it is not told to campaign.
 			_, _, err := old.node.Propose(s.clock(old), []byte("w"))
 			assert.NilError(t, err)
@@ -68,36 +68,36 @@
 		s.crash(target)
 		_, err := old.node.Transfer(s.clock(old))
 		assert.NilError(t, err)
-		s.drain(old)
-		assert.Equal(t, old.node.yielded, told)
+		s.processReady(old)
+		assert.Equal(t, old.node.leaseReleased, timeoutNowSent)
 		for end := s.now + 2*DefaultConfig("").ElectionTimeout; s.now < end; {
 			s.step()
 		}
 		assert.Assert(t, old.node.IsLeader(s.clock(old)))
-		assert.Equal(t, old.node.term > term, told, "a lease that was given up comes back in a new term only")
-		assert.Assert(t, s.grant(old, time.Second) > 0)
+		assert.Equal(t, old.node.term > term, timeoutNowSent, "a lease that was given up comes back in a new term only")
+		assert.Assert(t, s.grantLease(old, time.Second) > 0)
 	}
 }
 
 // The word to campaign reaches its target only after the leader has given up and
 // taken a new lease. The target campaigns with the sign of a transfer, and the
 // voters that hear the leader must not elect it: the leader's reads would be stale.
-func TestTargetThatIsToldTooLateFindsNoVotes(t *testing.T) {
-	s := newSim(11, 3, simSwitches{})
-	old, target := s.handOver(t)
-	s.drain(old)
-	late := s.queued(wire.RaftKind_RAFT_KIND_TIMEOUT_NOW)[0]
+func TestDelayedTimeoutNowDoesNotElectTarget(t *testing.T) {
+	s := newSim(11, 3, disabledSafeguards{})
+	old, target := s.startTransfer(t)
+	s.processReady(old)
+	delayed := s.queuedMessages(wire.RaftKind_RAFT_KIND_TIMEOUT_NOW)[0]
 	s.queue = nil
-	for _, id := range s.order {
-		s.cut[[2]string{id, target.id}] = true
-		s.cut[[2]string{target.id, id}] = true
+	for _, id := range s.replicaIDs {
+		s.cutLinks[[2]string{id, target.id}] = true
+		s.cutLinks[[2]string{target.id, id}] = true
 	}
 	for !old.node.IsLeader(s.clock(old)) {
 		s.step()
 	}
-	clear(s.cut)
-	target.node.Step(s.clock(target), late)
-	s.drain(target)
+	clear(s.cutLinks)
+	target.node.Step(s.clock(target), delayed)
+	s.processReady(target)
 	assert.Equal(t, target.node.role, Candidate)
 	for range 100 {
 		s.step()
@@ -109,38 +109,38 @@
 // The word to campaign, and the vote requests that followed it, come again long
 // after, doubled, when two later terms have begun. No replica changes its term
 // or leader for them.
-func TestLateTransferMessagesDoNothing(t *testing.T) {
-	s := newSim(9, 3, simSwitches{})
-	old, target := s.handOver(t)
-	s.drain(old)
-	late := s.queued(wire.RaftKind_RAFT_KIND_TIMEOUT_NOW)
-	assert.Assert(t, len(late) > 0)
+func TestDelayedTransferMessagesAreIgnored(t *testing.T) {
+	s := newSim(9, 3, disabledSafeguards{})
+	old, target := s.startTransfer(t)
+	s.processReady(old)
+	delayed := s.queuedMessages(wire.RaftKind_RAFT_KIND_TIMEOUT_NOW)
+	assert.Assert(t, len(delayed) > 0)
 	for target.node.role != Leader {
 		s.step()
-		late = append(late, s.queued(wire.RaftKind_RAFT_KIND_VOTE)...)
-		target.node.Step(s.clock(target), proto.Clone(late[0]).(*wire.RaftMessage))
-		s.drain(target)
-		late = append(late, s.queued(wire.RaftKind_RAFT_KIND_VOTE)...)
+		delayed = append(delayed, s.queuedMessages(wire.RaftKind_RAFT_KIND_VOTE)...)
+		target.node.Step(s.clock(target), proto.Clone(delayed[0]).(*wire.RaftMessage))
+		s.processReady(target)
+		delayed = append(delayed, s.queuedMessages(wire.RaftKind_RAFT_KIND_VOTE)...)
 	}
-	assert.Assert(t, slices.ContainsFunc(late, func(m *wire.RaftMessage) bool { return m.Transfer }))
+	assert.Assert(t, slices.ContainsFunc(delayed, func(m *wire.RaftMessage) bool { return m.Transfer }))
 	s.waitLeader(t, old)
 	_, err := target.node.Transfer(s.clock(target))
 	assert.NilError(t, err)
-	s.drain(target)
+	s.processReady(target)
 	last := s.waitLeader(t, target)
 	for range 50 {
 		s.step()
 	}
 	term := last.node.term
 	for range 2 {
-		for _, m := range late {
+		for _, m := range delayed {
 			r := s.replicas[m.To]
 			r.node.Step(s.clock(r), proto.Clone(m).(*wire.RaftMessage))
-			s.drain(r)
+			s.processReady(r)
 		}
 		s.step()
 	}
-	for _, id := range s.order {
+	for _, id := range s.replicaIDs {
 		assert.Equal(t, s.replicas[id].node.term, term, id)
 		assert.Equal(t, s.replicas[id].node.Leader(), last.id, id)
 	}
@@ -150,7 +150,7 @@
 // A failure domain is stopped for work, host by host. Leadership leaves it with
 // the first, unless all that is outside lags or is silent.
 func TestTransferPrefersAnotherFailureDomain(t *testing.T) {
-	s := newSim(10, 5, simSwitches{})
+	s := newSim(10, 5, disabledSafeguards{})
 	l := s.waitLeader(t, nil)
 	var inside, outside []string
 	for _, p := range l.node.Peers() {
@@ -168,19 +168,19 @@
 	for range 10 {
 		s.step()
 	}
-	assert.Assert(t, slices.Contains(outside, l.node.heir().Id))
+	assert.Assert(t, slices.Contains(outside, l.node.transferTarget().Id))
 	for _, id := range outside {
 		s.crash(s.replicas[id])
 	}
 	for range 60 {
 		s.step()
 	}
-	assert.Assert(t, slices.Contains(inside, l.node.heir().Id))
+	assert.Assert(t, slices.Contains(inside, l.node.transferTarget().Id))
 	for _, id := range inside {
 		s.crash(s.replicas[id])
 	}
 	for range 45 {
 		s.step()
 	}
-	assert.Assert(t, l.node.heir() == nil)
+	assert.Assert(t, l.node.transferTarget() == nil)
 }
