--- a/rollout/coordinator.go
+++ b/rollout/coordinator.go
@@ -29,16 +29,16 @@
 	// MinStep is the shortest step time that is believed of a rank.
 	MinStep time.Duration
 	// off turns safeguards off; only this package's tests can set it.
-	off safeguards
+	disabled safeguards
 }
 
 // safeguards names what tests turn off to show that the suite would catch its
 // absence.
 type safeguards struct {
 	// log tells the ranks to switch before the decision is on the log.
-	log bool
+	commitAfterLog bool
 	// blank gives the old map to a restarted rank while a switch is undecided.
-	blank bool
+	adoptAfterDecision bool
 }
 
 // DefaultConfig suits links of a few milliseconds and steps of five.
@@ -74,44 +74,44 @@
 }
 
 type rankState struct {
-	heard   bool
-	status  Status
-	heardAt time.Time
-	verb    string
-	epoch   uint64
-	sentAt  time.Time
-	sent    bool
+	known          bool
+	status         Status
+	statusAt       time.Time
+	lastVerb       string
+	lastEpoch      uint64
+	orderSentAt    time.Time
+	awaitingStatus bool
 }
 
 // Coordinator is the leader's side of one group's switches. It keeps nothing
 // that the next leader would miss: what it does follows from the state on the
 // log and the ranks' own words. It is not safe for use by several goroutines.
 type Coordinator struct {
-	cfg    Config
-	state  *wire.GroupState
-	ranks  []rankState
-	want   *Target
-	cancel string
+	cfg          Config
+	state        *wire.GroupState
+	ranks        []rankState
+	requested    *Target
+	cancelReason string
 	// phase and since time the phase of the switch in progress.
-	phase struct {
+	currentPhase struct {
 		epoch uint64
 		phase wire.SwitchPhase
 	}
-	since time.Time
+	phaseStart time.Time
 	// proposed is when the command in flight was first proposed.
-	proposed   time.Time
-	proposedAs string
-	sentAt     time.Time
+	firstProposedAt time.Time
+	proposedType    string
+	lastProposedAt  time.Time
 	// logTime and orderTime are the slowest of late, decaying.
-	logTime, orderTime time.Duration
+	commitLatency, orderLatency time.Duration
 	// lead grows when ranks were armed too late, last for the switch to lateEpoch.
-	lead      time.Duration
-	lateEpoch uint64
+	minLeadTime   time.Duration
+	lastLateEpoch uint64
 }
 
 // NewCoordinator makes a coordinator that has heard of nothing.
 func NewCoordinator(c Config) *Coordinator {
-	return &Coordinator{cfg: c, ranks: make([]rankState, c.Shape.Ranks), lead: c.Lead}
+	return &Coordinator{cfg: c, ranks: make([]rankState, c.Shape.Ranks), minLeadTime: c.Lead}
 }
 
 // Applied takes the group's state on the log; nil if there is none.
@@ -119,24 +119,24 @@
 	if c.state == s {
 		return
 	}
-	if c.proposedAs != "" {
-		c.logTime = max(now.Sub(c.proposed), c.logTime*7/8)
-		c.proposedAs = ""
+	if c.proposedType != "" {
+		c.commitLatency = max(now.Sub(c.firstProposedAt), c.commitLatency*7/8)
+		c.proposedType = ""
 	}
 	c.state = s
 	sw := s.GetSwitch()
-	if sw.GetMap().GetEpoch() != c.phase.epoch || sw.GetPhase() != c.phase.phase {
-		c.phase.epoch, c.phase.phase = sw.GetMap().GetEpoch(), sw.GetPhase()
-		c.since = now
+	if sw.GetMap().GetEpoch() != c.currentPhase.epoch || sw.GetPhase() != c.currentPhase.phase {
+		c.currentPhase.epoch, c.currentPhase.phase = sw.GetMap().GetEpoch(), sw.GetPhase()
+		c.phaseStart = now
 	}
-	if c.want != nil && (sw != nil || c.want.Base != s.GetMap().GetEpoch()) {
-		c.want = nil
+	if c.requested != nil && (sw != nil || c.requested.Base != s.GetMap().GetEpoch()) {
+		c.requested = nil
 	}
 	if !Undecided(sw) {
-		c.cancel = ""
+		c.cancelReason = ""
 	}
 	if sw.GetPhase() == wire.SwitchPhase_SWITCH_PHASE_COMMITTED {
-		c.lead = max(c.cfg.Lead, c.lead/2)
+		c.minLeadTime = max(c.cfg.Lead, c.minLeadTime/2)
 	}
 }
 
@@ -144,14 +144,14 @@
 func (c *Coordinator) Heard(now time.Time, rank int, s Status) {
 	r := &c.ranks[rank]
 	// A late answer of an earlier life would show a dead rank as armed.
-	if r.heard && (s.Incarnation < r.status.Incarnation || s.Incarnation == r.status.Incarnation && s.Seq <= r.status.Seq) {
+	if r.known && (s.Incarnation < r.status.Incarnation || s.Incarnation == r.status.Incarnation && s.Seq <= r.status.Seq) {
 		return
 	}
-	if r.sent {
-		c.orderTime = max(now.Sub(r.sentAt), c.orderTime*7/8)
-		r.sent = false
+	if r.awaitingStatus {
+		c.orderLatency = max(now.Sub(r.orderSentAt), c.orderLatency*7/8)
+		r.awaitingStatus = false
 	}
-	r.heard, r.status, r.heardAt = true, s, now
+	r.known, r.status, r.statusAt = true, s, now
 }
 
 // Roll asks for a switch. It begins once the ranks use the map in force.
@@ -159,62 +159,62 @@
 	if c.state == nil || c.state.Switch != nil || t.Base != c.state.Map.Epoch {
 		return
 	}
-	c.want = t
+	c.requested = t
 }
 
 // Idle says whether no switch is in progress or asked for.
 func (c *Coordinator) Idle() bool {
-	return c.state != nil && c.state.Switch == nil && c.want == nil
+	return c.state != nil && c.state.Switch == nil && c.requested == nil
 }
 
 // Quiet says whether all ranks use the map in force and nothing is to be done.
 func (c *Coordinator) Quiet() bool {
-	return c.Idle() && c.allUse(c.state.Map.Epoch)
+	return c.Idle() && c.allUsing(c.state.Map.Epoch)
 }
 
 // Cancel ends a switch that is not decided yet.
-func (c *Coordinator) Cancel(why string) {
-	c.want = nil
+func (c *Coordinator) Cancel(reason string) {
+	c.requested = nil
 	if c.state != nil && Undecided(c.state.Switch) {
-		c.cancel = why
+		c.cancelReason = reason
 	}
 }
 
 // Status returns what a rank said last.
 func (c *Coordinator) Status(rank int) (Status, bool) {
-	return c.ranks[rank].status, c.ranks[rank].heard
+	return c.ranks[rank].status, c.ranks[rank].known
 }
 
 // Tick returns what is to be done now.
 func (c *Coordinator) Tick(now time.Time) Effects {
 	var e Effects
 	for i := range c.ranks {
-		if o, ok := c.tickRank(now, i); ok {
+		if o, ok := c.nextOrder(now, i); ok {
 			e.Orders = append(e.Orders, o)
 		}
 	}
-	e.Command = c.tickLog(now)
+	e.Command = c.nextCommand(now)
 	return e
 }
 
-func (c *Coordinator) all(ok func(s Status) bool) bool {
+func (c *Coordinator) allRanks(matches func(s Status) bool) bool {
 	for _, r := range c.ranks {
-		if !r.heard || r.status.Blank || !ok(r.status) {
+		if !r.known || r.status.Blank || !matches(r.status) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Coordinator) allUse(epoch uint64) bool {
-	return c.all(func(s Status) bool { return s.Epoch == epoch && s.Armed == 0 })
+func (c *Coordinator) allUsing(epoch uint64) bool {
+	return c.allRanks(func(s Status) bool { return s.Epoch == epoch && s.Armed == 0 })
 }
 
 func (c *Coordinator) allStaged(epoch uint64) bool {
-	return c.all(func(s Status) bool { return s.Staged == epoch })
+	return c.allRanks(func(s Status) bool { return s.Staged == epoch })
 }
 
 func (c *Coordinator) allArmed() bool {
 	sw := c.state.Switch
-	return c.all(func(s Status) bool { return s.Armed == sw.Map.Epoch && s.ArmedStep == sw.Step })
+	return c.allRanks(func(s Status) bool { return s.Armed == sw.Map.Epoch && s.ArmedStep == sw.Step })
 }
--- a/rollout/coordinator_commands.go
+++ b/rollout/coordinator_commands.go
@@ -13,104 +13,104 @@
 
 // tickLog returns the command that the log needs now, unless it was proposed a
 // moment ago.
-func (c *Coordinator) tickLog(now time.Time) *wire.GroupCommand {
-	cmd := c.command(now)
+func (c *Coordinator) nextCommand(now time.Time) *wire.GroupCommand {
+	cmd := c.neededCommand(now)
 	if cmd == nil {
 		return nil
 	}
-	as := fmt.Sprintf("%T", cmd.Command)
-	if as != c.proposedAs {
-		c.proposed = now
-	} else if now.Sub(c.sentAt) < c.cfg.Resend {
+	commandType := fmt.Sprintf("%T", cmd.Command)
+	if commandType != c.proposedType {
+		c.firstProposedAt = now
+	} else if now.Sub(c.lastProposedAt) < c.cfg.Resend {
 		return nil
 	}
-	c.proposedAs, c.sentAt = as, now
+	c.proposedType, c.lastProposedAt = commandType, now
 	cmd.Group, cmd.Token = c.cfg.Group, c.cfg.Token
 	return cmd
 }
 
-func (c *Coordinator) command(now time.Time) *wire.GroupCommand {
+func (c *Coordinator) neededCommand(now time.Time) *wire.GroupCommand {
 	if c.state == nil {
-		first := FromMap(c.cfg.Shape, placement.Contiguous(c.cfg.Shape))
-		return &wire.GroupCommand{Command: &wire.GroupCommand_Install{Install: first}}
+		initial := FromMap(c.cfg.Shape, placement.Contiguous(c.cfg.Shape))
+		return &wire.GroupCommand{Command: &wire.GroupCommand_Install{Install: initial}}
 	}
 	sw := c.state.Switch
 	if sw == nil {
-		return c.beginWanted()
+		return c.beginRequested()
 	}
 	epoch := sw.Map.Epoch
 	if sw.Phase == wire.SwitchPhase_SWITCH_PHASE_COMMITTED {
-		if c.allUse(epoch) {
+		if c.allUsing(epoch) {
 			return &wire.GroupCommand{Command: &wire.GroupCommand_Confirm{Confirm: &wire.ConfirmSwitch{Epoch: epoch}}}
 		}
 		return nil
 	}
-	if why := c.whyAbort(now, sw); why != "" {
-		return decision(epoch, false, why)
+	if reason := c.abortReason(now, sw); reason != "" {
+		return decideCommand(epoch, false, reason)
 	}
 	switch {
 	case sw.Phase == wire.SwitchPhase_SWITCH_PHASE_ARMING && c.allArmed():
-		return decision(epoch, true, "")
+		return decideCommand(epoch, true, "")
 	case sw.Phase == wire.SwitchPhase_SWITCH_PHASE_STAGING && c.allStaged(epoch):
 		return &wire.GroupCommand{Command: &wire.GroupCommand_Arm{Arm: &wire.ArmSwitch{Epoch: epoch, Step: c.chooseStep(now)}}}
 	}
 	return nil
 }
 
-func decision(epoch uint64, commit bool, why string) *wire.GroupCommand {
+func decideCommand(epoch uint64, commit bool, detail string) *wire.GroupCommand {
 	return &wire.GroupCommand{Command: &wire.GroupCommand_Decide{
-		Decide: &wire.DecideSwitch{Epoch: epoch, Commit: commit, Detail: why},
+		Decide: &wire.DecideSwitch{Epoch: epoch, Commit: commit, Detail: detail},
 	}}
 }
 
-func (c *Coordinator) beginWanted() *wire.GroupCommand {
-	if c.want == nil || !c.allUse(c.state.Map.Epoch) {
+func (c *Coordinator) beginRequested() *wire.GroupCommand {
+	if c.requested == nil || !c.allUsing(c.state.Map.Epoch) {
 		return nil
 	}
 	return &wire.GroupCommand{Command: &wire.GroupCommand_Begin{
-		Begin: &wire.BeginSwitch{Base: c.want.Base, Map: c.want.Map, Reason: c.want.Reason},
+		Begin: &wire.BeginSwitch{Base: c.requested.Base, Map: c.requested.Map, Reason: c.requested.Reason},
 	}}
 }
 
 // whyAbort says why an undecided switch is to be cancelled, or "".
-func (c *Coordinator) whyAbort(now time.Time, sw *wire.Switch) string {
-	if c.cancel != "" {
-		return c.cancel
+func (c *Coordinator) abortReason(now time.Time, sw *wire.Switch) string {
+	if c.cancelReason != "" {
+		return c.cancelReason
 	}
 	arming := sw.Phase == wire.SwitchPhase_SWITCH_PHASE_ARMING
 	for i, r := range c.ranks {
 		s := r.status
 		switch {
-		case !r.heard:
+		case !r.known:
 		case s.Blank || arming && s.Staged != sw.Map.Epoch && s.Armed != sw.Map.Epoch:
 			return fmt.Sprintf("rank %d restarted", i)
 		case arming && s.Armed != sw.Map.Epoch && s.NextStep > sw.Step:
-			c.late(sw.Map.Epoch)
+			c.recordLateArm(sw.Map.Epoch)
 			return fmt.Sprintf("rank %d was armed too late", i)
 		}
 	}
-	limit := c.cfg.StageTimeout
+	timeout := c.cfg.StageTimeout
 	if arming {
-		limit = c.cfg.ArmTimeout
+		timeout = c.cfg.ArmTimeout
 	}
-	if now.Sub(c.since) >= limit {
-		return fmt.Sprintf("ranks were not ready within %v", limit)
+	if now.Sub(c.phaseStart) >= timeout {
+		return fmt.Sprintf("ranks were not ready within %v", timeout)
 	}
 	return ""
 }
 
 // late doubles the lead once for each switch that was armed too late.
-func (c *Coordinator) late(epoch uint64) {
-	if c.lateEpoch != epoch {
-		c.lateEpoch = epoch
-		c.lead = 2 * c.leadTime()
+func (c *Coordinator) recordLateArm(epoch uint64) {
+	if c.lastLateEpoch != epoch {
+		c.lastLateEpoch = epoch
+		c.minLeadTime = 2 * c.leadTime()
 	}
 }
 
 // leadTime is how long it takes to arm, decide and tell: two writes to the log
 // and two rounds of orders, by what was measured, with a margin.
 func (c *Coordinator) leadTime() time.Duration {
-	return min(max(c.lead, leadMargin*(2*c.logTime+2*c.orderTime)), c.cfg.MaxLead)
+	return min(max(c.minLeadTime, leadMargin*(2*c.commitLatency+2*c.orderLatency)), c.cfg.MaxLead)
 }
 
 // chooseStep puts the switch so far ahead that in the ordinary case every rank
@@ -119,10 +119,10 @@
 	lead := c.leadTime()
 	var step uint64
 	for _, r := range c.ranks {
-		per := max(time.Duration(r.status.StepMicros)*time.Microsecond, c.cfg.MinStep)
-		since := min(now.Sub(r.heardAt), c.cfg.MaxLead)
-		ahead := (lead+since)/per + 2
-		step = max(step, r.status.NextStep+uint64(ahead))
+		stepTime := max(time.Duration(r.status.StepMicros)*time.Microsecond, c.cfg.MinStep)
+		statusAge := min(now.Sub(r.statusAt), c.cfg.MaxLead)
+		stepsAhead := (lead+statusAge)/stepTime + 2
+		step = max(step, r.status.NextStep+uint64(stepsAhead))
 	}
 	return step
 }
--- a/rollout/coordinator_orders.go
+++ b/rollout/coordinator_orders.go
@@ -6,25 +6,25 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-func (c *Coordinator) tickRank(now time.Time, i int) (Outgoing, bool) {
+func (c *Coordinator) nextOrder(now time.Time, i int) (Outgoing, bool) {
 	r := &c.ranks[i]
 	verb, o := c.orderFor(r)
-	again := c.again(verb, r)
-	if !r.sentAt.IsZero() && verb == r.verb && o.Epoch == r.epoch && now.Sub(r.sentAt) < again {
+	interval := c.resendInterval(verb, r)
+	if !r.orderSentAt.IsZero() && verb == r.lastVerb && o.Epoch == r.lastEpoch && now.Sub(r.orderSentAt) < interval {
 		return Outgoing{}, false
 	}
-	r.verb, r.epoch, r.sentAt, r.sent = verb, o.Epoch, now, true
+	r.lastVerb, r.lastEpoch, r.orderSentAt, r.awaitingStatus = verb, o.Epoch, now, true
 	o.Group, o.Rank, o.Incarnation = c.cfg.Group, i, r.status.Incarnation
 	return Outgoing{Rank: i, Verb: verb, Order: o}, true
 }
 
 // again is the time after which an order is given once more.
-func (c *Coordinator) again(verb string, r *rankState) time.Duration {
+func (c *Coordinator) resendInterval(verb string, r *rankState) time.Duration {
 	switch verb {
 	case VerbArm, VerbCommit, VerbAbort, VerbAdopt:
 		return c.cfg.Urgent
 	case VerbStatus:
-		if r.heard && c.quiet(r) {
+		if r.known && c.isIdleRank(r) {
 			return c.cfg.IdlePoll
 		}
 	}
@@ -32,17 +32,17 @@
 }
 
 // quiet says whether nothing is expected to change at a rank.
-func (c *Coordinator) quiet(r *rankState) bool {
+func (c *Coordinator) isIdleRank(r *rankState) bool {
 	return c.Idle() && !r.status.Blank
 }
 
 // orderFor chooses the order that a rank needs now.
 func (c *Coordinator) orderFor(r *rankState) (string, Order) {
-	if !r.heard || c.state == nil {
+	if !r.known || c.state == nil {
 		return VerbStatus, Order{}
 	}
 	if r.status.Blank {
-		return c.orderForBlank()
+		return c.orderForRestarted()
 	}
 	if verb, o, ok := Settle(c.state, r.status); ok {
 		return verb, o
@@ -51,10 +51,10 @@
 	switch {
 	case !Undecided(sw):
 	case sw.Phase == wire.SwitchPhase_SWITCH_PHASE_STAGING && r.status.Staged != sw.Map.Epoch && r.status.Loading != sw.Map.Epoch:
-		return VerbStage, Order{Epoch: sw.Map.Epoch, Base: c.state.Map.Epoch, Map: orderMap(sw.Map)}
+		return VerbStage, Order{Epoch: sw.Map.Epoch, Base: c.state.Map.Epoch, Map: toOrderMap(sw.Map)}
 	case sw.Phase == wire.SwitchPhase_SWITCH_PHASE_ARMING && r.status.Armed != sw.Map.Epoch:
 		return VerbArm, Order{Epoch: sw.Map.Epoch, Step: sw.Step}
-	case c.cfg.off.log && c.allArmed():
+	case c.cfg.disabled.commitAfterLog && c.allArmed():
 		return VerbCommit, Order{Epoch: sw.Map.Epoch, Step: sw.Step}
 	}
 	return VerbStatus, Order{}
@@ -64,12 +64,12 @@
 // undecided it waits: the old life of the rank may have been armed, the decision
 // to switch may be under way, and the map that is in force now would be the
 // wrong one from that step on.
-func (c *Coordinator) orderForBlank() (string, Order) {
-	if Undecided(c.state.Switch) && !c.cfg.off.blank {
+func (c *Coordinator) orderForRestarted() (string, Order) {
+	if Undecided(c.state.Switch) && !c.cfg.disabled.adoptAfterDecision {
 		return VerbStatus, Order{}
 	}
 	m := c.state.Map
-	return VerbAdopt, Order{Epoch: m.Epoch, Step: m.FromStep, Map: orderMap(m)}
+	return VerbAdopt, Order{Epoch: m.Epoch, Step: m.FromStep, Map: toOrderMap(m)}
 }
 
 // Settle chooses the order that tells a rank the end of a switch that it still has
--- a/rollout/export_test.go
+++ b/rollout/export_test.go
@@ -2,8 +2,8 @@
 
 // DecideWithoutLog makes a coordinator tell ranks to switch before the decision
 // is on the log.
-func DecideWithoutLog(c *Config) { c.off.log = true }
+func DecideWithoutLog(c *Config) { c.disabled.commitAfterLog = true }
 
 // AdoptUndecided makes a coordinator give the old map to a restarted rank while a
 // switch is undecided.
-func AdoptUndecided(c *Config) { c.off.blank = true }
+func AdoptUndecided(c *Config) { c.disabled.adoptAfterDecision = true }
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -60,7 +60,7 @@
 // force at this index.
 func (m *Machine) Apply(index uint64, c *wire.GroupCommand, token uint64) Result {
 	if p := c.GetPin(); p != nil {
-		return m.pin(c.Group, p)
+		return m.pinMap(c.Group, p)
 	}
 	// A leader whose lease was taken over may have commands under way. What they
 	// say was true when they were made; the next leader may have decided since.
@@ -69,7 +69,7 @@
 	}
 	old := m.groups[c.Group]
 	if i := c.GetInstall(); i != nil {
-		return m.install(index, c, old)
+		return m.installMap(index, c, old)
 	}
 	if old == nil {
 		return refused("group has no map")
@@ -78,13 +78,13 @@
 	var r Result
 	switch {
 	case c.GetBegin() != nil:
-		r = begin(index, next, c.GetBegin())
+		r = beginSwitch(index, next, c.GetBegin())
 	case c.GetArm() != nil:
-		r = arm(next, c.GetArm())
+		r = armSwitch(next, c.GetArm())
 	case c.GetDecide() != nil:
-		r = decide(next, c.GetDecide(), c.AtMs)
+		r = decideSwitch(next, c.GetDecide(), c.AtMs)
 	case c.GetConfirm() != nil:
-		r = confirm(next, c.GetConfirm(), c.AtMs)
+		r = confirmSwitch(next, c.GetConfirm(), c.AtMs)
 	default:
 		r = refused("unknown command")
 	}
@@ -102,14 +102,14 @@
 	}
 }
 
-func withEpoch(g *wire.GroupMap, epoch, from uint64) *wire.GroupMap {
+func withEpoch(g *wire.GroupMap, epoch, fromStep uint64) *wire.GroupMap {
 	return &wire.GroupMap{
 		Epoch: epoch, Ranks: g.Ranks, Experts: g.Experts, Layers: g.Layers, Slots: g.Slots,
-		ExpertsInSlots: g.ExpertsInSlots, FromStep: from,
+		ExpertsInSlots: g.ExpertsInSlots, FromStep: fromStep,
 	}
 }
 
-func (m *Machine) install(index uint64, c *wire.GroupCommand, old *wire.GroupState) Result {
+func (m *Machine) installMap(index uint64, c *wire.GroupCommand, old *wire.GroupState) Result {
 	if old != nil {
 		return refused("group has a map already")
 	}
@@ -121,7 +121,7 @@
 	return Result{Accepted: true}
 }
 
-func begin(index uint64, s *wire.GroupState, b *wire.BeginSwitch) Result {
+func beginSwitch(index uint64, s *wire.GroupState, b *wire.BeginSwitch) Result {
 	switch {
 	case s.Switch != nil:
 		return refused("a switch is in progress")
@@ -139,7 +139,7 @@
 	return Result{Accepted: true}
 }
 
-func arm(s *wire.GroupState, a *wire.ArmSwitch) Result {
+func armSwitch(s *wire.GroupState, a *wire.ArmSwitch) Result {
 	if s.Switch == nil || s.Switch.Map.Epoch != a.Epoch || s.Switch.Phase != wire.SwitchPhase_SWITCH_PHASE_STAGING {
 		return refused("no switch to map %d is staging", a.Epoch)
 	}
@@ -152,7 +152,7 @@
 
 // decide takes the first decision of a switch; a second one, whichever way, is
 // refused, so that two leaders come to the same end.
-func decide(s *wire.GroupState, d *wire.DecideSwitch, at int64) Result {
+func decideSwitch(s *wire.GroupState, d *wire.DecideSwitch, atMs int64) Result {
 	sw := s.Switch
 	if sw == nil || sw.Map.Epoch != d.Epoch || !Undecided(sw) {
 		return refused("no switch to map %d is undecided", d.Epoch)
@@ -160,7 +160,7 @@
 	if !d.Commit {
 		s.Settled = max(s.Settled, d.Epoch)
 		s.Switch = nil
-		addRecord(s, &wire.SwitchRecord{Epoch: d.Epoch, Reason: sw.Reason, Outcome: OutcomeCancelled, Detail: d.Detail, AtMs: at})
+		addRecord(s, &wire.SwitchRecord{Epoch: d.Epoch, Reason: sw.Reason, Outcome: OutcomeCancelled, Detail: d.Detail, AtMs: atMs})
 		return Result{Accepted: true}
 	}
 	if sw.Phase != wire.SwitchPhase_SWITCH_PHASE_ARMING {
@@ -176,13 +176,13 @@
 	return Result{Accepted: true}
 }
 
-func confirm(s *wire.GroupState, c *wire.ConfirmSwitch, at int64) Result {
+func confirmSwitch(s *wire.GroupState, c *wire.ConfirmSwitch, atMs int64) Result {
 	sw := s.Switch
 	if sw == nil || sw.Map.Epoch != c.Epoch || sw.Phase != wire.SwitchPhase_SWITCH_PHASE_COMMITTED {
 		return refused("no switch to map %d is committed", c.Epoch)
 	}
 	s.Switch = nil
-	addRecord(s, &wire.SwitchRecord{Epoch: c.Epoch, Reason: sw.Reason, Outcome: OutcomeInForce, AtMs: at})
+	addRecord(s, &wire.SwitchRecord{Epoch: c.Epoch, Reason: sw.Reason, Outcome: OutcomeInForce, AtMs: atMs})
 	return Result{Accepted: true}
 }
 
@@ -193,7 +193,7 @@
 	}
 }
 
-func (m *Machine) pin(group string, p *wire.PinMap) Result {
+func (m *Machine) pinMap(group string, p *wire.PinMap) Result {
 	old := m.groups[group]
 	if old == nil {
 		return refused("group has no map")
--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -14,96 +14,96 @@
 )
 
 // bench is a group whose messages are delivered by hand, one round at a time.
-type bench struct {
-	t       *testing.T
-	machine *rollout.Machine
-	index   uint64
-	token   uint64
-	now     time.Time
-	shape   placement.Shape
-	ranks   []*fake.Rank
-	c       *rollout.Coordinator
+type testGroup struct {
+	t           *testing.T
+	machine     *rollout.Machine
+	index       uint64
+	token       uint64
+	now         time.Time
+	shape       placement.Shape
+	ranks       []*fake.Rank
+	coordinator *rollout.Coordinator
 	// drop says which commands are lost.
-	drop func(*wire.GroupCommand) bool
+	dropCommand func(*wire.GroupCommand) bool
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{
+func newTestGroup(t *testing.T) *testGroup {
+	b := &testGroup{
 		t: t, machine: rollout.NewMachine(), now: time.Unix(0, 0),
-		shape: placement.Shape{Ranks: 4, Experts: 4, Layers: 1, Slots: 2},
-		drop:  func(*wire.GroupCommand) bool { return false },
+		shape:       placement.Shape{Ranks: 4, Experts: 4, Layers: 1, Slots: 2},
+		dropCommand: func(*wire.GroupCommand) bool { return false },
 	}
 	for range b.shape.Ranks {
 		b.ranks = append(b.ranks, fake.NewRank(1))
 	}
-	b.lead()
-	b.until("first map", func() bool { return b.state() != nil && !b.ranks[0].Blank() })
+	b.startLeader()
+	b.runUntil("first map", func() bool { return b.state() != nil && !b.ranks[0].Blank() })
 	return b
 }
 
-func (b *bench) state() *wire.GroupState { return b.machine.Get("g") }
+func (b *testGroup) state() *wire.GroupState { return b.machine.Get("g") }
 
 // lead starts a new leader, which knows nothing but the log.
-func (b *bench) lead() {
+func (b *testGroup) startLeader() {
 	b.index++
 	b.token = b.index
-	b.c = rollout.NewCoordinator(rollout.DefaultConfig("g", b.shape, b.token))
-	b.c.Applied(b.now, b.state())
+	b.coordinator = rollout.NewCoordinator(rollout.DefaultConfig("g", b.shape, b.token))
+	b.coordinator.Applied(b.now, b.state())
 }
 
-func (b *bench) roll() {
+func (b *testGroup) requestSwitch() {
 	b.t.Helper()
 	m := placement.Contiguous(b.shape)
 	for i := range m.Slots {
 		m.Slots[i] = (m.Slots[i] + 1) % int32(b.shape.Experts)
 	}
-	b.c.Roll(&rollout.Target{Base: b.state().Map.Epoch, Map: rollout.FromMap(b.shape, m), Reason: &wire.MapReason{Why: "test"}})
+	b.coordinator.Roll(&rollout.Target{Base: b.state().Map.Epoch, Map: rollout.FromMap(b.shape, m), Reason: &wire.MapReason{Why: "test"}})
 }
 
-func (b *bench) round() {
+func (b *testGroup) runRound() {
 	b.now = b.now.Add(100 * time.Millisecond)
-	e := b.c.Tick(b.now)
+	e := b.coordinator.Tick(b.now)
 	for _, o := range e.Orders {
 		s := b.ranks[o.Rank].Give(o.Verb, &o.Order)
 		b.ranks[o.Rank].Loaded()
-		b.c.Heard(b.now, o.Rank, s)
+		b.coordinator.Heard(b.now, o.Rank, s)
 	}
-	if e.Command != nil && !b.drop(e.Command) {
+	if e.Command != nil && !b.dropCommand(e.Command) {
 		b.apply(e.Command)
 	}
 }
 
-func (b *bench) apply(c *wire.GroupCommand) rollout.Result {
+func (b *testGroup) apply(c *wire.GroupCommand) rollout.Result {
 	b.index++
 	r := b.machine.Apply(b.index, c, b.token)
-	b.c.Applied(b.now, b.state())
+	b.coordinator.Applied(b.now, b.state())
 	return r
 }
 
-func (b *bench) until(what string, ok func() bool) {
+func (b *testGroup) runUntil(condition string, met func() bool) {
 	b.t.Helper()
 	for range 200 {
-		if ok() {
+		if met() {
 			return
 		}
-		b.round()
+		b.runRound()
 	}
-	b.t.Fatalf("never came: %s: %v", what, b.state())
+	b.t.Fatalf("never came: %s: %v", condition, b.state())
 }
 
 // run lets all ranks run steps up to a number, as far as they may.
-func (b *bench) run(to uint64) {
+func (b *testGroup) runSteps(end uint64) {
 	for _, r := range b.ranks {
-		for !r.Blank() && r.Next() < to && r.MayBegin() {
+		for !r.Blank() && r.Next() < end && r.MayBegin() {
 			r.Begin(r.Next())
 		}
 	}
 }
 
-func (b *bench) armedInDoubt() *wire.Switch {
-	b.drop = func(c *wire.GroupCommand) bool { return c.GetDecide() != nil }
-	b.roll()
-	b.until("all armed", func() bool {
+func (b *testGroup) armUndecided() *wire.Switch {
+	b.dropCommand = func(c *wire.GroupCommand) bool { return c.GetDecide() != nil }
+	b.requestSwitch()
+	b.runUntil("all armed", func() bool {
 		for _, r := range b.ranks {
 			if r.Status().Armed == 0 {
 				return false
@@ -111,24 +111,24 @@
 		}
 		return true
 	})
-	b.round()
-	b.drop = func(*wire.GroupCommand) bool { return false }
+	b.runRound()
+	b.dropCommand = func(*wire.GroupCommand) bool { return false }
 	return b.state().Switch
 }
 
 // The leader dies when all ranks are armed, and its decision with it. The ranks
 // stop before the step. The next leader finds the switch undecided on the log and
 // all ranks ready, and ends it: they go on with the new map from that step on.
-func TestNextLeaderEndsASwitchInDoubt(t *testing.T) {
-	b := newBench(t)
-	sw := b.armedInDoubt()
-	b.run(sw.Step + 100)
+func TestNewLeaderCommitsArmedSwitch(t *testing.T) {
+	b := newTestGroup(t)
+	sw := b.armUndecided()
+	b.runSteps(sw.Step + 100)
 	for _, r := range b.ranks {
 		assert.Equal(t, r.Next(), sw.Step, "stopped before the step")
 	}
-	b.lead()
-	b.until("decided", func() bool { return b.state().Map.Epoch == sw.Map.Epoch })
-	b.until("told", func() bool { b.run(sw.Step + 1); return b.state().Switch == nil })
+	b.startLeader()
+	b.runUntil("decided", func() bool { return b.state().Map.Epoch == sw.Map.Epoch })
+	b.runUntil("told", func() bool { b.runSteps(sw.Step + 1); return b.state().Switch == nil })
 	assert.Equal(t, b.state().Records[0].Outcome, rollout.OutcomeInForce)
 	assert.Equal(t, b.state().Map.FromStep, sw.Step)
 }
@@ -137,37 +137,37 @@
 // next leader cancels the switch, because the rank's new life has not the weights;
 // all ranks, the new life too, go on with the old map. An arm that was under way to
 // the old life comes last and is refused.
-func TestNextLeaderCancelsWhenARankHasRestarted(t *testing.T) {
-	b := newBench(t)
-	before := b.state().Map.Epoch
-	sw := b.armedInDoubt()
+func TestNewLeaderCancelsSwitchAfterRankRestart(t *testing.T) {
+	b := newTestGroup(t)
+	oldEpoch := b.state().Map.Epoch
+	sw := b.armUndecided()
 	b.ranks[2] = fake.NewRank(2)
-	b.lead()
-	b.until("cancelled", func() bool { return b.state().Switch == nil })
+	b.startLeader()
+	b.runUntil("cancelled", func() bool { return b.state().Switch == nil })
 	assert.Equal(t, b.state().Records[0].Outcome, rollout.OutcomeCancelled)
 	assert.Equal(t, b.state().Records[0].Detail, "rank 2 restarted")
-	b.until("all go on", func() bool { b.run(sw.Step + 5); return b.ranks[0].Next() > sw.Step && b.ranks[2].Next() > 0 })
+	b.runUntil("all go on", func() bool { b.runSteps(sw.Step + 5); return b.ranks[0].Next() > sw.Step && b.ranks[2].Next() > 0 })
 	for _, r := range b.ranks {
-		assert.Equal(t, r.Status().Epoch, before)
+		assert.Equal(t, r.Status().Epoch, oldEpoch)
 	}
-	late := b.ranks[2].Give(rollout.VerbArm, &rollout.Order{Incarnation: 1, Epoch: sw.Map.Epoch, Step: sw.Step + 50})
-	assert.Equal(t, late.Refused, "order is for incarnation 1")
-	assert.Equal(t, late.Armed, uint64(0))
+	delayed := b.ranks[2].Give(rollout.VerbArm, &rollout.Order{Incarnation: 1, Epoch: sw.Map.Epoch, Step: sw.Step + 50})
+	assert.Equal(t, delayed.Refused, "order is for incarnation 1")
+	assert.Equal(t, delayed.Armed, uint64(0))
 }
 
 // A leader was cut off and its lease taken over. Its commands that come late are
 // refused by the log; and of two decisions of one switch the first one holds.
-func TestLogTakesOneDecisionFromTheHolderOfTheLease(t *testing.T) {
-	b := newBench(t)
-	sw := b.armedInDoubt()
+func TestMachineAcceptsOneDecisionPerSwitch(t *testing.T) {
+	b := newTestGroup(t)
+	sw := b.armUndecided()
 	decide := func(commit bool, token uint64) rollout.Result {
 		return b.apply(&wire.GroupCommand{Group: "g", Token: token, Command: &wire.GroupCommand_Decide{
 			Decide: &wire.DecideSwitch{Epoch: sw.Map.Epoch, Commit: commit},
 		}})
 	}
-	old := b.token
-	b.lead()
-	assert.Assert(t, !decide(true, old).Accepted)
+	oldToken := b.token
+	b.startLeader()
+	assert.Assert(t, !decide(true, oldToken).Accepted)
 	assert.Assert(t, decide(false, b.token).Accepted)
 	assert.Assert(t, !decide(true, b.token).Accepted)
 	assert.Assert(t, b.state().Map.Epoch < sw.Map.Epoch)
@@ -176,9 +176,9 @@
 
 // A replica that restores a snapshot in the middle of a switch holds the same
 // state as one that applied every command.
-func TestSnapshotKeepsASwitchInDoubt(t *testing.T) {
-	b := newBench(t)
-	b.armedInDoubt()
+func TestSnapshotPreservesUndecidedSwitch(t *testing.T) {
+	b := newTestGroup(t)
+	b.armUndecided()
 	data, err := proto.Marshal(b.machine.Snapshot())
 	assert.NilError(t, err)
 	s := &wire.GroupsSnapshot{}
@@ -191,8 +191,8 @@
 
 // A map that leaves an expert without a rank, or is based on one that is no
 // longer in force, never reaches the ranks.
-func TestLogRefusesMapsThatDontFit(t *testing.T) {
-	b := newBench(t)
+func TestMachineRejectsInvalidMaps(t *testing.T) {
+	b := newTestGroup(t)
 	begin := func(base uint64, change func(*wire.GroupMap)) rollout.Result {
 		g := rollout.FromMap(b.shape, placement.Contiguous(b.shape))
 		g.ExpertsInSlots = append([]int32(nil), g.ExpertsInSlots...)
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -52,7 +52,7 @@
 	Slots []int32 `json:"slots"`
 }
 
-func orderMap(g *wire.GroupMap) *OrderMap {
+func toOrderMap(g *wire.GroupMap) *OrderMap {
 	return &OrderMap{
 		Ranks: int(g.Ranks), Experts: int(g.Experts), Layers: int(g.Layers),
 		SlotsPerRank: int(g.Slots), Slots: g.ExpertsInSlots,
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -16,46 +16,46 @@
 // Times of a schedule. Faults end at simHeal; a map asked for then must be in
 // force, and steps must be running, by simHeal+simBound.
 const (
-	simHeal    = 1200 * time.Millisecond
-	simStep    = 8 * time.Millisecond
-	simResend  = 40 * time.Millisecond
-	simPause   = 2 * time.Millisecond
-	simTick    = 20 * time.Millisecond
-	simStage   = 400 * time.Millisecond
-	simArm     = 200 * time.Millisecond
-	simMaxLead = 150 * time.Millisecond
-	simIdle    = 100 * time.Millisecond
+	simFaultsEnd    = 1200 * time.Millisecond
+	simStepTime     = 8 * time.Millisecond
+	simResend       = 40 * time.Millisecond
+	simArmedPoll    = 2 * time.Millisecond
+	simTick         = 20 * time.Millisecond
+	simStageTimeout = 400 * time.Millisecond
+	simArmTimeout   = 200 * time.Millisecond
+	simMaxLead      = 150 * time.Millisecond
+	simIdlePoll     = 100 * time.Millisecond
 	// simBound: the switch in doubt is ready or cancelled, its step comes, and
 	// one more switch is begun, staged, armed and decided.
-	simBound   = simStage + simArm + 4*simMaxLead + 10*simResend
-	simRunning = 60 * time.Millisecond
+	simProgressBound = simStageTimeout + simArmTimeout + 4*simMaxLead + 10*simResend
+	simMaxStepGap    = 60 * time.Millisecond
 )
 
 // simLeaders is how many leaders at most believe that they lead.
-const simLeaders = 3
+const simMaxLeaders = 3
 
 // simSwitches turns safeguards off.
-type simSwitches struct {
+type disabledSafeguards struct {
 	coordinator func(*rollout.Config)
 	// armed lets an armed rank begin its step without the decision.
-	armed bool
+	armedWait bool
 	// ownMap lets a rank that restarts go on with the map that it last used.
-	ownMap bool
+	adoptOnRestart bool
 	// alone keeps agents from asking other replicas for a decision.
-	alone bool
+	agentResolve bool
 	// safety leaves out the check that the group moves on.
-	safety bool
+	progressCheck bool
 }
 
 // sim runs a lock-step group with its agents, leaders and log in virtual time,
 // under a seeded schedule of faults.
 type sim struct {
-	rnd   *rand.Rand
-	now   time.Duration
-	queue simQueue
-	seq   int
-	off   simSwitches
-	shape placement.Shape
+	rnd      *rand.Rand
+	now      time.Duration
+	queue    simQueue
+	seq      int
+	disabled disabledSafeguards
+	shape    placement.Shape
 
 	machine *rollout.Machine
 	token   uint64
@@ -64,54 +64,54 @@
 	leaders []*simLeader
 	// cutLog says that an agent is cut off from the log; cutRank that a leader
 	// is cut off from an agent.
-	cutLog  map[int]bool
-	healed  bool
-	calm    bool
-	exec    int
-	inStep  map[int]uint64
-	step    uint64
-	lastEnd time.Duration
-
-	violation string
-	executed  int
-	switches  map[uint64]bool
-	restarts  int
-	resolved  int
+	cutLog      map[int]bool
+	faultsEnded bool
+	noFaults    bool
+	attempt     int
+	stepEpochs  map[int]uint64
+	step        uint64
+	lastStepEnd time.Duration
+
+	violation         string
+	executedSteps     int
+	committedSwitches map[uint64]bool
+	restarts          int
+	agentResolutions  int
 	// lonely says that one rank stays cut off from the leader to the end.
-	lonely  bool
-	blocked time.Duration
+	rankStaysCut bool
+	longestWait  time.Duration
 }
 
 type simRank struct {
-	n       int
-	rank    *fake.Rank
-	up      bool
-	life    uint64
-	fencing bool
-	highest uint64
-	guard   *fence.Guard
-	agentUp bool
-	stalled time.Duration
-	waiting time.Duration
-	lastUse uint64
+	index        int
+	rank         *fake.Rank
+	up           bool
+	incarnation  uint64
+	checksToken  bool
+	highestToken uint64
+	guard        *fence.Guard
+	agentUp      bool
+	stalledUntil time.Duration
+	waitingSince time.Duration
+	lastEpoch    uint64
 }
 
 type simLeader struct {
-	id      int
-	token   uint64
-	view    uint64
-	up      bool
-	cutLog  bool
-	cutRank map[int]bool
-	stalled time.Duration
-	c       *rollout.Coordinator
-	nextMap time.Duration
+	id           int
+	token        uint64
+	viewIndex    uint64
+	up           bool
+	cutLog       bool
+	cutRanks     map[int]bool
+	stalledUntil time.Duration
+	coordinator  *rollout.Coordinator
+	nextSwitchAt time.Duration
 }
 
 type simEvent struct {
 	at  time.Duration
 	seq int
-	f   func()
+	run func()
 }
 
 type simQueue []simEvent
@@ -129,76 +129,76 @@
 	return e
 }
 
-func newSim(seed uint64, off simSwitches) *sim {
+func newSim(seed uint64, disabled disabledSafeguards) *sim {
 	rnd := rand.New(rand.NewPCG(seed, 6))
 	n := 4 + rnd.IntN(5)
 	if rnd.IntN(12) == 0 {
 		n = 9 + rnd.IntN(24)
 	}
 	s := &sim{
-		rnd: rnd, off: off, machine: rollout.NewMachine(), cutLog: map[int]bool{},
-		shape:    placement.Shape{Ranks: n, Experts: n, Layers: 1, Slots: 2},
-		switches: map[uint64]bool{},
+		rnd: rnd, disabled: disabled, machine: rollout.NewMachine(), cutLog: map[int]bool{},
+		shape:             placement.Shape{Ranks: n, Experts: n, Layers: 1, Slots: 2},
+		committedSwitches: map[uint64]bool{},
 	}
 	for i := range n {
 		s.ranks = append(s.ranks, &simRank{
-			n: i, rank: fake.NewRank(1), up: true, life: 1, fencing: rnd.IntN(2) == 0,
+			index: i, rank: fake.NewRank(1), up: true, incarnation: 1, checksToken: rnd.IntN(2) == 0,
 			guard: fence.NewGuard(), agentUp: true,
 		})
-		s.ranks[i].rank.StepMicros = s.reported()
+		s.ranks[i].rank.StepMicros = s.randomStepMicros()
 	}
 	return s
 }
 
 // reported is the step time that a rank reports: right, or far too long.
-func (s *sim) reported() uint64 {
+func (s *sim) randomStepMicros() uint64 {
 	if s.rnd.IntN(10) == 0 {
-		return uint64(10 * simStep.Microseconds())
+		return uint64(10 * simStepTime.Microseconds())
 	}
-	return uint64(simStep.Microseconds())
+	return uint64(simStepTime.Microseconds())
 }
 
-func (s *sim) after(d time.Duration, f func()) {
+func (s *sim) after(d time.Duration, run func()) {
 	s.seq++
-	heap.Push(&s.queue, simEvent{at: s.now + d, seq: s.seq, f: f})
+	heap.Push(&s.queue, simEvent{at: s.now + d, seq: s.seq, run: run})
 }
 
 func (s *sim) clock() time.Time { return time.Unix(0, 0).Add(s.now) }
 
-func (s *sim) between(lo, hi time.Duration) time.Duration {
+func (s *sim) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(s.rnd.Int64N(int64(hi-lo)+1))
 }
 
 // run plays the schedule and returns what went wrong, or "".
 func (s *sim) run() string {
-	s.elect()
-	s.form()
+	s.startLeader()
+	s.startStep()
 	for _, r := range s.ranks {
-		s.after(simResend, func() { s.resolve(r) })
+		s.after(simResend, func() { s.resolveDecision(r) })
 	}
-	if !s.calm {
-		s.after(s.between(0, 300*time.Millisecond), s.fault)
+	if !s.noFaults {
+		s.after(s.randomDuration(0, 300*time.Millisecond), s.injectFault)
 	}
-	s.after(simHeal, s.heal)
-	end := simHeal + simBound
+	s.after(simFaultsEnd, s.endFaults)
+	end := simFaultsEnd + simProgressBound
 	for s.now < end && len(s.queue) > 0 && s.violation == "" {
 		e := heap.Pop(&s.queue).(simEvent)
 		s.now = e.at
-		e.f()
+		e.run()
 	}
 	return s.violation
 }
 
-func (s *sim) fail(format string, args ...any) {
+func (s *sim) failf(format string, args ...any) {
 	if s.violation == "" {
 		s.violation = fmt.Sprintf("at %v: ", s.now) + fmt.Sprintf(format, args...)
 	}
 }
 
 // link carries a message: late, lost, doubled, overtaking.
-func (s *sim) link(f func()) {
+func (s *sim) deliver(send func()) {
 	copies := 1
-	if !s.healed && !s.calm {
+	if !s.faultsEnded && !s.noFaults {
 		switch s.rnd.IntN(20) {
 		case 0:
 			return
@@ -207,36 +207,36 @@
 		}
 	}
 	for range copies {
-		d := s.between(500*time.Microsecond, 1500*time.Microsecond)
-		if !s.healed && !s.calm && s.rnd.IntN(12) == 0 {
-			d = s.between(0, 400*time.Millisecond)
+		d := s.randomDuration(500*time.Microsecond, 1500*time.Microsecond)
+		if !s.faultsEnded && !s.noFaults && s.rnd.IntN(12) == 0 {
+			d = s.randomDuration(0, 400*time.Millisecond)
 		}
-		s.after(d, f)
+		s.after(d, send)
 	}
 }
 
 // elect starts a leader with a new token. Earlier ones go on: they may believe
 // for a long time that they lead.
-func (s *sim) elect() {
+func (s *sim) startLeader() {
 	s.index++
 	s.token = s.index
-	l := &simLeader{id: len(s.leaders), token: s.token, up: true, cutRank: map[int]bool{}}
+	l := &simLeader{id: len(s.leaders), token: s.token, up: true, cutRanks: map[int]bool{}}
 	cfg := rollout.DefaultConfig("g", s.shape, l.token)
-	cfg.Resend, cfg.Urgent, cfg.IdlePoll = simResend, simResend/2, simIdle
-	cfg.StageTimeout, cfg.ArmTimeout = simStage, simArm
+	cfg.Resend, cfg.Urgent, cfg.IdlePoll = simResend, simResend/2, simIdlePoll
+	cfg.StageTimeout, cfg.ArmTimeout = simStageTimeout, simArmTimeout
 	cfg.Lead, cfg.MaxLead = 10*time.Millisecond, simMaxLead
-	if s.off.coordinator != nil {
-		s.off.coordinator(&cfg)
+	if s.disabled.coordinator != nil {
+		s.disabled.coordinator(&cfg)
 	}
-	l.c = rollout.NewCoordinator(cfg)
+	l.coordinator = rollout.NewCoordinator(cfg)
 	// A leader's state holds all that was accepted before its own lease.
-	l.view = s.index
-	l.c.Applied(s.clock(), s.machine.Get("g"))
+	l.viewIndex = s.index
+	l.coordinator.Applied(s.clock(), s.machine.Get("g"))
 	s.leaders = append(s.leaders, l)
-	if n := len(s.leaders) - simLeaders; n > 0 {
+	if n := len(s.leaders) - simMaxLeaders; n > 0 {
 		s.leaders[n-1].up = false
 	}
-	l.nextMap = s.now + s.between(20*time.Millisecond, 200*time.Millisecond)
+	l.nextSwitchAt = s.now + s.randomDuration(20*time.Millisecond, 200*time.Millisecond)
 	s.tickLeader(l)
 }
 
@@ -245,40 +245,40 @@
 		return
 	}
 	s.after(simTick, func() { s.tickLeader(l) })
-	if s.now < l.stalled {
+	if s.now < l.stalledUntil {
 		return
 	}
-	if s.now >= l.nextMap {
-		s.roll(l)
+	if s.now >= l.nextSwitchAt {
+		s.requestSwitch(l)
 	}
-	s.drive(l)
+	s.runCoordinator(l)
 }
 
-func (s *sim) roll(l *simLeader) {
-	l.nextMap = s.now + s.between(50*time.Millisecond, 400*time.Millisecond)
+func (s *sim) requestSwitch(l *simLeader) {
+	l.nextSwitchAt = s.now + s.randomDuration(50*time.Millisecond, 400*time.Millisecond)
 	st := s.machine.Get("g")
 	if st == nil {
 		return
 	}
-	if !s.healed && !s.calm && s.rnd.IntN(6) == 0 {
-		l.c.Cancel("an operator paused the group")
+	if !s.faultsEnded && !s.noFaults && s.rnd.IntN(6) == 0 {
+		l.coordinator.Cancel("an operator paused the group")
 		return
 	}
 	m := placement.Contiguous(s.shape)
-	by := int32(s.rnd.IntN(s.shape.Experts))
+	shift := int32(s.rnd.IntN(s.shape.Experts))
 	for i := range m.Slots {
-		m.Slots[i] = (m.Slots[i] + by) % int32(s.shape.Experts)
+		m.Slots[i] = (m.Slots[i] + shift) % int32(s.shape.Experts)
 	}
-	l.c.Roll(&rollout.Target{Base: st.Map.Epoch, Map: rollout.FromMap(s.shape, m), Reason: &wire.MapReason{}})
+	l.coordinator.Roll(&rollout.Target{Base: st.Map.Epoch, Map: rollout.FromMap(s.shape, m), Reason: &wire.MapReason{}})
 }
 
-func (s *sim) drive(l *simLeader) {
-	if !l.up || s.now < l.stalled {
+func (s *sim) runCoordinator(l *simLeader) {
+	if !l.up || s.now < l.stalledUntil {
 		return
 	}
-	e := l.c.Tick(s.clock())
+	e := l.coordinator.Tick(s.clock())
 	for _, o := range e.Orders {
-		s.send(l, o)
+		s.sendOrder(l, o)
 	}
 	if e.Command != nil {
 		s.propose(l, e.Command)
@@ -288,7 +288,7 @@
 // propose carries a command to the log. Any leader that reaches the log is
 // taken: more than consensus allows, so that tokens and decisions must hold.
 func (s *sim) propose(l *simLeader, c *wire.GroupCommand) {
-	s.link(func() {
+	s.deliver(func() {
 		if l.cutLog {
 			return
 		}
@@ -296,39 +296,39 @@
 		index := s.index
 		r := s.machine.Apply(index, c, s.token)
 		if d := c.GetDecide(); r.Accepted && d.GetCommit() {
-			s.switches[d.Epoch] = true
+			s.committedSwitches[d.Epoch] = true
 		}
 		st := s.machine.Get("g")
 		for _, other := range s.leaders {
 			if !other.up {
 				continue
 			}
-			s.link(func() { s.learn(other, index, st) })
+			s.deliver(func() { s.updateView(other, index, st) })
 		}
 	})
 }
 
 // learn brings a leader's view of the log forward, never back.
-func (s *sim) learn(l *simLeader, index uint64, st *wire.GroupState) {
-	if !l.up || l.cutLog || index <= l.view || s.now < l.stalled {
+func (s *sim) updateView(l *simLeader, index uint64, st *wire.GroupState) {
+	if !l.up || l.cutLog || index <= l.viewIndex || s.now < l.stalledUntil {
 		return
 	}
-	l.view = index
-	l.c.Applied(s.clock(), st)
-	s.drive(l)
+	l.viewIndex = index
+	l.coordinator.Applied(s.clock(), st)
+	s.runCoordinator(l)
 }
 
 // catchUp is what a replica does when it hears from its log again.
-func (s *sim) catchUp(l *simLeader) {
-	s.learn(l, s.index, s.machine.Get("g"))
-	s.after(simTick*3, func() { s.catchUp(l) })
+func (s *sim) pollLog(l *simLeader) {
+	s.updateView(l, s.index, s.machine.Get("g"))
+	s.after(simTick*3, func() { s.pollLog(l) })
 }
 
 // send carries an order over the agent to the engine and the answer back.
-func (s *sim) send(l *simLeader, o rollout.Outgoing) {
+func (s *sim) sendOrder(l *simLeader, o rollout.Outgoing) {
 	r := s.ranks[o.Rank]
-	s.link(func() {
-		if l.cutRank[o.Rank] || !r.agentUp {
+	s.deliver(func() {
+		if l.cutRanks[o.Rank] || !r.agentUp {
 			return
 		}
 		if !r.guard.Known("g") {
@@ -340,15 +340,15 @@
 		if !r.guard.Admit("g", l.token) {
 			return
 		}
-		s.link(func() { s.atEngine(l, r, o) })
+		s.deliver(func() { s.deliverToEngine(l, r, o) })
 	})
 }
 
 // resolve is an agent that looks whether its rank waits for a decision, and asks a
 // replica, whose state may be old when the answer comes.
-func (s *sim) resolve(r *simRank) {
-	s.after(s.between(simResend, 2*simResend), func() { s.resolve(r) })
-	if !r.agentUp || !r.up || s.cutLog[r.n] || s.off.alone {
+func (s *sim) resolveDecision(r *simRank) {
+	s.after(s.randomDuration(simResend, 2*simResend), func() { s.resolveDecision(r) })
+	if !r.agentUp || !r.up || s.cutLog[r.index] || s.disabled.agentResolve {
 		return
 	}
 	if !r.guard.Known("g") {
@@ -359,122 +359,122 @@
 		return
 	}
 	token := r.guard.Highest("g")
-	s.link(func() {
+	s.deliver(func() {
 		state := s.machine.Get("g")
-		s.link(func() {
+		s.deliver(func() {
 			verb, o, ok := rollout.Settle(state, status)
-			if !ok || !r.agentUp || !r.up || r.fencing && token < r.highest {
+			if !ok || !r.agentUp || !r.up || r.checksToken && token < r.highestToken {
 				return
 			}
 			o.Incarnation = status.Incarnation
 			r.rank.Give(verb, &o)
-			s.resolved++
+			s.agentResolutions++
 		})
 	})
 }
 
-func (s *sim) atEngine(l *simLeader, r *simRank, o rollout.Outgoing) {
+func (s *sim) deliverToEngine(l *simLeader, r *simRank, o rollout.Outgoing) {
 	if !r.up {
 		return
 	}
-	if r.fencing {
-		if l.token < r.highest {
+	if r.checksToken {
+		if l.token < r.highestToken {
 			return
 		}
-		r.highest = l.token
+		r.highestToken = l.token
 	}
 	order := o.Order
 	st := r.rank.Give(o.Verb, &order)
 	if r.rank.Loading() != 0 {
-		life := r.life
-		s.after(s.between(5*time.Millisecond, 30*time.Millisecond), func() {
-			if r.up && r.life == life {
+		incarnation := r.incarnation
+		s.after(s.randomDuration(5*time.Millisecond, 30*time.Millisecond), func() {
+			if r.up && r.incarnation == incarnation {
 				r.rank.Loaded()
 			}
 		})
 	}
-	s.link(func() {
-		if !r.agentUp || l.cutRank[o.Rank] || !l.up || s.now < l.stalled {
+	s.deliver(func() {
+		if !r.agentUp || l.cutRanks[o.Rank] || !l.up || s.now < l.stalledUntil {
 			return
 		}
-		l.c.Heard(s.clock(), o.Rank, st)
-		s.drive(l)
+		l.coordinator.Heard(s.clock(), o.Rank, st)
+		s.runCoordinator(l)
 	})
 }
 
 // form lets the group agree on the next step once all ranks are up, hold a map
 // and have ended the last step.
-func (s *sim) form() {
-	if s.inStep != nil {
+func (s *sim) startStep() {
+	if s.stepEpochs != nil {
 		return
 	}
 	var step uint64
 	for _, r := range s.ranks {
 		if !r.up || r.rank.Blank() {
-			s.after(simStep, s.form)
+			s.after(simStepTime, s.startStep)
 			return
 		}
 		step = max(step, r.rank.Next())
 	}
-	s.exec++
+	s.attempt++
 	s.step = step
-	s.inStep = map[int]uint64{}
-	exec := s.exec
+	s.stepEpochs = map[int]uint64{}
+	attempt := s.attempt
 	for _, r := range s.ranks {
-		r.waiting = s.now
-		s.after(s.between(0, time.Millisecond), func() { s.enter(exec, r) })
+		r.waitingSince = s.now
+		s.after(s.randomDuration(0, time.Millisecond), func() { s.enterStep(attempt, r) })
 	}
 }
 
 // enter lets one rank begin the step, or wait until it may.
-func (s *sim) enter(exec int, r *simRank) {
-	if exec != s.exec || s.inStep == nil {
+func (s *sim) enterStep(attempt int, r *simRank) {
+	if attempt != s.attempt || s.stepEpochs == nil {
 		return
 	}
-	if s.now < r.stalled {
-		s.after(r.stalled-s.now, func() { s.enter(exec, r) })
+	if s.now < r.stalledUntil {
+		s.after(r.stalledUntil-s.now, func() { s.enterStep(attempt, r) })
 		return
 	}
 	r.rank.Join(s.step)
-	if !r.rank.MayBegin() && !s.off.armed {
-		s.after(simPause, func() { s.enter(exec, r) })
+	if !r.rank.MayBegin() && !s.disabled.armedWait {
+		s.after(simArmedPoll, func() { s.enterStep(attempt, r) })
 		return
 	}
 	epoch := r.rank.Begin(s.step)
-	r.lastUse = epoch
-	for other, e := range s.inStep {
+	r.lastEpoch = epoch
+	for other, e := range s.stepEpochs {
 		if e != epoch {
-			s.fail("step %d: rank %d uses map %d, rank %d uses map %d", s.step, r.n, epoch, other, e)
+			s.failf("step %d: rank %d uses map %d, rank %d uses map %d", s.step, r.index, epoch, other, e)
 		}
 	}
-	if st := s.machine.Get("g"); epoch != st.Map.Epoch && !s.off.ownMap && rollout.MapAt(st, epoch) == nil {
-		s.fail("rank %d uses map %d, which was never in force", r.n, epoch)
+	if st := s.machine.Get("g"); epoch != st.Map.Epoch && !s.disabled.adoptOnRestart && rollout.MapAt(st, epoch) == nil {
+		s.failf("rank %d uses map %d, which was never in force", r.index, epoch)
 	}
-	s.inStep[r.n] = epoch
-	s.blocked = max(s.blocked, s.now-r.waiting)
-	if len(s.inStep) < len(s.ranks) {
+	s.stepEpochs[r.index] = epoch
+	s.longestWait = max(s.longestWait, s.now-r.waitingSince)
+	if len(s.stepEpochs) < len(s.ranks) {
 		return
 	}
-	s.after(simStep, func() { s.endStep(exec) })
+	s.after(simStepTime, func() { s.endStep(attempt) })
 }
 
-func (s *sim) endStep(exec int) {
-	if exec != s.exec || s.inStep == nil {
+func (s *sim) endStep(attempt int) {
+	if attempt != s.attempt || s.stepEpochs == nil {
 		return
 	}
-	s.inStep = nil
-	s.executed++
-	s.lastEnd = s.now
-	s.form()
+	s.stepEpochs = nil
+	s.executedSteps++
+	s.lastStepEnd = s.now
+	s.startStep()
 }
 
 // breakStep is what the death of a rank does to the others: the collective
 // breaks, and they wait to form anew.
-func (s *sim) breakStep() {
-	s.exec++
-	if s.inStep != nil {
-		s.inStep = nil
-		s.after(simStep, s.form)
+func (s *sim) abortStep() {
+	s.attempt++
+	if s.stepEpochs != nil {
+		s.stepEpochs = nil
+		s.after(simStepTime, s.startStep)
 	}
 }
 
@@ -484,29 +484,29 @@
 	}
 	r.up = false
 	s.restarts++
-	s.breakStep()
-	s.after(s.between(5*time.Millisecond, 400*time.Millisecond), func() { s.startRank(r) })
+	s.abortStep()
+	s.after(s.randomDuration(5*time.Millisecond, 400*time.Millisecond), func() { s.startRank(r) })
 }
 
 func (s *sim) startRank(r *simRank) {
-	r.life++
-	own := r.lastUse
-	r.rank, r.up, r.highest = fake.NewRank(r.life), true, 0
-	r.rank.StepMicros = s.reported()
-	if s.off.ownMap && own != 0 {
-		r.rank.Give(rollout.VerbAdopt, &rollout.Order{Incarnation: r.life, Epoch: own})
+	r.incarnation++
+	lastEpoch := r.lastEpoch
+	r.rank, r.up, r.highestToken = fake.NewRank(r.incarnation), true, 0
+	r.rank.StepMicros = s.randomStepMicros()
+	if s.disabled.adoptOnRestart && lastEpoch != 0 {
+		r.rank.Give(rollout.VerbAdopt, &rollout.Order{Incarnation: r.incarnation, Epoch: lastEpoch})
 	}
 }
 
 // fault does one harm and plans the next.
-func (s *sim) fault() {
-	if s.healed {
+func (s *sim) injectFault() {
+	if s.faultsEnded {
 		return
 	}
-	s.after(s.between(5*time.Millisecond, 250*time.Millisecond), s.fault)
+	s.after(s.randomDuration(5*time.Millisecond, 250*time.Millisecond), s.injectFault)
 	r := s.ranks[s.rnd.IntN(len(s.ranks))]
-	l := s.leaders[len(s.leaders)-1-s.rnd.IntN(min(simLeaders, len(s.leaders)))]
-	d := s.between(10*time.Millisecond, 500*time.Millisecond)
+	l := s.leaders[len(s.leaders)-1-s.rnd.IntN(min(simMaxLeaders, len(s.leaders)))]
+	d := s.randomDuration(10*time.Millisecond, 500*time.Millisecond)
 	switch s.rnd.IntN(10) {
 	case 0, 1:
 		s.killRank(r)
@@ -516,22 +516,22 @@
 		s.after(d, func() { r.agentUp = true })
 	case 3:
 		l.up = false
-		s.after(s.between(0, 200*time.Millisecond), s.elect)
+		s.after(s.randomDuration(0, 200*time.Millisecond), s.startLeader)
 	case 4:
-		s.elect()
+		s.startLeader()
 	case 5:
-		l.stalled = s.now + d
+		l.stalledUntil = s.now + d
 	case 6:
 		l.cutLog = true
 		s.after(d, func() { l.cutLog = false })
 	case 7:
-		l.cutRank[r.n] = true
-		s.after(d, func() { l.cutRank[r.n] = false })
+		l.cutRanks[r.index] = true
+		s.after(d, func() { l.cutRanks[r.index] = false })
 	case 8:
-		s.cutLog[r.n] = true
-		s.after(d, func() { s.cutLog[r.n] = false })
+		s.cutLog[r.index] = true
+		s.after(d, func() { s.cutLog[r.index] = false })
 	case 9:
-		r.stalled = s.now + d/2
+		r.stalledUntil = s.now + d/2
 	}
 	if s.rnd.IntN(60) == 0 {
 		for _, other := range s.ranks {
@@ -541,37 +541,37 @@
 }
 
 // heal ends all faults and asks the newest leader for one more map.
-func (s *sim) heal() {
-	s.healed = true
+func (s *sim) endFaults() {
+	s.faultsEnded = true
 	s.cutLog = map[int]bool{}
 	for _, l := range s.leaders {
-		l.cutLog, l.stalled = false, 0
-		l.cutRank = map[int]bool{}
+		l.cutLog, l.stalledUntil = false, 0
+		l.cutRanks = map[int]bool{}
 	}
 	for _, r := range s.ranks {
-		r.agentUp, r.stalled = true, 0
+		r.agentUp, r.stalledUntil = true, 0
 	}
-	if last := s.leaders[len(s.leaders)-1]; !last.up {
-		s.elect()
+	if newest := s.leaders[len(s.leaders)-1]; !newest.up {
+		s.startLeader()
 	}
 	l := s.leaders[len(s.leaders)-1]
-	s.catchUp(l)
-	if s.off.safety {
+	s.pollLog(l)
+	if s.disabled.progressCheck {
 		return
 	}
 	// A leader that stays cut off from one rank can't switch, but steps go on: the
 	// agent learns the end of the switch in doubt from another replica.
 	if r := s.ranks[s.rnd.IntN(len(s.ranks))]; s.rnd.IntN(3) == 0 && r.up && !r.rank.Blank() {
-		l.cutRank[r.n] = true
-		s.lonely = true
+		l.cutRanks[r.index] = true
+		s.rankStaysCut = true
 	}
-	before := len(s.switches)
-	s.after(simBound-time.Millisecond, func() {
-		if len(s.switches) == before && !s.lonely {
-			s.fail("no switch since the faults ended: %v", s.machine.Get("g").GetSwitch())
+	committedBefore := len(s.committedSwitches)
+	s.after(simProgressBound-time.Millisecond, func() {
+		if len(s.committedSwitches) == committedBefore && !s.rankStaysCut {
+			s.failf("no switch since the faults ended: %v", s.machine.Get("g").GetSwitch())
 		}
-		if s.now-s.lastEnd > simRunning {
-			s.fail("no step since %v", s.lastEnd)
+		if s.now-s.lastStepEnd > simMaxStepGap {
+			s.failf("no step since %v", s.lastStepEnd)
 		}
 	})
 }
