--- a/consensus/election.go
+++ b/consensus/election.go
@@ -32,7 +32,7 @@
 	return len(v) == 1 && v[0] == n.cfg.ID
 }
 
-// quorum says whether a set of voters is a majority.
+// hasQuorum reports whether contains holds for a majority of the voters.
 func (n *Node) hasQuorum(contains func(id string) bool) bool { return isMajority(n.voters(), contains) }
 
 func isMajority(voters []string, contains func(id string) bool) bool {
@@ -45,12 +45,13 @@
 	return count > len(voters)/2
 }
 
-// sayHello asks the voters what they saw of this replica.
+// sendHellos asks all peers for the log position at which they observed this
+// replica.
 //
-// A folder restored from an older copy, or one that lost acknowledged records,
-// would vote twice in a term or elect a leader without accepted entries. A
-// majority is asked, and not all: a replica must be able to start while another
-// one is lost. What it leaves open stands in docs/design/consensus.md.
+// A replica whose folder was restored from an older copy, or lost acknowledged
+// records, could vote twice in a term or elect a leader that lacks accepted entries.
+// Replies from a majority of the voters are enough, so that a replica can start while
+// another one is lost. docs/design/consensus.md names the cases that this misses.
 func (n *Node) sendHellos() {
 	n.helloReplies[n.cfg.ID] = true
 	if n.tryVerify() || n.now < n.nextHeartbeat {
@@ -95,12 +96,12 @@
 	ownLast := position{n.log.lastTerm(), n.log.lastIndex()}
 	if ownLast.before(position{m.PrevTerm, m.PrevIndex}) {
 		n.fatalErr = merry.Prependf(ErrRolledBack,
-			"%s was seen to hold index %d of term %d, its folder ends at %d of term %d",
+			"peers observed %s at index %d of term %d, but its data folder ends at index %d of term %d",
 			n.cfg.ID, m.PrevIndex, m.PrevTerm, ownLast.index, ownLast.term)
 		return
 	}
-	// The membership may have changed while this replica was down; the voters of
-	// its own folder may be gone for good.
+	// The membership may have changed while this replica was down, and the voters
+	// named in its own folder may no longer exist.
 	if latest := m.Snapshot; latest != nil && latest.Config != nil && latest.Index > n.latestConfig.index {
 		n.latestConfig = indexedConfig{latest.Index, latest.Config}
 	}
@@ -108,9 +109,10 @@
 	n.tryVerify()
 }
 
-// campaign asks for votes, or first whether votes would be granted. Pre-votes
-// keep a replica that can't win from pushing the term up and deposing a leader.
-// transfer says that the leader of this term has given up its lease.
+// campaign requests votes as a Candidate, or pre-votes as a PreCandidate. Pre-votes
+// keep a replica that can't win from raising the term and so deposing a leader.
+// transfer marks the vote requests of a leadership transfer: the leader of this term
+// has released its lease.
 func (n *Node) campaign(role Role, transfer bool) {
 	n.becomeFollower(n.term, "")
 	n.role = role
@@ -159,8 +161,8 @@
 	n.send(reply)
 }
 
-// upToDate says whether a candidate's log holds all that this one may have
-// helped to commit.
+// upToDate reports whether a candidate's log is at least as up to date as this one,
+// and so contains every entry that this replica may have helped to commit.
 func (n *Node) upToDate(m *wire.RaftMessage) bool {
 	if m.PrevTerm != n.log.lastTerm() {
 		return m.PrevTerm > n.log.lastTerm()
@@ -182,7 +184,8 @@
 	n.countVotes()
 }
 
-// countVotes moves on when a majority has granted.
+// countVotes proceeds from pre-candidate to candidate, or from candidate to leader,
+// once a majority has granted its vote. It reports whether it did.
 func (n *Node) countVotes() bool {
 	if !n.hasQuorum(func(id string) bool { return n.votes[id] }) {
 		return false
--- a/consensus/follower.go
+++ b/consensus/follower.go
@@ -18,7 +18,7 @@
 	n.followLeader(m)
 	reply := n.newAppendReply(m)
 	if m.PrevIndex < n.log.committed {
-		// Committed entries equal the leader's; only what comes after can differ.
+		// Committed entries match the leader's; only later ones can differ.
 		n.updateConfirmedAt(m)
 		reply.Index = n.log.committed
 		n.send(reply)
@@ -45,11 +45,11 @@
 	}
 }
 
-// confirm notes since when this replica's state was current: not since an append
-// came, which may have been long under way, but since this replica sent the
-// reply that the leader had got before it sent the append.
+// updateConfirmedAt records the time as of which this replica's state is current. That
+// is not the arrival of the append, which may have been delayed on the way, but the
+// time at which this replica sent the reply that the append echoes.
 func (n *Node) updateConfirmedAt(m *wire.RaftMessage) {
-	// The times of an earlier process are of another clock.
+	// Times of an earlier process belong to another clock.
 	if m.Boot != n.bootID || n.log.committed < m.Commit {
 		return
 	}
@@ -59,8 +59,9 @@
 	}
 }
 
-// conflictHint is the last index that may still match: the one before the
-// conflicting term, so that a long conflict takes one round a term, not an entry.
+// conflictHint returns the last index that may still match the leader's log. It skips
+// entries of terms above the leader's, so that resolving a conflict takes one round
+// trip per term instead of one per entry.
 func (n *Node) conflictHint(m *wire.RaftMessage) uint64 {
 	index := min(m.PrevIndex, n.log.lastIndex())
 	term, ok := n.log.term(index)
@@ -74,7 +75,7 @@
 	return index
 }
 
-// take appends entries and drops those of ours that conflict.
+// mergeEntries appends a leader's entries and truncates conflicting ones before.
 func (n *Node) mergeEntries(entries []*wire.LogEntry) {
 	for _, e := range entries {
 		if term, ok := n.log.term(e.Index); ok {
--- a/consensus/gap_tracker.go
+++ b/consensus/gap_tracker.go
@@ -6,43 +6,42 @@
 )
 
 const (
-	// patienceFactor is how many of the longest gaps lately a follower waits for.
+	// gapMultiplier times the longest recent gap is the minimum time that a follower
+	// waits, within maxExtraTimeouts.
 	gapMultiplier = 2
-	// mostPatience bounds what a follower waits beyond the election timeout, in election
-	// timeouts: a leader that is lost while all replicas are late is replaced within a few
-	// of these.
+	// maxExtraTimeouts bounds the extension, in election timeouts, so that a lost leader
+	// is replaced within a few of them even while all replicas are slow.
 	maxExtraTimeouts = 2
-	// patienceMemory is how long the longest gap counts: after it a third is left.
+	// gapDecayTime is the time constant of the exponential decay of the longest gap.
 	gapDecayTime = 10 * time.Second
 )
 
-// patience says how much longer than the election timeout a follower waits for its leader,
-// by the gaps that it has seen between the leader's appends.
+// gapTracker extends a follower's election timeout according to the gaps between its
+// leader's appends.
 //
-// On a host with little processor time a leader that works, or the follower itself, is late
-// by some tenths of a second now and then. Without it each such gap costs an election, and
-// the next leader begins anew what the former one did, and is late for that: groups with
-// such leaders had an election each 1.5 s. Waiting longer is always safe: no vote is granted
-// sooner, and leases don't change. Where appends come in time nothing is added, so that a
-// lost leader is replaced as soon as ever.
+// On a host short of CPU time, the appends of a live leader, or the follower itself, can
+// be late by a large part of the election timeout; without the extension each such gap
+// would cause an election. The extension is safe, as votes are granted no earlier and
+// leases don't depend on it. While appends are on time nothing is added.
 type gapTracker struct {
 	leader     string
 	lastAppend Time
 	longestGap time.Duration
 }
 
-// heard notes an append of a leader. Gaps between two leaders are none of theirs.
-func (p *gapTracker) recordAppend(now Time, leader string) {
-	gap := now - p.lastAppend
-	if leader != p.leader {
+// recordAppend records the arrival of an append. The gap between the appends of two
+// leaders doesn't count.
+func (g *gapTracker) recordAppend(now Time, leader string) {
+	gap := now - g.lastAppend
+	if leader != g.leader {
 		gap = 0
 	}
-	decay := math.Exp(-float64(now-p.lastAppend) / float64(gapDecayTime))
-	p.leader, p.lastAppend = leader, now
-	p.longestGap = max(time.Duration(decay*float64(p.longestGap)), gap)
+	decay := math.Exp(-float64(now-g.lastAppend) / float64(gapDecayTime))
+	g.leader, g.lastAppend = leader, now
+	g.longestGap = max(time.Duration(decay*float64(g.longestGap)), gap)
 }
 
-// extra is the time beyond an election timeout.
-func (p *gapTracker) extraTimeout(electionTimeout time.Duration) time.Duration {
-	return min(max(gapMultiplier*p.longestGap-electionTimeout, 0), maxExtraTimeouts*electionTimeout)
+// extraTimeout returns the time to wait in addition to an election timeout.
+func (g *gapTracker) extraTimeout(electionTimeout time.Duration) time.Duration {
+	return min(max(gapMultiplier*g.longestGap-electionTimeout, 0), maxExtraTimeouts*electionTimeout)
 }
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -9,16 +9,19 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// progress is what a leader knows of one peer.
+// progress is a leader's view of one member's log.
 type progress struct {
+	// match is the highest index known to be durable at the peer; next is the first
+	// one to send.
 	match, next uint64
-	// acked is the latest round that the peer acknowledged.
+	// ackedRound is the latest round that the peer acknowledged.
 	ackedRound uint64
-	// probing peers get appends with a heartbeat only, until one matches.
+	// probing restricts appends to heartbeats, until one matches the peer's log.
 	probing bool
-	// snapshotUntil holds appends back while a snapshot is on its way.
+	// snapshotRetryAt is when a snapshot that was sent may be sent again.
 	snapshotRetryAt Time
-	// boot and askedNs are echoed; see wire.RaftMessage.
+	// boot and askedNs come from the peer's last reply and are echoed to it; see
+	// wire.RaftMessage.
 	boot    uint32
 	askedNs int64
 }
@@ -31,13 +34,13 @@
 	n.progress = map[string]*progress{}
 	n.sentAt = map[uint64]Time{}
 	n.syncProgress()
-	// Entries of earlier terms are committed only through one of this term
-	// (Raft paper, 5.4.2); it also makes linearizable reads possible.
+	// Entries of earlier terms are committed only through an entry of this term
+	// (Raft paper, 5.4.2). Linearizable reads need one, too.
 	n.appendEntry(wire.EntryType_ENTRY_TYPE_NOOP, nil)
 	n.broadcast()
 }
 
-// syncProgress follows the membership.
+// syncProgress adds and removes peers according to the membership.
 func (n *Node) syncProgress() {
 	members := map[string]bool{}
 	for _, p := range n.log.config().Peers {
@@ -63,10 +66,10 @@
 }
 
 func (n *Node) tickLeader() {
-	// A leader that hears no majority can commit nothing and its lease is over; stepping
-	// down lets callers look elsewhere. It waits for as long as a follower does at least
-	// before it campaigns: one whose process stood still for longer than its lease finds
-	// the answers of the others right after it wakes, and goes on in its term.
+	// A leader without acknowledgements from a majority can commit nothing and holds no
+	// lease; stepping down lets clients look for another one. It waits for two election
+	// timeouts, so that a leader whose process was paused for longer than its lease can
+	// receive the replies of its peers and continue in its term.
 	if n.transfer != nil && n.now >= n.transfer.deadline {
 		n.abortTransfer()
 		return
@@ -80,7 +83,8 @@
 	}
 }
 
-// broadcast sends each peer what it lacks, or a heartbeat.
+// broadcast starts a round: it sends each peer the entries that it lacks, or a
+// heartbeat without any.
 func (n *Node) broadcast() {
 	n.nextHeartbeat = n.now + n.cfg.Heartbeat
 	n.round++
@@ -95,7 +99,8 @@
 	n.sendTimeoutNow()
 }
 
-// peerIDs lists the other peers, sorted, so that a run is repeatable.
+// peerIDs returns the IDs of the other members in sorted order, which keeps
+// simulations deterministic.
 func (n *Node) peerIDs() []string {
 	var ids []string
 	for id := range n.progress {
@@ -107,6 +112,7 @@
 	return ids
 }
 
+// maxTrackedRounds limits the number of rounds whose send time is kept.
 const maxTrackedRounds = 4096
 
 func (n *Node) pruneRounds() {
@@ -120,8 +126,8 @@
 	}
 }
 
-// sendAppend sends entries from the peer's next index; beat forces a message
-// without any.
+// sendAppend sends entries from the peer's next index on. With heartbeat it sends a
+// message even if there are none.
 func (n *Node) sendAppend(id string, heartbeat bool) {
 	p := n.progress[id]
 	prev := p.next - 1
@@ -150,8 +156,8 @@
 	}
 }
 
-// sendEarly sends a leader's append. It need not wait for the leader's own
-// sync: the leader counts itself only once its entries are durable.
+// sendEarly sends a leader's message without waiting for its own records to be
+// durable: the leader counts itself towards a quorum only once they are.
 func (n *Node) sendEarly(m *wire.RaftMessage) {
 	m.From = n.cfg.ID
 	m.Term = n.term
@@ -184,8 +190,8 @@
 	p.boot, p.askedNs = m.Boot, m.AskedNs
 	n.confirmReads()
 	if m.Reject {
-		// The peer's log differs or is shorter. Its hint is never trusted below
-		// what it has acknowledged.
+		// The peer's log conflicts or is shorter. The hint may come from a delayed
+		// reply, so next stays above what the peer has acknowledged.
 		p.next = max(p.match+1, min(p.next-1, m.Index+1))
 		p.probing = true
 		n.sendAppend(m.From, true)
@@ -207,7 +213,7 @@
 	}
 }
 
-// advanceCommit commits what a majority of voters holds durably.
+// advanceCommit commits the entries that are durable at a majority of the voters.
 func (n *Node) advanceCommit() {
 	var matches []uint64
 	for _, id := range n.voters() {
@@ -229,8 +235,9 @@
 	n.afterCommit(prevCommit)
 }
 
-// afterCommit makes a leader that is no longer a voter step down, and tells the
-// peers of the commit without waiting for the next heartbeat.
+// afterCommit makes a leader step down once a membership in which it is no voter is
+// committed. Otherwise it sends the new commit index to the peers without waiting for
+// the next heartbeat.
 func (n *Node) afterCommit(prevCommit uint64) {
 	if ci := n.log.configIndex(); ci > prevCommit && ci <= n.log.committed && !n.isVoter(n.cfg.ID) {
 		n.becomeFollower(n.term, "")
@@ -243,7 +250,8 @@
 	}
 }
 
-// leaseStart is when the latest append left that a majority has acknowledged.
+// leaseStart returns the send time of the latest round that a majority has
+// acknowledged, or false if there is none.
 func (n *Node) leaseStart() (Time, bool) {
 	if n.isOnlyVoter() {
 		return n.now, true
@@ -264,13 +272,13 @@
 	return at, ok
 }
 
-// leaseLive says whether no other leader can have been elected. A majority
-// grants no vote for ElectionTimeout, by its own clocks, after it heard an
-// append; the lease runs from before that append left, and is shorter by the
-// bound on clock rates.
+// leaseLive reports whether no other leader can have been elected. A majority grants
+// no vote for ElectionTimeout, by its own clocks, after it received an append. The
+// lease runs from the time when that append was sent, and is shorter by the bound on
+// clock rates.
 //
-// A leader that has told another to campaign has no lease any more: the voters
-// are free to grant their votes from that moment.
+// A leader that has sent TimeoutNow has no lease: voters may elect its target at any
+// time from then on.
 func (n *Node) leaseLive() bool {
 	if n.leaseReleased && !n.cfg.disabled.leaseRelease {
 		return false
@@ -278,8 +286,8 @@
 	return n.ackedByQuorumWithinLease()
 }
 
-// quorumHeard says whether a majority acknowledged an append that left within
-// the length of a lease.
+// ackedByQuorumWithinLease reports whether a majority acknowledged a round that was
+// sent within the length of a lease.
 func (n *Node) ackedByQuorumWithinLease() bool {
 	return n.ackedByQuorumWithin(time.Duration(float64(n.cfg.ElectionTimeout) / n.cfg.ClockRatio))
 }
@@ -289,15 +297,16 @@
 	return ok && n.now < start+length
 }
 
-// ready says whether an entry of this leader's term is committed. Before that, a
-// new leader doesn't know which earlier entries are.
+// committedInTerm reports whether an entry of this leader's term is committed. Before
+// that, a new leader doesn't know which earlier entries are committed.
 func (n *Node) committedInTerm() bool {
 	term, ok := n.log.term(n.log.committed)
 	return ok && term == n.term
 }
 
-// Propose appends a command. It is accepted when the entry of this index and
-// term is in a Ready's Apply.
+// Propose appends a command to the log. The command is accepted once an entry with the
+// returned index and term appears in Ready.Apply. The error is ErrNotLeader,
+// ErrTransferring or ErrTooManyPending.
 func (n *Node) Propose(now Time, data []byte) (index, term uint64, err error) {
 	n.now = max(n.now, now)
 	if n.role != Leader {
@@ -313,7 +322,7 @@
 	return index, n.term, nil
 }
 
-// Flush sends proposals that have been appended since the last one, together.
+// Flush sends the entries that were proposed since the last call, batched per peer.
 func (n *Node) Flush() {
 	if n.role != Leader {
 		return
@@ -323,7 +332,8 @@
 	}
 }
 
-// Read asks for a linearizable read: a ReadState with this ID will come.
+// Read requests a linearizable read; its outcome is a ReadState with this ID in a later
+// Ready. The error is ErrNotLeader or ErrNotReady.
 func (n *Node) Read(now Time, id uint64) error {
 	n.now = max(n.now, now)
 	if n.role != Leader {
@@ -341,8 +351,8 @@
 	return nil
 }
 
-// confirmReads answers reads once a majority has acknowledged an append sent
-// after they came: this leader was still the leader then.
+// confirmReads completes the reads for which a majority has acknowledged a round that
+// was sent after the request, which proves that this replica was still the leader.
 func (n *Node) confirmReads() {
 	kept := n.reads[:0]
 	for _, r := range n.reads {
@@ -365,7 +375,7 @@
 	n.reads = nil
 }
 
-// Snapshot bodies must not be shared between replicas of one process.
+// cloneSnapshot copies a snapshot, so that replicas of one process share none.
 func cloneSnapshot(s *wire.LogSnapshot) *wire.LogSnapshot {
 	return proto.Clone(s).(*wire.LogSnapshot)
 }
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -6,17 +6,18 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// raftLog is the log in memory: a snapshot's position, and the entries after.
+// raftLog is the in-memory log: a snapshot and the entries that follow it.
 type raftLog struct {
 	snapshot *wire.LogSnapshot
 	entries  []*wire.LogEntry
 
 	committed uint64
 	applied   uint64
-	// handed was given to the driver to make durable; stable is durable.
+	// handedToDriver is the last index handed to the driver to make durable, and stable
+	// the last one that is durable.
 	handedToDriver uint64
 	stable         uint64
-	// configs holds the membership by the index that set it, oldest first.
+	// configs holds the memberships with the indexes of their entries, oldest first.
 	configs []indexedConfig
 }
 
@@ -52,8 +53,8 @@
 	}
 }
 
-// config is the membership in force: a change holds from the moment it stands
-// in the log, committed or not (Ongaro's thesis, 4.1).
+// config returns the membership in force. A membership takes effect as soon as its
+// entry is in the log, committed or not (Ongaro's thesis, 4.1).
 func (l *raftLog) config() *wire.Configuration { return l.configs[len(l.configs)-1].config }
 
 func (l *raftLog) configIndex() uint64 { return l.configs[len(l.configs)-1].index }
@@ -69,7 +70,8 @@
 	return t
 }
 
-// term returns the term at an index; false if it is compacted or not there.
+// term returns the term of the entry at an index, or false if the entry is compacted or
+// beyond the end of the log.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -80,8 +82,8 @@
 	return l.entries[index-l.firstIndex()].Term, true
 }
 
-// slice returns entries from an index on, within bounds of count and bytes but
-// at least one.
+// slice returns the entries from an index on, limited to maxEntries and maxBytes, but
+// at least one if there is any.
 func (l *raftLog) slice(from uint64, maxEntries, maxBytes int) []*wire.LogEntry {
 	if from > l.lastIndex() {
 		return nil
@@ -102,12 +104,11 @@
 	l.recordConfig(e)
 }
 
-// truncate drops entries from an index on. Committed entries are never dropped:
-// that would take back what was accepted, so it is a fault that must stop the
-// process.
+// truncate drops the entries from an index on. It panics if one of them is committed:
+// dropping it would lose an accepted entry, so the process must stop.
 func (l *raftLog) truncate(from uint64) {
 	if from <= l.committed {
-		panic("consensus: committed entry would change")
+		panic("consensus: attempt to truncate a committed entry")
 	}
 	l.entries = l.entries[: from-l.firstIndex() : from-l.firstIndex()]
 	for len(l.configs) > 1 && l.configs[len(l.configs)-1].index >= from {
@@ -121,8 +122,8 @@
 	l.committed = max(l.committed, min(index, l.lastIndex()))
 }
 
-// takeUnstable returns entries that the driver must make durable. A journal
-// reads them as replacing all entries from their first index on.
+// takeUnstable returns the entries that the driver must make durable. They replace all
+// entries from their first index on that were made durable before.
 func (l *raftLog) takeUnstable() []*wire.LogEntry {
 	if l.handedToDriver >= l.lastIndex() {
 		return nil
@@ -174,7 +175,7 @@
 	l.configs = kept
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *raftLog) restore(s *wire.LogSnapshot) {
 	*l = newLog(s, nil)
 }
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -10,7 +10,8 @@
 // Peers returns the membership in force.
 func (n *Node) Peers() []*wire.Peer { return n.log.config().Peers }
 
-// AddLearner takes a replica in; it receives the log and doesn't vote.
+// AddLearner adds a replica that receives the log but doesn't vote. It does nothing if
+// the replica is a member already.
 func (n *Node) AddLearner(now Time, p *wire.Peer) error {
 	learner := proto.Clone(p).(*wire.Peer)
 	learner.Learner = true
@@ -24,10 +25,11 @@
 	})
 }
 
-// Promote makes a learner a voter once it holds all that is committed.
+// Promote makes a learner a voter, or returns ErrNotCaughtUp if it is not known to hold
+// all committed entries.
 //
-// A voter that had not caught up would count towards a majority that holds
-// nothing: a second host lost right after would lose what was accepted.
+// A voter that has not caught up counts towards a majority without holding the log, so
+// that losing a second host right after could lose accepted entries.
 func (n *Node) Promote(now Time, id string) error {
 	if !n.CaughtUp(id) {
 		return merry.Prepend(ErrNotCaughtUp, id)
@@ -43,7 +45,7 @@
 	})
 }
 
-// Remove takes a replica out.
+// Remove removes a replica from the membership.
 func (n *Node) Remove(now Time, id string) error {
 	return n.changeMembership(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
 		var kept []*wire.Peer
@@ -59,13 +61,15 @@
 	})
 }
 
-// CaughtUp says whether a peer durably holds all that is committed.
+// CaughtUp reports whether a peer durably holds all committed entries. It is false
+// unless this replica is the leader.
 func (n *Node) CaughtUp(id string) bool {
 	p := n.progress[id]
 	return n.role == Leader && p != nil && p.match >= n.log.committed
 }
 
-// Match returns the highest index that a peer is known to hold; leaders only.
+// Match returns the highest index that a peer is known to hold durably, or 0 if this
+// replica is not the leader.
 func (n *Node) Match(id string) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
@@ -73,7 +77,8 @@
 	return 0
 }
 
-// Live says whether a peer acknowledged an append within the election timeout.
+// Live reports whether a peer acknowledged an append that was sent within the election
+// timeout.
 func (n *Node) Live(id string) bool {
 	if id == n.cfg.ID {
 		return true
@@ -86,10 +91,10 @@
 	return ok && n.now < ackedSentAt+n.cfg.ElectionTimeout
 }
 
-// change appends a membership that differs by one replica. Two majorities that
-// differ by one replica always share one, so no joint phase is needed; the
-// change before must be committed, and so must an entry of this leader's term
-// (Ongaro's correction of 2015).
+// changeMembership appends a membership that differs by one replica. Majorities of two
+// such memberships overlap, so no joint consensus is needed. The previous change must
+// be committed, and so must an entry of this leader's term (Ongaro's correction of
+// 2015).
 func (n *Node) changeMembership(now Time, edit func([]*wire.Peer) ([]*wire.Peer, error)) error {
 	n.now = max(n.now, now)
 	if n.role != Leader {
@@ -126,8 +131,8 @@
 	return nil
 }
 
-// checkQuorumAfter refuses a membership whose live voters are no majority: it
-// could never commit itself, nor be undone.
+// checkLiveQuorum returns ErrLastVoter for a membership whose live voters are no
+// majority: it could be neither committed nor undone.
 func (n *Node) checkLiveQuorum(c *wire.Configuration) error {
 	live, voters := 0, 0
 	for _, p := range c.Peers {
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -11,7 +11,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
+// Errors returned by a Node.
 var (
 	ErrNotLeader      = merry.Sentinel("replica is not the leader")
 	ErrNotReady       = merry.Sentinel("leader has not committed an entry of its term yet")
@@ -25,49 +25,54 @@
 	ErrNoTarget       = merry.Sentinel("no other voter is live")
 )
 
-// neverConfirmed is the age of a state that was not confirmed since the start.
+// initialConfirmedAge is the ConfirmedAge of a replica when it starts.
 const initialConfirmedAge = 24 * time.Hour
 
-// Time is monotonic time since any fixed moment of one process.
+// Time is monotonic time since an arbitrary fixed point of one process.
 type Time = time.Duration
 
-// Config of a Node.
+// Config configures a Node.
 type Config struct {
-	// ID is name/incarnation.
+	// ID is the replica's identity, name/incarnation.
 	ID string
-	// ElectionTimeout is the least time without a leader before an election; a
-	// replica waits up to twice as long.
+	// ElectionTimeout is the minimum time without contact to a leader before a
+	// replica campaigns. A random delay of up to the same length is added, and
+	// more if the leader's appends have been late (see gapTracker).
 	ElectionTimeout time.Duration
-	// Heartbeat is the time between a leader's appends.
+	// Heartbeat is the interval of a leader's heartbeats.
 	Heartbeat time.Duration
-	// ClockRatio bounds how much faster one clock may run than another: 1.1
-	// means ten percent.
+	// ClockRatio bounds the ratio between the rates of two replicas' clocks: 1.1
+	// allows one clock to run ten percent faster than another.
 	ClockRatio float64
-	// MaxEntries and MaxBytes bound one append.
+	// MaxEntries and MaxBytes limit the entries of one append.
 	MaxEntries int
 	MaxBytes   int
-	// MaxPending bounds entries that are proposed and not committed.
+	// MaxPending limits the number of uncommitted entries in the log.
 	MaxPending int
-	// Rand draws election timeouts.
+	// Rand randomizes election timeouts and the boot ID.
 	Rand *rand.Rand
-	// off turns safeguards off; only this package's tests can set it.
+	// disabled lists the safeguards that are off; only tests set it.
 	disabled safeguards
 }
 
-// safeguards names what tests turn off to show that the suite would catch its
-// absence.
+// safeguards names the safeguards that tests can disable to show that the fault
+// schedules detect their absence.
 type safeguards struct {
-	// lease lets a leader answer reads without a live lease.
+	// leaseCheck: a leader serves reads under a live lease only, and steps down when
+	// no majority acknowledges its appends.
 	leaseCheck bool
-	// identity lets a replica vote before its peers have told what they saw.
+	// rollbackCheck: a restarted replica asks its peers for its observed position
+	// before it takes part.
 	rollbackCheck bool
-	// transfer lets a leader keep its lease after it told another to campaign.
+	// leaseRelease: a leader that sent TimeoutNow has no lease.
 	leaseRelease bool
-	// echo lets a follower take an append as sent when it came.
+	// echoedTimes: a follower confirms its state as of the echoed time at which it
+	// replied, not as of the arrival of an append.
 	echoedTimes bool
 }
 
-// DefaultConfig suits links of a few milliseconds.
+// DefaultConfig returns settings for links with a latency of a few milliseconds.
+// Rand must still be set.
 func DefaultConfig(id string) Config {
 	return Config{
 		ID:              id,
@@ -80,7 +85,7 @@
 	}
 }
 
-// Role of a replica.
+// Role is the role of a replica in its current term.
 type Role int
 
 // Roles.
@@ -91,55 +96,57 @@
 	Leader
 )
 
-// String returns the role as dumps show it.
+// String returns the role's name as shown in Status.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Restored is what a replica read from its data folder.
+// Restored is the state that a replica read from its data folder.
 type Restored struct {
 	Hard     *wire.HardState
 	Snapshot *wire.LogSnapshot
 	Entries  []*wire.LogEntry
-	// Fresh says that the folder is new: nothing was ever acknowledged from it,
-	// so peers need not be asked what they saw.
+	// Fresh reports that the folder is new. Nothing was acknowledged from it, so
+	// the replica takes part without asking its peers for its observed position.
 	Fresh bool
 }
 
-// Ready is what a driver must do, in this order: Early messages may leave at
-// once; records are made durable; then Messages leave, a snapshot is restored,
-// entries are applied and reads are answered.
+// Ready is the work for a driver, in this order: send the Early messages, make
+// Hard, Snapshot and Entries durable, call Node.Persisted, send Messages, restore
+// the state machine from Snapshot if it is set, apply the entries of Apply, and
+// answer the reads. Early messages need not wait for the records to be durable.
 type Ready struct {
 	Early    []*wire.RaftMessage
 	Hard     *wire.HardState
 	Snapshot *wire.LogSnapshot
 	Entries  []*wire.LogEntry
 	Messages []*wire.RaftMessage
-	// Apply holds committed entries, in order, each once.
+	// Apply holds committed entries in log order. Each is returned once per process.
 	Apply []*wire.LogEntry
-	// Reads may be answered from state that has applied up to their index.
+	// Reads may be answered once the state machine has applied up to their index.
 	Reads []ReadState
 }
 
-// Durable says whether the Ready holds records to sync.
+// Durable reports whether the Ready contains records to make durable.
 func (r *Ready) Durable() bool {
 	return r.Hard != nil || r.Snapshot != nil || len(r.Entries) > 0
 }
 
-// Empty says whether there is nothing to do.
+// Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
 	return !r.Durable() && len(r.Early)+len(r.Messages)+len(r.Apply)+len(r.Reads) == 0
 }
 
-// ReadState answers a linearizable read.
+// ReadState is the outcome of a linearizable read.
 type ReadState struct {
 	ID    uint64
 	Index uint64
-	// OK is false when leadership was lost first; the read must be refused.
+	// OK is false if the replica lost leadership before it confirmed the read; the
+	// read must then be rejected.
 	OK bool
 }
 
-// Node is one replica of one log. It is not safe for use by several goroutines.
+// Node is one replica of one log. It is not safe for concurrent use.
 type Node struct {
 	cfg  Config
 	now  Time
@@ -148,43 +155,46 @@
 
 	term uint64
 	vote string
-	// persisted is the hard state that the driver was told to make durable.
+	// persisted is the hard state last handed to the driver to make durable.
 	persisted *wire.HardState
 
 	leader string
-	// heard is when a leader was last heard; votes are withheld after it.
+	// lastLeaderContact is when the last append or snapshot of a leader arrived, or
+	// when this replica started or was verified. No votes are granted for
+	// ElectionTimeout after it, except in a transfer.
 	lastLeaderContact Time
 	electionDeadline  Time
 	leaderGaps        gapTracker
-	// confirmed is when the applied state was last known to be current, while
-	// another led.
+	// confirmedAt is the latest time at which the applied state is known to have
+	// been current, not counting the current term if this replica leads it.
 	confirmedAt Time
-	// boot tells this process from earlier ones of the same replica.
+	// bootID distinguishes this process from earlier ones of the same replica.
 	bootID uint32
 
 	votes    map[string]bool
 	progress map[string]*progress
-	// round numbers appends; see wire.RaftMessage.round.
+	// round numbers the leader's broadcasts; sentAt is when each was sent.
 	round         uint64
 	sentAt        map[uint64]Time
 	nextHeartbeat Time
 	reads         []pendingRead
 	leaderSince   Time
-	// transfer is in progress unless nil. yielded: the lease of this term is given
-	// up for good.
+	// transfer is the leadership transfer in progress, or nil. leaseReleased is set
+	// once TimeoutNow was sent; the lease doesn't come back in this term.
 	transfer      *transfer
 	leaseReleased bool
 
+	// verified is set once the replica may take part; see sendHellos.
 	verified     bool
 	fatalErr     error
 	helloReplies map[string]bool
-	// newest is the latest membership heard of while not verified.
+	// latestConfig is the latest membership known while not verified.
 	latestConfig indexedConfig
-	// witnessed is what each peer was seen to hold, savedWitness what of it is
-	// durable.
+	// observed is the last log position that each replica is known to have held
+	// durably. savedObserved is the version in the last hard state.
 	observed, savedObserved map[string]position
-	// nextWitness is when it may next be made durable without other records, and
-	// saveWitness that it is to be now.
+	// nextObservedSave is the earliest time at which changed positions are saved
+	// without another record. saveObserved requests that with the next Ready.
 	nextObservedSave Time
 	saveObserved     bool
 
@@ -196,11 +206,11 @@
 type pendingRead struct {
 	id    uint64
 	index uint64
-	// after is the round of which a quorum must acknowledge.
+	// minRound is the first round whose acknowledgement by a quorum confirms the read.
 	minRound uint64
 }
 
-// New makes a replica from what its folder held.
+// New creates a replica from the contents of its data folder.
 func New(cfg Config, r Restored, now Time) *Node {
 	n := &Node{
 		cfg:               cfg,
@@ -217,8 +227,8 @@
 	n.latestConfig = indexedConfig{n.log.configIndex(), n.log.config()}
 	if r.Hard != nil {
 		n.term, n.vote = r.Hard.Term, r.Hard.Vote
-		// Kept over a restart: a host whose folder is an older copy would otherwise
-		// pass unseen when its peers restart with it.
+		// Observed positions survive a restart. Otherwise a replica with an older
+		// copy of its folder would go undetected when its peers restart with it.
 		n.mergeObserved(r.Hard.Witness)
 		n.savedObserved = maps.Clone(n.observed)
 		n.log.commitTo(min(r.Hard.Commit, n.log.lastIndex()))
@@ -234,7 +244,7 @@
 	return n
 }
 
-// Bootstrap is the state of a new log with one voter.
+// Bootstrap returns the state of a new log with one voter.
 func Bootstrap(p *wire.Peer) Restored {
 	return Restored{
 		Fresh: true,
@@ -250,7 +260,7 @@
 	n.electionDeadline = n.now + n.cfg.ElectionTimeout + time.Duration(jitter)
 }
 
-// Tick moves time on.
+// Tick advances the time, and starts elections and sends heartbeats when due.
 func (n *Node) Tick(now Time) {
 	n.now = max(n.now, now)
 	if n.fatalErr != nil {
@@ -270,7 +280,7 @@
 	}
 }
 
-// Step takes a message.
+// Step handles a message from a peer.
 func (n *Node) Step(now Time, m *wire.RaftMessage) {
 	n.now = max(n.now, now)
 	if n.fatalErr != nil || m.To != n.cfg.ID {
@@ -297,20 +307,20 @@
 	n.stepCurrentTerm(m)
 }
 
-// meetNewTerm takes a message of a later term; it returns false if the message
-// goes no further.
+// handleHigherTerm becomes a follower in the higher term of a message, except for a
+// pre-vote request and its grant. It returns false if the message must be dropped.
 func (n *Node) handleHigherTerm(m *wire.RaftMessage) bool {
 	switch m.Kind {
 	case wire.RaftKind_RAFT_KIND_PRE_VOTE:
 		return true
 	case wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY:
-		// A granted pre-vote carries the term asked for, which nobody is in yet.
+		// A granted pre-vote carries the requested term, which no replica is in yet.
 		if !m.Reject {
 			return true
 		}
 	case wire.RaftKind_RAFT_KIND_VOTE:
-		// A replica that returns from a cut must not depose a leader that the
-		// others hear, and a vote within the lease would let two leaders answer.
+		// A replica that rejoins after a partition must not depose a live leader,
+		// and a vote within the lease would let two leaders serve reads.
 		if n.withinLeaderLease() && !m.Transfer {
 			return false
 		}
@@ -323,8 +333,9 @@
 	return true
 }
 
-// hearsLeader says whether a leader may hold a live lease that this replica is
-// part of.
+// withinLeaderLease reports whether a leader may hold a lease that depends on an
+// acknowledgement of this replica. No vote is granted meanwhile, unless the vote
+// request belongs to a leadership transfer.
 func (n *Node) withinLeaderLease() bool {
 	if n.role == Leader {
 		return n.leaseLive()
@@ -332,8 +343,8 @@
 	return n.now < n.lastLeaderContact+n.cfg.ElectionTimeout
 }
 
-// answerOldTerm tells a replica of an earlier term about ours, so that a
-// deposed leader or a stuck candidate moves on.
+// handleLowerTerm replies with the current term to a replica of an earlier one, so
+// that a deposed leader steps down and a pre-candidate updates its term.
 func (n *Node) handleLowerTerm(m *wire.RaftMessage) {
 	switch m.Kind {
 	case wire.RaftKind_RAFT_KIND_APPEND, wire.RaftKind_RAFT_KIND_SNAPSHOT:
@@ -386,15 +397,15 @@
 	n.resetElectionDeadline()
 }
 
-// Ready returns what is to be done, and forgets it.
+// Ready returns the pending work and clears it.
 func (n *Node) Ready() Ready {
 	r := Ready{Early: n.earlyMessages, Messages: n.messages, Reads: n.readStates, Snapshot: n.installedSnapshot}
 	r.Entries = n.log.takeUnstable()
 	r.Apply = n.log.takeCommitted()
 	hard := &wire.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed}
 	if hard.Term != n.persisted.Term || hard.Vote != n.persisted.Vote || n.saveObserved || (r.Durable() && hard.Commit != n.persisted.Commit) {
-		// Appends of a term that a crash could undo must wait for its sync: a
-		// sole voter would otherwise lead the same term twice, with other entries.
+		// Appends of a new term must wait until the term is durable. Otherwise a
+		// sole voter that crashes could lead the same term again with other entries.
 		if hard.Term != n.persisted.Term {
 			r.Messages = append(r.Early, r.Messages...)
 			r.Early = nil
@@ -407,8 +418,8 @@
 	return r
 }
 
-// Persisted tells that all records of the last Ready are durable. A leader
-// counts its own log only from here on.
+// Persisted reports that all records of the last Ready are durable. Only then does
+// a leader count its own entries towards a quorum.
 func (n *Node) Persisted() {
 	n.log.stable = n.log.handedToDriver
 	if n.role != Leader {
@@ -421,15 +432,16 @@
 	}
 }
 
-// Compact drops the log up to an applied index; data is the state there.
+// Compact replaces the log up to an applied index by a snapshot with data, the state
+// at that index. It returns nil if index is not applied or already compacted.
 func (n *Node) Compact(index uint64, data []byte) *wire.LogSnapshot {
 	return n.log.compact(index, data)
 }
 
-// Err returns why the replica has stopped, or nil.
+// Err returns the error that stopped the replica, or nil.
 func (n *Node) Err() error { return n.fatalErr }
 
-// Status describes a replica.
+// Status describes the state of a replica.
 type Status struct {
 	ID       string `json:"id"`
 	Role     string `json:"role"`
@@ -441,11 +453,11 @@
 	First    uint64 `json:"first"`
 	Verified bool   `json:"verified"`
 	Lease    bool   `json:"lease"`
-	// Transfer is the voter that leadership is being handed to, or "".
+	// Transfer is the target of the leadership transfer in progress, or "".
 	Transfer string `json:"transfer,omitempty"`
 }
 
-// Status returns the replica's state for dumps.
+// Status returns the replica's state.
 func (n *Node) Status() Status {
 	s := Status{
 		ID: n.cfg.ID, Role: n.role.String(), Leader: n.leader, Term: n.term,
@@ -458,29 +470,30 @@
 	return s
 }
 
-// IsLeader says whether the replica leads and holds a live lease now. A process that
-// was frozen would still hold one by the time of its last step, and act as the leader
-// beside the one that was elected meanwhile.
+// IsLeader reports whether the replica is the leader and holds a live lease at now. A
+// process that resumes after a pause would still hold the lease by the time of its last
+// step, and act as a second leader beside one that was elected meanwhile.
 func (n *Node) IsLeader(now Time) bool {
 	n.now = max(n.now, now)
 	return n.role == Leader && n.leaseLive()
 }
 
-// Role returns what the replica is now. A Leader may lack a live lease.
+// Role returns the replica's current role. A Leader may lack a live lease.
 func (n *Node) Role() Role { return n.role }
 
 // Leader returns the ID of the leader that this replica follows, or "".
 func (n *Node) Leader() string { return n.leader }
 
-// EntriesAfter returns the entries after an index, for a driver that rewrites
-// its records after a compaction.
+// EntriesAfter returns the entries after an index, for a driver that rewrites its
+// journal after a compaction.
 func (n *Node) EntriesAfter(index uint64) []*wire.LogEntry {
 	return n.log.slice(index+1, int(^uint(0)>>1), int(^uint(0)>>1))
 }
 
-// ConfirmedAge is how long ago this replica's applied state was known to hold
-// all that was accepted: for a leader when the latest append left that a majority
-// acknowledged, for a follower when it asked a leader with a live lease.
+// ConfirmedAge returns an upper bound on the staleness of the applied state: the
+// state includes every entry that was accepted before that time. A leader counts from
+// the send time of its latest append that a majority acknowledged, a follower from the
+// send time of the reply that a leader with a live lease echoed to it.
 func (n *Node) ConfirmedAge(now Time) time.Duration {
 	now = max(n.now, now)
 	confirmedAt := n.confirmedAt
--- a/consensus/observed.go
+++ b/consensus/observed.go
@@ -6,34 +6,34 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// position is where a log ends.
+// position is the term and index of the last entry of a log.
 //
-// Positions are compared as logs are in a vote: by term, then by index. A follower
-// that lost the entries of a deposed leader to fewer ones of the next has a
-// shorter log in a later term; by the index alone it would pass for an older copy
-// after a restart, and stop for good.
+// Positions are compared like logs in a vote: by term, then by index. If fewer entries of
+// a new leader replace a follower's entries of a deposed one, its log gets shorter but
+// ends in a later term. Compared by index alone it would look like an older copy after a
+// restart, and the replica would stop permanently.
 type position struct{ term, index uint64 }
 
 func (p position) before(q position) bool {
 	return p.term < q.term || p.term == q.term && p.index < q.index
 }
 
-// see notes what a peer was seen to hold durably.
+// observe records that a replica durably held its log up to a position.
 func (n *Node) observe(id string, p position) {
 	if n.observed[id].before(p) {
 		n.observed[id] = p
 	}
 }
 
-// seeMatch notes that a peer's log equals this leader's up to an index.
+// observeMatch records that a peer's durable log matches this leader's up to an index.
 func (n *Node) observeMatch(id string, index uint64) {
 	if term, ok := n.log.term(index); ok {
 		n.observe(id, position{term, index})
 	}
 }
 
-// witness tells every peer what the others hold, so that any of them can tell a
-// replica that its folder is an older copy.
+// observedPositions returns the observed positions of all members. Leaders send them with
+// appends, so that any peer can report to a restarted replica where it was observed.
 func (n *Node) observedPositions() map[string]*wire.LogPosition {
 	positions := make(map[string]*wire.LogPosition, len(n.progress))
 	for id := range n.progress {
@@ -50,9 +50,10 @@
 	}
 }
 
-// keepWitness makes what was seen of the peers durable soon after it was seen. It
-// goes with other records while there are any; what was seen after the last would
-// be lost if all restart, and a folder without its last records would pass.
+// scheduleObservedSave makes changed observed positions durable, at most once per
+// heartbeat interval. Every hard state contains the positions, but those observed after
+// the last one would be lost if all replicas restart, and a folder without its last
+// records would go undetected.
 func (n *Node) scheduleObservedSave() {
 	if n.now < n.nextObservedSave || maps.Equal(n.observed, n.savedObserved) {
 		return
@@ -61,7 +62,7 @@
 	n.saveObserved = true
 }
 
-// recordWitness puts what was seen of all peers into a hard state.
+// putObserved copies the observed positions into a hard state and marks them as saved.
 func (n *Node) putObserved(h *wire.HardState) {
 	h.Witness = make(map[string]*wire.LogPosition, len(n.observed))
 	for id, p := range n.observed {
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -4,27 +4,27 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// transfer is a handover of leadership in progress (Ongaro's thesis, 3.10).
+// transfer is a leadership transfer in progress (Ongaro's thesis, 3.10).
 //
-// The leader takes no more proposals, brings the target up to date, gives up its
-// lease for the rest of its term, and tells the target to campaign at once. The
-// target's vote requests say so, and voters grant them within the time for which
-// they promised the leader to withhold votes.
+// The leader accepts no more proposals, brings the target up to date, releases its
+// lease for the rest of its term, and sends TimeoutNow, upon which the target campaigns
+// at once. The target's vote requests are marked as part of a transfer, and voters grant
+// them even within the election timeout after they heard from the leader.
 //
-// That promise may be broken because every message with the sign of term T+1
-// exists only after the leader of T has given up its lease, and the leases of
-// leaders before T were over when T was elected. However late or often such a
-// message comes, a voter gives one vote in a term, and a voter in a later term
-// drops it.
+// This is safe: a marked vote request for term T+1 exists only after the leader of T has
+// released its lease, and the leases of leaders before T had expired when T's leader was
+// elected. Delayed or duplicate requests do no harm, as a voter votes once in a term and
+// drops requests of earlier terms.
 type transfer struct {
 	target   string
 	deadline Time
 }
 
-// Transfer begins to hand leadership to another voter and returns its ID. It is
-// given up after the election timeout: then this replica leads on, under its
-// lease if the target wasn't told to campaign, else in a new term. A second call
-// changes nothing while a transfer is in progress.
+// Transfer starts to transfer leadership to another voter and returns its ID. The
+// transfer is aborted after the election timeout: if TimeoutNow was not sent, this
+// replica continues to lead under its lease, otherwise it campaigns for a new term. While
+// a transfer is in progress, further calls only return its target. The error is
+// ErrNotLeader or ErrNoTarget.
 func (n *Node) Transfer(now Time) (target string, err error) {
 	n.now = max(n.now, now)
 	if n.role != Leader {
@@ -43,12 +43,12 @@
 	return peer.Id, nil
 }
 
-// Transferring says whether leadership is being handed over.
+// Transferring reports whether a leadership transfer is in progress.
 func (n *Node) Transferring() bool { return n.transfer != nil }
 
-// heir returns the live voter that is to lead next, or nil. A stop often comes
-// with work on the whole failure domain, so one in another failure domain goes
-// before, unless it lags.
+// transferTarget returns the live voter to transfer leadership to, or nil. It prefers
+// voters that have caught up, then those in another failure domain, because maintenance
+// often stops all hosts of a failure domain.
 func (n *Node) transferTarget() *wire.Peer {
 	ownDomain := ""
 	for _, p := range n.Peers() {
@@ -78,8 +78,8 @@
 	return n.Match(a.Id) > n.Match(b.Id)
 }
 
-// tellTarget tells an up-to-date target to campaign. It is repeated with each
-// heartbeat, because the message may be lost.
+// sendTimeoutNow releases the lease and tells the target to campaign, once its log is up
+// to date. It is repeated with each heartbeat, because the message may be lost.
 func (n *Node) sendTimeoutNow() {
 	if n.transfer == nil || n.Match(n.transfer.target) < n.log.lastIndex() {
 		return
@@ -88,13 +88,12 @@
 	n.send(&wire.RaftMessage{Kind: wire.RaftKind_RAFT_KIND_TIMEOUT_NOW, To: n.transfer.target})
 }
 
-// giveUpTransfer leads on after a target that doesn't take over.
+// abortTransfer ends a transfer whose target didn't take over.
 //
-// Once the target was told, it may campaign at any later time, and the lease of
-// this term must not come back: another leader could be elected within it, and
-// reads here would be stale. In a term of its own that a majority has voted for,
-// this replica is safe from it: the target's campaign is of the same term or
-// older and finds no majority.
+// Once TimeoutNow was sent, the target may campaign at any later time, and the lease of
+// this term must not come back: another leader could be elected within it, and reads here
+// would be stale. This replica campaigns for a new term instead. If a majority elects it
+// there, the target's campaign, which is for the same term or an earlier one, can't win.
 func (n *Node) abortTransfer() {
 	if !n.leaseReleased {
 		n.transfer = nil
@@ -103,8 +102,8 @@
 	n.campaign(Candidate, true)
 }
 
-// takeTimeoutNow campaigns on the word of the leader of this term. Pre-votes
-// would be refused, since the others have just heard that leader.
+// handleTimeoutNow campaigns at the request of the leader of this term. It skips the
+// pre-vote, which the others would reject because they have just heard from the leader.
 func (n *Node) handleTimeoutNow() {
 	if n.role != Leader && n.isVoter(n.cfg.ID) {
 		n.campaign(Candidate, true)
