--- a/consensus/confirmed_age_test.go
+++ b/consensus/confirmed_age_test.go
@@ -9,8 +9,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A follower is cut off, and a heartbeat that left before reaches it five seconds
-// later. Its rows are as old as the cut, however new the heartbeat looks.
+// A partitioned follower receives a heartbeat that was sent before the partition. It
+// must not count its state as current as of the arrival.
 func TestDelayedHeartbeatDoesNotRenewConfirmedAge(t *testing.T) {
 	s := newSim(12, 3, disabledSafeguards{})
 	l := s.waitLeader(t, nil)
@@ -41,10 +41,9 @@
 	assert.Assert(t, f.node.ConfirmedAge(s.clock(f)) >= delay)
 }
 
-// A leader hands over, and is cut off with one follower from the other three, who
-// elect its target at once. The two still hear each other, and the old leader was
-// heard by a majority a moment ago; but nothing that is accepted over there
-// reaches them, so neither may call its rows current.
+// A leader transfers leadership and is partitioned with one follower from the other
+// three replicas, which elect the target. The two in the minority exchange appends, but
+// must not count their state as current.
 func TestMinorityDoesNotRenewConfirmedAge(t *testing.T) {
 	s := newSim(13, 5, disabledSafeguards{})
 	l, target := s.startTransfer(t)
@@ -72,8 +71,8 @@
 	}
 }
 
-// A replica starts, and hears of a leader that is ahead of it. It has confirmed
-// nothing yet, and must not pass for as young as its process.
+// A restarted replica that no leader can confirm must not report the age of its process
+// as the age of its state.
 func TestRestartedReplicaIsUnconfirmed(t *testing.T) {
 	s := newSim(14, 3, disabledSafeguards{})
 	l := s.waitLeader(t, nil)
--- a/consensus/example_test.go
+++ b/consensus/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A log with one voter, driven by hand: what Ready holds is made durable before
-// its messages leave and its entries are applied.
+// A log with one voter. The driver makes the records of a Ready durable before it sends
+// the messages and applies the entries.
 func Example() {
 	cfg := consensus.DefaultConfig("a")
 	cfg.Rand = rand.New(rand.NewPCG(1, 1))
--- a/consensus/fence_test.go
+++ b/consensus/fence_test.go
@@ -9,8 +9,8 @@
 	"github.com/snipereach/snipereach/fence"
 )
 
-// grant puts a lease for a replica on the log, as a leader does, and returns its
-// fencing token: the log index of the grant, or 0 if it was not committed in time.
+// grantLease proposes a lease for a replica, as a leader does, and returns its fencing
+// token: the log index of the entry, or 0 if it was not committed within the timeout.
 func (s *sim) grantLease(l *simReplica, timeout time.Duration) uint64 {
 	index, _, err := l.node.Propose(s.clock(l), []byte("lease of "+l.id))
 	if err != nil {
@@ -27,7 +27,7 @@
 	return 0
 }
 
-// waitLeader steps until a replica other than one leads.
+// waitLeader steps until a replica other than except leads.
 func (s *sim) waitLeader(t *testing.T, except *simReplica) *simReplica {
 	t.Helper()
 	for range 1000 {
@@ -40,12 +40,11 @@
 	return nil
 }
 
-// A leader falls behind a silent partition, one way or both, for ten minutes. It
-// goes on giving orders under its lease, and they reach the agent up to a minute
-// late. Another leader is elected and gives its first order. From then on no
-// order of the old one passes the agent's guard, and it gets no new token.
+// A leader is partitioned in one or both directions, and its orders arrive at an agent up
+// to a minute late. Once the agent has admitted an order of the next leader, it must admit
+// none of the old one, and the old leader must not obtain a new fencing token.
 func TestFencingRejectsPartitionedLeader(t *testing.T) {
-	for mode, name := range []string{"nothing leaves it", "nothing reaches it", "both"} {
+	for mode, name := range []string{"outbound", "inbound", "both directions"} {
 		t.Run(name, func(t *testing.T) {
 			s := newSim(uint64(100+mode), 3, disabledSafeguards{})
 			old := s.waitLeader(t, nil)
--- a/consensus/gap_tracker_test.go
+++ b/consensus/gap_tracker_test.go
@@ -9,9 +9,8 @@
 
 const testElectionTimeout = 400 * time.Millisecond
 
-// The load: the leader's host has a tenth of a core, and a leader that works is late by 0.35 s
-// every other second. The followers wait for it after they have seen that once or twice;
-// a leader that is in time and is lost is replaced as soon as ever.
+// After a late append the follower waits longer than the election timeout; while appends
+// are on time it doesn't, so that a lost leader is replaced without extra delay.
 func TestExtraTimeoutFollowsAppendGaps(t *testing.T) {
 	var p gapTracker
 	now := Time(0)
@@ -28,10 +27,10 @@
 	appendOnTime(20)
 	assert.Assert(t, testElectionTimeout+p.extraTimeout(testElectionTimeout) > 500*time.Millisecond)
 	appendOnTime(300)
-	assert.Equal(t, p.extraTimeout(testElectionTimeout), time.Duration(0), "and no longer once it is in time again")
+	assert.Equal(t, p.extraTimeout(testElectionTimeout), time.Duration(0), "appends are on time again")
 }
 
-// The former leader was lost; the time without one is no gap of the next.
+// The time without a leader must not count as an append gap of the next leader.
 func TestGapBetweenLeadersIsIgnored(t *testing.T) {
 	var p gapTracker
 	p.recordAppend(0, "a")
@@ -41,9 +40,8 @@
 	assert.Equal(t, p.extraTimeout(testElectionTimeout), maxExtraTimeouts*testElectionTimeout)
 }
 
-// A leader's process stands still for longer than its lease, again and again, and shorter than
-// the followers wait, who have seen it late before. It leads again as soon as the others have
-// answered it, in its term: whoever has work in progress at it goes on.
+// A leader whose process is paused repeatedly, for longer than its lease but shorter than
+// the followers' extended timeout, continues in its term once its peers have replied.
 func TestPausedLeaderKeepsItsTerm(t *testing.T) {
 	s := newSim(11, 3, disabledSafeguards{})
 	l := s.waitLeader(t, nil)
--- a/consensus/lease_test.go
+++ b/consensus/lease_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// The leader's process is frozen, another replica is elected, and the old leader wakes.
-// Before its first tick it is asked whether it leads, to divide a limit for example: it
-// must not go by the time of its last step, or two would divide the limit at once.
+// A leader that resumes after a long pause must not report a live lease before its first
+// tick: another replica may have been elected meanwhile.
 func TestPausedLeaderLosesLease(t *testing.T) {
 	s := newSim(7, 3, disabledSafeguards{})
 	l := s.waitLeader(t, nil)
--- a/consensus/property_test.go
+++ b/consensus/property_test.go
@@ -18,7 +18,7 @@
 
 const scheduleCount = 10_000
 
-// runSchedule runs one seeded schedule of faults and returns the violation, or "".
+// runSchedule runs one seeded fault schedule and returns the violation, or "".
 func runSchedule(seed uint64, disabled disabledSafeguards) (failure string) {
 	defer func() {
 		if v, ok := recover().(violation); ok {
@@ -32,7 +32,7 @@
 	s := newSim(seed, voters, disabled)
 	s.lossy = seed%4 != 0
 	rnd := rand.New(rand.NewPCG(seed, 3))
-	// Some schedules hold each fault for long, others change quickly.
+	// The schedules differ in how often faults change.
 	faultInterval := 30 << (seed % 3)
 	for i := range 300 {
 		s.step()
@@ -82,14 +82,14 @@
 	}
 }
 
-// transfer lets a leader hand over; the target may die of it, or the leader be
-// cut off before it hears of the next one.
+// injectTransfer starts a leadership transfer, after which the target may crash or the
+// old leader be partitioned.
 func (s *sim) injectTransfer(l *simReplica, rnd *rand.Rand) {
 	target, err := l.node.Transfer(s.clock(l))
 	if err != nil {
 		return
 	}
-	s.tracef("%s hands over to %s", l.id, target)
+	s.tracef("%s transfers leadership to %s", l.id, target)
 	s.processReady(l)
 	switch rnd.IntN(3) {
 	case 0:
@@ -102,10 +102,10 @@
 	}
 }
 
-// isolate cuts a replica off, one way or both.
+// isolate partitions a replica in one or both directions.
 func (s *sim) isolate(r *simReplica, rnd *rand.Rand) {
 	mode := rnd.IntN(3)
-	s.tracef("%s is cut off, mode %d", r.id, mode)
+	s.tracef("%s is partitioned, mode %d", r.id, mode)
 	for _, id := range s.replicaIDs {
 		if mode != 1 {
 			s.cutLinks[[2]string{r.id, id}] = true
@@ -125,14 +125,14 @@
 	return s.replacements[id] != ""
 }
 
-// mayLose allows one lost folder at a time, and the next as soon as the repair
-// is done: no replicated log outlives the loss of a majority.
+// mayLoseDisk allows one lost disk at a time, until its replica is replaced: no
+// replicated log survives the loss of a majority.
 func (s *sim) mayLoseDisk(r *simReplica) bool {
 	return len(s.replacements) == 0 && !r.diskLost && s.inConfig(r.id) && s.leader() != nil
 }
 
 func (s *sim) endFaults() {
-	s.tracef("all heals")
+	s.tracef("faults end")
 	clear(s.cutLinks)
 	s.lossy = false
 	for _, id := range s.replicaIDs {
@@ -142,7 +142,8 @@
 	}
 }
 
-// settle: once all has healed, a leader holds every accepted write.
+// checkConvergence fails unless, after the faults, a leader holds every accepted write
+// and all lost replicas are replaced within 750 steps.
 func (s *sim) checkConvergence() {
 	for range 750 {
 		s.step()
@@ -151,7 +152,7 @@
 			return
 		}
 	}
-	s.failf("no leader after all has healed")
+	s.failf("no leader with a fully committed log after the faults ended")
 }
 
 func (s *sim) checkAcceptedWrites(l *simReplica) {
@@ -166,10 +167,10 @@
 	return schedule.Search(scheduleCount, func(seed uint64) string { return runSchedule(seed, disabled) })
 }
 
-// Operators edit while links drop, delay, double and reorder messages, replicas
-// crash at any point, leaders are silently cut off, folders are lost, replaced,
-// and a second one is lost right after. No accepted entry may change or vanish,
-// no term may have two leaders, and no read may be older than one before it.
+// Clients read and write while links drop, delay, duplicate and reorder messages,
+// replicas crash, leaders are partitioned or transfer leadership, and disks are lost and
+// replaced. No accepted entry may change or get lost, no term may have two leaders, and
+// reads must be linearizable.
 func TestFaultSchedulesPreserveInvariants(t *testing.T) {
 	if s := os.Getenv("SNIPEREACH_SEED"); s != "" {
 		seed, err := strconv.ParseUint(s, 10, 64)
@@ -183,19 +184,19 @@
 	t.Logf("%d schedules in %v", scheduleCount, time.Since(began).Round(time.Millisecond))
 }
 
-// Each safeguard is turned off in turn. The same schedules must then find a
-// violation: a suite that passes without the safeguard would not guard it.
+// With any one safeguard disabled, the same schedules must find a violation; otherwise
+// they would not test that safeguard.
 func TestFaultSchedulesDetectDisabledSafeguards(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		off   disabledSafeguards
 		finds []string
 	}{
-		{"sync before answer", disabledSafeguards{syncBeforeSend: true}, []string{twoLeaders, changedEntry, lostEntry, lostAck}},
-		{"lease end", disabledSafeguards{node: safeguards{leaseCheck: true}}, []string{staleRead}},
-		{"lease given up in a transfer", disabledSafeguards{node: safeguards{leaseRelease: true}}, []string{staleRead, staleState}},
-		{"confirmed since asked", disabledSafeguards{node: safeguards{echoedTimes: true}}, []string{staleState}},
-		{"empty folder votes", disabledSafeguards{newIdentityAfterLoss: true}, []string{twoLeaders, changedEntry, lostEntry, lostAck}},
+		{"sync before send", disabledSafeguards{syncBeforeSend: true}, []string{twoLeaders, changedEntry, lostEntry, lostAck}},
+		{"lease check", disabledSafeguards{node: safeguards{leaseCheck: true}}, []string{staleRead}},
+		{"lease release in a transfer", disabledSafeguards{node: safeguards{leaseRelease: true}}, []string{staleRead, staleState}},
+		{"echoed times", disabledSafeguards{node: safeguards{echoedTimes: true}}, []string{staleState}},
+		{"new identity after disk loss", disabledSafeguards{newIdentityAfterLoss: true}, []string{twoLeaders, changedEntry, lostEntry, lostAck}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			seed, text := searchSchedules(c.off)
@@ -206,10 +207,9 @@
 	}
 }
 
-// A host's folder is restored from a copy made earlier, while its peers go on, or
-// restart with it after a power cut. The replica is told by its peers that they
-// saw it hold more, and stops, instead of voting for a leader that lacks what it
-// once acknowledged.
+// A replica whose folder is restored from an older copy must stop instead of voting for a
+// leader that lacks entries it once acknowledged, whether its peers keep running or
+// restart with it.
 func TestRestoredOldFolderStopsReplica(t *testing.T) {
 	for _, restartAll := range []bool{false, true} {
 		s := newSim(5, 3, disabledSafeguards{})
@@ -234,13 +234,12 @@
 				s.start(p)
 			}
 		}
-		assert.ErrorIs(t, runUntilStopped(t, s, r), ErrRolledBack, "all restart: %v", restartAll)
+		assert.ErrorIs(t, runUntilStopped(t, s, r), ErrRolledBack, "all replicas restart: %v", restartAll)
 	}
 }
 
-// A folder lacks only its last record: the last edit of the day, accepted some
-// time before all hosts lose power. No later record carried what the peers saw, so
-// they must have kept it by themselves.
+// All replicas crash, and one folder lacks only its last record. Its peers must have made
+// the position of that record durable without any later entry.
 func TestFolderMissingLastRecordStopsReplica(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSim(seed, 3, disabledSafeguards{})
@@ -266,7 +265,8 @@
 	}
 }
 
-// stopped steps until a replica stops, and returns why.
+// runUntilStopped steps until a replica stops, and returns its error, or nil if it is
+// still running after 100 steps.
 func runUntilStopped(t *testing.T, s *sim, r *simReplica) (err error) {
 	t.Helper()
 	defer func() {
@@ -281,9 +281,9 @@
 	return nil
 }
 
-// A follower acknowledged entries that never got a majority, and a later leader
-// replaced them by fewer. Both it and the leader that saw them restart. Its folder
-// is not older, only shorter: it must take part again.
+// A later leader replaced a follower's uncommitted entries with fewer ones. When the
+// follower and the leader that observed the replaced entries restart, the shorter log
+// must not be mistaken for an older copy.
 func TestReplicaWithTruncatedEntriesRejoins(t *testing.T) {
 	s := newSim(15, 5, disabledSafeguards{})
 	old := s.waitLeader(t, nil)
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -15,8 +15,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// sim runs replicas in virtual time under a seeded schedule of faults. It
-// checks the invariants after every step and panics with a violation.
+// sim runs replicas in virtual time under a seeded fault schedule. It checks the
+// invariants after each step of a replica and panics with a violation.
 type sim struct {
 	rnd        *rand.Rand
 	now        time.Duration
@@ -44,12 +44,12 @@
 	trace          []string
 }
 
-// simSwitches turns safeguards off.
+// disabledSafeguards lists the safeguards that a schedule runs without.
 type disabledSafeguards struct {
 	node safeguards
-	// sync sends messages before their records are durable.
+	// syncBeforeSend: messages are sent only after their records are durable.
 	syncBeforeSend bool
-	// newIdentity lets a replica whose folder was lost come back under its old identity.
+	// newIdentityAfterLoss: a replica that lost its disk returns with a new identity.
 	newIdentityAfterLoss bool
 }
 
@@ -63,13 +63,13 @@
 	applied   uint64
 	// bootedAt is when the process started; its clock starts there.
 	bootedAt time.Duration
-	// lost says that the folder is gone: this identity never comes back.
+	// diskLost reports that the disk is lost; this identity never returns.
 	diskLost bool
-	// frozen is until when the process stands still; what comes meanwhile waits.
+	// pausedUntil is when a paused process resumes; messages to it wait until then.
 	pausedUntil time.Duration
 }
 
-// simDisk is what a folder durably holds.
+// simDisk is the durable content of a data folder.
 type simDisk struct {
 	hard     *wire.HardState
 	snapshot *wire.LogSnapshot
@@ -112,14 +112,14 @@
 
 type violation struct{ text string }
 
-// What a violation breaks.
+// Kinds of violations.
 const (
 	twoLeaders   = "two leaders in a term"
 	changedEntry = "committed entry changed"
 	lostEntry    = "accepted entry lost"
 	lostAck      = "acknowledged record lost"
 	staleRead    = "reads are not linearizable"
-	staleState   = "rows are older than said"
+	staleState   = "state is older than reported"
 )
 
 func (s *sim) failf(format string, args ...any) {
@@ -178,7 +178,7 @@
 	return time.Duration(float64(s.now-r.bootedAt) * r.clockRate)
 }
 
-// drain does what a Ready asks for; a crash may come at each point.
+// processReady carries out the work of a Ready, possibly crashing before the sync.
 func (s *sim) processReady(r *simReplica) {
 	for r.up {
 		rd := r.node.Ready()
@@ -265,7 +265,7 @@
 	return h.Sum64()
 }
 
-// checkCommitted: a committed entry never changes, on any replica, ever.
+// checkCommitted fails if replicas apply different entries at the same index.
 func (s *sim) checkCommitted(r *simReplica, e *wire.LogEntry) {
 	d := digest(e)
 	if old, ok := s.committed[e.Index]; ok && old != d {
@@ -274,7 +274,7 @@
 	s.committed[e.Index] = d
 }
 
-// check: at most one leader a term.
+// checkReplica fails if a term has two leaders or the replica understates its staleness.
 func (s *sim) checkReplica(r *simReplica) {
 	if r.up && r.node.role == Leader {
 		if old, ok := s.leaders[r.node.term]; ok && old != r.id {
@@ -287,15 +287,15 @@
 	}
 }
 
-// checkConfirmed: a replica has applied all that was accepted before the time at
-// which it says its state was current.
+// checkConfirmed fails if a replica lacks an entry that was accepted before the time as
+// of which it reports its state as current.
 func (s *sim) checkConfirmed(r *simReplica) {
 	age := time.Duration(float64(r.node.ConfirmedAge(s.clock(r))) / r.clockRate)
-	// The clock rate makes for rounding errors.
+	// The margin covers rounding errors of the clock rate.
 	confirmedAt := s.now - age - time.Microsecond
 	n := sort.Search(len(s.acceptances), func(i int) bool { return s.acceptances[i].acceptedAt >= confirmedAt })
 	if n > 0 && s.acceptances[n-1].index > r.applied {
-		s.failf(staleState+": %s at %d says that it was current at %v, when %d was accepted", r.id, r.applied, confirmedAt, s.acceptances[n-1].index)
+		s.failf(staleState+": %s has applied %d and reports being current at %v, when %d was accepted", r.id, r.applied, confirmedAt, s.acceptances[n-1].index)
 	}
 }
 
@@ -340,7 +340,7 @@
 	r.node = nil
 }
 
-// step moves time on by one tick and delivers what is due.
+// step advances the time by one tick and delivers the messages that are due.
 func (s *sim) step() {
 	s.now += 20 * time.Millisecond
 	for len(s.queue) > 0 && s.queue[0].deliverAt <= s.now {
@@ -371,7 +371,7 @@
 	s.lastKnownConfig()
 }
 
-// client behaviour: writes and reads at any replica that believes it leads.
+// runClients sends reads and writes to replicas that believe they lead.
 func (s *sim) runClients() {
 	for _, id := range s.replicaIDs {
 		r := s.replicas[id]
@@ -401,8 +401,8 @@
 	s.processReady(r)
 }
 
-// answerWrite accepts a write when a replica that leads applies it. Any client
-// would do; the invariant is the same.
+// completeWrite marks a write as accepted when a leader applies it, even if another
+// replica proposed it.
 func (s *sim) completeWrite(r *simReplica, e *wire.LogEntry) {
 	op := s.proposedWrites[string(e.Data)]
 	if op == nil || op.done || r.node.role != Leader {
@@ -443,8 +443,8 @@
 	},
 }
 
-// checkHistory: accepted writes and reads are linearizable. A write whose
-// answer never came may have taken effect at any time after its call.
+// checkHistory fails unless the accepted writes and the reads are linearizable. A write
+// without an answer may take effect at any time after its call.
 func (s *sim) checkHistory() {
 	ops := append([]porcupine.Operation(nil), s.history...)
 	seen := map[string]bool{}
@@ -468,8 +468,8 @@
 	}
 }
 
-// loseDisk empties a replica's folder. It comes back under a new identity, as a
-// learner, and is promoted once caught up.
+// loseDisk erases a replica's disk. The replica returns with a new identity as a learner
+// and is promoted once it has caught up.
 func (s *sim) loseDisk(r *simReplica) {
 	s.tracef("%s loses its folder", r.id)
 	s.crash(r)
@@ -485,7 +485,7 @@
 	s.addReplica(id, simDisk{fresh: true})
 }
 
-// anyConfig is the membership that the last leader knew.
+// lastKnownConfig returns the membership known to the current or else the last leader.
 func (s *sim) lastKnownConfig() *wire.Configuration {
 	if l := s.leader(); l != nil {
 		s.lastConfig = l.node.log.config()
@@ -493,7 +493,8 @@
 	return s.lastConfig
 }
 
-// repair does what an operator's replace does, through whichever leader there is.
+// replaceLostReplicas performs the next step of each replacement through the leader, as
+// the operator's replace command does.
 func (s *sim) replaceLostReplicas() {
 	for id, old := range s.replacements {
 		l := s.leader()
--- a/consensus/transfer_test.go
+++ b/consensus/transfer_test.go
@@ -11,7 +11,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// handOver begins a transfer on a leader with a live lease.
+// startTransfer starts a transfer on a leader with a live lease.
 func (s *sim) startTransfer(t *testing.T) (old, target *simReplica) {
 	t.Helper()
 	old = s.waitLeader(t, nil)
@@ -24,7 +24,7 @@
 	return old, s.replicas[id]
 }
 
-// queued returns copies of the messages of a kind that are under way.
+// queuedMessages returns copies of the messages of a kind that are in transit.
 func (s *sim) queuedMessages(kind wire.RaftKind) []*wire.RaftMessage {
 	var list []*wire.RaftMessage
 	for _, q := range s.queue {
@@ -35,8 +35,8 @@
 	return list
 }
 
-// A leader is stopped as planned. It takes no more writes, and the one that it
-// chose leads long before an election could have begun, with all that was accepted.
+// A leader that transfers leadership rejects writes, and its target leads with all
+// accepted entries well before an election timeout has passed.
 func TestTransferCompletesBeforeElectionTimeout(t *testing.T) {
 	s := newSim(7, 3, disabledSafeguards{})
 	old, target := s.startTransfer(t)
@@ -44,7 +44,7 @@
 	assert.ErrorIs(t, err, ErrTransferring)
 	assert.ErrorIs(t, old.node.AddLearner(s.clock(old), &wire.Peer{Id: "r9"}), ErrTransferring)
 	s.processReady(old)
-	assert.Assert(t, !old.node.IsLeader(s.clock(old)), "the lease ends before the target may campaign")
+	assert.Assert(t, !old.node.IsLeader(s.clock(old)), "the lease must end before the target may campaign")
 	began := s.now
 	next := s.waitLeader(t, old)
 	assert.Equal(t, next, target)
@@ -52,8 +52,8 @@
 	s.checkConvergence()
 }
 
-// The target dies with the handover under way. The leader gives up after the
-// election timeout, leads on in a new term, and takes writes and reads again.
+// If the target crashes during a transfer, the leader aborts it after the election timeout
+// and accepts writes again, in a new term if it had released its lease.
 func TestTransferIsAbortedWhenTargetCrashes(t *testing.T) {
 	for _, timeoutNowSent := range []bool{true, false} {
 		s := newSim(8, 3, disabledSafeguards{})
@@ -61,7 +61,7 @@
 		target := s.replicas[old.node.transferTarget().Id]
 		term := old.node.term
 		if !timeoutNowSent {
-			// A write that the target lacks: it is not told to campaign.
+			// The target lacks this entry, so it gets no TimeoutNow.
 			_, _, err := old.node.Propose(s.clock(old), []byte("w"))
 			assert.NilError(t, err)
 		}
@@ -74,14 +74,13 @@
 			s.step()
 		}
 		assert.Assert(t, old.node.IsLeader(s.clock(old)))
-		assert.Equal(t, old.node.term > term, timeoutNowSent, "a lease that was given up comes back in a new term only")
+		assert.Equal(t, old.node.term > term, timeoutNowSent, "a released lease returns only in a new term")
 		assert.Assert(t, s.grantLease(old, time.Second) > 0)
 	}
 }
 
-// The word to campaign reaches its target only after the leader has given up and
-// taken a new lease. The target campaigns with the sign of a transfer, and the
-// voters that hear the leader must not elect it: the leader's reads would be stale.
+// A TimeoutNow arrives after the leader has aborted the transfer and obtained a new lease.
+// The target campaigns with the transfer mark, but must not be elected within that lease.
 func TestDelayedTimeoutNowDoesNotElectTarget(t *testing.T) {
 	s := newSim(11, 3, disabledSafeguards{})
 	old, target := s.startTransfer(t)
@@ -106,9 +105,8 @@
 	}
 }
 
-// The word to campaign, and the vote requests that followed it, come again long
-// after, doubled, when two later terms have begun. No replica changes its term
-// or leader for them.
+// Duplicates of a transfer's TimeoutNow and vote requests that arrive two terms later must
+// change no replica's term or leader.
 func TestDelayedTransferMessagesAreIgnored(t *testing.T) {
 	s := newSim(9, 3, disabledSafeguards{})
 	old, target := s.startTransfer(t)
@@ -147,8 +145,8 @@
 	assert.Assert(t, last.node.IsLeader(s.clock(last)))
 }
 
-// A failure domain is stopped for work, host by host. Leadership leaves it with
-// the first, unless all that is outside lags or is silent.
+// The target of a transfer is in another failure domain than the leader while a
+// caught-up voter there is live, and any live voter otherwise.
 func TestTransferPrefersAnotherFailureDomain(t *testing.T) {
 	s := newSim(10, 5, disabledSafeguards{})
 	l := s.waitLeader(t, nil)
