--- a/rollout/coordinator.go
+++ b/rollout/coordinator.go
@@ -7,41 +7,44 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Config of a Coordinator.
+// Config configures a Coordinator.
 type Config struct {
 	Group string
 	Shape placement.Shape
-	// Token is the fencing token of the lease under which it leads.
+	// Token is the fencing token of the lease under which the coordinator leads.
 	Token uint64
-	// Resend is the time after which an order or a command is sent again. It
-	// also bounds how long a rank's restart goes unseen during a switch.
+	// Resend is the interval at which orders and commands are sent again. Ranks are
+	// polled at the same interval during a switch, so it also bounds the time until
+	// a rank's restart is detected.
 	Resend time.Duration
-	// Urgent is the same for orders that a stopped group may be waiting for: arm,
-	// commit, abort and adopt.
+	// Urgent is the resend interval of orders that a stopped group may be waiting
+	// for: arm, commit, abort and adopt.
 	Urgent time.Duration
-	// IdlePoll is the time between status orders while nothing is in progress.
+	// IdlePoll is the interval of status orders while no switch is in progress.
 	IdlePoll time.Duration
-	// StageTimeout and ArmTimeout bound the phases; a switch that isn't ready
-	// by then is cancelled.
+	// StageTimeout and ArmTimeout bound the staging and arming phases. A switch
+	// that exceeds them is cancelled.
 	StageTimeout, ArmTimeout time.Duration
-	// Lead and MaxLead bound the time between arming and the step of the switch.
+	// Lead and MaxLead bound the planned time between arming and the first step of
+	// the new map.
 	Lead, MaxLead time.Duration
-	// MinStep is the shortest step time that is believed of a rank.
+	// MinStep is the lower bound applied to step times that ranks report.
 	MinStep time.Duration
-	// off turns safeguards off; only this package's tests can set it.
+	// disabled lists the safeguards that are off; only tests set it.
 	disabled safeguards
 }
 
-// safeguards names what tests turn off to show that the suite would catch its
-// absence.
+// safeguards names the safeguards that tests can disable to show that the fault
+// schedules detect their absence.
 type safeguards struct {
-	// log tells the ranks to switch before the decision is on the log.
+	// commitAfterLog: ranks are told to commit only once the decision is on the log.
 	commitAfterLog bool
-	// blank gives the old map to a restarted rank while a switch is undecided.
+	// adoptAfterDecision: a restarted rank gets no map while a switch is undecided.
 	adoptAfterDecision bool
 }
 
-// DefaultConfig suits links of a few milliseconds and steps of five.
+// DefaultConfig returns settings for link latencies of a few milliseconds and steps of
+// about five milliseconds.
 func DefaultConfig(group string, s placement.Shape, token uint64) Config {
 	return Config{
 		Group: group, Shape: s, Token: token,
@@ -51,23 +54,23 @@
 	}
 }
 
-// Target is a map to switch to, and why.
+// Target is a map to switch to, with the reason for the switch.
 type Target struct {
-	// Base is the epoch that the map was planned on.
+	// Base is the epoch of the map in force when this one was planned.
 	Base   uint64
 	Map    *wire.GroupMap
 	Reason *wire.MapReason
 }
 
-// Outgoing is an order to one rank.
+// Outgoing is an order with its recipient.
 type Outgoing struct {
 	Rank  int
 	Verb  string
 	Order Order
 }
 
-// Effects are what a driver must do. Orders may be lost, doubled and overtake
-// each other; a command may be lost or accepted late.
+// Effects are the orders that a driver must send and the command that it must propose.
+// Orders may be lost, duplicated and reordered; a command may be lost or delayed.
 type Effects struct {
 	Orders  []Outgoing
 	Command *wire.GroupCommand
@@ -83,38 +86,42 @@
 	awaitingStatus bool
 }
 
-// Coordinator is the leader's side of one group's switches. It keeps nothing
-// that the next leader would miss: what it does follows from the state on the
-// log and the ranks' own words. It is not safe for use by several goroutines.
+// Coordinator is the leader's side of one group's switches. It holds no state that the
+// next leader depends on: it acts on the group's state on the log and on the status that
+// the ranks report. It is not safe for concurrent use.
 type Coordinator struct {
 	cfg          Config
 	state        *wire.GroupState
 	ranks        []rankState
 	requested    *Target
 	cancelReason string
-	// phase and since time the phase of the switch in progress.
+	// currentPhase is the phase of the switch in progress, entered at phaseStart.
 	currentPhase struct {
 		epoch uint64
 		phase wire.SwitchPhase
 	}
 	phaseStart time.Time
-	// proposed is when the command in flight was first proposed.
+	// firstProposedAt and lastProposedAt are the times at which the in-flight command
+	// of type proposedType was proposed.
 	firstProposedAt time.Time
 	proposedType    string
 	lastProposedAt  time.Time
-	// logTime and orderTime are the slowest of late, decaying.
+	// commitLatency and orderLatency are decaying maxima of the time from a proposal to
+	// the next state, and from an order to the rank's next status.
 	commitLatency, orderLatency time.Duration
-	// lead grows when ranks were armed too late, last for the switch to lateEpoch.
+	// minLeadTime grows when ranks are armed too late, and shrinks towards Config.Lead
+	// with committed switches. It last grew for the switch to lastLateEpoch.
 	minLeadTime   time.Duration
 	lastLateEpoch uint64
 }
 
-// NewCoordinator makes a coordinator that has heard of nothing.
+// NewCoordinator returns a coordinator that knows neither the group's state nor any
+// rank's status.
 func NewCoordinator(c Config) *Coordinator {
 	return &Coordinator{cfg: c, ranks: make([]rankState, c.Shape.Ranks), minLeadTime: c.Lead}
 }
 
-// Applied takes the group's state on the log; nil if there is none.
+// Applied sets the group's state on the log, which is nil if the group has none.
 func (c *Coordinator) Applied(now time.Time, s *wire.GroupState) {
 	if c.state == s {
 		return
@@ -140,10 +147,11 @@
 	}
 }
 
-// Heard takes a rank's answer.
+// Heard records the status that a rank reported. Statuses older than the last one are
+// ignored.
 func (c *Coordinator) Heard(now time.Time, rank int, s Status) {
 	r := &c.ranks[rank]
-	// A late answer of an earlier life would show a dead rank as armed.
+	// A delayed status of an earlier incarnation could show a restarted rank as armed.
 	if r.known && (s.Incarnation < r.status.Incarnation || s.Incarnation == r.status.Incarnation && s.Seq <= r.status.Seq) {
 		return
 	}
@@ -154,7 +162,8 @@
 	r.known, r.status, r.statusAt = true, s, now
 }
 
-// Roll asks for a switch. It begins once the ranks use the map in force.
+// Roll requests a switch, which begins once all ranks use the map in force. It does
+// nothing if a switch is in progress or the target is based on another map.
 func (c *Coordinator) Roll(t *Target) {
 	if c.state == nil || c.state.Switch != nil || t.Base != c.state.Map.Epoch {
 		return
@@ -162,17 +171,17 @@
 	c.requested = t
 }
 
-// Idle says whether no switch is in progress or asked for.
+// Idle reports whether no switch is in progress or requested.
 func (c *Coordinator) Idle() bool {
 	return c.state != nil && c.state.Switch == nil && c.requested == nil
 }
 
-// Quiet says whether all ranks use the map in force and nothing is to be done.
+// Quiet reports whether the coordinator is idle and all ranks use the map in force.
 func (c *Coordinator) Quiet() bool {
 	return c.Idle() && c.allUsing(c.state.Map.Epoch)
 }
 
-// Cancel ends a switch that is not decided yet.
+// Cancel drops a requested switch, and aborts one in progress unless it is decided.
 func (c *Coordinator) Cancel(reason string) {
 	c.requested = nil
 	if c.state != nil && Undecided(c.state.Switch) {
@@ -180,12 +189,12 @@
 	}
 }
 
-// Status returns what a rank said last.
+// Status returns a rank's last status, or false if none is known.
 func (c *Coordinator) Status(rank int) (Status, bool) {
 	return c.ranks[rank].status, c.ranks[rank].known
 }
 
-// Tick returns what is to be done now.
+// Tick returns the effects that are due now.
 func (c *Coordinator) Tick(now time.Time) Effects {
 	var e Effects
 	for i := range c.ranks {
--- a/rollout/coordinator_commands.go
+++ b/rollout/coordinator_commands.go
@@ -8,11 +8,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// leadMargin covers orders and syncs slower than those measured.
+// leadMargin is the safety factor applied to recent latencies.
 const leadMargin = 2
 
-// tickLog returns the command that the log needs now, unless it was proposed a
-// moment ago.
+// nextCommand returns the command to propose now, or nil. A command of the same type is
+// proposed again only after the resend interval.
 func (c *Coordinator) nextCommand(now time.Time) *wire.GroupCommand {
 	cmd := c.neededCommand(now)
 	if cmd == nil {
@@ -72,7 +72,7 @@
 	}}
 }
 
-// whyAbort says why an undecided switch is to be cancelled, or "".
+// abortReason returns the reason to cancel an undecided switch, or "".
 func (c *Coordinator) abortReason(now time.Time, sw *wire.Switch) string {
 	if c.cancelReason != "" {
 		return c.cancelReason
@@ -99,7 +99,7 @@
 	return ""
 }
 
-// late doubles the lead once for each switch that was armed too late.
+// recordLateArm doubles the lead time, once for each switch that was armed too late.
 func (c *Coordinator) recordLateArm(epoch uint64) {
 	if c.lastLateEpoch != epoch {
 		c.lastLateEpoch = epoch
@@ -107,14 +107,15 @@
 	}
 }
 
-// leadTime is how long it takes to arm, decide and tell: two writes to the log
-// and two rounds of orders, by what was measured, with a margin.
+// leadTime returns the expected time to arm the ranks, decide, and tell the decision: two
+// log writes and two rounds of orders at recent latencies, times leadMargin, within
+// minLeadTime and MaxLead.
 func (c *Coordinator) leadTime() time.Duration {
 	return min(max(c.minLeadTime, leadMargin*(2*c.commitLatency+2*c.orderLatency)), c.cfg.MaxLead)
 }
 
-// chooseStep puts the switch so far ahead that in the ordinary case every rank
-// knows the decision before it would have to stop.
+// chooseStep returns the first step of the new map. It is far enough ahead that normally
+// every rank knows the decision before it would have to stop.
 func (c *Coordinator) chooseStep(now time.Time) uint64 {
 	lead := c.leadTime()
 	var step uint64
--- a/rollout/coordinator_orders.go
+++ b/rollout/coordinator_orders.go
@@ -18,7 +18,7 @@
 	return Outgoing{Rank: i, Verb: verb, Order: o}, true
 }
 
-// again is the time after which an order is given once more.
+// resendInterval returns the time after which an unchanged order is sent again.
 func (c *Coordinator) resendInterval(verb string, r *rankState) time.Duration {
 	switch verb {
 	case VerbArm, VerbCommit, VerbAbort, VerbAdopt:
@@ -31,12 +31,13 @@
 	return c.cfg.Resend
 }
 
-// quiet says whether nothing is expected to change at a rank.
+// isIdleRank reports whether a rank's state is not expected to change.
 func (c *Coordinator) isIdleRank(r *rankState) bool {
 	return c.Idle() && !r.status.Blank
 }
 
-// orderFor chooses the order that a rank needs now.
+// orderFor returns the order that a rank needs now. Without a pending change that is a
+// status order.
 func (c *Coordinator) orderFor(r *rankState) (string, Order) {
 	if !r.known || c.state == nil {
 		return VerbStatus, Order{}
@@ -60,10 +61,9 @@
 	return VerbStatus, Order{}
 }
 
-// orderForBlank gives a restarted rank the map in force. While a switch is
-// undecided it waits: the old life of the rank may have been armed, the decision
-// to switch may be under way, and the map that is in force now would be the
-// wrong one from that step on.
+// orderForRestarted gives a restarted rank the map in force. While a switch is undecided
+// the rank gets none: its previous incarnation may have been armed, and if the switch is
+// then committed, the current map would be wrong from the armed step on.
 func (c *Coordinator) orderForRestarted() (string, Order) {
 	if Undecided(c.state.Switch) && !c.cfg.disabled.adoptAfterDecision {
 		return VerbStatus, Order{}
@@ -72,9 +72,9 @@
 	return VerbAdopt, Order{Epoch: m.Epoch, Step: m.FromStep, Map: toOrderMap(m)}
 }
 
-// Settle chooses the order that tells a rank the end of a switch that it still has
-// open, if the state says one. The state may be an old one: what it says of a switch
-// that has ended stays true.
+// Settle returns the order that tells a rank the outcome of a switch that is still open
+// at the rank, or false if the state contains no outcome. The state may be stale: the
+// outcome of a decided switch doesn't change.
 func Settle(state *wire.GroupState, s Status) (verb string, o Order, ok bool) {
 	inForce := state.GetMap().GetEpoch()
 	settled := state.GetSettled()
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -9,34 +9,34 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Bounds of what a group's state keeps besides the map in force.
+// Limits on the history in a group's state.
 const (
-	// MaxEarlier is how many earlier maps can be pinned or gone back to.
+	// MaxEarlier is the number of earlier maps kept, to which a group can be pinned or
+	// rolled back.
 	MaxEarlier = 4
-	// MaxRecords is how many finished switches the decision log keeps.
+	// MaxRecords is the number of finished switches kept.
 	MaxRecords = 50
 )
 
-// Outcomes of a switch in the decision log.
+// Outcomes of a finished switch.
 const (
 	OutcomeInForce   = "in-force"
 	OutcomeCancelled = "cancelled"
 )
 
-// Result is the answer to a group command.
+// Result is the result of a group command. Detail gives the reason for a rejection.
 type Result struct {
 	Accepted bool
 	Detail   string
 }
 
-// Machine holds the maps of all groups as a state machine on the replicated
-// log. States that it returns are immutable. It is not safe for use by several
-// goroutines.
+// Machine is the replicated state machine that holds the maps of all groups. The states
+// that it returns are immutable. It is not safe for concurrent use.
 type Machine struct {
 	groups map[string]*wire.GroupState
 }
 
-// NewMachine makes an empty machine.
+// NewMachine returns a machine without groups.
 func NewMachine() *Machine { return &Machine{groups: map[string]*wire.GroupState{}} }
 
 // Get returns a group's state, or nil.
@@ -56,16 +56,16 @@
 	return Result{Detail: fmt.Sprintf(format, args...)}
 }
 
-// Apply carries out a committed command. token is the group's fencing token in
-// force at this index.
+// Apply applies a committed command. token is the group's fencing token in force at this
+// index. Commands with another token are rejected, except for pins, which carry none.
 func (m *Machine) Apply(index uint64, c *wire.GroupCommand, token uint64) Result {
 	if p := c.GetPin(); p != nil {
 		return m.pinMap(c.Group, p)
 	}
-	// A leader whose lease was taken over may have commands under way. What they
-	// say was true when they were made; the next leader may have decided since.
+	// Commands of a leader that has lost its lease may still be in flight. They may
+	// be outdated, since the next leader may have decided meanwhile.
 	if c.Token != token {
-		return refused("fencing token %d is old", c.Token)
+		return refused("fencing token %d is stale", c.Token)
 	}
 	old := m.groups[c.Group]
 	if i := c.GetInstall(); i != nil {
@@ -94,7 +94,7 @@
 	return r
 }
 
-// copyState copies what a command may change; maps and records are immutable.
+// copyState returns a shallow copy of a state. Maps and records are immutable.
 func copyState(s *wire.GroupState) *wire.GroupState {
 	return &wire.GroupState{
 		Group: s.Group, Map: s.Map, Earlier: s.Earlier, Switch: s.Switch, Records: s.Records,
@@ -111,7 +111,7 @@
 
 func (m *Machine) installMap(index uint64, c *wire.GroupCommand, old *wire.GroupState) Result {
 	if old != nil {
-		return refused("group has a map already")
+		return refused("group already has a map")
 	}
 	g := c.GetInstall()
 	if err := ToMap(g).Check(ShapeOf(g)); err != nil {
@@ -128,13 +128,13 @@
 	case s.Map.Epoch != b.Base:
 		return refused("map %d is in force, not %d", s.Map.Epoch, b.Base)
 	case ShapeOf(s.Map) != ShapeOf(b.Map):
-		return refused("the map has another shape")
+		return refused("the map has a different shape")
 	}
 	if err := ToMap(b.Map).Check(ShapeOf(b.Map)); err != nil {
 		return refused("%v", err)
 	}
-	// The log index is the epoch: an epoch that was cancelled never comes back
-	// with another map.
+	// The log index serves as epoch, so the epoch of a cancelled switch is never
+	// reused for another map.
 	s.Switch = &wire.Switch{Map: withEpoch(b.Map, index, 0), Phase: wire.SwitchPhase_SWITCH_PHASE_STAGING, Reason: b.Reason}
 	return Result{Accepted: true}
 }
@@ -150,8 +150,8 @@
 	return Result{Accepted: true}
 }
 
-// decide takes the first decision of a switch; a second one, whichever way, is
-// refused, so that two leaders come to the same end.
+// decideSwitch accepts the first decision of a switch and rejects any later one, so that
+// all leaders agree on the outcome.
 func decideSwitch(s *wire.GroupState, d *wire.DecideSwitch, atMs int64) Result {
 	sw := s.Switch
 	if sw == nil || sw.Map.Epoch != d.Epoch || !Undecided(sw) {
@@ -210,7 +210,7 @@
 	return Result{Accepted: true}
 }
 
-// MapAt returns a group's map with an epoch, in force or kept, or nil.
+// MapAt returns the map in force or the kept earlier map with an epoch, or nil.
 func MapAt(s *wire.GroupState, epoch uint64) *wire.GroupMap {
 	if s.Map.Epoch == epoch {
 		return s.Map
@@ -223,7 +223,7 @@
 	return nil
 }
 
-// Undecided says whether a switch may still go either way.
+// Undecided reports whether a switch is in progress and not committed.
 func Undecided(s *wire.Switch) bool {
 	return s != nil && s.Phase != wire.SwitchPhase_SWITCH_PHASE_COMMITTED
 }
@@ -233,13 +233,12 @@
 	return placement.Shape{Ranks: int(g.Ranks), Experts: int(g.Experts), Layers: int(g.Layers), Slots: int(g.Slots)}
 }
 
-// ToMap returns the map as planners take it.
+// ToMap converts a map for planners.
 func ToMap(g *wire.GroupMap) *placement.Map {
 	return &placement.Map{Epoch: g.Epoch, Slots: g.ExpertsInSlots}
 }
 
-// FromMap returns a planner's map as the log takes it; its epoch is given by
-// the log.
+// FromMap converts a planner's map for the log, which assigns its epoch.
 func FromMap(s placement.Shape, m *placement.Map) *wire.GroupMap {
 	return &wire.GroupMap{
 		Ranks: uint32(s.Ranks), Experts: uint32(s.Experts), Layers: uint32(s.Layers), Slots: uint32(s.Slots),
@@ -247,7 +246,7 @@
 	}
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the state of all groups.
 func (m *Machine) Snapshot() *wire.GroupsSnapshot {
 	s := &wire.GroupsSnapshot{}
 	for _, name := range m.Groups() {
@@ -256,7 +255,7 @@
 	return s
 }
 
-// Restore replaces the whole state.
+// Restore replaces the state of all groups.
 func (m *Machine) Restore(s *wire.GroupsSnapshot) {
 	m.groups = map[string]*wire.GroupState{}
 	for _, g := range s.GetGroups() {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -2,53 +2,50 @@
 
 import "github.com/snipereach/snipereach/wire"
 
-// Verbs of the orders that a rank takes. Each is idempotent, and each is
-// answered with the rank's Status.
+// Verbs of orders. Orders are idempotent, and a rank replies to each with its Status.
 const (
-	// VerbStatus changes nothing.
+	// VerbStatus requests the rank's status and changes nothing.
 	VerbStatus = "status"
-	// VerbAdopt gives the map in force to a rank that has just started.
+	// VerbAdopt sets the map of a rank that has started.
 	VerbAdopt = "adopt"
-	// VerbStage makes a rank load the weights that a map asks of it.
+	// VerbStage makes a rank load its weights of a map.
 	VerbStage = "stage"
 	// VerbArm makes a rank stop before a step until it knows the decision.
 	VerbArm = "arm"
-	// VerbCommit tells that the map is used from the armed step on.
+	// VerbCommit makes a rank use the armed map from the armed step on.
 	VerbCommit = "commit"
-	// VerbAbort tells that the map will never be used.
+	// VerbAbort makes a rank drop a map that will never be used.
 	VerbAbort = "abort"
-	// VerbCounters collects a rank's expert counters; agents answer it.
+	// VerbCounters collects a rank's expert counters. The agent replies to it.
 	VerbCounters = "counters"
 )
 
-// Order is the body of an order to one rank.
+// Order is the body of an order to a rank.
 type Order struct {
 	Group string `json:"group"`
 	Rank  int    `json:"rank"`
-	// Incarnation is the life of the rank that is meant. Another life refuses
-	// the order: an arm or adopt that was under way while the rank restarted
-	// would otherwise bring the new life into a state that the leader believes
-	// of the old one.
+	// Incarnation is the incarnation of the rank that the order is for. Another one
+	// rejects it. Otherwise an arm or adopt order in flight during a restart could
+	// change the new incarnation's state without the leader's knowledge.
 	Incarnation uint64 `json:"incarnation"`
-	// Epoch names the map.
+	// Epoch identifies the map.
 	Epoch uint64 `json:"epoch"`
-	// Base is the epoch that a staged map follows.
+	// Base is the epoch of the map that a staged map replaces.
 	Base uint64 `json:"base,omitempty"`
-	// Step is the first step of the map: arm, commit and adopt.
+	// Step is the first step of the map. It is set on arm, commit and adopt.
 	Step uint64 `json:"step,omitempty"`
 	// Map is set on adopt and stage.
 	Map *OrderMap `json:"map,omitempty"`
 }
 
-// OrderMap is an expert map as an engine gets it.
+// OrderMap is an expert map in the form sent to engines.
 type OrderMap struct {
 	Ranks   int `json:"ranks"`
 	Experts int `json:"experts"`
 	Layers  int `json:"layers"`
-	// SlotsPerRank is how many experts a rank holds in one layer.
+	// SlotsPerRank is the number of experts that a rank holds in one layer.
 	SlotsPerRank int `json:"slots_per_rank"`
-	// Slots holds the expert in each slot: layer by layer, rank by rank, slot by
-	// slot.
+	// Slots holds the expert in each slot, ordered by layer, rank and slot.
 	Slots []int32 `json:"slots"`
 }
 
@@ -59,29 +56,32 @@
 	}
 }
 
-// Status is what a rank answers to each order.
+// Status is a rank's reply to an order. An epoch of 0 means none.
 type Status struct {
-	// Incarnation grows with each start of the rank.
+	// Incarnation increases with each start of the rank.
 	Incarnation uint64 `json:"incarnation"`
-	// Seq grows with each answer of one incarnation.
+	// Seq increases with each reply of one incarnation.
 	Seq uint64 `json:"seq"`
-	// Blank says that the rank has no map and runs no step.
+	// Blank reports that the rank has no map and runs no steps.
 	Blank bool `json:"blank"`
-	// Epoch is the map of the last step begun, or adopted.
+	// Epoch is the epoch of the map used in the last step begun, or of the one
+	// adopted since.
 	Epoch uint64 `json:"epoch"`
 	// NextStep is the next step that the rank will begin.
 	NextStep uint64 `json:"next_step"`
-	// StepMicros is the time of a recent step in microseconds; 0 is not known.
+	// StepMicros is the duration of a recent step in microseconds; 0 means unknown.
 	StepMicros uint64 `json:"step_us"`
-	// Loading is the map whose weights are being loaded.
+	// Loading is the epoch of the map whose weights are being loaded.
 	Loading uint64 `json:"loading"`
-	// Staged is the map whose weights are loaded besides the one in use.
+	// Staged is the epoch of the map whose weights are loaded in addition to those in
+	// use.
 	Staged uint64 `json:"staged"`
-	// Armed is the map before whose step the rank stops, or will switch.
+	// Armed is the epoch of the map to switch to at ArmedStep. The rank stops before
+	// that step until it knows the decision.
 	Armed     uint64 `json:"armed"`
 	ArmedStep uint64 `json:"armed_step"`
-	// Decided says that the armed map is committed.
+	// Decided reports that the armed map is committed.
 	Decided bool `json:"decided"`
-	// Refused says why the order changed nothing, if so.
+	// Refused is the reason why the order was rejected, or "".
 	Refused string `json:"refused,omitempty"`
 }
