--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// bench is a group whose messages are delivered by hand, one round at a time.
+// testGroup is a group whose orders and replies are delivered in rounds.
 type testGroup struct {
 	t           *testing.T
 	machine     *rollout.Machine
@@ -23,189 +23,188 @@
 	shape       placement.Shape
 	ranks       []*fake.Rank
 	coordinator *rollout.Coordinator
-	// drop says which commands are lost.
+	// dropCommand selects the commands that are lost.
 	dropCommand func(*wire.GroupCommand) bool
 }
 
 func newTestGroup(t *testing.T) *testGroup {
-	b := &testGroup{
+	tg := &testGroup{
 		t: t, machine: rollout.NewMachine(), now: time.Unix(0, 0),
 		shape:       placement.Shape{Ranks: 4, Experts: 4, Layers: 1, Slots: 2},
 		dropCommand: func(*wire.GroupCommand) bool { return false },
 	}
-	for range b.shape.Ranks {
-		b.ranks = append(b.ranks, fake.NewRank(1))
+	for range tg.shape.Ranks {
+		tg.ranks = append(tg.ranks, fake.NewRank(1))
 	}
-	b.startLeader()
-	b.runUntil("first map", func() bool { return b.state() != nil && !b.ranks[0].Blank() })
-	return b
+	tg.startLeader()
+	tg.runUntil("the first map", func() bool { return tg.state() != nil && !tg.ranks[0].Blank() })
+	return tg
 }
 
-func (b *testGroup) state() *wire.GroupState { return b.machine.Get("g") }
+func (tg *testGroup) state() *wire.GroupState { return tg.machine.Get("g") }
 
-// lead starts a new leader, which knows nothing but the log.
-func (b *testGroup) startLeader() {
-	b.index++
-	b.token = b.index
-	b.coordinator = rollout.NewCoordinator(rollout.DefaultConfig("g", b.shape, b.token))
-	b.coordinator.Applied(b.now, b.state())
+// startLeader starts a new leader, which knows only the state on the log.
+func (tg *testGroup) startLeader() {
+	tg.index++
+	tg.token = tg.index
+	tg.coordinator = rollout.NewCoordinator(rollout.DefaultConfig("g", tg.shape, tg.token))
+	tg.coordinator.Applied(tg.now, tg.state())
 }
 
-func (b *testGroup) requestSwitch() {
-	b.t.Helper()
-	m := placement.Contiguous(b.shape)
+func (tg *testGroup) requestSwitch() {
+	tg.t.Helper()
+	m := placement.Contiguous(tg.shape)
 	for i := range m.Slots {
-		m.Slots[i] = (m.Slots[i] + 1) % int32(b.shape.Experts)
+		m.Slots[i] = (m.Slots[i] + 1) % int32(tg.shape.Experts)
 	}
-	b.coordinator.Roll(&rollout.Target{Base: b.state().Map.Epoch, Map: rollout.FromMap(b.shape, m), Reason: &wire.MapReason{Why: "test"}})
+	tg.coordinator.Roll(&rollout.Target{Base: tg.state().Map.Epoch, Map: rollout.FromMap(tg.shape, m), Reason: &wire.MapReason{Why: "test"}})
 }
 
-func (b *testGroup) runRound() {
-	b.now = b.now.Add(100 * time.Millisecond)
-	e := b.coordinator.Tick(b.now)
+func (tg *testGroup) runRound() {
+	tg.now = tg.now.Add(100 * time.Millisecond)
+	e := tg.coordinator.Tick(tg.now)
 	for _, o := range e.Orders {
-		s := b.ranks[o.Rank].Give(o.Verb, &o.Order)
-		b.ranks[o.Rank].Loaded()
-		b.coordinator.Heard(b.now, o.Rank, s)
+		s := tg.ranks[o.Rank].Give(o.Verb, &o.Order)
+		tg.ranks[o.Rank].Loaded()
+		tg.coordinator.Heard(tg.now, o.Rank, s)
 	}
-	if e.Command != nil && !b.dropCommand(e.Command) {
-		b.apply(e.Command)
+	if e.Command != nil && !tg.dropCommand(e.Command) {
+		tg.apply(e.Command)
 	}
 }
 
-func (b *testGroup) apply(c *wire.GroupCommand) rollout.Result {
-	b.index++
-	r := b.machine.Apply(b.index, c, b.token)
-	b.coordinator.Applied(b.now, b.state())
+func (tg *testGroup) apply(c *wire.GroupCommand) rollout.Result {
+	tg.index++
+	r := tg.machine.Apply(tg.index, c, tg.token)
+	tg.coordinator.Applied(tg.now, tg.state())
 	return r
 }
 
-func (b *testGroup) runUntil(condition string, met func() bool) {
-	b.t.Helper()
+func (tg *testGroup) runUntil(condition string, met func() bool) {
+	tg.t.Helper()
 	for range 200 {
 		if met() {
 			return
 		}
-		b.runRound()
+		tg.runRound()
 	}
-	b.t.Fatalf("never came: %s: %v", condition, b.state())
+	tg.t.Fatalf("timed out waiting for %s: %v", condition, tg.state())
 }
 
-// run lets all ranks run steps up to a number, as far as they may.
-func (b *testGroup) runSteps(end uint64) {
-	for _, r := range b.ranks {
+// runSteps lets each rank run steps before end until it has to stop.
+func (tg *testGroup) runSteps(end uint64) {
+	for _, r := range tg.ranks {
 		for !r.Blank() && r.Next() < end && r.MayBegin() {
 			r.Begin(r.Next())
 		}
 	}
 }
 
-func (b *testGroup) armUndecided() *wire.Switch {
-	b.dropCommand = func(c *wire.GroupCommand) bool { return c.GetDecide() != nil }
-	b.requestSwitch()
-	b.runUntil("all armed", func() bool {
-		for _, r := range b.ranks {
+// armUndecided arms all ranks for a switch whose decision is lost.
+func (tg *testGroup) armUndecided() *wire.Switch {
+	tg.dropCommand = func(c *wire.GroupCommand) bool { return c.GetDecide() != nil }
+	tg.requestSwitch()
+	tg.runUntil("all ranks to be armed", func() bool {
+		for _, r := range tg.ranks {
 			if r.Status().Armed == 0 {
 				return false
 			}
 		}
 		return true
 	})
-	b.runRound()
-	b.dropCommand = func(*wire.GroupCommand) bool { return false }
-	return b.state().Switch
+	tg.runRound()
+	tg.dropCommand = func(*wire.GroupCommand) bool { return false }
+	return tg.state().Switch
 }
 
-// The leader dies when all ranks are armed, and its decision with it. The ranks
-// stop before the step. The next leader finds the switch undecided on the log and
-// all ranks ready, and ends it: they go on with the new map from that step on.
+// If the leader fails after all ranks are armed but before its decision is on the log, the
+// ranks stop before the armed step, and the next leader commits the switch.
 func TestNewLeaderCommitsArmedSwitch(t *testing.T) {
-	b := newTestGroup(t)
-	sw := b.armUndecided()
-	b.runSteps(sw.Step + 100)
-	for _, r := range b.ranks {
-		assert.Equal(t, r.Next(), sw.Step, "stopped before the step")
+	tg := newTestGroup(t)
+	sw := tg.armUndecided()
+	tg.runSteps(sw.Step + 100)
+	for _, r := range tg.ranks {
+		assert.Equal(t, r.Next(), sw.Step, "must stop before the armed step")
 	}
-	b.startLeader()
-	b.runUntil("decided", func() bool { return b.state().Map.Epoch == sw.Map.Epoch })
-	b.runUntil("told", func() bool { b.runSteps(sw.Step + 1); return b.state().Switch == nil })
-	assert.Equal(t, b.state().Records[0].Outcome, rollout.OutcomeInForce)
-	assert.Equal(t, b.state().Map.FromStep, sw.Step)
+	tg.startLeader()
+	tg.runUntil("the decision", func() bool { return tg.state().Map.Epoch == sw.Map.Epoch })
+	tg.runUntil("the confirmation", func() bool { tg.runSteps(sw.Step + 1); return tg.state().Switch == nil })
+	assert.Equal(t, tg.state().Records[0].Outcome, rollout.OutcomeInForce)
+	assert.Equal(t, tg.state().Map.FromStep, sw.Step)
 }
 
-// The leader dies when all ranks are armed, and then one of them dies too. The
-// next leader cancels the switch, because the rank's new life has not the weights;
-// all ranks, the new life too, go on with the old map. An arm that was under way to
-// the old life comes last and is refused.
+// If the leader fails and an armed rank restarts before the decision, the next leader
+// cancels the switch and all ranks continue with the old map. A delayed arm order for the
+// rank's previous incarnation is rejected.
 func TestNewLeaderCancelsSwitchAfterRankRestart(t *testing.T) {
-	b := newTestGroup(t)
-	oldEpoch := b.state().Map.Epoch
-	sw := b.armUndecided()
-	b.ranks[2] = fake.NewRank(2)
-	b.startLeader()
-	b.runUntil("cancelled", func() bool { return b.state().Switch == nil })
-	assert.Equal(t, b.state().Records[0].Outcome, rollout.OutcomeCancelled)
-	assert.Equal(t, b.state().Records[0].Detail, "rank 2 restarted")
-	b.runUntil("all go on", func() bool { b.runSteps(sw.Step + 5); return b.ranks[0].Next() > sw.Step && b.ranks[2].Next() > 0 })
-	for _, r := range b.ranks {
+	tg := newTestGroup(t)
+	oldEpoch := tg.state().Map.Epoch
+	sw := tg.armUndecided()
+	tg.ranks[2] = fake.NewRank(2)
+	tg.startLeader()
+	tg.runUntil("the cancellation", func() bool { return tg.state().Switch == nil })
+	assert.Equal(t, tg.state().Records[0].Outcome, rollout.OutcomeCancelled)
+	assert.Equal(t, tg.state().Records[0].Detail, "rank 2 restarted")
+	tg.runUntil("steps with the old map", func() bool { tg.runSteps(sw.Step + 5); return tg.ranks[0].Next() > sw.Step && tg.ranks[2].Next() > 0 })
+	for _, r := range tg.ranks {
 		assert.Equal(t, r.Status().Epoch, oldEpoch)
 	}
-	delayed := b.ranks[2].Give(rollout.VerbArm, &rollout.Order{Incarnation: 1, Epoch: sw.Map.Epoch, Step: sw.Step + 50})
+	delayed := tg.ranks[2].Give(rollout.VerbArm, &rollout.Order{Incarnation: 1, Epoch: sw.Map.Epoch, Step: sw.Step + 50})
 	assert.Equal(t, delayed.Refused, "order is for incarnation 1")
 	assert.Equal(t, delayed.Armed, uint64(0))
 }
 
-// A leader was cut off and its lease taken over. Its commands that come late are
-// refused by the log; and of two decisions of one switch the first one holds.
+// The machine rejects commands of a leader that lost its lease, and any decision of a
+// switch after the first.
 func TestMachineAcceptsOneDecisionPerSwitch(t *testing.T) {
-	b := newTestGroup(t)
-	sw := b.armUndecided()
+	tg := newTestGroup(t)
+	sw := tg.armUndecided()
 	decide := func(commit bool, token uint64) rollout.Result {
-		return b.apply(&wire.GroupCommand{Group: "g", Token: token, Command: &wire.GroupCommand_Decide{
+		return tg.apply(&wire.GroupCommand{Group: "g", Token: token, Command: &wire.GroupCommand_Decide{
 			Decide: &wire.DecideSwitch{Epoch: sw.Map.Epoch, Commit: commit},
 		}})
 	}
-	oldToken := b.token
-	b.startLeader()
+	oldToken := tg.token
+	tg.startLeader()
 	assert.Assert(t, !decide(true, oldToken).Accepted)
-	assert.Assert(t, decide(false, b.token).Accepted)
-	assert.Assert(t, !decide(true, b.token).Accepted)
-	assert.Assert(t, b.state().Map.Epoch < sw.Map.Epoch)
-	assert.Equal(t, b.state().Settled, sw.Map.Epoch)
+	assert.Assert(t, decide(false, tg.token).Accepted)
+	assert.Assert(t, !decide(true, tg.token).Accepted)
+	assert.Assert(t, tg.state().Map.Epoch < sw.Map.Epoch)
+	assert.Equal(t, tg.state().Settled, sw.Map.Epoch)
 }
 
-// A replica that restores a snapshot in the middle of a switch holds the same
-// state as one that applied every command.
+// A replica that restores a snapshot during a switch must hold the same state as one that
+// applied every command.
 func TestSnapshotPreservesUndecidedSwitch(t *testing.T) {
-	b := newTestGroup(t)
-	b.armUndecided()
-	data, err := proto.Marshal(b.machine.Snapshot())
+	tg := newTestGroup(t)
+	tg.armUndecided()
+	data, err := proto.Marshal(tg.machine.Snapshot())
 	assert.NilError(t, err)
 	s := &wire.GroupsSnapshot{}
 	assert.NilError(t, proto.Unmarshal(data, s))
 	m := rollout.NewMachine()
 	m.Restore(s)
-	assert.Assert(t, proto.Equal(m.Get("g"), b.state()))
+	assert.Assert(t, proto.Equal(m.Get("g"), tg.state()))
 	assert.Equal(t, m.Get("g").Switch.Phase, wire.SwitchPhase_SWITCH_PHASE_ARMING)
 }
 
-// A map that leaves an expert without a rank, or is based on one that is no
-// longer in force, never reaches the ranks.
+// The machine rejects a map that leaves an expert without a slot, has another shape, or is
+// based on a map that is not in force, and a second switch at a time.
 func TestMachineRejectsInvalidMaps(t *testing.T) {
-	b := newTestGroup(t)
+	tg := newTestGroup(t)
 	begin := func(base uint64, change func(*wire.GroupMap)) rollout.Result {
-		g := rollout.FromMap(b.shape, placement.Contiguous(b.shape))
+		g := rollout.FromMap(tg.shape, placement.Contiguous(tg.shape))
 		g.ExpertsInSlots = append([]int32(nil), g.ExpertsInSlots...)
 		change(g)
-		return b.apply(&wire.GroupCommand{Group: "g", Token: b.token, Command: &wire.GroupCommand_Begin{
+		return tg.apply(&wire.GroupCommand{Group: "g", Token: tg.token, Command: &wire.GroupCommand_Begin{
 			Begin: &wire.BeginSwitch{Base: base, Map: g},
 		}})
 	}
-	inForce := b.state().Map.Epoch
+	inForce := tg.state().Map.Epoch
 	assert.Assert(t, !begin(inForce, func(g *wire.GroupMap) { g.ExpertsInSlots[0], g.ExpertsInSlots[7] = 1, 1 }).Accepted)
 	assert.Assert(t, !begin(inForce, func(g *wire.GroupMap) { g.Ranks = 3 }).Accepted)
 	assert.Assert(t, !begin(inForce+1, func(*wire.GroupMap) {}).Accepted)
-	assert.Assert(t, b.state().Switch == nil)
+	assert.Assert(t, tg.state().Switch == nil)
 	assert.Assert(t, begin(inForce, func(*wire.GroupMap) {}).Accepted)
 	assert.Assert(t, !begin(inForce, func(*wire.GroupMap) {}).Accepted, "one switch at a time")
 }
--- a/rollout/property_test.go
+++ b/rollout/property_test.go
@@ -12,8 +12,8 @@
 
 const scheduleCount = 10_000
 
-// runSchedules plays seeds until one fails; it returns that seed and what went
-// wrong, and sums of what the schedules did.
+// runSchedules runs the seeds 1 to n until one fails. It returns that seed and its
+// failure, and the totals of switches, restarts, steps and decisions told by agents.
 func runSchedules(n int, disabled disabledSafeguards) (seed uint64, failure string, switches, restarts, steps, resolved int64) {
 	var mu sync.Mutex
 	seed, failure = schedule.Search(uint64(n), func(i uint64) string {
@@ -30,11 +30,10 @@
 	return seed, failure, switches, restarts, steps, resolved
 }
 
-// Callers see answers made by one set of weights. Ranks stall, restart and are
-// cut off, agents forget their tokens, leaders die in every phase, two of them
-// lead at once, and orders and commands come late, twice or never. In every step
-// that a rank begins, all ranks that begin it use one map; once the faults end,
-// steps run and a new map comes into force within simBound.
+// Ranks stall, restart and are partitioned, agents lose their tokens, leaders crash or
+// lead concurrently, and orders and commands are delayed, duplicated or lost. All ranks
+// must use the same map in each step, and after the faults steps must run and a new map
+// must come into force within simProgressBound.
 func TestFaultSchedulesUseOneMapPerStep(t *testing.T) {
 	seed, failure, switches, restarts, steps, resolved := runSchedules(scheduleCount, disabledSafeguards{})
 	assert.Equal(t, failure, "", "seed %d", seed)
@@ -42,15 +41,15 @@
 	assert.Assert(t, switches > scheduleCount && restarts > scheduleCount && steps > 100*scheduleCount && resolved > scheduleCount)
 }
 
-// Each safeguard is needed: without it the same schedules find a step with two
-// maps, or a group that stands still.
+// With any one safeguard disabled, the same schedules must find a step with two maps or a
+// group that makes no progress; otherwise they would not test that safeguard.
 func TestFaultSchedulesDetectDisabledSafeguards(t *testing.T) {
 	for name, disabled := range map[string]disabledSafeguards{
-		"an armed rank doesn't stop":                   {armedWait: true},
-		"a rank restarts on its own map":               {adoptOnRestart: true},
-		"the decision is told before it is on the log": {coordinator: rollout.DecideWithoutLog},
-		"a restarted rank gets a map while in doubt":   {coordinator: rollout.AdoptUndecided},
-		"agents don't ask for a decision":              {agentResolve: true},
+		"an armed rank does not stop before its step":                {armedWait: true},
+		"a restarted rank keeps its last map":                        {adoptOnRestart: true},
+		"ranks are told to commit before the decision is on the log": {coordinator: rollout.DecideWithoutLog},
+		"a restarted rank gets a map while a switch is undecided":    {coordinator: rollout.AdoptUndecided},
+		"agents do not ask for a decision":                           {agentResolve: true},
 	} {
 		disabled.progressCheck = !disabled.agentResolve
 		seed, failure, _, _, _, _ := runSchedules(scheduleCount, disabled)
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -13,8 +13,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Times of a schedule. Faults end at simHeal; a map asked for then must be in
-// force, and steps must be running, by simHeal+simBound.
+// Times of a schedule. Faults end at simFaultsEnd. By simFaultsEnd+simProgressBound a map
+// requested at that time must be in force, and steps must be running.
 const (
 	simFaultsEnd    = 1200 * time.Millisecond
 	simStepTime     = 8 * time.Millisecond
@@ -25,30 +25,30 @@
 	simArmTimeout   = 200 * time.Millisecond
 	simMaxLead      = 150 * time.Millisecond
 	simIdlePoll     = 100 * time.Millisecond
-	// simBound: the switch in doubt is ready or cancelled, its step comes, and
-	// one more switch is begun, staged, armed and decided.
+	// simProgressBound covers the end of an undecided switch, its armed step, and one
+	// more switch until its decision.
 	simProgressBound = simStageTimeout + simArmTimeout + 4*simMaxLead + 10*simResend
 	simMaxStepGap    = 60 * time.Millisecond
 )
 
-// simLeaders is how many leaders at most believe that they lead.
+// simMaxLeaders is the maximum number of replicas that act as leader at once.
 const simMaxLeaders = 3
 
-// simSwitches turns safeguards off.
+// disabledSafeguards lists the safeguards and checks that a schedule runs without.
 type disabledSafeguards struct {
 	coordinator func(*rollout.Config)
-	// armed lets an armed rank begin its step without the decision.
+	// armedWait: an armed rank waits for the decision before its armed step.
 	armedWait bool
-	// ownMap lets a rank that restarts go on with the map that it last used.
+	// adoptOnRestart: a restarted rank waits for a map instead of using its last one.
 	adoptOnRestart bool
-	// alone keeps agents from asking other replicas for a decision.
+	// agentResolve: agents ask other replicas for the decision of an armed switch.
 	agentResolve bool
-	// safety leaves out the check that the group moves on.
+	// progressCheck: after the faults the group must make progress.
 	progressCheck bool
 }
 
-// sim runs a lock-step group with its agents, leaders and log in virtual time,
-// under a seeded schedule of faults.
+// sim runs a lock-step group with its agents, leaders and log in virtual time under a
+// seeded fault schedule.
 type sim struct {
 	rnd      *rand.Rand
 	now      time.Duration
@@ -62,11 +62,12 @@
 	index   uint64
 	ranks   []*simRank
 	leaders []*simLeader
-	// cutLog says that an agent is cut off from the log; cutRank that a leader
-	// is cut off from an agent.
+	// cutLog holds the ranks whose agents can't reach the log.
 	cutLog      map[int]bool
 	faultsEnded bool
 	noFaults    bool
+	// attempt numbers the attempts to run a step. stepEpochs holds the epochs used by
+	// the ranks that have begun the current one; it is nil between steps.
 	attempt     int
 	stepEpochs  map[int]uint64
 	step        uint64
@@ -77,7 +78,7 @@
 	committedSwitches map[uint64]bool
 	restarts          int
 	agentResolutions  int
-	// lonely says that one rank stays cut off from the leader to the end.
+	// rankStaysCut reports that the leader can't reach one rank until the end.
 	rankStaysCut bool
 	longestWait  time.Duration
 }
@@ -97,11 +98,12 @@
 }
 
 type simLeader struct {
-	id           int
-	token        uint64
-	viewIndex    uint64
-	up           bool
-	cutLog       bool
+	id        int
+	token     uint64
+	viewIndex uint64
+	up        bool
+	cutLog    bool
+	// cutRanks holds the ranks whose agents this leader can't reach.
 	cutRanks     map[int]bool
 	stalledUntil time.Duration
 	coordinator  *rollout.Coordinator
@@ -150,7 +152,8 @@
 	return s
 }
 
-// reported is the step time that a rank reports: right, or far too long.
+// randomStepMicros returns a rank's reported step time: mostly the actual one, sometimes
+// ten times as long.
 func (s *sim) randomStepMicros() uint64 {
 	if s.rnd.IntN(10) == 0 {
 		return uint64(10 * simStepTime.Microseconds())
@@ -169,7 +172,7 @@
 	return lo + time.Duration(s.rnd.Int64N(int64(hi-lo)+1))
 }
 
-// run plays the schedule and returns what went wrong, or "".
+// run runs the schedule and returns the first violation, or "".
 func (s *sim) run() string {
 	s.startLeader()
 	s.startStep()
@@ -195,7 +198,7 @@
 	}
 }
 
-// link carries a message: late, lost, doubled, overtaking.
+// deliver runs send after the delay of a link that may lose, duplicate and reorder.
 func (s *sim) deliver(send func()) {
 	copies := 1
 	if !s.faultsEnded && !s.noFaults {
@@ -215,8 +218,8 @@
 	}
 }
 
-// elect starts a leader with a new token. Earlier ones go on: they may believe
-// for a long time that they lead.
+// startLeader starts a leader with a new token. Earlier leaders keep running, as they may
+// not learn of their successor for a long time.
 func (s *sim) startLeader() {
 	s.index++
 	s.token = s.index
@@ -229,7 +232,7 @@
 		s.disabled.coordinator(&cfg)
 	}
 	l.coordinator = rollout.NewCoordinator(cfg)
-	// A leader's state holds all that was accepted before its own lease.
+	// A leader has applied everything that was accepted before its lease.
 	l.viewIndex = s.index
 	l.coordinator.Applied(s.clock(), s.machine.Get("g"))
 	s.leaders = append(s.leaders, l)
@@ -285,8 +288,8 @@
 	}
 }
 
-// propose carries a command to the log. Any leader that reaches the log is
-// taken: more than consensus allows, so that tokens and decisions must hold.
+// propose sends a command to the log. Every leader that reaches the log may append, which
+// consensus would not allow, so that safety depends on the machine's checks alone.
 func (s *sim) propose(l *simLeader, c *wire.GroupCommand) {
 	s.deliver(func() {
 		if l.cutLog {
@@ -308,7 +311,7 @@
 	})
 }
 
-// learn brings a leader's view of the log forward, never back.
+// updateView advances a leader's view of the log. Older states are ignored.
 func (s *sim) updateView(l *simLeader, index uint64, st *wire.GroupState) {
 	if !l.up || l.cutLog || index <= l.viewIndex || s.now < l.stalledUntil {
 		return
@@ -318,13 +321,13 @@
 	s.runCoordinator(l)
 }
 
-// catchUp is what a replica does when it hears from its log again.
+// pollLog periodically updates a leader's view to the end of the log.
 func (s *sim) pollLog(l *simLeader) {
 	s.updateView(l, s.index, s.machine.Get("g"))
 	s.after(simTick*3, func() { s.pollLog(l) })
 }
 
-// send carries an order over the agent to the engine and the answer back.
+// sendOrder sends an order through the agent to the engine, and the reply back.
 func (s *sim) sendOrder(l *simLeader, o rollout.Outgoing) {
 	r := s.ranks[o.Rank]
 	s.deliver(func() {
@@ -344,8 +347,8 @@
 	})
 }
 
-// resolve is an agent that looks whether its rank waits for a decision, and asks a
-// replica, whose state may be old when the answer comes.
+// resolveDecision periodically lets an agent whose rank waits for a decision ask a replica
+// for it. The state may be stale when the reply arrives.
 func (s *sim) resolveDecision(r *simRank) {
 	s.after(s.randomDuration(simResend, 2*simResend), func() { s.resolveDecision(r) })
 	if !r.agentUp || !r.up || s.cutLog[r.index] || s.disabled.agentResolve {
@@ -402,8 +405,8 @@
 	})
 }
 
-// form lets the group agree on the next step once all ranks are up, hold a map
-// and have ended the last step.
+// startStep starts the next step, on which the group agrees once all ranks are up and hold
+// a map.
 func (s *sim) startStep() {
 	if s.stepEpochs != nil {
 		return
@@ -426,7 +429,7 @@
 	}
 }
 
-// enter lets one rank begin the step, or wait until it may.
+// enterStep lets a rank begin the step, or wait until it may.
 func (s *sim) enterStep(attempt int, r *simRank) {
 	if attempt != s.attempt || s.stepEpochs == nil {
 		return
@@ -468,8 +471,7 @@
 	s.startStep()
 }
 
-// breakStep is what the death of a rank does to the others: the collective
-// breaks, and they wait to form anew.
+// abortStep aborts the step in progress after a rank crashed, and starts it again later.
 func (s *sim) abortStep() {
 	s.attempt++
 	if s.stepEpochs != nil {
@@ -498,7 +500,7 @@
 	}
 }
 
-// fault does one harm and plans the next.
+// injectFault injects a random fault and schedules the next one.
 func (s *sim) injectFault() {
 	if s.faultsEnded {
 		return
@@ -540,7 +542,7 @@
 	}
 }
 
-// heal ends all faults and asks the newest leader for one more map.
+// endFaults ends all faults. Afterwards the newest leader must complete another switch.
 func (s *sim) endFaults() {
 	s.faultsEnded = true
 	s.cutLog = map[int]bool{}
@@ -559,8 +561,8 @@
 	if s.disabled.progressCheck {
 		return
 	}
-	// A leader that stays cut off from one rank can't switch, but steps go on: the
-	// agent learns the end of the switch in doubt from another replica.
+	// A leader that can't reach one rank can't switch, but steps must continue: the
+	// rank's agent learns the decision of an open switch from another replica.
 	if r := s.ranks[s.rnd.IntN(len(s.ranks))]; s.rnd.IntN(3) == 0 && r.up && !r.rank.Blank() {
 		l.cutRanks[r.index] = true
 		s.rankStaysCut = true
@@ -568,10 +570,10 @@
 	committedBefore := len(s.committedSwitches)
 	s.after(simProgressBound-time.Millisecond, func() {
 		if len(s.committedSwitches) == committedBefore && !s.rankStaysCut {
-			s.failf("no switch since the faults ended: %v", s.machine.Get("g").GetSwitch())
+			s.failf("no switch was committed after the faults ended: %v", s.machine.Get("g").GetSwitch())
 		}
 		if s.now-s.lastStepEnd > simMaxStepGap {
-			s.failf("no step since %v", s.lastStepEnd)
+			s.failf("no step was executed since %v", s.lastStepEnd)
 		}
 	})
 }
