--- a/consensus/election.go
+++ b/consensus/election.go
@@ -50,8 +50,9 @@
 //
 // A replica whose folder was restored from an older copy, or lost acknowledged
 // records, could vote twice in a term or elect a leader that lacks accepted entries.
-// Replies from a majority of the voters are enough, so that a replica can start while
-// another one is lost. docs/design/consensus.md names the cases that this misses.
+// The replies of a majority of the voters, itself included, are enough, so that a
+// replica can start while another one is lost. docs/design/consensus.md names the
+// cases that this misses.
 func (n *Node) sendHellos() {
 	n.helloReplies[n.cfg.ID] = true
 	if n.tryVerify() || n.now < n.nextHeartbeat {
@@ -81,10 +82,10 @@
 }
 
 func (n *Node) handleHello(m *wire.RaftMessage) {
-	seen := n.observed[m.From]
+	observed := n.observed[m.From]
 	n.send(&wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_HELLO_REPLY, To: m.From,
-		PrevIndex: seen.index, PrevTerm: seen.term,
+		PrevIndex: observed.index, PrevTerm: observed.term,
 		Snapshot: &wire.LogSnapshot{Index: n.log.configIndex(), Config: n.log.config()},
 	})
 }
@@ -148,8 +149,8 @@
 	if preVote {
 		canVote = m.Term > n.term
 	}
-	withinLease := n.withinLeaderLease() && !m.Transfer
-	grant := canVote && !withinLease && n.upToDate(m)
+	leaseBlocksVote := n.withinLeaderLease() && !m.Transfer
+	grant := canVote && !leaseBlocksVote && n.upToDate(m)
 	reply := &wire.RaftMessage{Kind: kind, To: m.From, Reject: !grant}
 	if grant && preVote {
 		reply.Term = m.Term
--- a/consensus/follower.go
+++ b/consensus/follower.go
@@ -60,8 +60,8 @@
 }
 
 // conflictHint returns the last index that may still match the leader's log. It skips
-// entries of terms above the leader's, so that resolving a conflict takes one round
-// trip per term instead of one per entry.
+// entries of terms above the message's PrevTerm, so that resolving a conflict takes one
+// round trip per term instead of one per entry.
 func (n *Node) conflictHint(m *wire.RaftMessage) uint64 {
 	index := min(m.PrevIndex, n.log.lastIndex())
 	term, ok := n.log.term(index)
@@ -75,7 +75,8 @@
 	return index
 }
 
-// mergeEntries appends a leader's entries and truncates conflicting ones before.
+// mergeEntries appends the entries that the log lacks. It first truncates the log from
+// the first conflicting entry on.
 func (n *Node) mergeEntries(entries []*wire.LogEntry) {
 	for _, e := range entries {
 		if term, ok := n.log.term(e.Index); ok {
--- a/consensus/gap_tracker_test.go
+++ b/consensus/gap_tracker_test.go
@@ -12,32 +12,32 @@
 // After a late append the follower waits longer than the election timeout; while appends
 // are on time it doesn't, so that a lost leader is replaced without extra delay.
 func TestExtraTimeoutFollowsAppendGaps(t *testing.T) {
-	var p gapTracker
+	var g gapTracker
 	now := Time(0)
 	appendOnTime := func(n int) {
 		for range n {
 			now += 100 * time.Millisecond
-			p.recordAppend(now, "a")
+			g.recordAppend(now, "a")
 		}
 	}
 	appendOnTime(50)
-	assert.Equal(t, p.extraTimeout(testElectionTimeout), time.Duration(0))
+	assert.Equal(t, g.extraTimeout(testElectionTimeout), time.Duration(0))
 	now += 350 * time.Millisecond
-	p.recordAppend(now, "a")
+	g.recordAppend(now, "a")
 	appendOnTime(20)
-	assert.Assert(t, testElectionTimeout+p.extraTimeout(testElectionTimeout) > 500*time.Millisecond)
+	assert.Assert(t, testElectionTimeout+g.extraTimeout(testElectionTimeout) > 500*time.Millisecond)
 	appendOnTime(300)
-	assert.Equal(t, p.extraTimeout(testElectionTimeout), time.Duration(0), "appends are on time again")
+	assert.Equal(t, g.extraTimeout(testElectionTimeout), time.Duration(0), "appends are on time again")
 }
 
 // The time without a leader must not count as an append gap of the next leader.
 func TestGapBetweenLeadersIsIgnored(t *testing.T) {
-	var p gapTracker
-	p.recordAppend(0, "a")
-	p.recordAppend(time.Minute, "b")
-	assert.Equal(t, p.extraTimeout(testElectionTimeout), time.Duration(0))
-	p.recordAppend(2*time.Minute, "b")
-	assert.Equal(t, p.extraTimeout(testElectionTimeout), maxExtraTimeouts*testElectionTimeout)
+	var g gapTracker
+	g.recordAppend(0, "a")
+	g.recordAppend(time.Minute, "b")
+	assert.Equal(t, g.extraTimeout(testElectionTimeout), time.Duration(0))
+	g.recordAppend(2*time.Minute, "b")
+	assert.Equal(t, g.extraTimeout(testElectionTimeout), maxExtraTimeouts*testElectionTimeout)
 }
 
 // A leader whose process is paused repeatedly, for longer than its lease but shorter than
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -66,14 +66,14 @@
 }
 
 func (n *Node) tickLeader() {
-	// A leader without acknowledgements from a majority can commit nothing and holds no
-	// lease; stepping down lets clients look for another one. It waits for two election
-	// timeouts, so that a leader whose process was paused for longer than its lease can
-	// receive the replies of its peers and continue in its term.
 	if n.transfer != nil && n.now >= n.transfer.deadline {
 		n.abortTransfer()
 		return
 	}
+	// A leader without acknowledgements from a majority can commit nothing and holds no
+	// lease; stepping down lets clients look for another one. It waits for two election
+	// timeouts, so that a leader whose process was paused for longer than its lease can
+	// receive the replies of its peers and continue in its term.
 	if n.now >= n.leaderSince+2*n.cfg.ElectionTimeout && !n.ackedByQuorumWithin(2*n.cfg.ElectionTimeout) && !n.cfg.disabled.leaseCheck {
 		n.becomeFollower(n.term, "")
 		return
--- a/consensus/property_test.go
+++ b/consensus/property_test.go
@@ -152,7 +152,7 @@
 			return
 		}
 	}
-	s.failf("no leader with a fully committed log after the faults ended")
+	s.failf("replicas did not converge after the faults ended")
 }
 
 func (s *sim) checkAcceptedWrites(l *simReplica) {
--- a/rollout/coordinator_orders.go
+++ b/rollout/coordinator_orders.go
@@ -6,6 +6,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
+// nextOrder returns the order to send to rank i now, or false if none is due.
 func (c *Coordinator) nextOrder(now time.Time, i int) (Outgoing, bool) {
 	r := &c.ranks[i]
 	verb, o := c.orderFor(r)
@@ -73,8 +74,8 @@
 }
 
 // Settle returns the order that tells a rank the outcome of a switch that is still open
-// at the rank, or false if the state contains no outcome. The state may be stale: the
-// outcome of a decided switch doesn't change.
+// at the rank, or false if there is no such switch or the state contains no outcome. The
+// state may be stale: the outcome of a decided switch doesn't change.
 func Settle(state *wire.GroupState, s Status) (verb string, o Order, ok bool) {
 	inForce := state.GetMap().GetEpoch()
 	settled := state.GetSettled()
--- a/rollout/property_test.go
+++ b/rollout/property_test.go
@@ -51,6 +51,7 @@
 		"a restarted rank gets a map while a switch is undecided":    {coordinator: rollout.AdoptUndecided},
 		"agents do not ask for a decision":                           {agentResolve: true},
 	} {
+		// Only the schedules without agentResolve may fail for lack of progress.
 		disabled.progressCheck = !disabled.agentResolve
 		seed, failure, _, _, _, _ := runSchedules(scheduleCount, disabled)
 		t.Logf("%s: seed %d: %s", name, seed, failure)
