--- a/consensus/election.go
+++ b/consensus/election.go
@@ -27,37 +27,39 @@
 	return ids
 }
 
-func (n *Node) onlyVoter() bool {
+func (n *Node) isOnlyVoter() bool {
 	v := n.voters()
 	return len(v) == 1 && v[0] == n.cfg.ID
 }
 
-// quorum says whether a set of voters is a majority.
-func (n *Node) quorum(has func(id string) bool) bool { return majority(n.voters(), has) }
+// hasQuorum reports whether contains holds for a majority of the voters.
+func (n *Node) hasQuorum(contains func(id string) bool) bool { return isMajority(n.voters(), contains) }
 
-func majority(voters []string, has func(id string) bool) bool {
-	yes := 0
+func isMajority(voters []string, contains func(id string) bool) bool {
+	count := 0
 	for _, id := range voters {
-		if has(id) {
-			yes++
+		if contains(id) {
+			count++
 		}
 	}
-	return yes > len(voters)/2
+	return count > len(voters)/2
 }
 
-// sayHello asks the voters what they saw of this replica.
+// sendHellos asks all peers for the log position at which they observed this
+// replica.
 //
-// A folder restored from an older copy, or one that lost acknowledged records,
-// would vote twice in a term or elect a leader without accepted entries. A
-// majority is asked, and not all: a replica must be able to start while another
-// one is lost. What it leaves open stands in docs/design/consensus.md.
-func (n *Node) sayHello() {
-	n.hellos[n.cfg.ID] = true
-	if n.checkVerified() || n.now < n.nextBeat {
+// A replica whose folder was restored from an older copy, or lost acknowledged
+// records, could vote twice in a term or elect a leader that lacks accepted entries.
+// The replies of a majority of the voters, itself included, are enough, so that a
+// replica can start while another one is lost. docs/design/consensus.md names the
+// cases that this misses.
+func (n *Node) sendHellos() {
+	n.helloReplies[n.cfg.ID] = true
+	if n.tryVerify() || n.now < n.nextHeartbeat {
 		return
 	}
-	n.nextBeat = n.now + n.cfg.Heartbeat
-	for _, p := range n.newest.config.Peers {
+	n.nextHeartbeat = n.now + n.cfg.Heartbeat
+	for _, p := range n.latestConfig.config.Peers {
 		if p.Id == n.cfg.ID {
 			continue
 		}
@@ -68,49 +70,50 @@
 	}
 }
 
-func (n *Node) checkVerified() bool {
-	voters := votersOf(n.newest.config)
-	if len(voters) > 0 && !majority(voters, func(id string) bool { return n.hellos[id] }) {
+func (n *Node) tryVerify() bool {
+	voters := votersOf(n.latestConfig.config)
+	if len(voters) > 0 && !isMajority(voters, func(id string) bool { return n.helloReplies[id] }) {
 		return false
 	}
 	n.verified = true
-	n.heard = n.now
-	n.resetDeadline()
+	n.lastLeaderContact = n.now
+	n.resetElectionDeadline()
 	return true
 }
 
-func (n *Node) answerHello(m *wire.RaftMessage) {
-	seen := n.witnessed[m.From]
+func (n *Node) handleHello(m *wire.RaftMessage) {
+	observed := n.observed[m.From]
 	n.send(&wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_HELLO_REPLY, To: m.From,
-		PrevIndex: seen.index, PrevTerm: seen.term,
+		PrevIndex: observed.index, PrevTerm: observed.term,
 		Snapshot: &wire.LogSnapshot{Index: n.log.configIndex(), Config: n.log.config()},
 	})
 }
 
-func (n *Node) takeHello(m *wire.RaftMessage) {
+func (n *Node) handleHelloReply(m *wire.RaftMessage) {
 	if n.verified {
 		return
 	}
-	own := position{n.log.lastTerm(), n.log.lastIndex()}
-	if own.before(position{m.PrevTerm, m.PrevIndex}) {
-		n.failed = merry.Prependf(ErrRolledBack,
-			"%s was seen to hold index %d of term %d, its folder ends at %d of term %d",
-			n.cfg.ID, m.PrevIndex, m.PrevTerm, own.index, own.term)
+	ownLast := position{n.log.lastTerm(), n.log.lastIndex()}
+	if ownLast.before(position{m.PrevTerm, m.PrevIndex}) {
+		n.fatalErr = merry.Prependf(ErrRolledBack,
+			"peers observed %s at index %d of term %d, but its data folder ends at index %d of term %d",
+			n.cfg.ID, m.PrevIndex, m.PrevTerm, ownLast.index, ownLast.term)
 		return
 	}
-	// The membership may have changed while this replica was down; the voters of
-	// its own folder may be gone for good.
-	if s := m.Snapshot; s != nil && s.Config != nil && s.Index > n.newest.index {
-		n.newest = indexedConfig{s.Index, s.Config}
+	// The membership may have changed while this replica was down, and the voters
+	// named in its own folder may no longer exist.
+	if latest := m.Snapshot; latest != nil && latest.Config != nil && latest.Index > n.latestConfig.index {
+		n.latestConfig = indexedConfig{latest.Index, latest.Config}
 	}
-	n.hellos[m.From] = true
-	n.checkVerified()
+	n.helloReplies[m.From] = true
+	n.tryVerify()
 }
 
-// campaign asks for votes, or first whether votes would be granted. Pre-votes
-// keep a replica that can't win from pushing the term up and deposing a leader.
-// transfer says that the leader of this term has given up its lease.
+// campaign requests votes as a Candidate, or pre-votes as a PreCandidate. Pre-votes
+// keep a replica that can't win from raising the term and so deposing a leader.
+// transfer marks the vote requests of a leadership transfer: the leader of this term
+// has released its lease.
 func (n *Node) campaign(role Role, transfer bool) {
 	n.becomeFollower(n.term, "")
 	n.role = role
@@ -136,31 +139,31 @@
 	}
 }
 
-func (n *Node) answerVote(m *wire.RaftMessage) {
-	pre := m.Kind == wire.RaftKind_RAFT_KIND_PRE_VOTE
+func (n *Node) handleVoteRequest(m *wire.RaftMessage) {
+	preVote := m.Kind == wire.RaftKind_RAFT_KIND_PRE_VOTE
 	kind := wire.RaftKind_RAFT_KIND_VOTE_REPLY
-	if pre {
+	if preVote {
 		kind = wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY
 	}
-	free := n.vote == "" || n.vote == m.From
-	if pre {
-		free = m.Term > n.term
+	canVote := n.vote == "" || n.vote == m.From
+	if preVote {
+		canVote = m.Term > n.term
 	}
-	withhold := n.hearsLeader() && !m.Transfer
-	grant := free && !withhold && n.upToDate(m)
+	leaseBlocksVote := n.withinLeaderLease() && !m.Transfer
+	grant := canVote && !leaseBlocksVote && n.upToDate(m)
 	reply := &wire.RaftMessage{Kind: kind, To: m.From, Reject: !grant}
-	if grant && pre {
+	if grant && preVote {
 		reply.Term = m.Term
 	}
-	if grant && !pre {
+	if grant && !preVote {
 		n.vote = m.From
-		n.resetDeadline()
+		n.resetElectionDeadline()
 	}
 	n.send(reply)
 }
 
-// upToDate says whether a candidate's log holds all that this one may have
-// helped to commit.
+// upToDate reports whether a candidate's log is at least as up to date as this one,
+// and so contains every entry that this replica may have helped to commit.
 func (n *Node) upToDate(m *wire.RaftMessage) bool {
 	if m.PrevTerm != n.log.lastTerm() {
 		return m.PrevTerm > n.log.lastTerm()
@@ -168,12 +171,12 @@
 	return m.PrevIndex >= n.log.lastIndex()
 }
 
-func (n *Node) takeVote(m *wire.RaftMessage) {
-	pre := m.Kind == wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY
-	if pre && (n.role != PreCandidate || !m.Reject && m.Term != n.term+1) {
+func (n *Node) handleVoteReply(m *wire.RaftMessage) {
+	preVote := m.Kind == wire.RaftKind_RAFT_KIND_PRE_VOTE_REPLY
+	if preVote && (n.role != PreCandidate || !m.Reject && m.Term != n.term+1) {
 		return
 	}
-	if !pre && n.role != Candidate {
+	if !preVote && n.role != Candidate {
 		return
 	}
 	if !m.Reject {
@@ -182,9 +185,10 @@
 	n.countVotes()
 }
 
-// countVotes moves on when a majority has granted.
+// countVotes proceeds from pre-candidate to candidate, or from candidate to leader,
+// once a majority has granted its vote. It reports whether it did.
 func (n *Node) countVotes() bool {
-	if !n.quorum(func(id string) bool { return n.votes[id] }) {
+	if !n.hasQuorum(func(id string) bool { return n.votes[id] }) {
 		return false
 	}
 	if n.role == PreCandidate {
--- a/consensus/follower.go
+++ b/consensus/follower.go
@@ -2,24 +2,24 @@
 
 import "github.com/snipereach/snipereach/wire"
 
-func (n *Node) follow(m *wire.RaftMessage) {
+func (n *Node) followLeader(m *wire.RaftMessage) {
 	if n.role != Follower {
 		n.becomeFollower(m.Term, m.From)
 	}
 	n.leader = m.From
-	n.heard = n.now
-	n.patience.heard(n.now, m.From)
-	n.resetDeadline()
-	n.deadline += n.patience.extra(n.cfg.ElectionTimeout)
-	n.takeWitness(m.Witness)
+	n.lastLeaderContact = n.now
+	n.leaderGaps.recordAppend(n.now, m.From)
+	n.resetElectionDeadline()
+	n.electionDeadline += n.leaderGaps.extraTimeout(n.cfg.ElectionTimeout)
+	n.mergeObserved(m.Witness)
 }
 
-func (n *Node) takeAppend(m *wire.RaftMessage) {
-	n.follow(m)
-	reply := n.replyTo(m)
+func (n *Node) handleAppend(m *wire.RaftMessage) {
+	n.followLeader(m)
+	reply := n.newAppendReply(m)
 	if m.PrevIndex < n.log.committed {
-		// Committed entries equal the leader's; only what comes after can differ.
-		n.confirm(m)
+		// Committed entries match the leader's; only later ones can differ.
+		n.updateConfirmedAt(m)
 		reply.Index = n.log.committed
 		n.send(reply)
 		return
@@ -30,37 +30,38 @@
 		n.send(reply)
 		return
 	}
-	n.take(m.Entries)
+	n.mergeEntries(m.Entries)
 	last := m.PrevIndex + uint64(len(m.Entries))
 	n.log.commitTo(min(m.Commit, last))
-	n.confirm(m)
+	n.updateConfirmedAt(m)
 	reply.Index = last
 	n.send(reply)
 }
 
-func (n *Node) replyTo(m *wire.RaftMessage) *wire.RaftMessage {
+func (n *Node) newAppendReply(m *wire.RaftMessage) *wire.RaftMessage {
 	return &wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_APPEND_REPLY, To: m.From, Round: m.Round,
-		Boot: n.boot, AskedNs: int64(n.now),
+		Boot: n.bootID, AskedNs: int64(n.now),
 	}
 }
 
-// confirm notes since when this replica's state was current: not since an append
-// came, which may have been long under way, but since this replica sent the
-// reply that the leader had got before it sent the append.
-func (n *Node) confirm(m *wire.RaftMessage) {
-	// The times of an earlier process are of another clock.
-	if m.Boot != n.boot || n.log.committed < m.Commit {
+// updateConfirmedAt records the time as of which this replica's state is current. That
+// is not the arrival of the append, which may have been delayed on the way, but the
+// time at which this replica sent the reply that the append echoes.
+func (n *Node) updateConfirmedAt(m *wire.RaftMessage) {
+	// Times of an earlier process belong to another clock.
+	if m.Boot != n.bootID || n.log.committed < m.Commit {
 		return
 	}
-	n.confirmed = max(n.confirmed, Time(m.AskedNs))
-	if n.cfg.off.echo {
-		n.confirmed = n.now
+	n.confirmedAt = max(n.confirmedAt, Time(m.AskedNs))
+	if n.cfg.disabled.echoedTimes {
+		n.confirmedAt = n.now
 	}
 }
 
-// conflictHint is the last index that may still match: the one before the
-// conflicting term, so that a long conflict takes one round a term, not an entry.
+// conflictHint returns the last index that may still match the leader's log. It skips
+// entries of terms above the message's PrevTerm, so that resolving a conflict takes one
+// round trip per term instead of one per entry.
 func (n *Node) conflictHint(m *wire.RaftMessage) uint64 {
 	index := min(m.PrevIndex, n.log.lastIndex())
 	term, ok := n.log.term(index)
@@ -74,8 +75,9 @@
 	return index
 }
 
-// take appends entries and drops those of ours that conflict.
-func (n *Node) take(entries []*wire.LogEntry) {
+// mergeEntries appends the entries that the log lacks. It first truncates the log from
+// the first conflicting entry on.
+func (n *Node) mergeEntries(entries []*wire.LogEntry) {
 	for _, e := range entries {
 		if term, ok := n.log.term(e.Index); ok {
 			if term == e.Term {
@@ -87,9 +89,9 @@
 	}
 }
 
-func (n *Node) takeSnapshot(m *wire.RaftMessage) {
-	n.follow(m)
-	reply := n.replyTo(m)
+func (n *Node) handleSnapshot(m *wire.RaftMessage) {
+	n.followLeader(m)
+	reply := n.newAppendReply(m)
 	s := m.Snapshot
 	if s == nil || s.Index <= n.log.committed {
 		reply.Index = n.log.committed
@@ -98,7 +100,7 @@
 	}
 	s = cloneSnapshot(s)
 	n.log.restore(s)
-	n.installed = s
+	n.installedSnapshot = s
 	reply.Index = s.Index
 	n.send(reply)
 }
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -9,16 +9,19 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// progress is what a leader knows of one peer.
+// progress is a leader's view of one member's log.
 type progress struct {
+	// match is the highest index known to be durable at the peer; next is the first
+	// one to send.
 	match, next uint64
-	// acked is the latest round that the peer acknowledged.
-	acked uint64
-	// probing peers get appends with a heartbeat only, until one matches.
+	// ackedRound is the latest round that the peer acknowledged.
+	ackedRound uint64
+	// probing restricts appends to heartbeats, until one matches the peer's log.
 	probing bool
-	// snapshotUntil holds appends back while a snapshot is on its way.
-	snapshotUntil Time
-	// boot and askedNs are echoed; see wire.RaftMessage.
+	// snapshotRetryAt is when a snapshot that was sent may be sent again.
+	snapshotRetryAt Time
+	// boot and askedNs come from the peer's last reply and are echoed to it; see
+	// wire.RaftMessage.
 	boot    uint32
 	askedNs int64
 }
@@ -26,28 +29,28 @@
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.cfg.ID
-	n.sinceLead = n.now
+	n.leaderSince = n.now
 	n.votes = nil
 	n.progress = map[string]*progress{}
 	n.sentAt = map[uint64]Time{}
 	n.syncProgress()
-	// Entries of earlier terms are committed only through one of this term
-	// (Raft paper, 5.4.2); it also makes linearizable reads possible.
+	// Entries of earlier terms are committed only through an entry of this term
+	// (Raft paper, 5.4.2). Linearizable reads need one, too.
 	n.appendEntry(wire.EntryType_ENTRY_TYPE_NOOP, nil)
 	n.broadcast()
 }
 
-// syncProgress follows the membership.
+// syncProgress adds and removes peers according to the membership.
 func (n *Node) syncProgress() {
-	live := map[string]bool{}
+	members := map[string]bool{}
 	for _, p := range n.log.config().Peers {
-		live[p.Id] = true
+		members[p.Id] = true
 		if n.progress[p.Id] == nil {
 			n.progress[p.Id] = &progress{next: n.log.lastIndex() + 1, probing: true}
 		}
 	}
 	for id := range n.progress {
-		if !live[id] {
+		if !members[id] {
 			delete(n.progress, id)
 		}
 	}
@@ -63,39 +66,41 @@
 }
 
 func (n *Node) tickLeader() {
-	// A leader that hears no majority can commit nothing and its lease is over; stepping
-	// down lets callers look elsewhere. It waits for as long as a follower does at least
-	// before it campaigns: one whose process stood still for longer than its lease finds
-	// the answers of the others right after it wakes, and goes on in its term.
 	if n.transfer != nil && n.now >= n.transfer.deadline {
-		n.giveUpTransfer()
+		n.abortTransfer()
 		return
 	}
-	if n.now >= n.sinceLead+2*n.cfg.ElectionTimeout && !n.quorumHeardIn(2*n.cfg.ElectionTimeout) && !n.cfg.off.lease {
+	// A leader without acknowledgements from a majority can commit nothing and holds no
+	// lease; stepping down lets clients look for another one. It waits for two election
+	// timeouts, so that a leader whose process was paused for longer than its lease can
+	// receive the replies of its peers and continue in its term.
+	if n.now >= n.leaderSince+2*n.cfg.ElectionTimeout && !n.ackedByQuorumWithin(2*n.cfg.ElectionTimeout) && !n.cfg.disabled.leaseCheck {
 		n.becomeFollower(n.term, "")
 		return
 	}
-	if n.now >= n.nextBeat {
+	if n.now >= n.nextHeartbeat {
 		n.broadcast()
 	}
 }
 
-// broadcast sends each peer what it lacks, or a heartbeat.
+// broadcast starts a round: it sends each peer the entries that it lacks, or a
+// heartbeat without any.
 func (n *Node) broadcast() {
-	n.nextBeat = n.now + n.cfg.Heartbeat
+	n.nextHeartbeat = n.now + n.cfg.Heartbeat
 	n.round++
 	n.sentAt[n.round] = n.now
-	n.forgetRounds()
+	n.pruneRounds()
 	for _, id := range n.peerIDs() {
 		n.sendAppend(id, true)
 	}
-	if n.onlyVoter() {
+	if n.isOnlyVoter() {
 		n.confirmReads()
 	}
-	n.tellTarget()
+	n.sendTimeoutNow()
 }
 
-// peerIDs lists the other peers, sorted, so that a run is repeatable.
+// peerIDs returns the IDs of the other members in sorted order, which keeps
+// simulations deterministic.
 func (n *Node) peerIDs() []string {
 	var ids []string
 	for id := range n.progress {
@@ -107,41 +112,42 @@
 	return ids
 }
 
-const keptRounds = 4096
+// maxTrackedRounds limits the number of rounds whose send time is kept.
+const maxTrackedRounds = 4096
 
-func (n *Node) forgetRounds() {
-	if len(n.sentAt) <= keptRounds {
+func (n *Node) pruneRounds() {
+	if len(n.sentAt) <= maxTrackedRounds {
 		return
 	}
 	for r := range n.sentAt {
-		if r+keptRounds/2 < n.round {
+		if r+maxTrackedRounds/2 < n.round {
 			delete(n.sentAt, r)
 		}
 	}
 }
 
-// sendAppend sends entries from the peer's next index; beat forces a message
-// without any.
-func (n *Node) sendAppend(id string, beat bool) {
+// sendAppend sends entries from the peer's next index on. With heartbeat it sends a
+// message even if there are none.
+func (n *Node) sendAppend(id string, heartbeat bool) {
 	p := n.progress[id]
 	prev := p.next - 1
 	prevTerm, ok := n.log.term(prev)
 	if !ok {
-		n.sendSnapshot(id, p, beat)
+		n.sendSnapshot(id, p, heartbeat)
 		return
 	}
 	var entries []*wire.LogEntry
-	if !p.probing || beat {
+	if !p.probing || heartbeat {
 		entries = n.log.slice(p.next, n.cfg.MaxEntries, n.cfg.MaxBytes)
 	}
-	if len(entries) == 0 && !beat {
+	if len(entries) == 0 && !heartbeat {
 		return
 	}
 	m := &wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_APPEND, To: id, PrevIndex: prev, PrevTerm: prevTerm,
-		Entries: entries, Commit: n.log.committed, Round: n.round, Witness: n.witness(),
+		Entries: entries, Commit: n.log.committed, Round: n.round, Witness: n.observedPositions(),
 	}
-	if n.ready() && n.leaseLive() {
+	if n.committedInTerm() && n.leaseLive() {
 		m.Boot, m.AskedNs = p.boot, p.askedNs
 	}
 	n.sendEarly(m)
@@ -150,17 +156,17 @@
 	}
 }
 
-// sendEarly sends a leader's append. It need not wait for the leader's own
-// sync: the leader counts itself only once its entries are durable.
+// sendEarly sends a leader's message without waiting for its own records to be
+// durable: the leader counts itself towards a quorum only once they are.
 func (n *Node) sendEarly(m *wire.RaftMessage) {
 	m.From = n.cfg.ID
 	m.Term = n.term
-	n.early = append(n.early, m)
+	n.earlyMessages = append(n.earlyMessages, m)
 }
 
-func (n *Node) sendSnapshot(id string, p *progress, beat bool) {
-	if n.now < p.snapshotUntil {
-		if beat {
+func (n *Node) sendSnapshot(id string, p *progress, heartbeat bool) {
+	if n.now < p.snapshotRetryAt {
+		if heartbeat {
 			n.sendEarly(&wire.RaftMessage{
 				Kind: wire.RaftKind_RAFT_KIND_APPEND, To: id, PrevIndex: n.log.snapshot.Index,
 				PrevTerm: n.log.snapshot.Term, Commit: n.log.committed, Round: n.round,
@@ -168,46 +174,46 @@
 		}
 		return
 	}
-	p.snapshotUntil = n.now + 10*n.cfg.Heartbeat
+	p.snapshotRetryAt = n.now + 10*n.cfg.Heartbeat
 	n.sendEarly(&wire.RaftMessage{
 		Kind: wire.RaftKind_RAFT_KIND_SNAPSHOT, To: id, Snapshot: n.log.snapshot,
 		Round: n.round, Commit: n.log.committed,
 	})
 }
 
-func (n *Node) takeAppendReply(m *wire.RaftMessage) {
+func (n *Node) handleAppendReply(m *wire.RaftMessage) {
 	p := n.progress[m.From]
 	if n.role != Leader || p == nil {
 		return
 	}
-	p.acked = max(p.acked, m.Round)
+	p.ackedRound = max(p.ackedRound, m.Round)
 	p.boot, p.askedNs = m.Boot, m.AskedNs
 	n.confirmReads()
 	if m.Reject {
-		// The peer's log differs or is shorter. Its hint is never trusted below
-		// what it has acknowledged.
+		// The peer's log conflicts or is shorter. The hint may come from a delayed
+		// reply, so next stays above what the peer has acknowledged.
 		p.next = max(p.match+1, min(p.next-1, m.Index+1))
 		p.probing = true
 		n.sendAppend(m.From, true)
 		return
 	}
 	p.probing = false
-	p.snapshotUntil = 0
+	p.snapshotRetryAt = 0
 	if m.Index > p.match {
 		p.match = m.Index
-		n.seeMatch(m.From, m.Index)
+		n.observeMatch(m.From, m.Index)
 		n.advanceCommit()
 	}
 	p.next = max(p.next, p.match+1)
-	if !n.yielded {
-		n.tellTarget()
+	if !n.leaseReleased {
+		n.sendTimeoutNow()
 	}
 	if p.next <= n.log.lastIndex() {
 		n.sendAppend(m.From, false)
 	}
 }
 
-// advanceCommit commits what a majority of voters holds durably.
+// advanceCommit commits the entries that are durable at a majority of the voters.
 func (n *Node) advanceCommit() {
 	var matches []uint64
 	for _, id := range n.voters() {
@@ -223,16 +229,17 @@
 	if term, ok := n.log.term(index); !ok || term != n.term || index <= n.log.committed {
 		return
 	}
-	before := n.log.committed
+	prevCommit := n.log.committed
 	n.log.commitTo(index)
 	n.confirmReads()
-	n.afterCommit(before)
+	n.afterCommit(prevCommit)
 }
 
-// afterCommit makes a leader that is no longer a voter step down, and tells the
-// peers of the commit without waiting for the next heartbeat.
-func (n *Node) afterCommit(before uint64) {
-	if ci := n.log.configIndex(); ci > before && ci <= n.log.committed && !n.isVoter(n.cfg.ID) {
+// afterCommit makes a leader step down once a membership in which it is no voter is
+// committed. Otherwise it sends the new commit index to the peers without waiting for
+// the next heartbeat.
+func (n *Node) afterCommit(prevCommit uint64) {
+	if ci := n.log.configIndex(); ci > prevCommit && ci <= n.log.committed && !n.isVoter(n.cfg.ID) {
 		n.becomeFollower(n.term, "")
 		return
 	}
@@ -243,9 +250,10 @@
 	}
 }
 
-// leaseStart is when the latest append left that a majority has acknowledged.
+// leaseStart returns the send time of the latest round that a majority has
+// acknowledged, or false if there is none.
 func (n *Node) leaseStart() (Time, bool) {
-	if n.onlyVoter() {
+	if n.isOnlyVoter() {
 		return n.now, true
 	}
 	var rounds []uint64
@@ -254,7 +262,7 @@
 		case id == n.cfg.ID:
 			rounds = append(rounds, n.round)
 		case n.progress[id] != nil:
-			rounds = append(rounds, n.progress[id].acked)
+			rounds = append(rounds, n.progress[id].ackedRound)
 		default:
 			rounds = append(rounds, 0)
 		}
@@ -264,40 +272,41 @@
 	return at, ok
 }
 
-// leaseLive says whether no other leader can have been elected. A majority
-// grants no vote for ElectionTimeout, by its own clocks, after it heard an
-// append; the lease runs from before that append left, and is shorter by the
-// bound on clock rates.
+// leaseLive reports whether no other leader can have been elected. A majority grants
+// no vote for ElectionTimeout, by its own clocks, after it received an append. The
+// lease runs from the time when that append was sent, and is shorter by the bound on
+// clock rates.
 //
-// A leader that has told another to campaign has no lease any more: the voters
-// are free to grant their votes from that moment.
+// A leader that has sent TimeoutNow has no lease: voters may elect its target at any
+// time from then on.
 func (n *Node) leaseLive() bool {
-	if n.yielded && !n.cfg.off.transfer {
+	if n.leaseReleased && !n.cfg.disabled.leaseRelease {
 		return false
 	}
-	return n.quorumHeard()
+	return n.ackedByQuorumWithinLease()
 }
 
-// quorumHeard says whether a majority acknowledged an append that left within
-// the length of a lease.
-func (n *Node) quorumHeard() bool {
-	return n.quorumHeardIn(time.Duration(float64(n.cfg.ElectionTimeout) / n.cfg.ClockRatio))
+// ackedByQuorumWithinLease reports whether a majority acknowledged a round that was
+// sent within the length of a lease.
+func (n *Node) ackedByQuorumWithinLease() bool {
+	return n.ackedByQuorumWithin(time.Duration(float64(n.cfg.ElectionTimeout) / n.cfg.ClockRatio))
 }
 
-func (n *Node) quorumHeardIn(length time.Duration) bool {
+func (n *Node) ackedByQuorumWithin(length time.Duration) bool {
 	start, ok := n.leaseStart()
 	return ok && n.now < start+length
 }
 
-// ready says whether an entry of this leader's term is committed. Before that, a
-// new leader doesn't know which earlier entries are.
-func (n *Node) ready() bool {
+// committedInTerm reports whether an entry of this leader's term is committed. Before
+// that, a new leader doesn't know which earlier entries are committed.
+func (n *Node) committedInTerm() bool {
 	term, ok := n.log.term(n.log.committed)
 	return ok && term == n.term
 }
 
-// Propose appends a command. It is accepted when the entry of this index and
-// term is in a Ready's Apply.
+// Propose appends a command to the log. The command is accepted once an entry with the
+// returned index and term appears in Ready.Apply. The error is ErrNotLeader,
+// ErrTransferring or ErrTooManyPending.
 func (n *Node) Propose(now Time, data []byte) (index, term uint64, err error) {
 	n.now = max(n.now, now)
 	if n.role != Leader {
@@ -313,7 +322,7 @@
 	return index, n.term, nil
 }
 
-// Flush sends proposals that have been appended since the last one, together.
+// Flush sends the entries that were proposed since the last call, batched per peer.
 func (n *Node) Flush() {
 	if n.role != Leader {
 		return
@@ -323,31 +332,32 @@
 	}
 }
 
-// Read asks for a linearizable read: a ReadState with this ID will come.
+// Read requests a linearizable read; its outcome is a ReadState with this ID in a later
+// Ready. The error is ErrNotLeader or ErrNotReady.
 func (n *Node) Read(now Time, id uint64) error {
 	n.now = max(n.now, now)
 	if n.role != Leader {
 		return ErrNotLeader
 	}
-	if !n.ready() {
+	if !n.committedInTerm() {
 		return ErrNotReady
 	}
-	if n.leaseLive() || n.cfg.off.lease {
+	if n.leaseLive() || n.cfg.disabled.leaseCheck {
 		n.readStates = append(n.readStates, ReadState{ID: id, Index: n.log.committed, OK: true})
 		return nil
 	}
-	n.reads = append(n.reads, pendingRead{id: id, index: n.log.committed, after: n.round + 1})
+	n.reads = append(n.reads, pendingRead{id: id, index: n.log.committed, minRound: n.round + 1})
 	n.broadcast()
 	return nil
 }
 
-// confirmReads answers reads once a majority has acknowledged an append sent
-// after they came: this leader was still the leader then.
+// confirmReads completes the reads for which a majority has acknowledged a round that
+// was sent after the request, which proves that this replica was still the leader.
 func (n *Node) confirmReads() {
 	kept := n.reads[:0]
 	for _, r := range n.reads {
-		ok := n.quorum(func(id string) bool {
-			return id == n.cfg.ID || n.progress[id] != nil && n.progress[id].acked >= r.after
+		ok := n.hasQuorum(func(id string) bool {
+			return id == n.cfg.ID || n.progress[id] != nil && n.progress[id].ackedRound >= r.minRound
 		})
 		if !ok {
 			kept = append(kept, r)
@@ -365,7 +375,7 @@
 	n.reads = nil
 }
 
-// Snapshot bodies must not be shared between replicas of one process.
+// cloneSnapshot copies a snapshot, so that replicas of one process share none.
 func cloneSnapshot(s *wire.LogSnapshot) *wire.LogSnapshot {
 	return proto.Clone(s).(*wire.LogSnapshot)
 }
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -6,17 +6,18 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// raftLog is the log in memory: a snapshot's position, and the entries after.
+// raftLog is the in-memory log: a snapshot and the entries that follow it.
 type raftLog struct {
 	snapshot *wire.LogSnapshot
 	entries  []*wire.LogEntry
 
 	committed uint64
 	applied   uint64
-	// handed was given to the driver to make durable; stable is durable.
-	handed uint64
-	stable uint64
-	// configs holds the membership by the index that set it, oldest first.
+	// handedToDriver is the last index handed to the driver to make durable, and stable
+	// the last one that is durable.
+	handedToDriver uint64
+	stable         uint64
+	// configs holds the memberships with the indexes of their entries, oldest first.
 	configs []indexedConfig
 }
 
@@ -34,15 +35,15 @@
 		committed: s.Index, applied: s.Index,
 		configs: []indexedConfig{{s.Index, s.Config}},
 	}
-	l.handed = l.lastIndex()
-	l.stable = l.handed
+	l.handedToDriver = l.lastIndex()
+	l.stable = l.handedToDriver
 	for _, e := range entries {
-		l.noteConfig(e)
+		l.recordConfig(e)
 	}
 	return l
 }
 
-func (l *raftLog) noteConfig(e *wire.LogEntry) {
+func (l *raftLog) recordConfig(e *wire.LogEntry) {
 	if e.Type != wire.EntryType_ENTRY_TYPE_CONFIG {
 		return
 	}
@@ -52,8 +53,8 @@
 	}
 }
 
-// config is the membership in force: a change holds from the moment it stands
-// in the log, committed or not (Ongaro's thesis, 4.1).
+// config returns the membership in force. A membership takes effect as soon as its
+// entry is in the log, committed or not (Ongaro's thesis, 4.1).
 func (l *raftLog) config() *wire.Configuration { return l.configs[len(l.configs)-1].config }
 
 func (l *raftLog) configIndex() uint64 { return l.configs[len(l.configs)-1].index }
@@ -69,7 +70,8 @@
 	return t
 }
 
-// term returns the term at an index; false if it is compacted or not there.
+// term returns the term of the entry at an index, or false if the entry is compacted or
+// beyond the end of the log.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -80,8 +82,8 @@
 	return l.entries[index-l.firstIndex()].Term, true
 }
 
-// slice returns entries from an index on, within bounds of count and bytes but
-// at least one.
+// slice returns the entries from an index on, limited to maxEntries and maxBytes, but
+// at least one if there is any.
 func (l *raftLog) slice(from uint64, maxEntries, maxBytes int) []*wire.LogEntry {
 	if from > l.lastIndex() {
 		return nil
@@ -99,21 +101,20 @@
 
 func (l *raftLog) append(e *wire.LogEntry) {
 	l.entries = append(l.entries, e)
-	l.noteConfig(e)
+	l.recordConfig(e)
 }
 
-// truncate drops entries from an index on. Committed entries are never dropped:
-// that would take back what was accepted, so it is a fault that must stop the
-// process.
+// truncate drops the entries from an index on. It panics if one of them is committed:
+// dropping it would lose an accepted entry, so the process must stop.
 func (l *raftLog) truncate(from uint64) {
 	if from <= l.committed {
-		panic("consensus: committed entry would change")
+		panic("consensus: attempt to truncate a committed entry")
 	}
 	l.entries = l.entries[: from-l.firstIndex() : from-l.firstIndex()]
 	for len(l.configs) > 1 && l.configs[len(l.configs)-1].index >= from {
 		l.configs = l.configs[:len(l.configs)-1]
 	}
-	l.handed = min(l.handed, from-1)
+	l.handedToDriver = min(l.handedToDriver, from-1)
 	l.stable = min(l.stable, from-1)
 }
 
@@ -121,15 +122,15 @@
 	l.committed = max(l.committed, min(index, l.lastIndex()))
 }
 
-// takeUnstable returns entries that the driver must make durable. A journal
-// reads them as replacing all entries from their first index on.
+// takeUnstable returns the entries that the driver must make durable. They replace all
+// entries from their first index on that were made durable before.
 func (l *raftLog) takeUnstable() []*wire.LogEntry {
-	if l.handed >= l.lastIndex() {
+	if l.handedToDriver >= l.lastIndex() {
 		return nil
 	}
-	out := l.slice(l.handed+1, len(l.entries), int(^uint(0)>>1))
-	l.handed = l.lastIndex()
-	return out
+	unstable := l.slice(l.handedToDriver+1, len(l.entries), int(^uint(0)>>1))
+	l.handedToDriver = l.lastIndex()
+	return unstable
 }
 
 func (l *raftLog) takeCommitted() []*wire.LogEntry {
@@ -150,7 +151,7 @@
 	s := &wire.LogSnapshot{Index: index, Term: term, Config: l.configAt(index), Data: data}
 	l.entries = append([]*wire.LogEntry(nil), l.entries[index+1-l.firstIndex():]...)
 	l.snapshot = s
-	l.dropConfigs()
+	l.compactConfigs()
 	return s
 }
 
@@ -164,7 +165,7 @@
 	return c
 }
 
-func (l *raftLog) dropConfigs() {
+func (l *raftLog) compactConfigs() {
 	kept := []indexedConfig{{l.snapshot.Index, l.snapshot.Config}}
 	for _, ic := range l.configs {
 		if ic.index > l.snapshot.Index {
@@ -174,7 +175,7 @@
 	l.configs = kept
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *raftLog) restore(s *wire.LogSnapshot) {
 	*l = newLog(s, nil)
 }
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -10,11 +10,12 @@
 // Peers returns the membership in force.
 func (n *Node) Peers() []*wire.Peer { return n.log.config().Peers }
 
-// AddLearner takes a replica in; it receives the log and doesn't vote.
+// AddLearner adds a replica that receives the log but doesn't vote. It does nothing if
+// the replica is a member already.
 func (n *Node) AddLearner(now Time, p *wire.Peer) error {
 	learner := proto.Clone(p).(*wire.Peer)
 	learner.Learner = true
-	return n.change(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
+	return n.changeMembership(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
 		for _, old := range peers {
 			if old.Id == p.Id {
 				return peers, nil
@@ -24,15 +25,16 @@
 	})
 }
 
-// Promote makes a learner a voter once it holds all that is committed.
+// Promote makes a learner a voter, or returns ErrNotCaughtUp if it is not known to hold
+// all committed entries.
 //
-// A voter that had not caught up would count towards a majority that holds
-// nothing: a second host lost right after would lose what was accepted.
+// A voter that has not caught up counts towards a majority without holding the log, so
+// that losing a second host right after could lose accepted entries.
 func (n *Node) Promote(now Time, id string) error {
 	if !n.CaughtUp(id) {
 		return merry.Prepend(ErrNotCaughtUp, id)
 	}
-	return n.change(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
+	return n.changeMembership(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
 		for _, p := range peers {
 			if p.Id == id {
 				p.Learner = false
@@ -43,9 +45,9 @@
 	})
 }
 
-// Remove takes a replica out.
+// Remove removes a replica from the membership.
 func (n *Node) Remove(now Time, id string) error {
-	return n.change(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
+	return n.changeMembership(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
 		var kept []*wire.Peer
 		for _, p := range peers {
 			if p.Id != id {
@@ -59,13 +61,15 @@
 	})
 }
 
-// CaughtUp says whether a peer durably holds all that is committed.
+// CaughtUp reports whether a peer durably holds all committed entries. It is false
+// unless this replica is the leader.
 func (n *Node) CaughtUp(id string) bool {
 	p := n.progress[id]
 	return n.role == Leader && p != nil && p.match >= n.log.committed
 }
 
-// Match returns the highest index that a peer is known to hold; leaders only.
+// Match returns the highest index that a peer is known to hold durably, or 0 if this
+// replica is not the leader.
 func (n *Node) Match(id string) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
@@ -73,7 +77,8 @@
 	return 0
 }
 
-// Live says whether a peer acknowledged an append within the election timeout.
+// Live reports whether a peer acknowledged an append that was sent within the election
+// timeout.
 func (n *Node) Live(id string) bool {
 	if id == n.cfg.ID {
 		return true
@@ -82,15 +87,15 @@
 	if p == nil {
 		return false
 	}
-	at, ok := n.sentAt[p.acked]
-	return ok && n.now < at+n.cfg.ElectionTimeout
+	ackedSentAt, ok := n.sentAt[p.ackedRound]
+	return ok && n.now < ackedSentAt+n.cfg.ElectionTimeout
 }
 
-// change appends a membership that differs by one replica. Two majorities that
-// differ by one replica always share one, so no joint phase is needed; the
-// change before must be committed, and so must an entry of this leader's term
-// (Ongaro's correction of 2015).
-func (n *Node) change(now Time, edit func([]*wire.Peer) ([]*wire.Peer, error)) error {
+// changeMembership appends a membership that differs by one replica. Majorities of two
+// such memberships overlap, so no joint consensus is needed. The previous change must
+// be committed, and so must an entry of this leader's term (Ongaro's correction of
+// 2015).
+func (n *Node) changeMembership(now Time, edit func([]*wire.Peer) ([]*wire.Peer, error)) error {
 	n.now = max(n.now, now)
 	if n.role != Leader {
 		return ErrNotLeader
@@ -101,7 +106,7 @@
 	if n.log.configIndex() > n.log.committed {
 		return ErrConfigPending
 	}
-	if !n.ready() {
+	if !n.committedInTerm() {
 		return ErrNotReady
 	}
 	next := proto.Clone(n.log.config()).(*wire.Configuration)
@@ -113,7 +118,7 @@
 	if proto.Equal(next, n.log.config()) {
 		return nil
 	}
-	if err := n.checkQuorumAfter(next); err != nil {
+	if err := n.checkLiveQuorum(next); err != nil {
 		return err
 	}
 	data, err := proto.Marshal(next)
@@ -126,21 +131,21 @@
 	return nil
 }
 
-// checkQuorumAfter refuses a membership whose live voters are no majority: it
-// could never commit itself, nor be undone.
-func (n *Node) checkQuorumAfter(c *wire.Configuration) error {
-	live, all := 0, 0
+// checkLiveQuorum returns ErrLastVoter for a membership whose live voters are no
+// majority: it could be neither committed nor undone.
+func (n *Node) checkLiveQuorum(c *wire.Configuration) error {
+	live, voters := 0, 0
 	for _, p := range c.Peers {
 		if p.Learner {
 			continue
 		}
-		all++
+		voters++
 		if n.Live(p.Id) {
 			live++
 		}
 	}
-	if all == 0 || live <= all/2 {
-		return merry.Prependf(ErrLastVoter, "%d of %d voters would be live", live, all)
+	if voters == 0 || live <= voters/2 {
+		return merry.Prependf(ErrLastVoter, "%d of %d voters would be live", live, voters)
 	}
 	return nil
 }
--- a/rollout/coordinator_orders.go
+++ b/rollout/coordinator_orders.go
@@ -6,43 +6,45 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-func (c *Coordinator) tickRank(now time.Time, i int) (Outgoing, bool) {
+// nextOrder returns the order to send to rank i now, or false if none is due.
+func (c *Coordinator) nextOrder(now time.Time, i int) (Outgoing, bool) {
 	r := &c.ranks[i]
 	verb, o := c.orderFor(r)
-	again := c.again(verb, r)
-	if !r.sentAt.IsZero() && verb == r.verb && o.Epoch == r.epoch && now.Sub(r.sentAt) < again {
+	interval := c.resendInterval(verb, r)
+	if !r.orderSentAt.IsZero() && verb == r.lastVerb && o.Epoch == r.lastEpoch && now.Sub(r.orderSentAt) < interval {
 		return Outgoing{}, false
 	}
-	r.verb, r.epoch, r.sentAt, r.sent = verb, o.Epoch, now, true
+	r.lastVerb, r.lastEpoch, r.orderSentAt, r.awaitingStatus = verb, o.Epoch, now, true
 	o.Group, o.Rank, o.Incarnation = c.cfg.Group, i, r.status.Incarnation
 	return Outgoing{Rank: i, Verb: verb, Order: o}, true
 }
 
-// again is the time after which an order is given once more.
-func (c *Coordinator) again(verb string, r *rankState) time.Duration {
+// resendInterval returns the time after which an unchanged order is sent again.
+func (c *Coordinator) resendInterval(verb string, r *rankState) time.Duration {
 	switch verb {
 	case VerbArm, VerbCommit, VerbAbort, VerbAdopt:
 		return c.cfg.Urgent
 	case VerbStatus:
-		if r.heard && c.quiet(r) {
+		if r.known && c.isIdleRank(r) {
 			return c.cfg.IdlePoll
 		}
 	}
 	return c.cfg.Resend
 }
 
-// quiet says whether nothing is expected to change at a rank.
-func (c *Coordinator) quiet(r *rankState) bool {
+// isIdleRank reports whether a rank's state is not expected to change.
+func (c *Coordinator) isIdleRank(r *rankState) bool {
 	return c.Idle() && !r.status.Blank
 }
 
-// orderFor chooses the order that a rank needs now.
+// orderFor returns the order that a rank needs now. Without a pending change that is a
+// status order.
 func (c *Coordinator) orderFor(r *rankState) (string, Order) {
-	if !r.heard || c.state == nil {
+	if !r.known || c.state == nil {
 		return VerbStatus, Order{}
 	}
 	if r.status.Blank {
-		return c.orderForBlank()
+		return c.orderForRestarted()
 	}
 	if verb, o, ok := Settle(c.state, r.status); ok {
 		return verb, o
@@ -51,30 +53,29 @@
 	switch {
 	case !Undecided(sw):
 	case sw.Phase == wire.SwitchPhase_SWITCH_PHASE_STAGING && r.status.Staged != sw.Map.Epoch && r.status.Loading != sw.Map.Epoch:
-		return VerbStage, Order{Epoch: sw.Map.Epoch, Base: c.state.Map.Epoch, Map: orderMap(sw.Map)}
+		return VerbStage, Order{Epoch: sw.Map.Epoch, Base: c.state.Map.Epoch, Map: toOrderMap(sw.Map)}
 	case sw.Phase == wire.SwitchPhase_SWITCH_PHASE_ARMING && r.status.Armed != sw.Map.Epoch:
 		return VerbArm, Order{Epoch: sw.Map.Epoch, Step: sw.Step}
-	case c.cfg.off.log && c.allArmed():
+	case c.cfg.disabled.commitAfterLog && c.allArmed():
 		return VerbCommit, Order{Epoch: sw.Map.Epoch, Step: sw.Step}
 	}
 	return VerbStatus, Order{}
 }
 
-// orderForBlank gives a restarted rank the map in force. While a switch is
-// undecided it waits: the old life of the rank may have been armed, the decision
-// to switch may be under way, and the map that is in force now would be the
-// wrong one from that step on.
-func (c *Coordinator) orderForBlank() (string, Order) {
-	if Undecided(c.state.Switch) && !c.cfg.off.blank {
+// orderForRestarted gives a restarted rank the map in force. While a switch is undecided
+// the rank gets none: its previous incarnation may have been armed, and if the switch is
+// then committed, the current map would be wrong from the armed step on.
+func (c *Coordinator) orderForRestarted() (string, Order) {
+	if Undecided(c.state.Switch) && !c.cfg.disabled.adoptAfterDecision {
 		return VerbStatus, Order{}
 	}
 	m := c.state.Map
-	return VerbAdopt, Order{Epoch: m.Epoch, Step: m.FromStep, Map: orderMap(m)}
+	return VerbAdopt, Order{Epoch: m.Epoch, Step: m.FromStep, Map: toOrderMap(m)}
 }
 
-// Settle chooses the order that tells a rank the end of a switch that it still has
-// open, if the state says one. The state may be an old one: what it says of a switch
-// that has ended stays true.
+// Settle returns the order that tells a rank the outcome of a switch that is still open
+// at the rank, or false if there is no such switch or the state contains no outcome. The
+// state may be stale: the outcome of a decided switch doesn't change.
 func Settle(state *wire.GroupState, s Status) (verb string, o Order, ok bool) {
 	inForce := state.GetMap().GetEpoch()
 	settled := state.GetSettled()
