--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -16,62 +16,61 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrStart is returned when the daemon can't come up.
+// ErrStart is returned when the daemon can't start.
 var ErrStart = merry.Sentinel("sidecar can't start")
 
-// dialRank bounds the opening of a connection to the rank on the same host.
-const dialRank = 500 * time.Millisecond
+// rankDialTimeout bounds the dialing of the rank on the same host.
+const rankDialTimeout = 500 * time.Millisecond
 
-// orderAnswer is how long the rank on the same host may take to answer an order. It
-// takes a millisecond or two; while others wait in a held group, an answer that was
-// lost must be noticed soon.
-const orderAnswer = 40 * time.Millisecond
+// localOrderTimeout bounds the wait for the answer of the rank on the same host to an order.
+// It is short because all ranks of a paused group wait for a lost answer to be detected.
+const localOrderTimeout = 40 * time.Millisecond
 
-// Settings are those of snipereach-sidecar.
+// Settings are the settings of snipereach-sidecar.
 type Settings struct {
 	ID            string                `toml:"id"`
 	ClusterSecret string                `toml:"cluster_secret"`
 	TLS           transport.TLSSettings `toml:"tls"`
 	// Listen is the drpc address for control replicas.
 	Listen string `toml:"listen"`
-	// Rank is the HTTP address of the rank beside this process.
+	// Rank is the HTTP address of the rank on the same host.
 	Rank string `toml:"rank"`
-	// Dialect names the plug-in that knows the rank's names.
+	// Dialect is the name of the plug-in for the rank's HTTP API.
 	Dialect   string          `toml:"dialect"`
 	StopLimit kernel.Duration `toml:"stop_limit"`
 }
 
-// DefaultSettings returns the defaults.
 func DefaultSettings() *Settings {
 	return &Settings{Listen: "127.0.0.1:0", StopLimit: kernel.Duration(5 * time.Second)}
 }
 
-// Check names the first key that is wrong.
+// Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
-	bad := kernel.BadKey
+	badKey := kernel.BadKey
 	if s.ID == "" {
-		return bad("id", "must not be empty")
+		return badKey("id", "must not be empty")
 	}
 	if s.Dialect == "" {
-		return bad("dialect", "must not be empty")
+		return badKey("dialect", "must not be empty")
 	}
 	return cmp.Or(kernel.CheckAddress("listen", s.Listen), kernel.CheckAddress("rank", s.Rank))
 }
 
-// Daemon passes readings and orders on to the rank beside it, and as a relay to other
-// ranks. It implements kernel.Daemon and keeps no state but the counters that leaders were
-// told last: what may be ordered is decided by who holds the group's fencing token.
+// Daemon forwards reads and orders to the rank on the same host and, as a relay, to the
+// sidecars of other ranks. It implements kernel.Daemon. It doesn't check whether an order
+// is valid: the group's fencing token decides that. It caches the counters last reported
+// to each leader and the latest expert maps.
 type Daemon struct {
 	settings *Settings
 	log      log.Logger
 	srv      *transport.Server
 	pool     *transport.Pool
 	client   *direct.Client
-	lis      net.Listener
+	listener net.Listener
 	cancel   context.CancelFunc
 }
 
-// New makes a daemon from checked settings.
+// New checks the settings and creates a daemon.
 func New(s *Settings, l log.Logger) (*Daemon, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -86,26 +85,26 @@
 	}
 	d := &Daemon{
 		settings: s, log: kernel.PartLog(l, "sidecar"), srv: transport.NewServer(sec), pool: transport.NewPool(sec),
-		client: direct.NewClient(transport.NewDialer(dialRank).DialContext),
+		client: direct.NewClient(transport.NewDialer(rankDialTimeout).DialContext),
 	}
-	rank := NewRank(d.client, dia, s.Rank, orderAnswer)
+	rank := NewRank(d.client, dia, s.Rank, localOrderTimeout)
 	return d, wire.DRPCRegisterSidecar(d.srv.Mux, NewService(rank, s.Listen, d.pool))
 }
 
 // Start implements kernel.Daemon.
 func (d *Daemon) Start(ctx context.Context) error {
 	ctx, d.cancel = context.WithCancel(ctx)
-	lis, err := transport.Listen(ctx, d.settings.Listen)
+	listener, err := transport.Listen(ctx, d.settings.Listen)
 	if err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
-	d.lis = lis
-	go d.srv.Serve(ctx, lis)
-	kernel.Info(d.log, "Started.", "id", d.settings.ID, "addr", lis.Addr(), "rank", d.settings.Rank, "version", kernel.Version)
+	d.listener = listener
+	go d.srv.Serve(ctx, listener)
+	kernel.Info(d.log, "Started.", "id", d.settings.ID, "addr", listener.Addr(), "rank", d.settings.Rank, "version", kernel.Version)
 	return nil
 }
 
-// Drain implements kernel.Daemon: nothing is in progress for longer than a call.
+// Drain implements kernel.Daemon. There is nothing to wait for but single calls.
 func (d *Daemon) Drain(context.Context) error { return nil }
 
 // Stop implements kernel.Daemon.
@@ -113,8 +112,8 @@
 	if d.cancel != nil {
 		d.cancel()
 	}
-	if d.lis != nil {
-		_ = d.lis.Close()
+	if d.listener != nil {
+		_ = d.listener.Close()
 	}
 	d.srv.Close()
 	d.pool.Close()
--- a/sidecar/rank.go
+++ b/sidecar/rank.go
@@ -1,5 +1,5 @@
-// Package sidecar reads and orders a rank of a group in lock-step, by HTTP: from
-// the process beside the rank, where that is free and fresh, or from another host.
+// Package sidecar implements the daemon beside each rank of a lock-step group. It reads
+// the rank's state and gives it orders over HTTP, and relays such calls to other sidecars.
 package sidecar
 
 import (
@@ -22,47 +22,48 @@
 // ErrRead is returned when a rank's state can't be read.
 var ErrRead = merry.Sentinel("rank can't be read")
 
-// awaitPoll is the time between two looks at a rank that copies: a tenth of the time
-// that a copy takes, for a look that costs the process beside it 0.1 ms.
-const awaitPoll = 15 * time.Millisecond
+// awaitPollInterval is the time between two reads of a rank that is preparing a version.
+// It is short compared with the time that a copy of experts takes.
+const awaitPollInterval = 15 * time.Millisecond
 
-// maxReading bounds one answer of a rank: a hundred thousand numbers.
-const maxReading = 4 << 20
+// maxResponseBody bounds the body of one response of a rank, in bytes.
+const maxResponseBody = 4 << 20
 
-// Rank is a rank at an HTTP address.
+// Rank is a client of the rank at an HTTP address.
 type Rank struct {
 	client  *direct.Client
 	dialect dialect.Ranks
 	addr    string
-	// answer is how long an order's answer is waited for before the rank is asked
-	// for its state instead.
-	answer time.Duration
-	// choices are told to leaders as what has been added.
-	choices lockstep.Choices
-	maps    knownMaps
+	// orderTimeout bounds the wait for the answer to an order. After it, the order's
+	// status is unknown.
+	orderTimeout time.Duration
+	// choices computes the increments of the rank's counters for each leader.
+	choices    lockstep.Choices
+	recentMaps recentMaps
 }
 
-// NewRank makes a rank that is called through a client. Its orders are answered, or
-// known to have no answer, within a time.
-func NewRank(client *direct.Client, d dialect.Ranks, addr string, answer time.Duration) *Rank {
-	return &Rank{client: client, dialect: d, addr: addr, answer: answer}
+// NewRank creates a Rank that calls addr through a client. An order without an answer
+// within orderTimeout has an unknown status.
+func NewRank(client *direct.Client, d dialect.Ranks, addr string, orderTimeout time.Duration) *Rank {
+	return &Rank{client: client, dialect: d, addr: addr, orderTimeout: orderTimeout}
 }
 
-// Read returns the rank's state, once the rank has prepared what the request awaits.
+// Read returns the rank's state. If the request awaits a version, Read waits until the
+// rank has prepared it, at most for the request's AwaitMs.
 func (r *Rank) Read(ctx context.Context, req *wire.ReadRankRequest) (*wire.RankReading, error) {
 	calls := r.dialect.RankCalls()
 	out := &wire.RankReading{}
 	var err error
-	if out.Report, out.WaitedMs, err = r.await(ctx, req); err != nil {
+	if out.Report, out.WaitedMs, err = r.awaitPrepared(ctx, req); err != nil {
 		return nil, err
 	}
 	if req.Counts {
-		_, err = get(ctx, r, calls.Counts, req.Instance, func(body []byte) (none struct{}, err error) {
+		_, err = get(ctx, r, calls.Counts, req.Instance, func(body []byte) (zero struct{}, err error) {
 			var counts []uint64
 			if out.Epoch, counts, err = r.dialect.DecodeCounts(body); err == nil {
 				out.Chosen = lockstep.PackChoices(r.choices.Since(req.Reader, out.Report.Incarnation, counts))
 			}
-			return none, err
+			return zero, err
 		})
 		if err != nil {
 			return nil, err
@@ -76,13 +77,14 @@
 	return out, nil
 }
 
-// await reads the rank's report, again and again while it has not prepared the version
-// that the request awaits. waitedMs is when it read the one that it returns.
-func (r *Rank) await(ctx context.Context, req *wire.ReadRankRequest) (report *wire.RankReport, waitedMs uint32, err error) {
-	came := time.Now()
+// awaitPrepared reads the rank's report until the rank has prepared the version that the
+// request awaits or the wait ends. waitedMs is the time from the start to the read of the
+// returned report.
+func (r *Rank) awaitPrepared(ctx context.Context, req *wire.ReadRankRequest) (report *wire.RankReport, waitedMs uint32, err error) {
+	start := time.Now()
 	limit := time.Duration(req.AwaitMs) * time.Millisecond
 	for {
-		waited := time.Since(came)
+		waited := time.Since(start)
 		report, err = get(ctx, r, r.dialect.RankCalls().Report, req.Instance, r.dialect.DecodeReport)
 		if err != nil || req.AwaitPrepared == 0 || report.Prepared == req.AwaitPrepared || waited >= limit {
 			return report, uint32(waited.Milliseconds()), err
@@ -90,23 +92,25 @@
 		select {
 		case <-ctx.Done():
 			return report, uint32(waited.Milliseconds()), nil
-		case <-time.After(awaitPoll):
+		case <-time.After(awaitPollInterval):
 		}
 	}
 }
 
-// Order gives an order. Its status is unknown if the answer doesn't come.
+// Order sends an order to the rank and reads the rank's state after it. The status is
+// unknown if the rank's answer is missing, and NO_BASE if the order's map is a difference
+// to a map that isn't known here.
 func (r *Rank) Order(ctx context.Context, o *wire.RankOrder) (*wire.RankOrderReply, error) {
 	reply := &wire.RankOrderReply{}
-	experts, err := lockstep.DecodeMap(o.Map, r.maps.get)
+	experts, err := lockstep.DecodeMap(o.Map, r.recentMaps.get)
 	switch {
 	case errors.Is(err, lockstep.ErrNoBase):
 		reply.Status = wire.RankOrderStatus_RANK_ORDER_STATUS_NO_BASE
 	case err != nil:
 		return nil, err
 	default:
-		r.maps.keep(o.Version, experts)
-		reply.Status = r.give(ctx, o, experts)
+		r.recentMaps.add(o.Version, experts)
+		reply.Status = r.sendOrder(ctx, o, experts)
 	}
 	after, err := r.Read(ctx, &wire.ReadRankRequest{Instance: o.Instance})
 	if err == nil {
@@ -115,9 +119,9 @@
 	return reply, nil
 }
 
-// give sends an order to the rank; its status is unknown if no answer comes.
-func (r *Rank) give(ctx context.Context, o *wire.RankOrder, experts lockstep.Map) wire.RankOrderStatus {
-	ctx, cancel := context.WithTimeout(ctx, r.answer)
+// sendOrder sends an order to the rank. It returns the status UNKNOWN if the call fails.
+func (r *Rank) sendOrder(ctx context.Context, o *wire.RankOrder, experts lockstep.Map) wire.RankOrderStatus {
+	ctx, cancel := context.WithTimeout(ctx, r.orderTimeout)
 	defer cancel()
 	status, _, err := r.call(ctx, r.dialect.RankCalls().Order, o.Instance, r.dialect.EncodeOrder(o, experts))
 	if err != nil {
@@ -126,13 +130,13 @@
 	return r.dialect.OrderStatus(status)
 }
 
-// mostMaps is how many maps are kept: the one in force, one that is prepared, and those of a
-// switch or two that were given up.
-const mostMaps = 4
+// maxRecentMaps allows for the map in force, a prepared one, and those of two aborted
+// switches.
+const maxRecentMaps = 4
 
-// knownMaps are the latest maps that orders to this rank carried. A version has one content:
-// versions begin with the fencing token of the leader that made them.
-type knownMaps struct {
+// recentMaps holds the latest expert maps of orders to this rank. A version identifies its
+// content, because versions begin with the fencing token of the leader that created them.
+type recentMaps struct {
 	mu   sync.Mutex
 	list []versionedMap
 }
@@ -142,7 +146,7 @@
 	experts lockstep.Map
 }
 
-func (k *knownMaps) get(version uint64) lockstep.Map {
+func (k *recentMaps) get(version uint64) lockstep.Map {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, m := range k.list {
@@ -153,7 +157,7 @@
 	return nil
 }
 
-func (k *knownMaps) keep(version uint64, experts lockstep.Map) {
+func (k *recentMaps) add(version uint64, experts lockstep.Map) {
 	if experts == nil {
 		return
 	}
@@ -161,19 +165,19 @@
 	defer k.mu.Unlock()
 	k.list = slices.DeleteFunc(k.list, func(m versionedMap) bool { return m.version == version })
 	k.list = append(k.list, versionedMap{version, experts})
-	if len(k.list) > mostMaps {
+	if len(k.list) > maxRecentMaps {
 		k.list = slices.Delete(k.list, 0, 1)
 	}
 }
 
 func get[T any](ctx context.Context, r *Rank, c dialect.Call, instance string, decode func([]byte) (T, error)) (T, error) {
-	var none T
+	var zero T
 	status, body, err := r.call(ctx, c, instance, nil)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
 	if status != http.StatusOK {
-		return none, merry.Prependf(ErrRead, "status %d", status)
+		return zero, merry.Prependf(ErrRead, "status %d", status)
 	}
 	return decode(body)
 }
@@ -190,7 +194,7 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReading))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody))
 	if err != nil {
 		return 0, nil, merry.Prepend(ErrRead, err.Error())
 	}
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -12,38 +12,41 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Bounds of what one call may ask of a relay. A leader asks for the root of its ranks.
+// Bounds of one relayed call. A leader asks each relay for about the square root of the
+// number of its ranks.
 const (
-	maxRelayed = 128
-	maxLimit   = 5 * time.Second
+	maxRanksPerCall = 128
+	maxCallTimeout  = 5 * time.Second
 )
 
-// ErrRelay is returned for a call that a relay doesn't take.
-var ErrRelay = merry.Sentinel("relay doesn't take the call")
+// ErrRelay is returned for an invalid call to a relay.
+var ErrRelay = merry.Sentinel("invalid relay call")
 
-// Service answers the leaders of groups: for the rank beside it, and as a relay for
-// others. As a relay it keeps nothing, and tells of each rank whether it has answered.
+// Service implements the Sidecar RPC service for the leaders of groups, both for the rank
+// on the same host and as a relay for other ranks. A relay is stateless. Its replies leave
+// the element of a rank that hasn't answered empty.
 type Service struct {
 	*Rank
-	// own is the address that this process listens at.
-	own  string
-	pool *transport.Pool
+	// ownAddress is the address that this process listens at.
+	ownAddress string
+	pool       *transport.Pool
 }
 
-// NewService makes a service over the rank beside a process that listens at own.
-func NewService(r *Rank, own string, pool *transport.Pool) *Service {
-	return &Service{Rank: r, own: own, pool: pool}
+// NewService creates the service of a process that listens at ownAddress.
+func NewService(r *Rank, ownAddress string, pool *transport.Pool) *Service {
+	return &Service{Rank: r, ownAddress: ownAddress, pool: pool}
 }
 
-// at is the service beside a rank: this one, or one that is called.
-func (s *Service) at(ctx context.Context, sidecar string) rankCalls {
-	if sidecar == s.own {
+// rankAt returns the rank of the sidecar at an address, either the local one or an RPC
+// client.
+func (s *Service) rankAt(ctx context.Context, sidecar string) rankCalls {
+	if sidecar == s.ownAddress {
 		return s.Rank
 	}
 	return wire.NewDRPCSidecarClient(s.pool.Conn(ctx, sidecar))
 }
 
-// rankCalls is what a Rank and a client of a Service have in common.
+// rankCalls is implemented by Rank and by the RPC client of a Service.
 type rankCalls interface {
 	Read(context.Context, *wire.ReadRankRequest) (*wire.RankReading, error)
 	Order(context.Context, *wire.RankOrder) (*wire.RankOrderReply, error)
@@ -51,22 +54,22 @@
 
 // ReadRanks implements the Sidecar service.
 func (s *Service) ReadRanks(ctx context.Context, req *wire.ReadRanksRequest) (*wire.ReadRanksReply, error) {
-	ctx, cancel, err := bounded(ctx, len(req.Ranks), req.LimitMs)
+	ctx, cancel, err := withCallLimits(ctx, len(req.Ranks), req.LimitMs)
 	if err != nil {
 		return nil, err
 	}
 	defer cancel()
-	got := each(ctx, len(req.Ranks), func(i int) (*wire.RankReading, error) {
+	answers := gather(ctx, len(req.Ranks), func(i int) (*wire.RankReading, error) {
 		place := req.Ranks[i]
 		read := &wire.ReadRankRequest{
 			Instance: place.Instance, Counts: req.Read.GetCounts(), HeldExperts: req.Read.GetHeldExperts(),
 			AwaitPrepared: req.Read.GetAwaitPrepared(), AwaitMs: req.Read.GetAwaitMs(), Reader: req.Read.GetReader(),
 		}
-		return s.at(ctx, place.Sidecar).Read(ctx, read)
+		return s.rankAt(ctx, place.Sidecar).Read(ctx, read)
 	})
 	reply := &wire.ReadRanksReply{}
 	var sum []uint32
-	for _, a := range got {
+	for _, a := range answers {
 		reading := a.value
 		if reading == nil {
 			reading = &wire.RankReading{}
@@ -85,28 +88,29 @@
 
 // OrderRanks implements the Sidecar service.
 func (s *Service) OrderRanks(ctx context.Context, req *wire.OrderRanksRequest) (*wire.OrderRanksReply, error) {
-	ctx, cancel, err := bounded(ctx, len(req.Orders), req.LimitMs)
+	ctx, cancel, err := withCallLimits(ctx, len(req.Orders), req.LimitMs)
 	if err != nil {
 		return nil, err
 	}
 	defer cancel()
-	got := each(ctx, len(req.Orders), func(i int) (*wire.RankOrderReply, error) {
+	answers := gather(ctx, len(req.Orders), func(i int) (*wire.RankOrderReply, error) {
 		order := req.Orders[i].GetOrder()
 		if order == nil {
-			return nil, merry.Prepend(ErrRelay, "an order is missing")
+			return nil, merry.Prepend(ErrRelay, "order is missing")
 		}
 		order.Map = req.Map
-		return s.at(ctx, req.Orders[i].Sidecar).Order(ctx, order)
+		return s.rankAt(ctx, req.Orders[i].Sidecar).Order(ctx, order)
 	})
 	reply := &wire.OrderRanksReply{}
-	for _, a := range got {
+	for _, a := range answers {
 		one := a.value
 		if one == nil {
 			one = &wire.RankOrderReply{}
 		}
 		if one.After != nil {
-			// It has waited here for the others. Taken for as fresh as the reply, a state
-			// from before a later order would undo what that order's answer says.
+			// Add the time that the state waited for the answers of other ranks.
+			// Otherwise a state from before a later order would look newer than that
+			// order's answer.
 			one.After.AgeMs += uint32(time.Since(a.at)/time.Millisecond) + 1
 		}
 		reply.Replies = append(reply.Replies, one)
@@ -114,44 +118,45 @@
 	return reply, nil
 }
 
-func bounded(ctx context.Context, ranks int, limitMS uint32) (context.Context, context.CancelFunc, error) {
-	if ranks > maxRelayed {
+func withCallLimits(ctx context.Context, ranks int, limitMS uint32) (context.Context, context.CancelFunc, error) {
+	if ranks > maxRanksPerCall {
 		return nil, nil, merry.Prependf(ErrRelay, "%d ranks in one call", ranks)
 	}
-	limit := min(time.Duration(limitMS)*time.Millisecond, maxLimit)
+	limit := min(time.Duration(limitMS)*time.Millisecond, maxCallTimeout)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	return ctx, cancel, nil
 }
 
-// answered is what one rank answered, and when.
-type answered[T any] struct {
+// timedAnswer is the answer of one rank and the time of its arrival.
+type timedAnswer[T any] struct {
 	value T
 	at    time.Time
 }
 
-// each calls f for each of n ranks at once and returns what came before ctx ends. A rank
-// that doesn't answer doesn't hold up what the others said: calls that go on are left.
-func each[T any](ctx context.Context, n int, f func(int) (T, error)) []answered[T] {
+// gather calls f concurrently for each of n ranks and returns the answers that arrive
+// before ctx is done. It doesn't wait for calls that are still running then; missing
+// answers are zero.
+func gather[T any](ctx context.Context, n int, f func(int) (T, error)) []timedAnswer[T] {
 	var mu sync.Mutex
-	got := make([]answered[T], n)
-	var left sync.WaitGroup
-	left.Add(n)
+	answers := make([]timedAnswer[T], n)
+	var pending sync.WaitGroup
+	pending.Add(n)
 	for i := range n {
 		go func() {
-			defer left.Done()
+			defer pending.Done()
 			v, err := f(i)
 			if err != nil {
-				// The leader is told by the missing answer, and logs it.
+				// The leader logs the missing answer.
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			got[i] = answered[T]{v, time.Now()}
+			answers[i] = timedAnswer[T]{v, time.Now()}
 		}()
 	}
 	all := make(chan struct{})
 	go func() {
-		left.Wait()
+		pending.Wait()
 		close(all)
 	}()
 	select {
@@ -160,5 +165,5 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	return append([]answered[T](nil), got...)
+	return append([]timedAnswer[T](nil), answers...)
 }
