--- a/entry/agentwatch.go
+++ b/entry/agentwatch.go
@@ -12,101 +12,104 @@
 )
 
 const (
-	// reportInterval is the shortest time between two reports of an upstream.
-	reportInterval = 500 * time.Millisecond
-	// minKeepAlive and maxKeepAlive bound the longest time between two, and
-	// keepAlivePerWatch makes it grow with the upstreams watched: keep-alives are
-	// 13 a second at most, until it is half a minute. Load comes back on every
-	// answer too, and that an upstream lives is known from the directory.
+	// minReportInterval is the shortest time between two reports of an upstream.
+	minReportInterval = 500 * time.Millisecond
+	// minKeepAlive and maxKeepAlive bound the longest time between two reports, and
+	// keepAlivePerWatch makes it grow with the number of watches. This limits
+	// keep-alives to about 13 a second until the interval reaches maxKeepAlive. Longer
+	// intervals are safe: load is also part of every answer, and liveness is known
+	// from the directory.
 	minKeepAlive      = 5 * time.Second
 	maxKeepAlive      = 30 * time.Second
 	keepAlivePerWatch = 80 * time.Millisecond
-	// silentKeepAlives is after how many keep-alives a watch that says nothing is
-	// opened again: a connection that a host or a firewall forgot breaks for nobody.
-	silentKeepAlives = 3
-	rewatchDelay     = 500 * time.Millisecond
-	// askTimeout bounds one ask; the directory itself waits for less.
-	askTimeout = 5 * time.Second
+	// maxMissedKeepAlives is the number of missed keep-alives after which a watch is
+	// opened again: a host or firewall may drop a connection's state without closing
+	// the connection.
+	maxMissedKeepAlives = 3
+	watchRetryDelay     = 500 * time.Millisecond
+	// reportRequestTimeout bounds one request for a report; the directory waits less.
+	reportRequestTimeout = 5 * time.Second
 )
 
-// watches keeps one report stream open to each upstream's agent.
-type watches struct {
+// agentWatches keeps one report stream open to the agent of each upstream that requests
+// are routed to.
+type agentWatches struct {
 	entry *Entry
 	mu    sync.Mutex
 	ctx   context.Context
-	byID  map[string]*openWatch
+	byID  map[string]*agentWatch
 }
 
-type openWatch struct {
+type agentWatch struct {
 	incarnation uint64
 	address     string
-	// cache says that the stream brings cache events.
-	cache  bool
-	cancel context.CancelFunc
-	// load is the last report's.
+	// cacheEvents is true if the stream includes cache events.
+	cacheEvents bool
+	cancel      context.CancelFunc
+	// load is the load in the last report.
 	load atomic.Pointer[wire.Load]
 }
 
-func newWatches(e *Entry) *watches {
-	return &watches{entry: e, byID: map[string]*openWatch{}}
+func newAgentWatches(e *Entry) *agentWatches {
+	return &agentWatches{entry: e, byID: map[string]*agentWatch{}}
 }
 
-func (w *watches) start(ctx context.Context) {
+func (w *agentWatches) start(ctx context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ctx = ctx
 }
 
-// watched says of each upstream that requests are routed to whether its cache
-// events are of use.
-type watched map[string]bool
+// routedUpstreams holds the IDs of upstreams that requests are routed to. The value is
+// true if a routing plug-in uses the upstream's cache events.
+type routedUpstreams map[string]bool
 
-// add notes that a pool's requests are routed to an upstream.
-func (w watched) add(id string, p *table.Pool) { w[id] = w[id] || !ignoresCache[p.Route] }
+// add records that a pool's requests are routed to an upstream.
+func (w routedUpstreams) add(id string, p *table.Pool) { w[id] = w[id] || !ignoresCacheEvents[p.Route] }
 
-// ignoresCache names the routing plug-ins that make nothing of cache events. For
-// the others, also one that an embedder brings, they are asked for. An agent asks
-// its engine for events once for each stream and interval: at the target that
-// would be hundreds of calls a second for nothing.
-var ignoresCache = map[string]bool{"least-loaded": true, "round-robin": true}
+// ignoresCacheEvents holds the routing plug-ins that don't use cache events. For all other
+// plug-ins, those of embedding programs included, cache events are requested. An agent
+// polls its engine for them once per stream and interval, so streams that don't need them
+// must not request them.
+var ignoresCacheEvents = map[string]bool{"least-loaded": true, "round-robin": true}
 
-// update opens a stream to each instance that requests are routed to and closes
-// those to others. One that is leaving is followed to its end.
-func (w *watches) update(insts []*directory.Instance, routed watched) {
+// update opens a stream to each instance that requests are routed to and closes the
+// others. An existing stream to a draining instance stays open.
+func (w *agentWatches) update(instances []*directory.Instance, routed routedUpstreams) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ctx == nil || w.ctx.Err() != nil {
 		return
 	}
-	live := map[string]bool{}
-	for _, i := range insts {
+	wanted := map[string]bool{}
+	for _, i := range instances {
 		old := w.byID[i.Id]
-		cache, used := routed[i.Id]
+		cacheEvents, used := routed[i.Id]
 		if !used && (old == nil || i.Phase != wire.Phase_PHASE_LEAVING) {
 			continue
 		}
-		live[i.Id] = true
-		if old != nil && old.incarnation == i.Incarnation && old.address == i.Address && (!used || old.cache == cache) {
+		wanted[i.Id] = true
+		if old != nil && old.incarnation == i.Incarnation && old.address == i.Address && (!used || old.cacheEvents == cacheEvents) {
 			continue
 		}
 		if old != nil {
 			old.cancel()
 		}
 		ctx, cancel := context.WithCancel(w.ctx)
-		o := &openWatch{incarnation: i.Incarnation, address: i.Address, cache: cache, cancel: cancel}
+		o := &agentWatch{incarnation: i.Incarnation, address: i.Address, cacheEvents: cacheEvents, cancel: cancel}
 		w.byID[i.Id] = o
 		go w.follow(ctx, o)
 	}
 	for id, old := range w.byID {
-		if !live[id] {
+		if !wanted[id] {
 			old.cancel()
 			delete(w.byID, id)
 		}
 	}
 }
 
-// load returns the last load that an instance reported, or announced.
-func (w *watches) load(i *directory.Instance) *wire.Load {
+// load returns the load that an instance last reported, else the load it announced.
+func (w *agentWatches) load(i *directory.Instance) *wire.Load {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if o := w.byID[i.Id]; o != nil && o.incarnation == i.Incarnation && o.load.Load() != nil {
@@ -115,23 +118,23 @@
 	return i.Load
 }
 
-func (w *watches) follow(ctx context.Context, o *openWatch) {
+func (w *agentWatches) follow(ctx context.Context, o *agentWatch) {
 	for ctx.Err() == nil {
-		w.once(ctx, o)
+		w.watchOnce(ctx, o)
 		select {
 		case <-ctx.Done():
-		case <-time.After(rewatchDelay):
+		case <-time.After(watchRetryDelay):
 		}
 	}
 }
 
-func (w *watches) once(ctx context.Context, o *openWatch) {
+func (w *agentWatches) watchOnce(ctx context.Context, o *agentWatch) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	keepAlive := w.keepAlive()
-	silence := time.AfterFunc(silentKeepAlives*keepAlive, cancel)
-	defer silence.Stop()
-	stream, err := w.open(ctx, o, keepAlive, o.cache)
+	silenceTimer := time.AfterFunc(maxMissedKeepAlives*keepAlive, cancel)
+	defer silenceTimer.Stop()
+	stream, err := w.openStream(ctx, o, keepAlive, o.cacheEvents)
 	if err != nil {
 		return
 	}
@@ -141,56 +144,55 @@
 		if err != nil {
 			return
 		}
-		silence.Reset(silentKeepAlives * keepAlive)
-		w.take(o, r)
+		silenceTimer.Reset(maxMissedKeepAlives * keepAlive)
+		w.handleReport(o, r)
 	}
 }
 
-// keepAlive is the longest time between two reports that a stream opened now asks
-// for.
-func (w *watches) keepAlive() time.Duration {
+// keepAlive returns the longest time between two reports to request for a new stream.
+func (w *agentWatches) keepAlive() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return min(max(time.Duration(len(w.byID))*keepAlivePerWatch, minKeepAlive), maxKeepAlive)
 }
 
-func (w *watches) open(ctx context.Context, o *openWatch, keepAlive time.Duration, cache bool) (wire.DRPCAgent_WatchClient, error) {
+func (w *agentWatches) openStream(ctx context.Context, o *agentWatch, keepAlive time.Duration, cacheEvents bool) (wire.DRPCAgent_WatchClient, error) {
 	return wire.NewDRPCAgentClient(w.entry.pool.Conn(ctx, o.address)).Watch(ctx, &wire.WatchRequest{
 		Entry:         w.entry.settings.ID,
-		IntervalMs:    uint32(reportInterval.Milliseconds()),
+		IntervalMs:    uint32(minReportInterval.Milliseconds()),
 		KeepAliveMs:   uint32(keepAlive.Milliseconds()),
-		NoCacheEvents: !cache,
+		NoCacheEvents: !cacheEvents,
 	})
 }
 
-func (w *watches) take(o *openWatch, r *wire.Report) {
+func (w *agentWatches) handleReport(o *agentWatch, r *wire.Report) {
 	w.entry.node.Heard(r.Upstream, r.Incarnation)
 	o.load.Store(r.Load)
 	w.entry.fwd.Report(r)
 }
 
-// ask gets a report from an upstream for which no control replica speaks any
-// more: a new stream begins with one. The stream that stands may say nothing for
-// its keep-alive, and behind a cut for longer.
-func (w *watches) ask(i *directory.Instance) {
+// requestReport requests a report from an upstream whose lease is no longer renewed by a
+// control replica. It opens a new stream, which begins with a report, because the existing
+// stream may be silent for its keep-alive interval, and for longer in a partition.
+func (w *agentWatches) requestReport(i *directory.Instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	o := w.byID[i.Id]
 	if o == nil || o.incarnation != i.Incarnation || w.ctx == nil {
 		return
 	}
-	go w.askOnce(w.ctx, o)
+	go w.readFirstReport(w.ctx, o)
 }
 
-func (w *watches) askOnce(ctx context.Context, o *openWatch) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (w *agentWatches) readFirstReport(ctx context.Context, o *agentWatch) {
+	ctx, cancel := context.WithTimeout(ctx, reportRequestTimeout)
 	defer cancel()
-	stream, err := w.open(ctx, o, maxKeepAlive, false)
+	stream, err := w.openStream(ctx, o, maxKeepAlive, false)
 	if err != nil {
 		return
 	}
 	defer stream.Close()
 	if r, err := stream.Recv(); err == nil {
-		w.take(o, r)
+		w.handleReport(o, r)
 	}
 }
--- a/entry/agentwatch_test.go
+++ b/entry/agentwatch_test.go
@@ -18,16 +18,16 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// quietAgent reports once on each watch and then says nothing.
-type quietAgent struct {
+// singleReportAgent sends one report on each watch, or none while it is frozen.
+type singleReportAgent struct {
 	wire.DRPCAgentUnimplementedServer
 	watches atomic.Int32
 	frozen  atomic.Bool
-	// cache says that the last watch asked for cache events.
+	// cache is true if the last watch requested cache events.
 	cache atomic.Bool
 }
 
-func (a *quietAgent) Watch(req *wire.WatchRequest, stream wire.DRPCAgent_WatchStream) error {
+func (a *singleReportAgent) Watch(req *wire.WatchRequest, stream wire.DRPCAgent_WatchStream) error {
 	a.cache.Store(!req.NoCacheEvents)
 	a.watches.Add(1)
 	if !a.frozen.Load() {
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// serveAgent lets an agent answer on loopback for an entry's watches.
-func serveAgent(ctx context.Context, t *testing.T, e *Entry, a *quietAgent) string {
+// serveAgent serves an agent on loopback and returns its address.
+func serveAgent(ctx context.Context, t *testing.T, e *Entry, a *singleReportAgent) string {
 	srv := transport.NewServer(e.sec)
 	assert.NilError(t, wire.DRPCRegisterAgent(srv.Mux, a))
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,12 +49,11 @@
 	return lis.Addr().String()
 }
 
-// An operator routes a pool by prefix. Watches of its upstreams, which brought no
-// cache events while nothing was made of them, are opened again with events from
-// the first one on; otherwise no hint would ever come.
-func TestRoutingByPrefixBringsCacheEvents(t *testing.T) {
-	a := &quietAgent{}
-	e, err := New(valid(), log.NewNopLogger())
+// A watch without cache events is opened again with them when a pool of its upstream
+// changes to a routing plug-in that uses them, and the other way round.
+func TestWatchFollowsNeedForCacheEvents(t *testing.T) {
+	a := &singleReportAgent{}
+	e, err := New(validSettings(), log.NewNopLogger())
 	assert.NilError(t, err)
 	t.Cleanup(func() { e.Stop() })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -62,14 +61,14 @@
 	up := &directory.Instance{Announcement: &wire.Announcement{
 		Id: "up", Incarnation: 1, Phase: wire.Phase_PHASE_UP, Address: serveAgent(ctx, t, e, a),
 	}}
-	e.watches.start(ctx)
+	e.agentWatches.start(ctx)
 	for _, routes := range [][]string{{"least-loaded"}, {"least-loaded", "prefix", "round-robin"}, {"round-robin"}} {
-		watches, routed := a.watches.Load(), watched{}
+		watches, routed := a.watches.Load(), routedUpstreams{}
 		for _, r := range routes {
 			routed.add("up", &table.Pool{Route: r})
 		}
 		for range 2 {
-			e.watches.update([]*directory.Instance{up}, routed)
+			e.agentWatches.update([]*directory.Instance{up}, routed)
 		}
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
 			if a.watches.Load() > watches && a.cache.Load() == (len(routes) > 1) {
@@ -80,37 +79,37 @@
 	}
 }
 
-// An entry is cut off from all control replicas, and an upstream's load doesn't
-// change, so that no report comes for longer than its lease. The entry asks it and
-// goes on sending it work. When the upstream freezes it doesn't answer, and is gone.
-func TestEntryCutOffFromControlAsksQuietUpstreams(t *testing.T) {
-	a := &quietAgent{}
-	e, err := New(valid(), log.NewNopLogger())
+// An entry without control replicas requests a report from an upstream that has been
+// silent for longer than its lease, and keeps it if it answers. A frozen upstream doesn't
+// answer and is removed.
+func TestPartitionedEntryRequestsReportsFromSilentUpstreams(t *testing.T) {
+	a := &singleReportAgent{}
+	e, err := New(validSettings(), log.NewNopLogger())
 	assert.NilError(t, err)
 	t.Cleanup(func() { e.Stop() })
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	address := serveAgent(ctx, t, e, a)
 
-	// The directory's clock stands still but for steps, so a busy machine can't
-	// make an answer late.
+	// The directory's clock advances only in explicit steps, so that answers aren't
+	// late on a busy machine.
 	var elapsed atomic.Int64
 	clock := func() time.Time { return time.Unix(1000, 0).Add(time.Duration(elapsed.Load())) }
 	settings := directory.DefaultSettings()
 	settings.SettleTime = 0
 	e.node = directory.NewNode(settings, clock, nil)
-	e.node.SetAsk(e.watches.ask)
+	e.node.SetAsk(e.agentWatches.requestReport)
 	go e.node.Run(ctx)
 	_, err = e.node.Announce(ctx, &wire.Announcement{
 		Id: "up", Incarnation: 1, Seq: 1, Role: wire.Role_ROLE_UPSTREAM, Phase: wire.Phase_PHASE_UP, Address: address,
 	})
 	assert.NilError(t, err)
 	instances := func() []*directory.Instance { return e.node.Instances(wire.Role_ROLE_UPSTREAM) }
-	e.watches.start(ctx)
-	e.watches.update(instances(), watched{"up": true})
+	e.agentWatches.start(ctx)
+	e.agentWatches.update(instances(), routedUpstreams{"up": true})
 	reported := func(seq uint64) poll.Check {
 		return func(poll.LogT) poll.Result {
-			if l := e.watches.load(&directory.Instance{Announcement: &wire.Announcement{Id: "up", Incarnation: 1}}); l.GetSeq() >= seq {
+			if l := e.agentWatches.load(&directory.Instance{Announcement: &wire.Announcement{Id: "up", Incarnation: 1}}); l.GetSeq() >= seq {
 				return poll.Success()
 			}
 			return poll.Continue("no report %d", seq)
@@ -130,16 +129,16 @@
 	assert.Equal(t, len(instances()), 0)
 }
 
-// Keep-alives must not grow with the upstreams that an entry watches, nor be so
-// rare that a lost report is never healed.
-func TestKeepAliveGrowsWithTheWatches(t *testing.T) {
-	w := newWatches(&Entry{})
+// The keep-alive interval grows with the number of watches, to bound the rate of
+// keep-alives, up to maxKeepAlive.
+func TestKeepAliveIntervalGrowsWithWatches(t *testing.T) {
+	w := newAgentWatches(&Entry{})
 	for _, c := range []struct {
 		watches int
 		want    time.Duration
 	}{{0, minKeepAlive}, {19, minKeepAlive}, {200, 16 * time.Second}, {384, maxKeepAlive}, {5500, maxKeepAlive}} {
 		for i := len(w.byID); i < c.watches; i++ {
-			w.byID[strconv.Itoa(i)] = &openWatch{}
+			w.byID[strconv.Itoa(i)] = &agentWatch{}
 		}
 		assert.Equal(t, w.keepAlive(), c.want)
 	}
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -10,53 +10,53 @@
 
 func (e *Entry) announceLoop(ctx context.Context) {
 	for {
-		began := time.Now()
+		start := time.Now()
 		phase := wire.Phase_PHASE_UP
 		if e.draining.Load() {
 			phase = wire.Phase_PHASE_LEAVING
 		}
 		e.announceAll(ctx, phase)
-		next := e.announcer.Interval(e.settings.AnnounceInterval.D(), e.settings.Lease.D())
+		interval := e.announcer.Interval(e.settings.AnnounceInterval.D(), e.settings.Lease.D())
 		select {
 		case <-ctx.Done():
 			return
 		case <-e.announceNow:
-		case <-time.After(time.Until(began.Add(next))):
+		case <-time.After(time.Until(start.Add(interval))):
 		}
 	}
 }
 
-// announceAll announces to this entry's own directory and to the control replicas
-// that it uses; they tell the others.
+// announceAll announces this entry to its own directory and to its control
+// replicas, which forward the announcement.
 func (e *Entry) announceAll(ctx context.Context, phase wire.Phase) {
 	msg := e.announcement(phase)
 	if reply, err := e.node.Announce(ctx, msg); err == nil {
-		e.announced(reply)
+		e.handleAnnounceReply(reply)
 	}
 	for _, reply := range e.announcer.Announce(ctx, msg) {
-		e.announced(reply)
+		e.handleAnnounceReply(reply)
 	}
 }
 
-// announced takes up a higher incarnation if the clock of this host was set back
-// since an earlier life.
-func (e *Entry) announced(reply *wire.AnnounceReply) {
+// handleAnnounceReply raises the entry's incarnation if the directory knows a
+// higher one, as it does when the host's clock was set back before a restart.
+func (e *Entry) handleAnnounceReply(reply *wire.AnnounceReply) {
 	if !reply.Superseded {
 		return
 	}
-	if !e.life.Supersede(reply.KnownIncarnation) {
-		kernel.Warn(e.log, "A later life of this ID is known. Is the ID used twice?", "id", e.settings.ID)
+	if !e.incarnation.Supersede(reply.KnownIncarnation) {
+		kernel.Warn(e.log, "A higher incarnation of this ID is known. Another process may be using the same ID.", "id", e.settings.ID)
 		return
 	}
 	e.claims.Renumber()
-	kernel.Warn(e.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "id", e.settings.ID, "incarnation", e.life.Number())
+	kernel.Warn(e.log, "This host's clock is behind that of an earlier incarnation. Raised the incarnation.", "id", e.settings.ID, "incarnation", e.incarnation.Number())
 }
 
-// followDirectory keeps the entry's directory up to date. A control replica
-// hears what announces to each of the others; another entry follows one of them.
+// followDirectory keeps the entry's directory up to date. An entry that is a control
+// replica follows all other replicas; any other entry follows one replica.
 func (e *Entry) followDirectory(ctx context.Context) {
 	if e.control == nil {
-		go e.node.FollowOne(ctx, e.targets, e.pool.Conn, e.settings.ID)
+		go e.node.FollowOne(ctx, e.controlTargets, e.pool.Conn, e.settings.ID)
 		return
 	}
 	e.node.FollowPeers(ctx, e.settings.replicas(), e.InternalAddress(), e.pool.Conn, e.settings.ID)
@@ -64,7 +64,7 @@
 
 func (e *Entry) announcement(phase wire.Phase) *wire.Announcement {
 	a := &wire.Announcement{
-		Id: e.settings.ID, Incarnation: e.life.Number(), Seq: e.seq.Add(1),
+		Id: e.settings.ID, Incarnation: e.incarnation.Number(), Seq: e.seq.Add(1),
 		Role: wire.Role_ROLE_ENTRY, Phase: phase,
 		FailureDomain: e.settings.FailureDomain,
 		Address:       e.InternalAddress(), CallerAddress: e.CallerAddress(),
@@ -78,7 +78,7 @@
 	return a
 }
 
-// Revision returns the table revision in force at this entry, 0 before the first.
+// Revision returns the table revision in force at this entry, or 0 if there is none yet.
 func (e *Entry) Revision() uint64 {
 	if v := e.view.Load(); v != nil {
 		return v.Revision
--- a/entry/bodymemory.go
+++ b/entry/bodymemory.go
@@ -11,51 +11,52 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// errBodiesFull says that the bodies held by the entry fill their memory.
-var errBodiesFull = merry.Sentinel("bodies fill the entry's memory for them")
+// errBodyMemoryFull is returned when a body would exceed the memory limit.
+var errBodyMemoryFull = merry.Sentinel("memory limit for request bodies is reached")
 
-// firstBuffer is the first size of a buffer for a body, in bytes; it doubles.
-const firstBuffer = 4 << 10
+// initialBufferSize is the size in bytes of a body's first buffer; the buffer
+// doubles as the body grows.
+const initialBufferSize = 4 << 10
 
-// bodies bounds the memory of all requests' bodies. A body is read before its
-// request is admitted, because its model decides who may go first. Without a
-// bound a few hundred callers with large bodies end the process, and with it every
-// request that it carries.
-type bodies struct {
-	// limit is the bound in bytes, and bulk what all but urgent requests may fill of
-	// it: bulk work can't keep an urgent request's body out.
-	limit, bulk int64
-	held        atomic.Int64
+// bodyMemory bounds the memory of all request bodies. A body is read before its
+// request is admitted, because the model that it names determines the service.
+// Without a bound, a few hundred large bodies could exhaust the process's memory.
+type bodyMemory struct {
+	// limit is the bound in bytes. Requests that aren't urgent may fill only
+	// nonUrgentLimit of it, so that they can't keep the body of an urgent request out.
+	limit, nonUrgentLimit int64
+	inUse                 atomic.Int64
 }
 
-func newBodies(limit int64, urgentPercent int) *bodies {
-	return &bodies{limit: limit, bulk: limit * int64(100-urgentPercent) / 100}
+func newBodyMemory(limit int64, urgentPercent int) *bodyMemory {
+	return &bodyMemory{limit: limit, nonUrgentLimit: limit * int64(100-urgentPercent) / 100}
 }
 
-func (b *bodies) take(n int64, urgent bool) bool {
-	bound := b.bulk
+func (b *bodyMemory) reserve(n int64, urgent bool) bool {
+	bound := b.nonUrgentLimit
 	if urgent {
 		bound = b.limit
 	}
-	if b.held.Add(n) > bound {
-		b.held.Add(-n)
+	if b.inUse.Add(n) > bound {
+		b.inUse.Add(-n)
 		return false
 	}
 	return true
 }
 
-// free gives back the memory of a body that read returned.
-func (b *bodies) free(body []byte) { b.held.Add(-int64(cap(body))) }
+// release returns the memory of a body that readAll returned.
+func (b *bodyMemory) release(body []byte) { b.inUse.Add(-int64(cap(body))) }
 
-// read reads a body to its end. Memory is taken as bytes come and not by the length
-// that the caller names: one that names a length and sends nothing would keep others
-// out. The caller of read owes a call of free, whatever the error.
-func (b *bodies) read(r io.Reader, urgent bool) (body []byte, err error) {
+// readAll reads a body to its end. It reserves memory as bytes arrive, not by the
+// declared Content-Length: a client that declares a length and sends nothing would
+// otherwise block others. The caller must pass the returned body to release, also
+// after an error.
+func (b *bodyMemory) readAll(r io.Reader, urgent bool) (body []byte, err error) {
 	for {
 		if len(body) == cap(body) {
-			size := max(2*cap(body), firstBuffer)
-			if !b.take(int64(size-cap(body)), urgent) {
-				return body, errBodiesFull
+			size := max(2*cap(body), initialBufferSize)
+			if !b.reserve(int64(size-cap(body)), urgent) {
+				return body, errBodyMemoryFull
 			}
 			grown := make([]byte, len(body), size)
 			copy(grown, body)
@@ -72,18 +73,18 @@
 	}
 }
 
-// readTimely reads the request's body within a time. A caller that stalls in the
-// middle of its body would otherwise hold memory and a connection for ever.
-func (b *bodies) readTimely(w http.ResponseWriter, r io.Reader, within time.Duration, urgent bool) ([]byte, error) {
+// readWithTimeout reads the request's body within a timeout. A caller that stalls in
+// the middle of its body would otherwise hold memory and a connection indefinitely.
+func (b *bodyMemory) readWithTimeout(w http.ResponseWriter, r io.Reader, timeout time.Duration, urgent bool) ([]byte, error) {
 	rc := http.NewResponseController(w)
-	// A writer without deadlines is a test's; net/http's has them.
-	if err := rc.SetReadDeadline(time.Now().Add(within)); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	// The writers of net/http support deadlines; those of tests may not.
+	if err := rc.SetReadDeadline(time.Now().Add(timeout)); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return nil, err
 	}
-	body, err := b.read(r, urgent)
+	body, err := b.readAll(r, urgent)
 	if err == nil {
-		// Left in place, the deadline would pass while the request runs, and
-		// net/http would take the caller for gone.
+		// A deadline that passes while the request runs would make net/http
+		// cancel the request's context.
 		err = rc.SetReadDeadline(time.Time{})
 		if errors.Is(err, http.ErrNotSupported) {
 			err = nil
@@ -92,5 +93,5 @@
 	return body, err
 }
 
-// late says whether reading ended at its deadline.
-func late(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+// isReadTimeout reports whether err means that the read deadline passed.
+func isReadTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -14,16 +14,16 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// headerReplayed marks an answer that was stored for an earlier sending.
+// headerReplayed marks a response that was stored for an earlier attempt.
 const headerReplayed = "Idempotent-Replayed"
 
-// maxKey bounds an idempotency key.
-const maxKey = 256
+// maxIdempotencyKeyLength is in bytes.
+const maxIdempotencyKeyLength = 256
 
-// ringMembers lists the entries that may hold claim registers.
+// ringMembers returns the entries that may hold claim registers.
 func (e *Entry) ringMembers() []*wire.RingMember { return e.node.RingMembers() }
 
-// openClaims gives the claim register its data folder, if it has one.
+// openClaims opens the data folder of the claim register, if one is configured.
 func (e *Entry) openClaims() error {
 	fs, err := e.settings.claimsFolder()
 	if err != nil || fs == nil {
@@ -31,57 +31,58 @@
 	}
 	return e.claims.Open(fs, claim.Events{
 		Forgot: func(cause error) {
-			kernel.Warn(e.log, "Claims in the data folder can't be used. The register has forgotten.", "err", cause)
+			kernel.Warn(e.log, "Claims in the data folder can't be used. The register starts without them.", "err", cause)
 		},
 		Failed: func(cause error) {
-			kernel.Warn(e.log, "A claim can't be made durable. The register grants nothing until a restart.", "err", cause)
+			kernel.Warn(e.log, "Claim can't be made durable. The register grants no claims until a restart.", "err", cause)
 		},
 	})
 }
 
-// ClaimsReady says whether the entry knows the ring of claim registers.
+// ClaimsReady reports whether the entry knows the current ring of claim registers
+// and the ring has enough members for a majority.
 func (e *Entry) ClaimsReady() bool {
 	r := e.claims.Ring()
 	return r.Confirmed && len(r.Ring.GetMembers()) >= claim.Majority
 }
 
-// ClaimsGranting says whether the entry's claim register may grant any key.
+// ClaimsGranting reports whether the entry's claim register may grant any key.
 func (e *Entry) ClaimsGranting() bool { return e.claims.Granting() }
 
-// claim takes the request's key, if it has one and may not be repeated. done is
-// true when the caller has been answered from an earlier sending.
+// claimKey claims the request's idempotency key, if it has one and isn't idempotent.
+// done is true if the caller was sent the stored answer of an earlier attempt.
 //
-// It comes before admission: a refusal for a limit says "not run", and of a key
-// that may only be said while the key is held, because an earlier sending of the
-// same request may have run.
-func (q *request) claim(deadline time.Time) (hold *claim.Hold, done bool, ref *wire.Refusal) {
-	key := q.r.Header.Get(headerKey)
+// The claim precedes admission: a refusal by a limit reports the outcome "not run",
+// which is true of a key only while this request holds it, because an earlier attempt
+// with the same key may have run.
+func (q *request) claimKey(deadline time.Time) (hold *claim.Hold, done bool, ref *wire.Refusal) {
+	key := q.r.Header.Get(headerIdempotencyKey)
 	if key == "" || q.idempotent() {
 		return nil, false, nil
 	}
-	if len(key) > maxKey {
-		return nil, false, q.entry.refuse(wire.Reason_REASON_BAD_REQUEST, "header "+headerKey+": longer than 256 characters")
+	if len(key) > maxIdempotencyKeyLength {
+		return nil, false, q.entry.refuse(wire.Reason_REASON_BAD_REQUEST, "header "+headerIdempotencyKey+": longer than 256 characters")
 	}
-	began := time.Now()
+	start := time.Now()
 	out := q.entry.claims.Claim(q.r.Context(), claim.Request{
 		Key: &wire.ClaimKey{Team: q.team.Name, Service: q.service.Name, Key: key},
-		ID:  q.id, Entry: q.entry.life.Wire(), Digest: q.digest(),
+		ID:  q.id, Entry: q.entry.incarnation.Wire(), Digest: q.digest(),
 		TTL: q.service.ClaimTTL, Deadline: deadline, Round: q.entry.settings.ClaimRound.D(),
 	}, q.entry.node.Gone)
-	metrics.GetOrRegisterTimer("entry.claims", q.entry.metrics).UpdateSince(began)
+	metrics.GetOrRegisterTimer("entry.claims", q.entry.metrics).UpdateSince(start)
 	switch out.Choice {
 	case claim.Run:
 		return out.Hold, false, nil
 	case claim.Replay:
-		q.replay(out.Record.Answer)
+		q.replayAnswer(out.Record.Answer)
 		return nil, true, nil
 	case claim.Mismatch:
 		return nil, false, q.entry.refuse(wire.Reason_REASON_BAD_REQUEST, "the idempotency key was used for another request")
 	}
-	return nil, false, q.unclaimed(out.Record)
+	return nil, false, q.claimRefusal(out.Record)
 }
 
-// digest tells requests with one key apart.
+// digest distinguishes different requests that use the same idempotency key.
 func (q *request) digest() []byte {
 	h := sha256.New()
 	h.Write([]byte(q.r.Method + " " + q.path + "\n"))
@@ -89,17 +90,17 @@
 	return h.Sum(nil)[:16]
 }
 
-// unclaimed refuses a request whose key can't be had. An earlier sending may
-// have run, so all that can be said truthfully is "unknown".
-func (q *request) unclaimed(rec *wire.ClaimRecord) *wire.Refusal {
-	reason, detail := wire.Reason_REASON_CLAIM_LOST, "too few registers of the key answered"
+// claimRefusal returns the refusal of a request whose key can't be claimed. Its
+// outcome is "unknown", because an earlier attempt may have run.
+func (q *request) claimRefusal(rec *wire.ClaimRecord) *wire.Refusal {
+	reason, detail := wire.Reason_REASON_CLAIM_LOST, "too few claim registers of the key answered"
 	if rec != nil {
-		reason, detail = wire.Reason_REASON_CLAIM_HELD, "an earlier sending may be running"
+		reason, detail = wire.Reason_REASON_CLAIM_HELD, "an earlier attempt may be running"
 		switch {
 		case rec.State == wire.ClaimState_CLAIM_STATE_ANSWERED:
-			detail = "an earlier sending ran and was answered; its answer was not kept"
+			detail = "an earlier attempt ran and was answered; its answer was not stored"
 		case rec.State == wire.ClaimState_CLAIM_STATE_UNKNOWN:
-			detail = "an earlier sending may have run"
+			detail = "an earlier attempt may have run"
 		}
 	}
 	ref := q.entry.refuse(reason, detail)
@@ -107,7 +108,7 @@
 	return ref
 }
 
-func (q *request) replay(a *wire.StoredAnswer) {
+func (q *request) replayAnswer(a *wire.StoredAnswer) {
 	for _, f := range a.Headers {
 		q.w.Header().Add(f.Name, f.Value)
 	}
@@ -120,14 +121,14 @@
 	metrics.GetOrRegisterCounter("entry.answers.replayed", q.entry.metrics).Inc(1)
 }
 
-// settle tells the key's registers what became of the request.
-func (q *request) settle(hold *claim.Hold, res forward.Result, sink *httpSink) {
+// settleClaim reports the request's outcome to the key's claim registers.
+func (q *request) settleClaim(hold *claim.Hold, res forward.Result, sink *httpSink) {
 	if hold == nil {
 		return
 	}
 	switch {
 	case res.Outcome == wire.Outcome_OUTCOME_DONE && res.Reason == 0:
-		hold.Settle(wire.ClaimState_CLAIM_STATE_ANSWERED, sink.kept)
+		hold.Settle(wire.ClaimState_CLAIM_STATE_ANSWERED, sink.stored)
 	case res.Outcome == wire.Outcome_OUTCOME_NOT_RUN:
 		hold.Settle(wire.ClaimState_CLAIM_STATE_RELEASED, nil)
 	default:
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -8,45 +8,45 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// drainMargin covers the time an answer with the list is on its way.
+// drainMargin covers the time that a response with the list of entries is in transit.
 const drainMargin = time.Second
 
-// leave takes the entry out of the list of entries, once.
-func (e *Entry) leave(ctx context.Context) {
+// startDrain removes the entry from the list of entries. Further calls do nothing.
+func (e *Entry) startDrain(ctx context.Context) {
 	if !e.draining.CompareAndSwap(false, true) {
 		return
 	}
-	kernel.Info(e.log, "Leaving the list of entries.", "serves_for", e.settings.Keep.D()+drainMargin)
+	kernel.Info(e.log, "Drain started. The entry leaves the list of entries.", "serves_for", e.settings.Keep.D()+drainMargin)
 	e.announceAll(ctx, wire.Phase_PHASE_LEAVING)
-	close(e.leaving)
+	close(e.drainStarted)
 }
 
-// drainCallers waits until the entry leaves. Callers keep the list of entries for
-// a while and come here until then, so requests are taken for that time and a
-// margin; then what is in progress is finished.
+// drainCallers waits for the start of the drain and then carries it out. Callers may
+// use a cached list of entries for Settings.Keep, so the entry accepts requests for
+// that time and a margin; then it finishes the requests in progress.
 func (e *Entry) drainCallers(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-e.leaving:
+	case <-e.drainStarted:
 	}
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(e.settings.Keep.D() + drainMargin):
 	}
-	if e.callersHTTP.Shutdown(ctx) != nil {
+	if e.callerServer.Shutdown(ctx) != nil {
 		return
 	}
 	e.announceAll(ctx, wire.Phase_PHASE_GONE)
-	kernel.Info(e.log, "Drained. No request is in progress.")
+	kernel.Info(e.log, "Drain finished. No requests are in progress.")
 	close(e.drained)
 }
 
-// Drain implements kernel.Daemon. An entry that an operator told to leave before
-// is not made to wait a second time.
+// Drain implements kernel.Daemon. If an operator has started the drain before, Drain
+// waits only for its end.
 func (e *Entry) Drain(ctx context.Context) error {
-	e.leave(ctx)
+	e.startDrain(ctx)
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/entry/drain_test.go
+++ b/entry/drain_test.go
@@ -9,11 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A caller sends one request after another on one connection while the entry is
-// stopped as planned. Each answer from then on, a refusal too, tells it to connect
-// anew, so that no request of its is on the way when the entry closes connections.
-func TestLeavingEntryGivesUpKeptConnections(t *testing.T) {
-	e, err := New(valid(), log.NewNopLogger())
+// All responses of a draining entry, refusals included, close the connection, so that no
+// request is in transit when the entry closes idle connections.
+func TestDrainingEntryClosesKeepAliveConnections(t *testing.T) {
+	e, err := New(validSettings(), log.NewNopLogger())
 	assert.NilError(t, err)
 	t.Cleanup(func() { e.Stop() })
 	assert.NilError(t, e.Start(context.Background()))
@@ -27,7 +26,7 @@
 	for _, path := range paths {
 		assert.Assert(t, !closes(path), path)
 	}
-	e.leave(context.Background())
+	e.startDrain(context.Background())
 	for _, path := range paths {
 		assert.Assert(t, closes(path), path)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry is the process that callers talk to: it admits, routes,
-// forwards and answers, and explains what it refused.
+// Package entry implements the daemon that accepts callers' requests. It admits,
+// routes and forwards them to upstreams, and explains its refusals.
 package entry
 
 import (
@@ -31,12 +31,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrStart is returned when the entry can't come up.
+// ErrStart is returned when the entry can't start.
 var ErrStart = merry.Sentinel("entry can't start")
 
-// operatorsTimeout bounds one call of an operator; a body that trickles in would
-// otherwise hold its connection for ever.
-const operatorsTimeout = 30 * time.Second
+// operatorRequestTimeout bounds one operator request; a slow body would otherwise
+// hold its connection indefinitely.
+const operatorRequestTimeout = 30 * time.Second
 
 // Entry implements kernel.Daemon.
 type Entry struct {
@@ -55,37 +55,37 @@
 	dumps                    kernel.Dumps
 	view                     atomic.Pointer[table.View]
 	draining                 atomic.Bool
-	leaving                  chan struct{}
+	drainStarted             chan struct{}
 	drained                  chan struct{}
 	requests                 atomic.Int64
-	life                     *directory.Life
+	incarnation              *directory.Life
 	seq                      atomic.Uint64
 	started                  time.Time
 
-	internal, callers, operators net.Listener
-	callersHTTP, operatorsHTTP   *http.Server
-	watches                      *watches
-	cancel                       context.CancelFunc
+	internalListener, callerListener, operatorListener net.Listener
+	callerServer, operatorServer                       *http.Server
+	agentWatches                                       *agentWatches
+	cancel                                             context.CancelFunc
 
-	// targets orders the control replicas that this entry uses.
-	targets   *directory.Targets
-	announcer *directory.Announcer
-	claims    *claim.Node
-	suspects  *quarantine.Node
-	control   *control.Control
-	client    *control.Client
-	ops       *operators.Handler
-	limits    *limits
-	bodies    *bodies
-	answers   metrics.Counter
-	// confirmed is when the rows in force were last known to be current; nil if
-	// they never were.
-	confirmed atomic.Pointer[time.Time]
-	// announceNow is sent to when others should hear of a change at once.
+	// controlTargets orders the control replicas that this entry uses.
+	controlTargets *directory.Targets
+	announcer      *directory.Announcer
+	claims         *claim.Node
+	quarantine     *quarantine.Node
+	control        *control.Control
+	controlClient  *control.Client
+	operatorAPI    *operators.Handler
+	teamLimits     *teamLimits
+	bodyMemory     *bodyMemory
+	answers        metrics.Counter
+	// rowsConfirmedAt is when the rows in force were last confirmed as current; nil
+	// if they never were.
+	rowsConfirmedAt atomic.Pointer[time.Time]
+	// announceNow triggers an announcement before the end of the interval.
 	announceNow chan struct{}
 }
 
-// New makes an entry from checked settings.
+// New checks the settings and creates an entry.
 func New(s *Settings, l log.Logger) (*Entry, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -96,15 +96,15 @@
 	}
 	e := &Entry{
 		settings: s, log: kernel.PartLog(l, "entry"), sec: sec,
-		srv:         transport.NewServer(sec),
-		pool:        transport.NewPool(sec),
-		sealer:      refusal.NewSealer(sec.Secret),
-		metrics:     metrics.NewRegistry(),
-		life:        directory.NewLife(s.ID, s.Now()),
-		started:     s.Now(),
-		announceNow: make(chan struct{}, 1),
-		leaving:     make(chan struct{}),
-		drained:     make(chan struct{}),
+		srv:          transport.NewServer(sec),
+		pool:         transport.NewPool(sec),
+		sealer:       refusal.NewSealer(sec.Secret),
+		metrics:      metrics.NewRegistry(),
+		incarnation:  directory.NewLife(s.ID, s.Now()),
+		started:      s.Now(),
+		announceNow:  make(chan struct{}, 1),
+		drainStarted: make(chan struct{}),
+		drained:      make(chan struct{}),
 		runner: admit.NewRunner(admit.Settings{
 			Slots: s.Slots, Reserved: admit.ReservedSlots(s.Slots, s.UrgentPercent), MaxQueue: s.MaxQueue,
 		}, s.Now),
@@ -122,27 +122,27 @@
 	}
 	place := route.Place{Entry: s.ID, FailureDomain: s.FailureDomain, Seed: xxhash.Sum64String(s.ID)}
 	e.fwd = forward.New(e.pool, place, s.Now)
-	e.node = directory.NewNode(directory.DefaultSettings(), s.Now, e.refresh)
-	e.targets = directory.NewTargets(s.ID, s.FailureDomain, s.replicas())
-	e.announcer = directory.NewAnnouncer(e.targets, e.pool.Conn, s.Now)
-	e.watches = newWatches(e)
-	e.node.SetAsk(e.watches.ask)
-	e.limits = newLimits(e)
-	e.bodies = newBodies(s.MaxBodyMemory, s.UrgentPercent)
-	e.claims = claim.NewNode(claim.DefaultRegisterSettings(), e.life, e.pool.Conn, s.Now)
-	e.suspects = quarantine.NewNode(s.ID, e.log, s.Now, e.pool.Conn)
+	e.node = directory.NewNode(directory.DefaultSettings(), s.Now, e.updateRouting)
+	e.controlTargets = directory.NewTargets(s.ID, s.FailureDomain, s.replicas())
+	e.announcer = directory.NewAnnouncer(e.controlTargets, e.pool.Conn, s.Now)
+	e.agentWatches = newAgentWatches(e)
+	e.node.SetAsk(e.agentWatches.requestReport)
+	e.teamLimits = newTeamLimits(e)
+	e.bodyMemory = newBodyMemory(s.MaxBodyMemory, s.UrgentPercent)
+	e.claims = claim.NewNode(claim.DefaultRegisterSettings(), e.incarnation, e.pool.Conn, s.Now)
+	e.quarantine = quarantine.NewNode(s.ID, e.log, s.Now, e.pool.Conn)
 	e.dumps.Add("claims", e.claims.Dump)
-	e.dumps.Add("quarantine", e.suspects.Dump)
+	e.dumps.Add("quarantine", e.quarantine.Dump)
 	if err := wire.DRPCRegisterClaim(e.srv.Mux, e.claims); err != nil {
 		return nil, err
 	}
 	e.dumps.Add("entry", e.dump)
-	e.dumps.Add("limits", e.limits.dump)
+	e.dumps.Add("limits", e.teamLimits.dump)
 	e.registerGauges()
 	e.dumps.Add("directory", e.node.Dump)
 	e.dumps.Add("route", e.fwd.Dump)
-	e.client = control.NewClient(e.pool, s.replicas(), s.ID)
-	if e.ops, err = operators.New(s.Operator, e.client, process{e}, e.metrics, l); err != nil {
+	e.controlClient = control.NewClient(e.pool, s.replicas(), s.ID)
+	if e.operatorAPI, err = operators.New(s.Operator, e.controlClient, systemView{e}, e.metrics, l); err != nil {
 		return nil, err
 	}
 	if err := e.newControl(l); err != nil {
@@ -160,7 +160,7 @@
 	return e, wire.DRPCRegisterDirectory(e.srv.Mux, e.node)
 }
 
-// publicTLS loads the certificate of an HTTP address; nil is plain text.
+// publicTLS loads the certificate of an HTTP address. It returns nil if TLS is off.
 func (e *Entry) publicTLS(s transport.TLSSettings) (*tls.Config, error) {
 	if !s.On() {
 		return nil, nil
@@ -190,8 +190,8 @@
 	return c.Register(e.srv.Mux)
 }
 
-// SetView puts rows in force. A lower revision than the one in force is
-// ignored: it would bring an old row back.
+// SetView puts rows in force. It ignores a view whose revision isn't above the one in
+// force, which would restore old rows.
 func (e *Entry) SetView(v *table.View) {
 	var old *table.View
 	for {
@@ -203,10 +203,10 @@
 			break
 		}
 	}
-	// Balancers and watches follow the pools' rows only. At each edit of a team's
-	// limit they would look at thousands of upstreams for nothing.
+	// Balancers and agent watches depend on the pools' rows only. Skipping other
+	// edits, such as of a team's limit, saves a pass over thousands of upstreams.
 	if old == nil || !maps.Equal(old.Pools, v.Pools) {
-		e.refresh()
+		e.updateRouting()
 	}
 	select {
 	case e.announceNow <- struct{}{}:
@@ -214,15 +214,16 @@
 	}
 }
 
-// refresh hands the upstreams that are up to the balancers of their pools.
-func (e *Entry) refresh() {
+// updateRouting passes the upstreams that are up to the balancers of their pools and
+// updates the watches of their agents.
+func (e *Entry) updateRouting() {
 	v := e.view.Load()
 	if v == nil || e.fwd == nil || e.node == nil {
 		return
 	}
 	byPool := map[string][]route.Upstream{}
-	insts := e.node.Instances(wire.Role_ROLE_UPSTREAM)
-	for _, i := range insts {
+	instances := e.node.Instances(wire.Role_ROLE_UPSTREAM)
+	for _, i := range instances {
 		if !i.Up() {
 			continue
 		}
@@ -234,31 +235,31 @@
 			byPool[p] = append(byPool[p], up)
 		}
 	}
-	routed := watched{}
+	routed := routedUpstreams{}
 	for name, p := range v.Pools {
-		// Of a large pool the entry uses, and watches, a part.
+		// Of a large pool, the entry uses and watches only a subset.
 		ups := route.Subset(e.settings.ID, byPool[name], route.MaxCandidates)
 		for _, u := range ups {
 			routed.add(u.ID, p)
 		}
 		if err := e.fwd.Update(p, ups); err != nil {
-			kernel.Warn(e.log, "Pool can't be routed.", "pool", name, "err", err)
+			kernel.Warn(e.log, "Routing of a pool can't be updated.", "pool", name, "err", err)
 		}
 	}
-	e.watches.update(insts, routed)
+	e.agentWatches.update(instances, routed)
 }
 
 // Start implements kernel.Daemon.
 func (e *Entry) Start(ctx context.Context) error {
 	ctx, e.cancel = context.WithCancel(ctx)
-	e.watches.start(ctx)
+	e.agentWatches.start(ctx)
 	if err := e.listen(); err != nil {
 		return err
 	}
 	if err := e.openClaims(); err != nil {
 		return err
 	}
-	go e.srv.Serve(ctx, e.internal)
+	go e.srv.Serve(ctx, e.internalListener)
 	if e.control != nil {
 		place := control.Place{Name: e.settings.ID, Address: e.InternalAddress(), FailureDomain: e.settings.FailureDomain}
 		if err := e.control.Start(ctx, place); err != nil {
@@ -266,92 +267,92 @@
 		}
 	}
 	go e.followTable(ctx)
-	go e.suspects.Run(ctx, e.settings.replicas)
+	go e.quarantine.Run(ctx, e.settings.replicas)
 	go e.claims.Run(ctx)
-	go e.limits.run(ctx)
+	go e.teamLimits.run(ctx)
 	go e.drainCallers(ctx)
 	go e.node.Run(ctx)
 	go e.announceLoop(ctx)
 	e.followDirectory(ctx)
-	e.callersHTTP = &http.Server{
+	e.callerServer = &http.Server{
 		Handler: e.callerRoutes(), ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: 64 << 10,
 		IdleTimeout: e.settings.IdleTimeout.D(),
 	}
-	go func() { _ = e.callersHTTP.Serve(e.callers) }()
-	if e.operators != nil {
-		e.operatorsHTTP = &http.Server{
+	go func() { _ = e.callerServer.Serve(e.callerListener) }()
+	if e.operatorListener != nil {
+		e.operatorServer = &http.Server{
 			Handler: e.operatorRoutes(), ReadHeaderTimeout: 10 * time.Second, MaxHeaderBytes: 64 << 10,
-			ReadTimeout: operatorsTimeout, WriteTimeout: operatorsTimeout, IdleTimeout: 2 * operatorsTimeout,
+			ReadTimeout: operatorRequestTimeout, WriteTimeout: operatorRequestTimeout, IdleTimeout: 2 * operatorRequestTimeout,
 		}
-		go func() { _ = e.operatorsHTTP.Serve(e.operators) }()
+		go func() { _ = e.operatorServer.Serve(e.operatorListener) }()
 	}
-	kernel.Info(e.log, "Listening.", "id", e.settings.ID, "callers", e.callers.Addr(), "internal", e.internal.Addr())
+	kernel.Info(e.log, "Listening.", "id", e.settings.ID, "callers", e.callerListener.Addr(), "internal", e.internalListener.Addr())
 	return nil
 }
 
 func (e *Entry) listen() error {
 	var err error
-	e.internal = e.settings.InternalListener
-	if e.internal == nil {
-		e.internal, err = net.Listen("tcp", e.settings.Internal)
+	e.internalListener = e.settings.InternalListener
+	if e.internalListener == nil {
+		e.internalListener, err = net.Listen("tcp", e.settings.Internal)
 	}
 	if err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
-	if e.callers, err = net.Listen("tcp", e.settings.Callers); err != nil {
+	if e.callerListener, err = net.Listen("tcp", e.settings.Callers); err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
 	if e.callersTLS != nil {
-		e.callers = tls.NewListener(e.callers, e.callersTLS)
+		e.callerListener = tls.NewListener(e.callerListener, e.callersTLS)
 	}
 	if e.settings.Operators == "" {
 		return nil
 	}
-	if e.operators, err = net.Listen("tcp", e.settings.Operators); err != nil {
+	if e.operatorListener, err = net.Listen("tcp", e.settings.Operators); err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
 	if e.operatorsTLS != nil {
-		e.operators = tls.NewListener(e.operators, e.operatorsTLS)
+		e.operatorListener = tls.NewListener(e.operatorListener, e.operatorsTLS)
 	}
 	return nil
 }
 
-// CallerAddress is the address for callers.
+// CallerAddress returns the HTTP address for callers.
 func (e *Entry) CallerAddress() string {
 	if e.settings.CallersAdvertise != "" {
 		return e.settings.CallersAdvertise
 	}
-	return e.callers.Addr().String()
+	return e.callerListener.Addr().String()
 }
 
-// InternalAddress is the drpc address.
+// InternalAddress returns the drpc address.
 func (e *Entry) InternalAddress() string {
 	if e.settings.InternalAdvertise != "" {
 		return e.settings.InternalAdvertise
 	}
-	return e.internal.Addr().String()
+	return e.internalListener.Addr().String()
 }
 
-// OperatorAddress is the address for operators, or "".
+// OperatorAddress returns the HTTP address for operators, or "" if there is none.
 func (e *Entry) OperatorAddress() string {
-	if e.operators == nil {
+	if e.operatorListener == nil {
 		return ""
 	}
-	return e.operators.Addr().String()
+	return e.operatorListener.Addr().String()
 }
 
-// Stop implements kernel.Daemon.
+// Stop implements kernel.Daemon. It returns the number of requests that it aborted.
 func (e *Entry) Stop() int {
-	cut := int(e.requests.Load())
+	aborted := int(e.requests.Load())
 	if e.cancel != nil {
 		e.cancel()
 	}
-	for _, h := range []*http.Server{e.callersHTTP, e.operatorsHTTP} {
+	for _, h := range []*http.Server{e.callerServer, e.operatorServer} {
 		if h != nil {
 			_ = h.Close()
 		}
 	}
-	for _, l := range []net.Listener{e.internal, e.callers, e.operators} {
+	for _, l := range []net.Listener{e.internalListener, e.callerListener, e.operatorListener} {
 		if l != nil {
 			_ = l.Close()
 		}
@@ -362,7 +363,7 @@
 	e.srv.Close()
 	e.pool.Close()
 	e.claims.Close()
-	return cut
+	return aborted
 }
 
 // Reload implements kernel.Reloader.
@@ -387,7 +388,7 @@
 func (e *Entry) dump() any {
 	_, waiting := e.runner.Counts()
 	d := entryDump{
-		ID: e.settings.ID, Incarnation: e.life.Number(), Draining: e.draining.Load(),
+		ID: e.settings.ID, Incarnation: e.incarnation.Number(), Draining: e.draining.Load(),
 		Requests: e.requests.Load(), Waiting: waiting,
 	}
 	if v := e.view.Load(); v != nil {
@@ -396,7 +397,7 @@
 	return d
 }
 
-// Upstreams returns how many upstreams are up in each pool, as this entry knows it.
+// Upstreams returns the number of upstreams that are up by pool, as known to this entry.
 func (e *Entry) Upstreams() map[string]int {
 	n := map[string]int{}
 	for _, i := range e.node.Instances(wire.Role_ROLE_UPSTREAM) {
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -15,9 +15,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// explainTimeout bounds the look into the history: a refusal is explained
-// without it too.
-const explainTimeout = 2 * time.Second
+// historyTimeout bounds the read of a row's history. If it fails, the refusal is
+// explained without the row.
+const historyTimeout = 2 * time.Second
 
 func (e *Entry) serveRefusal(w http.ResponseWriter, r *http.Request) {
 	ref, err := e.sealer.Open(mux.Vars(r)["token"])
@@ -36,19 +36,19 @@
 		})
 	}
 	if ref.RowKind != "" {
-		e.joinRow(r.Context(), ref, &x)
+		e.addRowVersions(r.Context(), ref, &x)
 	}
 	kernel.WriteJSON(w, http.StatusOK, x)
 }
 
-// joinRow adds the version of the row that decided, and the one in force now. The
-// version is looked up by its number: a replica that lags behind the refusing
-// entry would name an older one as that in force at the revision.
-func (e *Entry) joinRow(ctx context.Context, ref *wire.Refusal, x *operators.Explanation) {
-	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
+// addRowVersions adds to x the row version that caused the refusal and the latest one. The
+// former is looked up by its version number, not by the table revision: a replica that
+// lags behind the refusing entry would return an older version for the revision.
+func (e *Entry) addRowVersions(ctx context.Context, ref *wire.Refusal, x *operators.Explanation) {
+	ctx, cancel := context.WithTimeout(ctx, historyTimeout)
 	defer cancel()
 	var reply *wire.HistoryReply
-	err := e.client.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) (err error) {
+	err := e.controlClient.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) (err error) {
 		reply, err = c.History(ctx, &wire.HistoryRequest{Kind: ref.RowKind, Key: ref.RowKey})
 		return err
 	})
@@ -58,19 +58,20 @@
 	}
 	for _, row := range reply.Rows {
 		if row.Version == ref.RowVersion {
-			x.RowThen = shownRow(row)
+			x.RowThen = publicRow(row)
 		}
 	}
 	if x.RowThen == nil {
-		x.RowNote = "The version that decided is not in the history that was read."
+		x.RowNote = "The row version that caused the refusal is not in the history."
 	}
 	if len(reply.Rows) > 0 {
-		x.RowNow = shownRow(reply.Rows[0])
+		x.RowNow = publicRow(reply.Rows[0])
 	}
 }
 
-// shownRow is a row without digests of keys: whoever has a token may read it.
-func shownRow(r *wire.Row) *operators.Row {
+// publicRow returns the row without the digests of keys, because anyone who has the
+// refusal's token may read it.
+func publicRow(r *wire.Row) *operators.Row {
 	row := operators.RowOf(r)
 	row.Columns = maps.Clone(row.Columns)
 	delete(row.Columns, table.ColumnKeySHA256)
--- a/entry/explain_test.go
+++ b/entry/explain_test.go
@@ -13,10 +13,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// No control replica answers. A refusal is explained from its token all the same,
-// and says that the row can't be shown, instead of an error or an empty row.
-func TestRefusalIsExplainedWithoutTheTable(t *testing.T) {
-	s := valid()
+// Without a control replica, a refusal is explained from its token, with a note that the
+// row isn't available.
+func TestServeRefusalWithoutControlReplicas(t *testing.T) {
+	s := validSettings()
 	s.Operators = "127.0.0.1:0"
 	e, err := New(s, log.NewNopLogger())
 	assert.NilError(t, err)
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -12,9 +12,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// start brings up a system for a fuzz target and returns its first entry's
-// addresses.
-func start(f *testing.F) (sys *quickstart.System, watch *surface.Watch) {
+// startSystem starts a system for a fuzz target. The returned watch checks the health of
+// its first entry.
+func startSystem(f *testing.F) (sys *quickstart.System, watch *surface.Watch) {
 	f.Helper()
 	sys, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewNopLogger(), FakeDisks: true})
 	if err != nil {
@@ -30,7 +30,7 @@
 	return sys, &surface.Watch{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
 }
 
-func requests(key string, more ...string) []string {
+func seedRequests(key string, more ...string) []string {
 	auth := "Authorization: Bearer " + key + "\r\n"
 	body := `{"model":"pushpa-lm","max_tokens":2,"messages":[{"role":"user","content":"a lot"}]}`
 	return append([]string{
@@ -49,11 +49,11 @@
 	}, more...)
 }
 
-// Whoever reaches the callers' port sends whatever it likes. The entry goes on
-// answering, and its memory stays bounded.
+// FuzzCallers checks that the entry keeps answering, with bounded memory, whatever is
+// sent to the callers' address.
 func FuzzCallers(f *testing.F) {
-	sys, watch := start(f)
-	for _, r := range requests(quickstart.TeamKey) {
+	sys, watch := startSystem(f)
+	for _, r := range seedRequests(quickstart.TeamKey) {
 		f.Add([]byte(r))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -62,10 +62,10 @@
 	})
 }
 
-// The same at the operators' port.
+// FuzzOperators does the same at the operators' address.
 func FuzzOperators(f *testing.F) {
-	sys, watch := start(f)
-	for _, r := range requests(quickstart.OperatorKey, "GET /debug/state HTTP/1.1\r\nHost: a\r\n\r\n") {
+	sys, watch := startSystem(f)
+	for _, r := range seedRequests(quickstart.OperatorKey, "GET /debug/state HTTP/1.1\r\nHost: a\r\n\r\n") {
 		f.Add([]byte(r))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -74,10 +74,10 @@
 	})
 }
 
-// A peer that knows the cluster secret sends malformed messages, to the
-// directory, the claim registers and the replica that the entry holds.
+// FuzzPeers sends malformed messages of a peer that knows the cluster secret to the
+// entry's directory and claim register.
 func FuzzPeers(f *testing.F) {
-	sys, watch := start(f)
+	sys, watch := startSystem(f)
 	peers := surface.NewPeers(sys.Entries[0].InternalAddress(), quickstart.Secret,
 		wire.DRPCDirectoryDescription{}, wire.DRPCClaimDescription{})
 	peers.Seed(f)
--- a/entry/gauges.go
+++ b/entry/gauges.go
@@ -6,12 +6,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// registerGauges adds what is read when the metrics are asked for.
+// registerGauges registers the gauges whose values are computed at each scrape.
 func (e *Entry) registerGauges() {
 	for name, value := range map[string]func() int64{
 		"entry.requests":    e.requests.Load,
 		"entry.waiting":     e.waiting,
-		"entry.bodies":      e.bodies.held.Load,
+		"entry.bodies":      e.bodyMemory.inUse.Load,
 		"entry.revision":    e.revision,
 		"entry.rows.age_ms": e.rowsAgeMS,
 		"entry.listed":      e.listed,
@@ -35,7 +35,7 @@
 	return 0
 }
 
-// rowsAgeMS is rowsAge in milliseconds; -1 if they never were known to be current.
+// rowsAgeMS returns rowsAge in milliseconds, or -1 if the rows were never confirmed.
 func (e *Entry) rowsAgeMS() int64 {
 	age, ok := e.rowsAge(e.settings.Now())
 	if !ok {
@@ -61,8 +61,8 @@
 	return n
 }
 
-// claimsFailed is 1 when the claim register grants nothing because a record
-// couldn't be made durable.
+// claimsFailed returns 1 if the claim register has stopped granting because a record
+// couldn't be made durable, else 0.
 func (e *Entry) claimsFailed() int64 {
 	if e.claims.Failed() {
 		return 1
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -14,91 +14,94 @@
 )
 
 const (
-	// maxShareWait is how long a request may wait for its share of a limit; one
-	// that would have to wait longer is refused at once.
+	// maxShareWait is how long a request may wait for a team's limit. A request that
+	// would have to wait longer is refused at once if the entry holds a grant.
 	maxShareWait = 250 * time.Millisecond
 	shareTimeout = time.Second
-	// idleReport is how often an entry without requests says so: a new home that
-	// has not heard it must reckon with requests in progress there.
-	idleReport = 2 * time.Second
+	// idleReportInterval is how often an entry with nothing to ask for reports. A new
+	// share allocator must assume requests in progress at an entry that it has no
+	// report from.
+	idleReportInterval = 2 * time.Second
 )
 
-// limits drives the entry's limiter.
-type limits struct {
-	entry *Entry
-	mu    sync.Mutex
-	lim   *admit.Limiter
-	// services holds, by subject, the service that a demand is asked under.
+// teamLimits enforces the teams' limits by the shares that the share allocator, a
+// control replica, grants to this entry.
+type teamLimits struct {
+	entry   *Entry
+	mu      sync.Mutex
+	limiter *admit.Limiter
+	// services holds, for each subject, the service that its demand is reported under.
 	services map[admit.Subject]string
-	ask      chan struct{}
-	// reported is when the home was asked last; it is the loop's own.
-	reported time.Time
+	wake     chan struct{}
+	// lastReport is when the last report was sent, or zero to report at the next
+	// wake-up. It is used only by the goroutine of run.
+	lastReport time.Time
 }
 
-func newLimits(e *Entry) *limits {
-	return &limits{entry: e, lim: admit.NewLimiter(), services: map[admit.Subject]string{}, ask: make(chan struct{}, 1)}
+func newTeamLimits(e *Entry) *teamLimits {
+	return &teamLimits{entry: e, limiter: admit.NewLimiter(), services: map[admit.Subject]string{}, wake: make(chan struct{}, 1)}
 }
 
-// take admits a request within its team's limit. release is to be called when it
-// is over.
-func (l *limits) take(ctx context.Context, q *request, deadline time.Time) (release func(), ref *wire.Refusal) {
+// acquire admits a request within its team's limit. The caller must call release when
+// the request ends.
+func (l *teamLimits) acquire(ctx context.Context, q *request, deadline time.Time) (release func(), ref *wire.Refusal) {
 	row := q.view.Limit(q.team.Name, q.service.Name)
 	if row == nil {
 		return func() {}, nil
 	}
 	s := admit.SubjectOf(row, q.team.Name, q.service.Name)
-	end := l.entry.settings.Now().Add(maxShareWait)
+	waitDeadline := l.entry.settings.Now().Add(maxShareWait)
 	for {
-		refused := l.try(s, row, q)
+		refused := l.tryAcquire(s, row, q)
 		if refused == nil {
-			return func() { l.done(s) }, nil
+			return func() { l.release(s) }, nil
 		}
 		wait := max(refused.Wait, time.Millisecond)
 		now := l.entry.settings.Now()
-		if now.Add(wait).After(end) && l.granted(s) || !now.Before(end) || !now.Before(deadline) {
+		if now.Add(wait).After(waitDeadline) && l.hasGrant(s) || !now.Before(waitDeadline) || !now.Before(deadline) {
 			return nil, l.refusal(q, row, refused)
 		}
 		select {
 		case <-ctx.Done():
 			return nil, l.refusal(q, row, refused)
-		case <-time.After(min(wait, end.Sub(now))):
+		case <-time.After(min(wait, waitDeadline.Sub(now))):
 		}
 	}
 }
 
-func (l *limits) try(s admit.Subject, row *table.Limit, q *request) *admit.Refused {
+func (l *teamLimits) tryAcquire(s admit.Subject, row *table.Limit, q *request) *admit.Refused {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.entry.settings.Now()
-	l.lim.SetEntries(len(l.entry.claims.Ring().Ring.GetMembers()))
+	l.limiter.SetEntries(len(l.entry.claims.Ring().Ring.GetMembers()))
 	l.services[s] = q.service.Name
-	refused := l.lim.Take(now, s, admit.LimitOf(row), admit.Ask{Tokens: float64(q.tokens), Timeout: q.service.Timeout})
-	if refused != nil && l.lim.DueFor(now, s) {
-		// The share may follow a demand that has just grown; asking at once is
-		// what makes a first request wait for a round trip and not for a round.
-		l.askSoon()
+	refused := l.limiter.Take(now, s, admit.LimitOf(row), admit.Ask{Tokens: float64(q.tokens), Timeout: q.service.Timeout})
+	if refused != nil && l.limiter.DueFor(now, s) {
+		// Report the increased demand at once, so that a first request waits for a
+		// round trip and not for the next tick.
+		l.requestSharesNow()
 	}
 	return refused
 }
 
-// askSoon lets the next round begin at once.
-func (l *limits) askSoon() {
+// requestSharesNow wakes the loop of run before its next tick.
+func (l *teamLimits) requestSharesNow() {
 	select {
-	case l.ask <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (l *limits) granted(s admit.Subject) bool {
+func (l *teamLimits) hasGrant(s admit.Subject) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lim.Granted(l.entry.settings.Now(), s)
+	return l.limiter.Granted(l.entry.settings.Now(), s)
 }
 
-func (l *limits) done(s admit.Subject) {
+func (l *teamLimits) release(s admit.Subject) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lim.Done(s)
+	l.limiter.Done(s)
 }
 
 var measureReasons = map[string]wire.Reason{
@@ -107,7 +110,7 @@
 	admit.MeasureConcurrent: wire.Reason_REASON_CONCURRENCY_LIMIT,
 }
 
-func (l *limits) refusal(q *request, row *table.Limit, r *admit.Refused) *wire.Refusal {
+func (l *teamLimits) refusal(q *request, row *table.Limit, r *admit.Refused) *wire.Refusal {
 	ref := l.entry.refuse(measureReasons[r.Measure], fmt.Sprintf("limit %s is %g", r.Measure, r.Limit))
 	ref.RowKind, ref.RowKey, ref.RowVersion = row.Kind, row.Key, row.Version
 	ref.RetryAfterMs = uint32(min(max(r.Wait.Milliseconds(), 1), 60_000))
@@ -118,7 +121,7 @@
 	return ref
 }
 
-// finite keeps values that JSON can't carry out of a refusal.
+// finite replaces infinities and NaN by 0, because JSON can't represent them.
 func finite(v float64) float64 {
 	if math.IsInf(v, 0) || math.IsNaN(v) {
 		return 0
@@ -126,8 +129,8 @@
 	return v
 }
 
-// run asks the home for shares until the context is done.
-func (l *limits) run(ctx context.Context) {
+// run requests shares from the share allocator until the context is done.
+func (l *teamLimits) run(ctx context.Context) {
 	tick := time.NewTicker(admit.ShareCheck)
 	defer tick.Stop()
 	for {
@@ -135,45 +138,45 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case <-l.ask:
+		case <-l.wake:
 		}
-		l.round(ctx)
+		l.requestShares(ctx)
 	}
 }
 
-func (l *limits) round(ctx context.Context) {
-	sent := l.entry.settings.Now()
-	if !l.due(sent) && sent.Sub(l.reported) < idleReport {
+func (l *teamLimits) requestShares(ctx context.Context) {
+	sentAt := l.entry.settings.Now()
+	if !l.reportDue(sentAt) && sentAt.Sub(l.lastReport) < idleReportInterval {
 		return
 	}
-	head, req, subjects := l.report(sent)
-	l.reported = sent
+	report, req, subjects := l.buildReport(sentAt)
+	l.lastReport = sentAt
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	var reply *wire.ShareReply
-	err := l.entry.client.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) (err error) {
+	err := l.entry.controlClient.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) (err error) {
 		reply, err = c.Share(ctx, req)
 		return err
 	})
 	if err != nil {
-		kernel.Debug(l.entry.log, "No share of limits was granted.", "err", err)
+		kernel.Debug(l.entry.log, "Request for shares of limits failed.", "err", err)
 		return
 	}
-	l.apply(sent, head, reply, subjects)
+	l.applyShares(sentAt, report, reply, subjects)
 }
 
-func (l *limits) due(now time.Time) bool {
+func (l *teamLimits) reportDue(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lim.Due(now)
+	return l.limiter.Due(now)
 }
 
-func (l *limits) report(now time.Time) (admit.Report, *wire.ShareRequest, map[admit.Subject]admit.Subject) {
+func (l *teamLimits) buildReport(now time.Time) (admit.Report, *wire.ShareRequest, map[admit.Subject]admit.Subject) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r, demands := l.lim.Report(now)
+	r, demands := l.limiter.Report(now)
 	req := &wire.ShareRequest{
-		Entry: l.entry.settings.ID, Incarnation: l.entry.life.Number(), Seq: r.Seq, Home: r.Home, Partial: r.Partial,
+		Entry: l.entry.settings.ID, Incarnation: l.entry.incarnation.Number(), Seq: r.Seq, Home: r.Home, Partial: r.Partial,
 	}
 	subjects := map[admit.Subject]admit.Subject{}
 	for s, d := range demands {
@@ -184,25 +187,25 @@
 			Concurrent: uint32(d.Wanted.Concurrent), Running: uint32(d.Running), Ack: d.Ack,
 		})
 	}
-	l.forget()
+	l.dropUnusedServices()
 	return r, req, subjects
 }
 
-// forget drops the services of subjects that the limiter has forgotten.
-func (l *limits) forget() {
+// dropUnusedServices deletes the services of subjects that the limiter no longer holds.
+func (l *teamLimits) dropUnusedServices() {
 	for s := range l.services {
-		if !l.lim.Knows(s) {
+		if !l.limiter.Knows(s) {
 			delete(l.services, s)
 		}
 	}
 }
 
-func (l *limits) apply(sent time.Time, head admit.Report, reply *wire.ShareReply, subjects map[admit.Subject]admit.Subject) {
+func (l *teamLimits) applyShares(sentAt time.Time, report admit.Report, reply *wire.ShareReply, subjects map[admit.Subject]admit.Subject) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lim.Answered(head, reply.Home) {
-		l.reported = time.Time{}
-		l.askSoon()
+	if l.limiter.Answered(report, reply.Home) {
+		l.lastReport = time.Time{}
+		l.requestSharesNow()
 	}
 	now := l.entry.settings.Now()
 	for _, g := range reply.Grants {
@@ -210,27 +213,28 @@
 		if !ok {
 			continue
 		}
-		l.lim.Apply(now, sent, s, reply.Home, admit.Share{
+		l.limiter.Apply(now, sentAt, s, reply.Home, admit.Share{
 			Amounts: admit.Amounts{
-				Requests: g.RequestsPerSecond, Tokens: g.TokensPerSecond, Concurrent: concurrent(g.Concurrent),
+				Requests: g.RequestsPerSecond, Tokens: g.TokensPerSecond, Concurrent: concurrencyLimit(g.Concurrent),
 			},
 			Epoch: g.Epoch, Burst: g.RequestBurst, Hold: time.Duration(g.HoldMs) * time.Millisecond,
 			Again: time.Duration(g.AgainMs) * time.Millisecond,
 		})
 	}
-	if l.lim.Due(now) {
-		// A smaller share counts as the larger one until the home has heard of it.
-		l.askSoon()
+	if l.limiter.Due(now) {
+		// The share allocator counts a reduced share at its former size until the
+		// entry acknowledges it, so the next report is sent at once.
+		l.requestSharesNow()
 	}
 }
 
-func (l *limits) dump() any {
+func (l *teamLimits) dump() any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lim.Dump(l.entry.settings.Now())
+	return l.limiter.Dump(l.entry.settings.Now())
 }
 
-func concurrent(n uint32) float64 {
+func concurrencyLimit(n uint32) float64 {
 	if n == math.MaxUint32 {
 		return math.Inf(1)
 	}
--- a/entry/prefix.go
+++ b/entry/prefix.go
@@ -2,8 +2,8 @@
 
 import "github.com/snipereach/snipereach/route"
 
-// prefixHashes names the blocks of a call's prompt as the engines' cache events
-// do. They depend on the model and the prompt alone: an engine doesn't know the
-// team, and teams that share a beginning of their prompts share its cache. What
-// is hashed decides only where a request goes.
+// prefixHashes returns the hashes of the prompt's blocks, comparable with those in the
+// engines' cache events. They depend on the model and the prompt only: engines don't
+// know teams, so teams with a common prompt prefix share cache blocks. The hashes
+// affect only the choice of the upstream.
 func prefixHashes(model, prompt string) []uint64 { return route.PrefixHashes(model, prompt) }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -8,8 +8,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// signAgent: the agent beside the upstream found that nothing listens there any more.
-const signAgent = "agent"
+// signAgentReport means that the upstream's agent found that nothing listens at the upstream's
+// address any more.
+const signAgentReport = "agent"
 
 // Identity implements quarantine.Requester.
 func (q *request) Identity() *quarantine.Request {
@@ -17,27 +18,27 @@
 }
 
 // MaySend implements forward.Trial.
-func (q *request) MaySend(ran int) bool {
+func (q *request) MaySend(attempts int) bool {
 	switch q.trial.Verdict().Standing {
 	case quarantine.Quarantined:
 		return false
 	case quarantine.LastTrial:
-		return ran == 0
+		return attempts == 0
 	}
 	return true
 }
 
 // Ended implements forward.Trial.
-func (q *request) Ended(up route.Upstream, life string, ran time.Duration) {
-	q.entry.suspects.Ended(quarantine.End{
+func (q *request) Ended(up route.Upstream, incarnation string, ran time.Duration) {
+	q.entry.quarantine.Ended(quarantine.End{
 		Subject:   q.Identity().Subject(q.service.Name),
-		RequestID: q.id, Upstream: life, Address: up.Address, Ran: ran, Sign: signAgent,
+		RequestID: q.id, Upstream: incarnation, Address: up.Address, Ran: ran, Sign: signAgentReport,
 	})
 }
 
-// heldBack is the refusal of a request in quarantine; nil for any other. It holds nothing and is
-// refused at once, so that it stands in nobody's way.
-func (q *request) heldBack() *wire.Refusal {
+// quarantineRefusal returns the refusal of a request in quarantine, or nil for any other. It is
+// checked first in serve, so that such a request takes up no claim, limit or slot.
+func (q *request) quarantineRefusal() *wire.Refusal {
 	v := q.trial.Verdict()
 	if v.Standing != quarantine.Quarantined {
 		return nil
@@ -47,13 +48,14 @@
 	return ref
 }
 
-// beginTrial notes that the request is about to be sent, and refuses what must not be sent now.
+// beginTrial records that the request is about to be sent, or returns the refusal of one that
+// is in quarantine or on its last trial while another copy runs.
 func (q *request) beginTrial() *wire.Refusal {
-	if ref := q.heldBack(); ref != nil {
+	if ref := q.quarantineRefusal(); ref != nil {
 		return ref
 	}
 	if !q.trial.Begin() {
-		return q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.trial.Why(q.trial.Verdict())+", and a copy runs")
+		return q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.trial.Why(q.trial.Verdict())+", and another copy is running")
 	}
 	return nil
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -23,21 +23,21 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Header names from callers.
+// Request headers of callers.
 const (
-	headerKey        = "Idempotency-Key"
-	headerIdempotent = "X-Idempotent"
-	headerPriority   = "X-Priority"
-	headerTimeout    = "X-Timeout-Ms"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerIdempotent     = "X-Idempotent"
+	headerPriority       = "X-Priority"
+	headerTimeout        = "X-Timeout-Ms"
 )
 
-// charsPerToken estimates prompt tokens from text.
+// charsPerToken converts the length of a prompt to an estimate of its tokens.
 const charsPerToken = 4
 
-// defaultOutputTokens is the estimate for a call that sets no bound.
+// defaultOutputTokens is the estimate for a call that sets no maximum.
 const defaultOutputTokens = 256
 
-// refuse makes a refusal of a request that was not run.
+// refuse returns a refusal with the outcome "not run".
 func (e *Entry) refuse(reason wire.Reason, detail string) *wire.Refusal {
 	r := &wire.Refusal{
 		RequestId: rand.Text(), Reason: reason, Outcome: wire.Outcome_OUTCOME_NOT_RUN,
@@ -50,7 +50,7 @@
 	return r
 }
 
-// request is one caller's request on its way through the entry.
+// request is the state of one caller's request.
 type request struct {
 	entry   *Entry
 	w       http.ResponseWriter
@@ -63,13 +63,13 @@
 	tokens  int
 	prefix  []uint64
 	path    string
-	// claimed says that the request holds its idempotency key.
-	claimed bool
-	// trial is what is held against the request.
+	// holdsKey is true while the request holds the claim of its idempotency key.
+	holdsKey bool
+	// trial checks the request against the quarantine.
 	trial quarantine.Trial
 }
 
-func (e *Entry) begin(w http.ResponseWriter, r *http.Request) (*request, *wire.Refusal) {
+func (e *Entry) newRequest(w http.ResponseWriter, r *http.Request) (*request, *wire.Refusal) {
 	v := e.view.Load()
 	if v == nil {
 		return nil, e.refuse(wire.Reason_REASON_CONFIG_UNCONFIRMED, "no rows are in force yet")
@@ -83,11 +83,11 @@
 		return nil, e.refuse(wire.Reason_REASON_UNAUTHENTICATED, "the key belongs to no team")
 	}
 	q := &request{entry: e, w: w, r: r, id: rand.Text(), view: v, team: team}
-	q.trial.Init(e.suspects, q)
+	q.trial.Init(e.quarantine, q)
 	return q, nil
 }
 
-// modelCall is the part of an OpenAI-shaped body that the entry reads.
+// modelCall holds the fields of an OpenAI-compatible request body that the entry reads.
 type modelCall struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -105,35 +105,37 @@
 	e.serveCall(w, r, (*request).readPlain)
 }
 
-// serveCall serves a request; read finds its service and reads its body.
-func (e *Entry) serveCall(w http.ResponseWriter, r *http.Request, read func(*request) *wire.Refusal) {
-	q, ref := e.begin(w, r)
+// serveCall serves a request. The readRequest function determines its service and reads
+// its body.
+func (e *Entry) serveCall(w http.ResponseWriter, r *http.Request, readRequest func(*request) *wire.Refusal) {
+	q, ref := e.newRequest(w, r)
 	if ref == nil {
-		defer func() { e.bodies.free(q.body) }()
-		ref = read(q)
+		defer func() { e.bodyMemory.release(q.body) }()
+		ref = readRequest(q)
 	}
 	if ref == nil {
 		ref = q.serve()
 	}
 	if ref != nil {
-		doubt(r, q, ref)
+		markPossiblyRun(r, q, ref)
 		e.writeRefusal(w, q, ref)
 	}
 }
 
-// doubt keeps a refusal of a request that doesn't hold its idempotency key from
-// saying "not run". An earlier sending, through another entry or before a row
-// changed, may have run; the caller would take a new key and run it twice. A
-// malformed request is left alone: no earlier sending was the same.
-func doubt(r *http.Request, q *request, ref *wire.Refusal) {
-	if r.Header.Get(headerKey) == "" || ref.Outcome != wire.Outcome_OUTCOME_NOT_RUN || ref.Reason == wire.Reason_REASON_BAD_REQUEST {
+// markPossiblyRun changes the outcome of a refusal from "not run" to "unknown" if the
+// request has an idempotency key but doesn't hold its claim. An earlier attempt, through
+// another entry or before a row changed, may have run; a caller that was told "not run"
+// would retry with a new key and run the request twice. A refusal of a malformed request
+// stays, because no earlier attempt can have been the same.
+func markPossiblyRun(r *http.Request, q *request, ref *wire.Refusal) {
+	if r.Header.Get(headerIdempotencyKey) == "" || ref.Outcome != wire.Outcome_OUTCOME_NOT_RUN || ref.Reason == wire.Reason_REASON_BAD_REQUEST {
 		return
 	}
-	if q != nil && (q.claimed || q.service != nil && q.idempotent()) {
+	if q != nil && (q.holdsKey || q.service != nil && q.idempotent()) {
 		return
 	}
 	ref.Outcome = wire.Outcome_OUTCOME_UNKNOWN
-	ref.Detail += "; an earlier sending with this key may have run"
+	ref.Detail += "; an earlier attempt with this key may have run"
 }
 
 func (e *Entry) writeRefusal(w http.ResponseWriter, q *request, ref *wire.Refusal) {
@@ -147,7 +149,7 @@
 	}
 	name := "entry.refusals." + refusal.ReasonWord(ref.Reason) + "." + refusal.OutcomeWord(ref.Outcome)
 	metrics.GetOrRegisterCounter(name, e.metrics).Inc(1)
-	e.markLeaving(w.Header())
+	e.setConnectionClose(w.Header())
 	e.sealer.Write(w, ref)
 }
 
@@ -157,22 +159,22 @@
 		return nil
 	}
 	var err error
-	q.body, err = e.bodies.readTimely(q.w, http.MaxBytesReader(q.w, q.r.Body, limit), e.settings.BodyTimeout.D(), q.urgent())
+	q.body, err = e.bodyMemory.readWithTimeout(q.w, http.MaxBytesReader(q.w, q.r.Body, limit), e.settings.BodyTimeout.D(), q.urgent())
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &tooLarge):
 		return e.refuse(wire.Reason_REASON_BODY_TOO_LARGE, "body is over "+strconv.FormatInt(limit, 10)+" bytes")
-	case errors.Is(err, errBodiesFull):
+	case errors.Is(err, errBodyMemoryFull):
 		return e.refuse(wire.Reason_REASON_QUEUE_FULL, err.Error())
-	case late(err):
-		return e.refuse(wire.Reason_REASON_DEADLINE, "body did not come within "+e.settings.BodyTimeout.D().String())
+	case isReadTimeout(err):
+		return e.refuse(wire.Reason_REASON_DEADLINE, "body was not received within "+e.settings.BodyTimeout.D().String())
 	}
 	return e.refuse(wire.Reason_REASON_BAD_REQUEST, "body can't be read: "+err.Error())
 }
 
-// urgent says whether the request is known to be urgent before its body is read.
+// urgent reports whether the request is urgent, as far as known before its body is read.
 func (q *request) urgent() bool {
 	if q.service == nil {
 		return false
@@ -181,15 +183,16 @@
 	return ref == nil && p == wire.Priority_PRIORITY_URGENT
 }
 
-// maxModelBody bounds a model call until its service is known.
+// maxModelBody returns the largest body limit, in bytes, of all services that serve
+// models. It bounds a model call until its service is known.
 func (q *request) maxModelBody() int64 {
-	most := int64(0)
+	largest := int64(0)
 	for _, s := range q.view.Services {
 		if s.Kind != "plain" {
-			most = max(most, s.MaxBody)
+			largest = max(largest, s.MaxBody)
 		}
 	}
-	return most
+	return largest
 }
 
 func (q *request) readModel() *wire.Refusal {
@@ -207,12 +210,12 @@
 	if int64(len(q.body)) > q.service.MaxBody {
 		return q.entry.refuse(wire.Reason_REASON_BODY_TOO_LARGE, "body is over "+strconv.FormatInt(q.service.MaxBody, 10)+" bytes")
 	}
-	output := max(c.MaxTokens, c.MaxCompletionTokens)
-	if output <= 0 {
-		output = defaultOutputTokens
+	outputTokens := max(c.MaxTokens, c.MaxCompletionTokens)
+	if outputTokens <= 0 {
+		outputTokens = defaultOutputTokens
 	}
 	prompt := string(c.Prompt) + string(c.Messages)
-	q.tokens = len(prompt)/charsPerToken + output
+	q.tokens = len(prompt)/charsPerToken + outputTokens
 	q.prefix = prefixHashes(c.Model, prompt)
 	q.path = q.r.URL.Path
 	return nil
@@ -231,27 +234,27 @@
 	return q.readBody(q.service.MaxBody)
 }
 
-// priority is what the caller asks for, else the service's; the team's row
-// bounds it.
+// priority returns the priority that the caller requests, else the service's. A request
+// above the team's maximum is refused; a service's priority above it is lowered to it.
 func (q *request) priority() (wire.Priority, *wire.Refusal) {
 	p := q.service.Priority
-	asked := q.r.Header.Get(headerPriority)
-	if asked != "" {
-		p = table.ParsePriority(asked)
+	requested := q.r.Header.Get(headerPriority)
+	if requested != "" {
+		p = table.ParsePriority(requested)
 		if p == wire.Priority_PRIORITY_UNSPECIFIED {
 			return 0, q.entry.refuse(wire.Reason_REASON_BAD_REQUEST, "header "+headerPriority+": must be urgent, normal or batch")
 		}
 	}
-	if p < q.team.MaxPriority && asked != "" {
-		ref := q.entry.refuse(wire.Reason_REASON_FORBIDDEN, "the team may not ask for priority "+asked)
+	if p < q.team.MaxPriority && requested != "" {
+		ref := q.entry.refuse(wire.Reason_REASON_FORBIDDEN, "the team may not ask for priority "+requested)
 		ref.RowKind, ref.RowKey, ref.RowVersion = q.team.Kind, q.team.Key, q.team.Version
 		return 0, ref
 	}
 	return max(p, q.team.MaxPriority), nil
 }
 
-// idempotent says whether the call may be run again: the service row and the
-// caller must both say so; the stricter wins.
+// idempotent reports whether the request may be run more than once: the service's row
+// must allow it and the caller must not forbid it.
 func (q *request) idempotent() bool {
 	return q.service.Idempotent && q.r.Header.Get(headerIdempotent) != "no"
 }
@@ -261,15 +264,15 @@
 	if h := q.r.Header.Get(headerTimeout); h != "" {
 		ms, err := strconv.Atoi(h)
 		if err != nil || ms <= 0 {
-			return now, q.entry.refuse(wire.Reason_REASON_BAD_REQUEST, "header "+headerTimeout+": must be a number of milliseconds over 0")
+			return now, q.entry.refuse(wire.Reason_REASON_BAD_REQUEST, "header "+headerTimeout+": must be a positive number of milliseconds")
 		}
 		timeout = min(timeout, time.Duration(ms)*time.Millisecond)
 	}
 	return now.Add(timeout), nil
 }
 
-// serve claims the request's key if it has one, admits the request and carries
-// it to an upstream.
+// serve claims the request's idempotency key if necessary, admits the request and
+// forwards it to an upstream.
 func (q *request) serve() *wire.Refusal {
 	e := q.entry
 	e.requests.Add(1)
@@ -282,18 +285,18 @@
 	if ref != nil {
 		return ref
 	}
-	if ref := q.heldBack(); ref != nil {
+	if ref := q.quarantineRefusal(); ref != nil {
 		return ref
 	}
-	hold, done, ref := q.claim(deadline)
+	hold, done, ref := q.claimKey(deadline)
 	if done || ref != nil {
 		return ref
 	}
-	q.claimed = hold != nil
-	sink := &httpSink{w: q.w, id: q.id, mark: e.markLeaving, keep: q.claimed}
+	q.holdsKey = hold != nil
+	sink := &httpSink{w: q.w, id: q.id, addHeaders: e.setConnectionClose, storeAnswer: q.holdsKey}
 	res := forward.Result{Outcome: wire.Outcome_OUTCOME_UNKNOWN}
-	defer func() { q.settle(hold, res, sink) }()
-	ref = q.admitted(prio, deadline, func(c *forward.Call) *wire.Refusal {
+	defer func() { q.settleClaim(hold, res, sink) }()
+	ref = q.admitAndRun(prio, deadline, func(c *forward.Call) *wire.Refusal {
 		if ref := q.beginTrial(); ref != nil {
 			return ref
 		}
@@ -307,29 +310,30 @@
 	return ref
 }
 
-// admitted waits for the request's turn and then runs it.
-func (q *request) admitted(prio wire.Priority, deadline time.Time, run func(*forward.Call) *wire.Refusal) *wire.Refusal {
+// admitAndRun waits until the request is admitted by the team's limit and the entry's
+// queue, and then calls run.
+func (q *request) admitAndRun(prio wire.Priority, deadline time.Time, run func(*forward.Call) *wire.Refusal) *wire.Refusal {
 	e := q.entry
-	done, ref := e.limits.take(q.r.Context(), q, deadline)
+	releaseLimit, ref := e.teamLimits.acquire(q.r.Context(), q, deadline)
 	if ref != nil {
 		return ref
 	}
-	defer done()
+	defer releaseLimit()
 	weight := q.view.Weight(q.team.Name, q.service.Name)
-	release, err := e.runner.Enter(q.r.Context(), &admit.Work{
+	releaseSlot, err := e.runner.Enter(q.r.Context(), &admit.Work{
 		Team: q.team.Name, Weight: weight, Priority: prio,
 		Cost: float64(max(q.tokens, 1)), Deadline: deadline,
 		Queue: q.service.Name, MaxQueue: q.service.MaxQueue,
 	})
 	if err != nil {
-		return q.notAdmitted(err)
+		return q.admissionRefusal(err)
 	}
-	defer release()
+	defer releaseSlot()
 	return run(&forward.Call{
 		Head: &wire.RunHead{
 			RequestId: q.id, Team: q.team.Name, Service: q.service.Name, Priority: prio,
 			Weight: uint32(weight), Idempotent: q.idempotent(), Method: q.r.Method,
-			Path: q.path, Headers: upstream.PassedHeaders(q.r.Header, headerKey), Tokens: uint32(q.tokens),
+			Path: q.path, Headers: upstream.PassedHeaders(q.r.Header, headerIdempotencyKey), Tokens: uint32(q.tokens),
 		},
 		Body: q.body, Pool: q.view.Pools[q.service.Pool], Deadline: deadline,
 		Route:     &route.Request{Priority: prio, Tokens: q.tokens, Prefix: q.prefix},
@@ -338,9 +342,9 @@
 	})
 }
 
-// notAdmitted says why the request did not get its turn, and by which row if one
-// decided.
-func (q *request) notAdmitted(err error) *wire.Refusal {
+// admissionRefusal returns the refusal for an error of admission control, with the
+// service's row if its queue limit was the cause.
+func (q *request) admissionRefusal(err error) *wire.Refusal {
 	ref := q.entry.refuse(admitReason(err), err.Error())
 	if errors.Is(err, admit.ErrPartFull) {
 		ref.RowKind, ref.RowKey, ref.RowVersion = q.service.Source.Kind, q.service.Key, q.service.Version
@@ -359,17 +363,18 @@
 	return wire.Reason_REASON_DEADLINE
 }
 
-// finish answers the caller of a request that was not answered whole.
+// finish records a complete answer and returns nil. Of a request that wasn't answered it
+// returns the refusal; a partial answer is aborted with http.ErrAbortHandler.
 func (q *request) finish(res forward.Result, sink *httpSink) *wire.Refusal {
 	if res.Reason == 0 {
 		q.entry.answers.Inc(1)
 		q.trial.Answered(q.id)
 		return nil
 	}
-	if res.Begun || sink.begun {
-		// Part of the answer is with the caller. Ending the response as usual
-		// would pass the part off as the whole; aborting the connection (HTTP/1.1)
-		// or resetting the stream (HTTP/2) shows the cut.
+	if res.Begun || sink.started {
+		// The caller may have received part of the answer. A normal end of the response
+		// would make it look complete; aborting the connection (HTTP/1.1) or resetting
+		// the stream (HTTP/2) shows that it is truncated.
 		metrics.GetOrRegisterCounter("entry.answers.cut", q.entry.metrics).Inc(1)
 		panic(http.ErrAbortHandler)
 	}
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -11,7 +11,7 @@
 
 func (e *Entry) callerRoutes() http.Handler {
 	r := mux.NewRouter().UseEncodedPath()
-	r.Use(e.closeWhenLeaving)
+	r.Use(e.closeConnectionsWhenDraining)
 	r.HandleFunc("/v1/entries", e.serveEntries).Methods(http.MethodGet)
 	r.HandleFunc("/v1/refusals/{token}", e.serveRefusal).Methods(http.MethodGet)
 	r.HandleFunc("/v1/chat/completions", e.serveModel).Methods(http.MethodPost)
@@ -22,19 +22,19 @@
 	return r
 }
 
-// closeWhenLeaving marks answers of an entry that leaves.
-func (e *Entry) closeWhenLeaving(next http.Handler) http.Handler {
+// closeConnectionsWhenDraining adds "Connection: close" to the responses of a draining
+// entry.
+func (e *Entry) closeConnectionsWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.markLeaving(w.Header())
+		e.setConnectionClose(w.Header())
 		next.ServeHTTP(w, r)
 	})
 }
 
-// markLeaving tells the caller to use its connection no more if the entry leaves. A
-// caller that sends one request after another on a kept connection would otherwise
-// stay until the stop, which closes idle connections: the next request may be on its
-// way then, and its caller sees it cut.
-func (e *Entry) markLeaving(h http.Header) {
+// setConnectionClose adds "Connection: close" if the entry is draining. Otherwise a
+// caller on a keep-alive connection would stay until the entry closes idle connections,
+// and a request that is in transit at that moment would fail.
+func (e *Entry) setConnectionClose(h http.Header) {
 	if e.draining.Load() {
 		h.Set("Connection", "close")
 	}
@@ -42,15 +42,15 @@
 
 func (e *Entry) operatorRoutes() http.Handler {
 	r := mux.NewRouter()
-	r.Handle("/debug/state", e.ops.Authenticated(&e.dumps)).Methods(http.MethodGet)
+	r.Handle("/debug/state", e.operatorAPI.Authenticated(&e.dumps)).Methods(http.MethodGet)
 	r.Handle("/metrics", kernel.MetricsHandler(e.metrics)).Methods(http.MethodGet)
 	r.HandleFunc("/v1/refusals/{token}", e.serveRefusal).Methods(http.MethodGet)
 	r.HandleFunc("/healthz", e.serveHealth).Methods(http.MethodGet)
-	e.ops.Register(r)
+	e.operatorAPI.Register(r)
 	return r
 }
 
-// listedEntry is one entry as callers see it.
+// listedEntry is one element of the list of entries for callers.
 type listedEntry struct {
 	ID            string `json:"id"`
 	Address       string `json:"address"`
@@ -85,7 +85,7 @@
 	kernel.WriteJSON(w, http.StatusOK, map[string]string{"status": "ready"})
 }
 
-// Ready says whether the entry serves requests and stands in the list.
+// Ready reports whether the entry serves requests and is in the list of entries.
 func (e *Entry) Ready() bool {
 	return !e.draining.Load() && e.view.Load() != nil && e.rowsConfirmed()
 }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -16,65 +16,68 @@
 	"github.com/snipereach/snipereach/wal"
 )
 
-// Settings of an entry, as its TOML file gives them.
+// Settings are the settings of an entry, as read from its TOML file.
 type Settings struct {
-	// ID names the entry.
 	ID            string `toml:"id"`
 	FailureDomain string `toml:"failure_domain"`
 	ClusterSecret string `toml:"cluster_secret"`
-	// Callers is the HTTP address for callers, IP:port; port 0 takes a free one.
+	// Callers is the HTTP address for callers, IP:port; port 0 selects a free port.
 	Callers string `toml:"callers_listen"`
-	// CallersAdvertise is the address told to callers; Callers if empty.
+	// CallersAdvertise is the address in the list of entries; if empty, it is the
+	// address that the entry listens at.
 	CallersAdvertise string `toml:"callers_advertise"`
-	// Operators is the HTTP address for operators; empty is off.
+	// Operators is the HTTP address for operators; if empty, there is none.
 	Operators string `toml:"operators_listen"`
-	// Operator lists who may edit the table there.
+	// Operator lists the authorized operators.
 	Operator []operators.Operator `toml:"operator"`
 	// Internal is the drpc address.
 	Internal          string `toml:"internal_listen"`
 	InternalAdvertise string `toml:"internal_advertise"`
-	// InternalListener is used in place of Internal if set: who embeds an entry
-	// may need its address before it starts.
+	// InternalListener is used in place of Internal if set. An embedding program may
+	// need the address before the entry starts.
 	InternalListener net.Listener `toml:"-"`
-	// Dial opens connections to other processes if set.
+	// Dial, if set, opens the connections to other processes.
 	Dial transport.DialFunc `toml:"-"`
-	// Now is the clock, time.Now by default: who embeds an entry may want to hold
-	// its time, as that of a host that is frozen.
+	// Now is the clock, time.Now by default. An embedding program may replace it, e.g.
+	// to simulate a frozen host.
 	Now func() time.Time `toml:"-"`
-	// CallersTLS, OperatorsTLS and TLS (between processes) turn TLS on.
+	// CallersTLS and OperatorsTLS enable TLS for callers and operators, TLS between
+	// processes.
 	CallersTLS   transport.TLSSettings `toml:"callers_tls"`
 	OperatorsTLS transport.TLSSettings `toml:"operators_tls"`
 	TLS          transport.TLSSettings `toml:"tls"`
-	// ControlReplicas lists drpc addresses of control replicas to follow.
+	// ControlReplicas lists the drpc addresses of the control replicas.
 	ControlReplicas []string `toml:"control_replicas"`
-	// Control makes this entry a control replica too.
+	// Control, if set, makes this entry a control replica too.
 	Control *control.Settings `toml:"control"`
-	// ClaimsDataDir is the folder for the records of claims: empty is memory only,
-	// ClaimsDirAuto the folder ClaimsDirName of a control replica.
+	// ClaimsDataDir is the folder for the records of claims. If it is empty, they are
+	// kept in memory only. ClaimsDirAuto means the folder ClaimsDirName in the data
+	// folder of a control replica, and memory only for other entries.
 	ClaimsDataDir string `toml:"claims_data_dir"`
 	// ClaimsFS is used in place of ClaimsDataDir if set.
 	ClaimsFS wal.FS `toml:"-"`
-	// ConfigLease is how long the entry stays listed without having its rows
-	// confirmed as current.
+	// ConfigLease is how long the entry stays in the list of entries without a
+	// confirmation that its rows are current.
 	ConfigLease kernel.Duration `toml:"config_lease"`
-	// Keep is how long callers may keep the list of entries.
+	// Keep is how long callers may cache the list of entries.
 	Keep kernel.Duration `toml:"keep"`
-	// Slots is how many requests the entry carries at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots         int `toml:"slots"`
 	UrgentPercent int `toml:"urgent_percent"`
 	MaxQueue      int `toml:"max_queue"`
-	// MaxBodyMemory bounds the memory of all requests' bodies, in bytes, and
-	// BodyTimeout the time that one body may take.
+	// MaxBodyMemory bounds the memory of all request bodies, in bytes. BodyTimeout
+	// bounds the time to receive one body.
 	MaxBodyMemory int64           `toml:"max_body_memory"`
 	BodyTimeout   kernel.Duration `toml:"body_timeout"`
-	// IdleTimeout is how long a caller's connection is kept without a request.
+	// IdleTimeout is how long a caller's idle connection stays open.
 	IdleTimeout kernel.Duration `toml:"idle_timeout"`
-	// ClaimRound is how long a claim of an idempotency key waits for the answers of
-	// its registers before it asks again; after four rounds in vain the caller is told.
+	// ClaimRound is how long a claim of an idempotency key waits for the answers of its
+	// registers before it retries; the request is refused after four failed rounds.
 	ClaimRound kernel.Duration `toml:"claim_round"`
-	// StopLimit bounds a planned stop.
+	// StopLimit bounds the duration of a graceful stop.
 	StopLimit kernel.Duration `toml:"stop_limit"`
-	// Lease and AnnounceInterval are those of the entry's own announcement.
+	// Lease is how long the directory keeps the entry after an announcement, and
+	// AnnounceInterval the time between two announcements.
 	Lease            kernel.Duration `toml:"lease"`
 	AnnounceInterval kernel.Duration `toml:"announce_interval"`
 }
@@ -85,7 +88,6 @@
 	ClaimsDirName = "claims"
 )
 
-// DefaultSettings returns the defaults.
 func DefaultSettings() *Settings {
 	return &Settings{
 		Now:              time.Now,
@@ -114,40 +116,40 @@
 	}
 }
 
-// Check names the first key that is wrong.
+// Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
-	bad := kernel.BadKey
+	badKey := kernel.BadKey
 	switch {
 	case s.ID == "":
-		return bad("id", "must not be empty")
+		return badKey("id", "must not be empty")
 	case s.FailureDomain == "":
-		return bad("failure_domain", "must not be empty")
+		return badKey("failure_domain", "must not be empty")
 	case s.Slots < 1:
-		return bad("slots", "must be at least 1")
+		return badKey("slots", "must be at least 1")
 	case s.UrgentPercent < 0 || s.UrgentPercent > 90:
-		return bad("urgent_percent", "must be from 0 to 90")
+		return badKey("urgent_percent", "must be from 0 to 90")
 	case s.MaxBodyMemory < 1<<20:
-		return bad("max_body_memory", "must be at least 1048576")
+		return badKey("max_body_memory", "must be at least 1048576")
 	case s.BodyTimeout < kernel.Duration(time.Second):
-		return bad("body_timeout", "must be at least 1s")
+		return badKey("body_timeout", "must be at least 1s")
 	case s.ClaimRound < kernel.Duration(10*time.Millisecond):
-		return bad("claim_round", "must be at least 10ms")
+		return badKey("claim_round", "must be at least 10ms")
 	case s.IdleTimeout < kernel.Duration(time.Second):
-		return bad("idle_timeout", "must be at least 1s")
+		return badKey("idle_timeout", "must be at least 1s")
 	case s.Keep < kernel.Duration(time.Second):
-		return bad("keep", "must be at least 1s")
+		return badKey("keep", "must be at least 1s")
 	case len(s.ControlReplicas) == 0 && s.Control == nil:
-		return bad("control_replicas", "must name at least one control replica")
+		return badKey("control_replicas", "must name at least one control replica")
 	case s.ClaimsDataDir != "" && s.Control != nil && filepath.Clean(s.ClaimsDataDir) == filepath.Clean(s.Control.DataDir):
-		return bad("claims_data_dir", "must not be control.data_dir itself")
+		return badKey("claims_data_dir", "must not be control.data_dir itself")
 	case s.ConfigLease < kernel.Duration(3*time.Second):
-		return bad("config_lease", "must be at least 3s")
+		return badKey("config_lease", "must be at least 3s")
 	case s.CallersTLS.CA != "":
-		return bad("callers_tls.ca", "must be empty: callers show no certificate")
+		return badKey("callers_tls.ca", "must be empty: callers do not use client certificates")
 	case s.OperatorsTLS.CA != "":
-		return bad("operators_tls.ca", "must be empty: operators prove themselves by their keys")
+		return badKey("operators_tls.ca", "must be empty: operators authenticate by their keys")
 	case s.Lease < 2*s.AnnounceInterval:
-		return bad("lease", "must be at least twice announce_interval")
+		return badKey("lease", "must be at least twice announce_interval")
 	}
 	err := cmp.Or(
 		kernel.CheckAddress("callers_listen", s.Callers), kernel.CheckAddress("internal_listen", s.Internal),
@@ -172,7 +174,8 @@
 	return kernel.CheckAddress("operators_listen", s.Operators)
 }
 
-// claimsFolder opens the folder for the records of claims; nil is memory only.
+// claimsFolder opens the folder for the records of claims. It returns nil if they are
+// kept in memory only.
 func (s *Settings) claimsFolder() (wal.FS, error) {
 	dir := s.ClaimsDataDir
 	if s.ClaimsFS != nil {
@@ -190,7 +193,7 @@
 	return wal.OpenFolder(dir)
 }
 
-// replicas lists the control replicas to follow.
+// replicas returns the drpc addresses of the control replicas.
 func (s *Settings) replicas() []string {
 	if len(s.ControlReplicas) == 0 {
 		return s.Control.Members
--- a/entry/settings_test.go
+++ b/entry/settings_test.go
@@ -28,16 +28,16 @@
 	"github.com/snipereach/snipereach/transport"
 )
 
-func valid() *Settings {
+func validSettings() *Settings {
 	s := DefaultSettings()
 	s.ID, s.FailureDomain, s.ClusterSecret = "entry-1", "hall-a", "a secret of the cluster"
 	s.ControlReplicas = []string{"127.0.0.1:7001"}
 	return s
 }
 
-func TestSettingsNameTheWrongKey(t *testing.T) {
-	assert.NilError(t, valid().Check())
-	for want, spoil := range map[string]func(*Settings){
+func TestSettingsCheckNamesInvalidKey(t *testing.T) {
+	assert.NilError(t, validSettings().Check())
+	for want, invalidate := range map[string]func(*Settings){
 		`"id"`:                  func(s *Settings) { s.ID = "" },
 		`"callers_tls.ca"`:      func(s *Settings) { s.CallersTLS.CA = "ca.pem" },
 		`"operators_tls.ca"`:    func(s *Settings) { s.OperatorsTLS.CA = "ca.pem" },
@@ -51,16 +51,16 @@
 		`"control_replicas"`:      func(s *Settings) { s.ControlReplicas = nil },
 		`"lease": must be at lea`: func(s *Settings) { s.Lease = s.AnnounceInterval },
 	} {
-		s := valid()
-		spoil(s)
+		s := validSettings()
+		invalidate(s)
 		err := s.Check()
 		assert.ErrorIs(t, err, kernel.ErrSettings, want)
 		assert.ErrorContains(t, err, want)
 	}
 }
 
-// certificate writes a self-signed certificate for loopback.
-func certificate(t *testing.T) transport.TLSSettings {
+// writeCertificate writes a self-signed certificate for loopback and its key.
+func writeCertificate(t *testing.T) transport.TLSSettings {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -79,13 +79,12 @@
 	return s
 }
 
-// An operator's key must not be readable on the way: with operators_tls the
-// address answers only over TLS, and a client that doesn't know the CA sends
-// nothing.
-func TestOperatorsOverTLS(t *testing.T) {
-	s := valid()
+// With operators_tls, the operators' address answers only over TLS, and only clients that
+// trust the CA send their key.
+func TestOperatorAddressRequiresTLS(t *testing.T) {
+	s := validSettings()
 	s.Operators = "127.0.0.1:0"
-	s.OperatorsTLS = certificate(t)
+	s.OperatorsTLS = writeCertificate(t)
 	digest := sha256.Sum256([]byte("asha's key"))
 	s.Operator = []operators.Operator{{Name: "asha", KeySHA256: hex.EncodeToString(digest[:])}}
 	e, err := New(s, log.NewNopLogger())
@@ -113,9 +112,9 @@
 	assert.Equal(t, code, 2, out)
 }
 
-// Claims are kept beside a control replica's state, in a folder that is named, or
+// Claims are stored in the data folder of a control replica, in a configured folder, or
 // in memory only.
-func TestFolderOfClaims(t *testing.T) {
+func TestClaimsFolder(t *testing.T) {
 	dir := t.TempDir()
 	replica := &control.Settings{DataDir: dir}
 	for _, c := range []struct {
@@ -128,7 +127,7 @@
 		{ClaimsDirAuto, replica, filepath.Join(dir, ClaimsDirName)},
 		{filepath.Join(dir, "other"), nil, filepath.Join(dir, "other")},
 	} {
-		s := valid()
+		s := validSettings()
 		s.ClaimsDataDir, s.Control = c.set, c.control
 		fs, err := s.claimsFolder()
 		assert.NilError(t, err)
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -7,41 +7,42 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// maxKeptAnswer is the largest answer that claim registers keep for resends.
-const maxKeptAnswer = 64 << 10
+// maxStoredAnswer is the size in bytes of the largest body that claim registers store
+// to replay it.
+const maxStoredAnswer = 64 << 10
 
-// httpSink writes an answer to the caller, and keeps a copy of a small one for
-// callers that send the request again.
+// httpSink writes an answer to the caller. If storeAnswer is set, it copies an answer of
+// up to maxStoredAnswer bytes to replay it for a retry.
 type httpSink struct {
 	w  http.ResponseWriter
 	id string
-	// mark adds what is known of the connection when the answer begins.
-	mark  func(http.Header)
-	begun bool
-	flush bool
-	keep  bool
-	kept  *wire.StoredAnswer
+	// addHeaders adds headers of the entry when the answer begins.
+	addHeaders  func(http.Header)
+	started     bool
+	flush       bool
+	storeAnswer bool
+	stored      *wire.StoredAnswer
 }
 
 // Begin implements forward.Sink.
 func (s *httpSink) Begin(h *wire.RunReplyHead) error {
-	s.begun = true
+	s.started = true
 	s.flush = h.Streaming
-	if s.keep {
-		s.kept = &wire.StoredAnswer{Status: h.Status, Headers: h.Headers, Dropped: h.Streaming}
+	if s.storeAnswer {
+		s.stored = &wire.StoredAnswer{Status: h.Status, Headers: h.Headers, Dropped: h.Streaming}
 	}
 	for _, f := range h.Headers {
 		s.w.Header().Add(f.Name, f.Value)
 	}
 	s.w.Header().Set(upstream.HeaderRequestID, s.id)
-	s.mark(s.w.Header())
+	s.addHeaders(s.w.Header())
 	s.w.WriteHeader(int(h.Status))
 	return nil
 }
 
 // Write implements forward.Sink.
 func (s *httpSink) Write(b []byte) error {
-	s.keepBody(b)
+	s.storeBody(b)
 	if _, err := s.w.Write(b); err != nil {
 		return err
 	}
@@ -51,12 +52,12 @@
 	return nil
 }
 
-func (s *httpSink) keepBody(b []byte) {
+func (s *httpSink) storeBody(b []byte) {
 	switch {
-	case s.kept == nil || s.kept.Dropped:
-	case len(s.kept.Body)+len(b) > maxKeptAnswer:
-		s.kept = &wire.StoredAnswer{Status: s.kept.Status, Dropped: true}
+	case s.stored == nil || s.stored.Dropped:
+	case len(s.stored.Body)+len(b) > maxStoredAnswer:
+		s.stored = &wire.StoredAnswer{Status: s.stored.Status, Dropped: true}
 	default:
-		s.kept.Body = append(s.kept.Body, b...)
+		s.stored.Body = append(s.stored.Body, b...)
 	}
 }
--- a/entry/system.go
+++ b/entry/system.go
@@ -17,17 +17,18 @@
 // processTimeout bounds a call to another process on behalf of an operator.
 const processTimeout = 5 * time.Second
 
-// process shows the entry, and those that it knows, to operators.
-type process struct{ *Entry }
+// systemView implements operators.System by what the entry knows of the system.
+type systemView struct{ *Entry }
 
-func phaseOf(i *directory.Instance) string {
+func phaseName(i *directory.Instance) string {
 	return strings.ToLower(strings.TrimPrefix(i.Phase.String(), "PHASE_"))
 }
 
-// instances calls f for each instance of a role, with the phase to show.
-func (p process) instances(role wire.Role, f func(i *directory.Instance, phase string)) {
+// eachInstance calls f for each instance of a role, silent ones included, with the phase
+// to show.
+func (p systemView) eachInstance(role wire.Role, f func(i *directory.Instance, phase string)) {
 	for _, i := range p.node.Instances(role) {
-		f(i, phaseOf(i))
+		f(i, phaseName(i))
 	}
 	for _, i := range p.node.Silent(role) {
 		f(i, operators.PhaseSilent)
@@ -35,9 +36,9 @@
 }
 
 // Entries implements operators.System.
-func (p process) Entries() []operators.EntryState {
+func (p systemView) Entries() []operators.EntryState {
 	list := []operators.EntryState{}
-	p.instances(wire.Role_ROLE_ENTRY, func(i *directory.Instance, phase string) {
+	p.eachInstance(wire.Role_ROLE_ENTRY, func(i *directory.Instance, phase string) {
 		list = append(list, operators.EntryState{
 			ID: i.Id, FailureDomain: i.FailureDomain, Address: i.Address, Phase: phase,
 			Revision: i.Revision, Listed: i.Listed && i.Up(),
@@ -47,10 +48,10 @@
 }
 
 // Upstreams implements operators.System.
-func (p process) Upstreams() []operators.UpstreamState {
+func (p systemView) Upstreams() []operators.UpstreamState {
 	list := []operators.UpstreamState{}
-	p.instances(wire.Role_ROLE_UPSTREAM, func(i *directory.Instance, phase string) {
-		load := p.watches.load(i)
+	p.eachInstance(wire.Role_ROLE_UPSTREAM, func(i *directory.Instance, phase string) {
+		load := p.agentWatches.load(i)
 		list = append(list, operators.UpstreamState{
 			ID: i.Id, FailureDomain: i.FailureDomain, Address: i.Address, Kind: i.Kind, Pools: i.Pools,
 			Phase: phase, Running: load.GetRunning(), Waiting: load.GetWaiting(), Slots: load.GetSlots(),
@@ -59,8 +60,8 @@
 	return list
 }
 
-// find returns an upstream or an entry by ID, or nil.
-func (p process) find(id string) *directory.Instance {
+// findInstance returns the entry or upstream with the ID, or nil.
+func (p systemView) findInstance(id string) *directory.Instance {
 	for _, role := range []wire.Role{wire.Role_ROLE_ENTRY, wire.Role_ROLE_UPSTREAM} {
 		for _, i := range p.node.Instances(role) {
 			if i.Id == id {
@@ -72,8 +73,8 @@
 }
 
 // Dump implements operators.System.
-func (p process) Dump(ctx context.Context, id, address string) (json.RawMessage, error) {
-	if i := p.find(id); i != nil {
+func (p systemView) Dump(ctx context.Context, id, address string) (json.RawMessage, error) {
+	if i := p.findInstance(id); i != nil {
 		address = i.Address
 	}
 	if address == "" {
@@ -89,8 +90,8 @@
 }
 
 // Drain implements operators.System.
-func (p process) Drain(ctx context.Context, id, by string) (operators.Drained, error) {
-	i := p.find(id)
+func (p systemView) Drain(ctx context.Context, id, operator string) (operators.Drained, error) {
+	i := p.findInstance(id)
 	if i == nil {
 		return operators.Drained{}, merry.Prependf(operators.ErrUnknownProcess, "%s: no upstream or entry of this ID is up", id)
 	}
@@ -101,20 +102,21 @@
 	if i.Role == wire.Role_ROLE_ENTRY {
 		drain = wire.NewDRPCEntryClient(conn).Drain
 	}
-	reply, err := drain(ctx, &wire.DrainRequest{By: by})
+	reply, err := drain(ctx, &wire.DrainRequest{By: operator})
 	if err != nil {
 		return operators.Drained{}, merry.Prependf(operators.ErrNotReached, "%s at %s: %v", id, i.Address, err)
 	}
 	return operators.Drained{ID: id, Running: reply.Running, Waiting: reply.Waiting}, nil
 }
 
-// drainService is the entry as other entries call it.
+// drainService implements the Entry RPC service, which other entries call.
 type drainService struct{ *Entry }
 
-// Drain implements the Entry service: an operator asks the entry to leave.
+// Drain implements the Entry RPC service. It starts the drain and returns without
+// waiting for its end.
 func (s drainService) Drain(ctx context.Context, req *wire.DrainRequest) (*wire.DrainReply, error) {
-	kernel.Info(s.log, "Asked to leave.", "by", req.By)
-	s.leave(ctx)
+	kernel.Info(s.log, "Drain requested.", "by", req.By)
+	s.startDrain(ctx)
 	_, waiting := s.runner.Counts()
 	return &wire.DrainReply{Running: uint32(s.requests.Load()), Waiting: uint32(waiting)}, nil
 }
--- a/entry/tablewatch.go
+++ b/entry/tablewatch.go
@@ -11,16 +11,16 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Times of following the table.
 const (
-	rewatchTable = 200 * time.Millisecond
-	floorTimeout = 3 * time.Second
-	// silentWatch is how long a watch may say nothing before another replica is
-	// asked; a replica confirms every second.
-	silentWatch = 3 * time.Second
+	tableWatchRetryDelay = 200 * time.Millisecond
+	floorTimeout         = 3 * time.Second
+	// maxTableWatchSilence is how long a table watch may receive nothing before it is
+	// closed and another replica is tried; a replica sends a confirmation every second.
+	maxTableWatchSilence = 3 * time.Second
 )
 
-// errStaleReplica ends a watch of a replica that hears no leader itself.
+// errStaleReplica ends the watch of a replica whose rows haven't been confirmed as
+// current for maxTableWatchSilence.
 var errStaleReplica = merry.Sentinel("replica can't confirm its rows")
 
 // followTable keeps the rows in force up to date until the context is done.
@@ -31,14 +31,14 @@
 			e.setFloor(ctx, f)
 		}
 		if f.Floored() {
-			err := e.client.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) error {
+			err := e.controlClient.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) error {
 				return e.watchTable(ctx, c, f)
 			})
 			kernel.Debug(e.log, "Table watch ended.", "err", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rewatchTable):
+		case <-time.After(tableWatchRetryDelay):
 		}
 	}
 }
@@ -46,13 +46,13 @@
 func (e *Entry) setFloor(ctx context.Context, f *table.Follower) {
 	ctx, cancel := context.WithTimeout(ctx, floorTimeout)
 	defer cancel()
-	reply, err := e.client.Read(ctx, &wire.ReadRequest{Kind: table.KindPool, Linearizable: true})
+	reply, err := e.controlClient.Read(ctx, &wire.ReadRequest{Kind: table.KindPool, Linearizable: true})
 	if err != nil {
-		kernel.Debug(e.log, "The table's revision is not known yet.", "err", err)
+		kernel.Debug(e.log, "Table revision can't be read yet.", "err", err)
 		return
 	}
 	if err := f.SetFloor(reply.Cluster, reply.Revision); err != nil {
-		kernel.Warn(e.log, "Rows are refused.", "err", err)
+		kernel.Warn(e.log, "Table revision rejected.", "err", err)
 	}
 }
 
@@ -64,50 +64,51 @@
 		return err
 	}
 	defer stream.Close()
-	// A replica behind a silent cut sends nothing and the connection doesn't
-	// break; without a limit the entry would wait there while others know more.
-	silence := time.AfterFunc(silentWatch, cancel)
-	defer silence.Stop()
+	// In a network partition the connection may stay open with nothing received.
+	// Without this timeout the entry would keep waiting for a replica that it can't
+	// reach.
+	silenceTimer := time.AfterFunc(maxTableWatchSilence, cancel)
+	defer silenceTimer.Stop()
 	for _, replica := range e.settings.replicas() {
-		e.suspects.TellAgain(replica)
+		e.quarantine.TellAgain(replica)
 	}
 	for {
 		u, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		silence.Reset(silentWatch)
-		e.suspects.Hear("table watch", u.Suspicions)
+		silenceTimer.Reset(maxTableWatchSilence)
+		e.quarantine.Hear("table watch", u.Suspicions)
 		v, err := f.Apply(e.settings.Now(), u)
 		if err != nil {
-			kernel.Warn(e.log, "Rows are refused.", "err", err)
+			kernel.Warn(e.log, "Table update rejected.", "err", err)
 			return err
 		}
 		if v != nil {
 			e.SetView(v)
 		}
 		at := f.Confirmed()
-		e.confirmed.Store(&at)
+		e.rowsConfirmedAt.Store(&at)
 		e.claims.SetRing(u.Ring, time.Duration(u.RingAgeMs)*time.Millisecond, f.Confirmed())
-		if age := time.Duration(u.ConfirmedAgeMs) * time.Millisecond; age > silentWatch {
+		if age := time.Duration(u.ConfirmedAgeMs) * time.Millisecond; age > maxTableWatchSilence {
 			return merry.Prependf(errStaleReplica, "%v", age)
 		}
 	}
 }
 
-// rowsConfirmed says whether the rows in force were known to be current within
-// the configuration lease. An entry that can't say so leaves the list that
-// callers get and goes on serving those that come.
+// rowsConfirmed reports whether the rows in force were confirmed as current within
+// Settings.ConfigLease. An entry whose lease has expired is removed from the list of
+// entries, but continues to serve requests.
 func (e *Entry) rowsConfirmed() bool {
 	age, ok := e.rowsAge(e.settings.Now())
 	return ok && age < e.settings.ConfigLease.D()
 }
 
-// rowsAge is how long ago the rows in force were known to be current; ok is false
-// if they never were. Both times hold a reading of the monotonic clock, so that a
-// time of day that is set back while the entry is cut off doesn't keep it listed.
+// rowsAge returns how long ago the rows in force were confirmed as current; ok is false
+// if they never were. Both times have a monotonic clock reading, so that setting the wall
+// clock back doesn't keep a partitioned entry in the list of entries.
 func (e *Entry) rowsAge(now time.Time) (age time.Duration, ok bool) {
-	at := e.confirmed.Load()
+	at := e.rowsConfirmedAt.Load()
 	if at == nil || at.IsZero() {
 		return 0, false
 	}
