--- a/entry/claim.go
+++ b/entry/claim.go
@@ -31,7 +31,7 @@
 	}
 	return e.claims.Open(fs, claim.Events{
 		Forgot: func(cause error) {
-			kernel.Warn(e.log, "Claims in the data folder can't be used. The register starts without them.", "err", cause)
+			kernel.Warn(e.log, "Claims in the data folder can't be used. The register discarded them.", "err", cause)
 		},
 		Failed: func(cause error) {
 			kernel.Warn(e.log, "Claim can't be made durable. The register grants no claims until a restart.", "err", cause)
