--- a/entry/request.go
+++ b/entry/request.go
@@ -123,10 +123,11 @@
 }
 
 // markPossiblyRun changes the outcome of a refusal from "not run" to "unknown" if the
-// request has an idempotency key but doesn't hold its claim. An earlier attempt, through
-// another entry or before a row changed, may have run; a caller that was told "not run"
-// would retry with a new key and run the request twice. A refusal of a malformed request
-// stays, because no earlier attempt can have been the same.
+// request has an idempotency key but doesn't hold its claim and isn't known to be
+// idempotent. An earlier attempt, through another entry or before a row changed, may have
+// run; a caller that was told "not run" would retry with a new key and run the request
+// twice. A refusal of a malformed request stays, because no earlier attempt can have been
+// the same.
 func markPossiblyRun(r *http.Request, q *request, ref *wire.Refusal) {
 	if r.Header.Get(headerIdempotencyKey) == "" || ref.Outcome != wire.Outcome_OUTCOME_NOT_RUN || ref.Reason == wire.Reason_REASON_BAD_REQUEST {
 		return
