--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkPlan times one plan from the starting map, the longest search there is,
-// for the large size and with ranks, experts and layers halved.
+// BenchmarkPlan measures planning from the initial map, the longest search, at the largest size
+// and with ranks, experts or layers halved.
 func BenchmarkPlan(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkObserve times what one window costs the forecast at the large size.
+// BenchmarkObserve measures adding one window to the forecast at the largest size.
 func BenchmarkObserve(b *testing.B) {
 	s := Shape{32, 256, 58, 9}
 	rnd := rand.New(rand.NewPCG(1, 1))
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -7,22 +7,22 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Objective is what a planner is measured by, in seconds of group time weighted by
-// the group's row: SkewWeight x time lost to the busiest rank + MoveWeight x (time
-// of the weight store for the bytes moved + capacity lost). A rank that loads an
-// expert counts as lost for that long; it is one of Ranks.
+// Objective accumulates what a planner is judged by: time lost to skew, and the cost of the
+// moves.
 type Objective struct {
-	// Lost is the time by which steps were longer than on even ranks.
+	// Lost is the time by which steps took longer than with equally loaded ranks.
 	Lost time.Duration
 	// Moves is the number of experts loaded.
 	Moves int
-	// Bytes is the weight that the store gave out.
+	// Bytes is the amount of weights read from the store.
 	Bytes float64
-	// CapacityLost is the ranks' loading time over the number of ranks.
+	// CapacityLost is the time that ranks spent loading experts, divided by the number of
+	// ranks: a rank counts as unavailable while it loads one.
 	CapacityLost time.Duration
 }
 
-// J is the objective's value.
+// J returns the value of the objective in weighted seconds of group time: SkewWeight x time
+// lost to skew + MoveWeight x (time of the weight store for the bytes moved + capacity lost).
 func (o Objective) J(c Cost) float64 {
 	moved := 0.0
 	if o.Bytes > 0 {
@@ -31,7 +31,8 @@
 	return c.SkewWeight*o.Lost.Seconds() + c.MoveWeight*(moved+o.CapacityLost.Seconds())
 }
 
-// LoadTime is how long the store needs to give out one expert.
+// LoadTime returns the time that the store needs to deliver one expert, 0 if its rate is
+// unknown.
 func (c Cost) LoadTime() time.Duration {
 	if c.StoreRate <= 0 {
 		return 0
@@ -39,14 +40,15 @@
 	return time.Duration(c.ExpertBytes / c.StoreRate * float64(time.Second))
 }
 
-// Price is the move part of the objective for a number of moves.
+// Price returns the move part of the objective for a number of moves.
 func (c Cost) Price(s Shape, moves int) float64 {
 	return c.MoveWeight * float64(moves) * c.LoadTime().Seconds() * (1 + 1/float64(s.Ranks))
 }
 
-// usable says whether a window can be taken: the right size, and no value that
-// would poison all later forecasts. Without a shape that a map can have (a row may
-// name more slots than experts) none can, so no plan is made.
+// validLoad reports whether a window can be used: its size matches the shape, and no value is
+// negative, NaN or infinite, which would spoil all later forecasts. With a shape that no map
+// can have (a row may configure more slots than experts) no window is valid, so no plan is
+// made.
 func usable(s Shape, load Load) bool {
 	if s.Check() != nil || len(load) != s.Layers*s.Experts {
 		return false
@@ -59,7 +61,7 @@
 	return true
 }
 
-// Check says whether a map can exist for the shape.
+// Check returns an ErrShape error unless a valid map exists for the shape.
 func (s Shape) Check() error {
 	if s.Ranks < 1 || s.Experts < 1 || s.Layers < 1 || s.Slots < 1 {
 		return merry.Prependf(ErrShape, "%d ranks, %d experts, %d layers, %d slots", s.Ranks, s.Experts, s.Layers, s.Slots)
--- a/placement/example_test.go
+++ b/placement/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/snipereach/snipereach/placement"
 )
 
-// A group of two ranks has one popular expert. The planner copies it to the other
-// rank, because that pays for the weights that have to be loaded.
+// Replicates the popular expert of a group of two ranks to the other rank, because that saves
+// more than loading its weights costs.
 func Example() {
 	shape := placement.Shape{Ranks: 2, Experts: 4, Layers: 1, Slots: 3}
 	cost := placement.Cost{
--- a/placement/forecast.go
+++ b/placement/forecast.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// seenWindows is how many window ends are kept to drop doubled windows.
+// maxSeenWindows bounds the window ends that are remembered to drop duplicates.
 const seenWindows = 32
 
-// Forecast predicts the load of the coming time by exponential smoothing of each
-// expert's share. Windows may come late, out of order or doubled, and may be
-// missing: a window's weight depends on its end alone. Shares are smoothed, not
-// tokens, so a busy hour doesn't outweigh the quiet one that follows it.
+// Forecast predicts the load of the near future by exponential smoothing of each expert's share
+// of its layer. Windows may be late, out of order, duplicated or missing: the weight of a
+// window depends only on its end. Shares are smoothed rather than tokens, so that a busy hour
+// doesn't outweigh the quiet hour after it.
 //
-// Several half-lives run side by side, with and without a trend; each layer is
-// forecast by the one that has lately erred least about the next window. So noise is
-// smoothed away where the load stands still or drifts steadily. A sudden change ends
-// a regime, see regimes: what came before it counts no more.
+// Several smoothers run in parallel, with different half-lives and with or without a trend.
+// Each layer is forecast by the smoother whose one-step-ahead error has been lowest recently. A
+// sudden change of the load starts a new regime and discards the windows before it, see
+// regimeHistory.
 type Forecast struct {
-	// HalfLives are the ages at which a window counts half.
+	// HalfLives are the half-lives of the smoothers without a trend.
 	HalfLives []time.Duration
-	// Trends are the half-lives of the smoothers with a trend.
+	// TrendHalfLives are the half-lives of the smoothers with a trend.
 	Trends []time.Duration
-	// Ahead is for how long after the newest window a trend is followed.
+	// Lookahead is the time after the newest window that is forecast; trends are extrapolated that
+	// far.
 	Ahead time.Duration
-	// ErrorHalfLife is the age at which an error about a window counts half.
+	// ErrorHalfLife is the half-life of the errors by which smoothers are compared.
 	ErrorHalfLife time.Duration
-	// Robust clips single wrong counters, so that none can start a move, and tells
-	// sudden changes from them.
+	// Robust clips outliers of single counters, so that one wrong counter can't cause a move,
+	// and enables the detection of sudden changes.
 	Robust bool
 
 	shape     Shape
@@ -39,7 +40,7 @@
 	regimes   regimes
 }
 
-// Reset forgets all windows.
+// Reset discards all windows and sets the group's shape.
 func (f *Forecast) Reset(s Shape) {
 	*f = Forecast{
 		HalfLives: f.HalfLives, Trends: f.Trends, Ahead: f.Ahead,
@@ -53,7 +54,8 @@
 	}
 }
 
-// Observe takes a window; it says whether the window was used.
+// Observe adds a window that ended at the given time. It returns false if the window is
+// dropped: invalid, a duplicate, or from before the current regime.
 func (f *Forecast) Observe(at time.Time, load Load) bool {
 	if !usable(f.shape, load) || slices.ContainsFunc(f.seen, at.Equal) {
 		return false
@@ -69,11 +71,11 @@
 	return true
 }
 
-// Latest is the end of the latest window; zero if there is none.
+// Latest returns the end of the newest window, or the zero time if there is none.
 func (f *Forecast) Latest() time.Time { return f.ref }
 
-// Load is the forecast: shares that sum to the number of ranks in each layer, so
-// that the mean rank has load 1. It is nil without windows.
+// Load returns the forecast, or nil without windows. The shares of each layer sum to the number
+// of ranks, so that the mean rank has load 1.
 func (f *Forecast) Load() Load {
 	if f.ref.IsZero() {
 		return nil
@@ -81,11 +83,11 @@
 	return f.after(f.Ahead)
 }
 
-// after is the forecast for a time after the newest window.
+// loadAfter returns the forecast for a time after the newest window.
 func (f *Forecast) after(by time.Duration) Load {
-	lines := make([]line, len(f.smoothers))
+	projections := make([]line, len(f.smoothers))
 	for i := range f.smoothers {
-		lines[i] = f.smoothers[i].ahead(by)
+		projections[i] = f.smoothers[i].ahead(by)
 	}
 	out := make(Load, f.shape.Layers*f.shape.Experts)
 	trend := false
@@ -93,21 +95,21 @@
 		k := f.best(layer)
 		trend = trend || f.smoothers[k].trend
 		for i := layer * f.shape.Experts; i < (layer+1)*f.shape.Experts; i++ {
-			out[i] = f.smoothers[k].at(i, lines[k])
+			out[i] = f.smoothers[k].at(i, projections[k])
 		}
 	}
 	if trend {
-		return f.shares(out) // a line may have been cut at zero
+		return f.shares(out) // projections below zero were cut off, which changes the sums
 	}
 	return out
 }
 
-// trendLife is the share of a trend's half-life for which a gain is trusted like that
-// of a smoother without: the drift that it follows goes on.
+// trendLifetime is the fraction of a trend's half-life that HalfLife returns: a drift goes on,
+// so a gain lasts for a shorter time than without a trend.
 const trendLife = 0.2
 
-// HalfLife is the half-life by which a layer is forecast now: short after a sudden
-// change, long where the load stands still.
+// HalfLife returns the half-life by which a layer is currently forecast, scaled by
+// trendLifetime if it is forecast with a trend.
 func (f *Forecast) HalfLife(layer int) time.Duration {
 	sm := &f.smoothers[f.best(layer)]
 	if sm.trend {
@@ -116,11 +118,11 @@
 	return sm.half
 }
 
-// Lasting is for how long regimes have lasted on average; zero if none has ended.
+// MeanRegime returns the mean duration of past regimes, 0 if none has ended.
 func (f *Forecast) Lasting() time.Duration { return f.regimes.mean() }
 
-// Error is the standard error of the forecast load of a rank, by the counters' noise,
-// where the mean rank has load 1.
+// Error returns the standard error of a rank's forecast load that follows from the noise of the
+// counters. The mean rank has load 1.
 func (f *Forecast) Error(layer int) float64 {
 	if f.noise.squares == nil {
 		return 0
@@ -129,7 +131,7 @@
 	return math.Sqrt(f.noise.of(layer) * variance / float64(f.shape.Ranks))
 }
 
-// best is the number of the smoother by which a layer is forecast.
+// bestSmoother returns the index of the smoother by which a layer is forecast.
 func (f *Forecast) best(layer int) int {
 	best := 0
 	for i := range f.smoothers {
@@ -140,8 +142,8 @@
 	return best
 }
 
-// shares scales each layer to a sum of Ranks. A layer without tokens says nothing
-// about its experts: they count as equal.
+// shares scales each layer to a sum of Ranks. The experts of a layer without tokens get equal
+// shares.
 func (f *Forecast) shares(load Load) Load {
 	out := make(Load, len(load))
 	for layer := range f.shape.Layers {
@@ -160,13 +162,13 @@
 	return out
 }
 
-// add takes a window into all smoothers. They are judged by the raw window: clipped
-// ones resemble the forecast.
+// addWindow adds a window to all smoothers. If Robust, a late window is clipped against the
+// forecast for its own time.
 func (f *Forecast) add(at time.Time, raw Load) {
 	if f.ref.IsZero() {
 		f.ref = at
 	}
-	age := f.ref.Sub(at)
+	age := f.ref.Sub(at) // negative for a window that is newer than all others
 	load := raw
 	if age < 0 {
 		load = f.newest(at, -age, raw)
@@ -181,8 +183,9 @@
 	}
 }
 
-// newest takes the newest window so far, and gives what the smoothers are to add; nil
-// if they have been set anew.
+// addNewest handles a window that is newer than all others. It returns the load that the
+// smoothers are to add, or nil if the window has started a new regime. Smoothers are scored
+// against the raw window, because a clipped one resembles the forecast.
 func (f *Forecast) newest(at time.Time, after time.Duration, raw Load) Load {
 	load := raw
 	if f.Robust {
@@ -203,7 +206,7 @@
 	return load
 }
 
-// turn begins a regime at a window.
+// startRegime resets the smoothers at a window that starts a new regime.
 func (f *Forecast) turn(at time.Time, raw Load) {
 	start, weight := f.regimes.next(at, f.after(0), raw, f.noise.total())
 	for i := range f.smoothers {
--- a/placement/incremental.go
+++ b/placement/incremental.go
@@ -12,16 +12,16 @@
 func init() {
 	kernel.Register(kernel.Module{
 		ID:  "placement.incremental",
-		Doc: "makes the few moves whose forecast gain pays for them",
+		Doc: "makes the few moves whose forecast gain exceeds their price",
 		New: func() any { return NewIncremental() },
 	})
 }
 
-// Settings of the incremental planner, chosen by measurement on the tuning seeds
-// (docs/design/placement.md).
+// Default settings of the incremental planner.
 const (
 	defaultHalfLife = 30 * time.Second
-	// halfLifeSteps half-lives run side by side, each halfLifeFactor times longer.
+	// halfLifeSteps smoothers without a trend run in parallel, each with a half-life
+	// halfLifeFactor times longer than the one before.
 	halfLifeSteps        = 3
 	halfLifeFactor       = 5
 	defaultErrorLife     = 15 * time.Minute
@@ -31,43 +31,43 @@
 	defaultNoiseGain     = 2.5
 	defaultRegimeShare   = 0.25
 	defaultAhead         = 2 * time.Minute
-	// maxNoiseGain bounds the least gain that follows from noise: with poor counters a
-	// higher one leaves more uneven than it saves in moves.
+	// maxNoiseGain bounds the least gain that follows from noise. With inaccurate counters a
+	// higher one would leave more skew than it saves in moves.
 	maxNoiseGain = 0.01
-	// defaultPace is the time that the weight store may be kept busy by one plan.
-	defaultPace = 60 * time.Second
-	// defaultStale is the age of the counters above which nothing is moved.
+	defaultPace  = 60 * time.Second
 	defaultStale = 10 * time.Minute
 )
 
-// Incremental changes the map in force by the few moves that the forecast says
-// pay for themselves. It starts no plan while the store still gives out the weights
-// of the last one.
+// Incremental changes the current map by the few moves whose forecast gain exceeds their price.
+// It makes no plan while the weight store is still serving the moves of the last one.
 type Incremental struct {
 	// HalfLifeSeconds is the shortest half-life of the forecast.
 	HalfLifeSeconds float64 `toml:"half_life_seconds"`
-	// ErrorLifeSeconds is the age at which an error of a forecast counts half.
+	// ErrorLifeSeconds is the half-life of the errors by which the smoothers are compared.
 	ErrorLifeSeconds float64 `toml:"error_life_seconds"`
-	// HorizonFactor times a layer's half-life is for how long a gain in it is expected
-	// to last.
+	// HorizonFactor times the half-life of a layer's forecast is the time for which a gain in
+	// the layer is expected to last, until RegimeShare applies.
 	HorizonFactor float64 `toml:"horizon_factor"`
-	Margin        float64 `toml:"margin"`
-	MinGain       float64 `toml:"min_gain"`
-	PaceSeconds   float64 `toml:"pace_seconds"`
-	StaleSeconds  float64 `toml:"stale_seconds"`
-	// Robust clips single wrong counters and tells sudden changes from them.
+	// Margin and MinGain are those of Limits.
+	Margin  float64 `toml:"margin"`
+	MinGain float64 `toml:"min_gain"`
+	// MaxStoreBusySeconds bounds the time for which one plan keeps the weight store busy.
+	PaceSeconds float64 `toml:"pace_seconds"`
+	// MaxCounterAgeSeconds is the age of the newest counters above which no plan is made.
+	StaleSeconds float64 `toml:"stale_seconds"`
+	// Robust is that of Forecast.
 	Robust bool `toml:"robust"`
-	// TrendSeconds are the half-lives of the forecasts with a trend, AheadSeconds the
-	// time after the newest window for which it is followed.
+	// TrendSeconds are the half-lives of the smoothers with a trend. AheadSeconds is the time
+	// after the newest window that is forecast.
 	TrendSeconds []float64 `toml:"trend_seconds"`
 	AheadSeconds float64   `toml:"ahead_seconds"`
-	// NoiseGain times what one move can gain on noise alone is the least skew that it
-	// must save; the larger of it and MinGain counts.
+	// NoiseGain times the skew that one move could save by noise alone is a lower bound of
+	// MinGain, itself at most maxNoiseGain.
 	NoiseGain float64 `toml:"noise_gain"`
-	// RegimeShare is the share of a regime's usual length for which a gain is expected
-	// to last.
+	// RegimeShare is the fraction of the mean duration of regimes for which a gain is expected
+	// to last. It replaces HorizonFactor once a regime has ended.
 	RegimeShare float64 `toml:"regime_share"`
-	// Lighten gives a rank that is slow for other reasons than its experts less load.
+	// Lighten gives stragglers less load.
 	Lighten bool `toml:"lighten"`
 
 	shape    Shape
@@ -77,7 +77,7 @@
 	busy     time.Time
 }
 
-// NewIncremental makes a planner with the default settings.
+// NewIncremental returns a planner with the default settings.
 func NewIncremental() *Incremental {
 	return &Incremental{
 		HalfLifeSeconds:  defaultHalfLife.Seconds(),
@@ -104,7 +104,8 @@
 	p.forecast.Reset(s)
 }
 
-// NewForecast makes a forecast with the planner's settings.
+// NewForecast returns a forecast with the planner's settings. Reset must be called before its
+// use.
 func (p *Incremental) NewForecast() Forecast {
 	f := Forecast{Robust: p.Robust, ErrorHalfLife: seconds(p.ErrorLifeSeconds), Ahead: seconds(p.AheadSeconds)}
 	for _, half := range p.TrendSeconds {
@@ -115,8 +116,8 @@
 		f.HalfLives = append(f.HalfLives, seconds(half))
 		half *= halfLifeFactor
 	}
-	// Until they differ the longest counts: a load that has just been met for the first
-	// time is taken to last.
+	// The longest comes first, so that it is used as long as the errors don't differ: a new
+	// load is expected to last.
 	slices.Reverse(f.HalfLives)
 	return f
 }
@@ -124,11 +125,11 @@
 // Observe implements Planner.
 func (p *Incremental) Observe(at time.Time, load Load) { p.forecast.Observe(at, load) }
 
-// Forecast is the load that plans are made for; nil without windows.
+// Forecast returns the load for which plans are made, nil without windows.
 func (p *Incremental) Forecast() Load { return p.forecast.Load() }
 
-// ObserveTimes implements TimesObserver. The times are those of the window observed
-// last, under the map that was in force in it.
+// ObserveTimes implements TimesObserver. The times must be those of the latest observed window,
+// and current the map that was in use during it.
 func (p *Incremental) ObserveTimes(times []time.Duration, current *Map) {
 	byTime, byToken := Slowness(p.shape, current, p.forecast.Load(), times)
 	if byTime != nil {
@@ -138,8 +139,8 @@
 
 // Plan implements Planner.
 func (p *Incremental) Plan(now time.Time, current *Map) Decision {
-	if why := p.hold(now, current); why != "" {
-		return Decision{Why: "incremental: " + why + p.watch.report()}
+	if reason := p.hold(now, current); reason != "" {
+		return Decision{Why: "incremental: " + reason + p.watch.report()}
 	}
 	d := Improve(p.shape, p.cost, current, p.forecast.Load(), p.Limits())
 	d.Why = "incremental: " + d.Why + p.watch.report()
@@ -147,19 +148,18 @@
 	return d
 }
 
-// hold says why nothing may be moved now.
+// reasonToWait returns why no plan can be made now, or "".
 func (p *Incremental) hold(now time.Time, current *Map) string {
 	latest := p.forecast.Latest()
 	if latest.IsZero() {
 		return "no counters yet"
 	}
-	// Old counters say little of the load now: moves made by them would be paid for
-	// and then undone. The map in force stays until counters come again.
+	// Moves for an outdated load may have to be undone.
 	if age := now.Sub(latest); age > seconds(p.StaleSeconds) {
 		return fmt.Sprintf("counters are %v old", age)
 	}
 	if now.Before(p.busy) {
-		return "the store still gives out the last plan's weights"
+		return "weight store is still serving the last plan"
 	}
 	if err := current.Check(p.shape); err != nil {
 		return err.Error()
@@ -167,7 +167,7 @@
 	return ""
 }
 
-// Limits are those of the next plan.
+// Limits returns the limits of the next plan.
 func (p *Incremental) Limits() Limits {
 	lim := Limits{Margin: p.Margin, MinGain: p.MinGain}
 	for layer := range p.shape.Layers {
@@ -181,19 +181,19 @@
 	if p.Lighten {
 		lim.Slow = p.watch.lasting()
 	}
-	if each := p.cost.LoadTime().Seconds(); each > 0 {
-		lim.MaxMoves = max(int(p.PaceSeconds/each), 1)
+	if loadTime := p.cost.LoadTime().Seconds(); loadTime > 0 {
+		lim.MaxMoves = max(int(p.PaceSeconds/loadTime), 1)
 	}
 	return lim
 }
 
-// noiseGain is the least gain by the forecast's error. An error of each rank's load by e
-// lifts the busiest of n even ranks by about e x sqrt(2 ln n), and to even that out takes
-// about a move for each rank.
+// noiseGain returns the least gain per move in a layer that follows from the forecast's error.
+// An error e of each rank's load raises the busiest of n equally loaded ranks by about e x
+// sqrt(2 ln n), and removing that takes about one move per rank.
 func (p *Incremental) noiseGain(layer int) float64 {
 	ranks := float64(p.shape.Ranks)
-	each := p.forecast.Error(layer) * math.Sqrt(2*math.Log(ranks)) / ranks
-	return min(p.NoiseGain*each, maxNoiseGain)
+	perMove := p.forecast.Error(layer) * math.Sqrt(2*math.Log(ranks)) / ranks
+	return min(p.NoiseGain*perMove, maxNoiseGain)
 }
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
--- a/placement/moves.go
+++ b/placement/moves.go
@@ -6,19 +6,19 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrNoSpare means that a map can't be reached: no expert has a second copy, so
-// whatever slot is overwritten first leaves an expert without a rank.
+// ErrNoSpareSlot is returned if a map can't be reached: every expert has a single replica, so
+// any first move would leave an expert without a rank.
 var ErrNoSpare = merry.Sentinel("no spare slot to move through")
 
-// ErrMove means that a move doesn't follow from the map it is applied to.
-var ErrMove = merry.Sentinel("move doesn't fit the map")
+// ErrMove is returned for a move whose slot doesn't hold the expert that it replaces.
+var ErrMove = merry.Sentinel("move does not match the map")
 
-// index is the place of a slot in Map.Slots.
+// index returns the index of the move's slot in Map.Slots.
 func (mv Move) index(s Shape) int {
 	return (mv.Layer*s.Ranks+mv.Rank)*s.Slots + mv.Slot
 }
 
-// Apply makes the map that follows from a map and moves, with the next epoch.
+// Apply returns the map that results from the moves, with the next epoch.
 func Apply(s Shape, m *Map, moves []Move) (*Map, error) {
 	next := &Map{Epoch: m.Epoch + 1, Slots: slices.Clone(m.Slots)}
 	for _, mv := range moves {
@@ -31,11 +31,11 @@
 	return next, nil
 }
 
-// Order lists moves that lead from one map to another such that the map after
-// each of them is valid. A cycle of experts that have one copy each can't be
-// turned in place: it is opened by a move through a spare slot, one more move for
-// each cycle. Slots of one rank may come out in another order than in to; the
-// map that is reached is returned beside the moves.
+// Order returns moves that lead from one map to another such that the map is valid after each
+// of them. A cycle of experts with one replica each can't be resolved in place: it takes one
+// more move, through a spare slot. The slots of a rank may end up in another order than in to;
+// the resulting map is returned with the moves. If no replica can be spared, the error is
+// ErrNoSpareSlot.
 func Order(s Shape, from, to *Map) ([]Move, *Map, error) {
 	if err := from.Check(s); err != nil {
 		return nil, nil, err
@@ -55,23 +55,23 @@
 	return moves, next, err
 }
 
-// orderer orders the moves of one layer.
+// orderer computes the moves of one layer.
 type orderer struct {
-	s      Shape
-	layer  int
-	now    []int32 // rank by rank, slot by slot
-	want   []int32
-	copies []int
-	moves  []Move
+	s        Shape
+	layer    int
+	now      []int32 // current experts, ordered by rank and slot
+	want     []int32 // target, in the same order
+	replicas []int   // replicas of each expert in now
+	moves    []Move
 }
 
 func newOrderer(s Shape, from, to *Map, layer int) *orderer {
 	size := s.Ranks * s.Slots
-	o := &orderer{s: s, layer: layer, copies: make([]int, s.Experts)}
+	o := &orderer{s: s, layer: layer, replicas: make([]int, s.Experts)}
 	o.now = slices.Clone(from.Slots[layer*size : (layer+1)*size])
 	o.want = slices.Clone(to.Slots[layer*size : (layer+1)*size])
 	for _, e := range o.now {
-		o.copies[e]++
+		o.replicas[e]++
 	}
 	for rank := range s.Ranks {
 		alignRank(o.rank(o.now, rank), o.rank(o.want, rank))
@@ -79,12 +79,13 @@
 	return o
 }
 
+// rankSlots returns the part of slots that belongs to a rank.
 func (o *orderer) rank(slots []int32, rank int) []int32 {
 	return slots[rank*o.s.Slots : (rank+1)*o.s.Slots]
 }
 
-// alignRank reorders want so that experts that stay keep their slots: the order
-// within a rank means nothing, and moving them would cost bytes.
+// alignRank reorders want so that experts that stay on the rank keep their slots. The order
+// within a rank has no meaning, but every changed slot costs a load.
 func alignRank(now, want []int32) {
 	for i, e := range now {
 		if j := slices.Index(want, e); j >= 0 {
@@ -95,8 +96,8 @@
 
 func (o *orderer) run() error {
 	for {
-		progress, left := o.pass()
-		if left == 0 {
+		progress, blocked := o.pass()
+		if blocked == 0 {
 			return nil
 		}
 		if progress {
@@ -108,34 +109,35 @@
 	}
 }
 
-// pass makes each wanted move that leaves a valid map.
-func (o *orderer) pass() (progress bool, left int) {
+// pass makes every wanted move that leaves a valid map. It returns the number of slots that it
+// couldn't change yet.
+func (o *orderer) pass() (progress bool, blocked int) {
 	for i := range o.now {
 		if o.now[i] == o.want[i] {
 			continue
 		}
-		if o.copies[o.now[i]] < 2 {
-			left++
+		if o.replicas[o.now[i]] < 2 {
+			blocked++
 			continue
 		}
 		o.move(i, o.want[i])
 		progress = true
 	}
-	return progress, left
+	return progress, blocked
 }
 
-// open starts a cycle when no move is left that a pass could make. Then every
-// unsettled slot holds the only copy of its expert, so these slots hold what
-// others of them want: a permutation. One expert is copied over an expert that can
-// be spared, on another rank; its own slot then takes what it wants, and passes
-// turn the rest of the cycle and give the spare slot its expert back.
+// breakCycle makes the first two moves of a cycle. It is called when pass makes no progress:
+// each remaining slot then holds the only replica of its expert, so these slots permute their
+// experts among themselves. One such expert is copied over a replica that can be spared on
+// another rank, and its own slot gets the expert that it wants. Later passes resolve the rest
+// of the cycle and restore the overwritten replica.
 func (o *orderer) open() error {
 	for i, e := range o.now {
 		if e == o.want[i] {
 			continue
 		}
 		for j, c := range o.now {
-			if o.copies[c] > 1 && !o.holds(j/o.s.Slots, e) {
+			if o.replicas[c] > 1 && !o.holds(j/o.s.Slots, e) {
 				o.move(j, e)
 				o.move(i, o.want[i])
 				return nil
@@ -149,12 +151,13 @@
 	return slices.Contains(o.rank(o.now, rank), e)
 }
 
+// move loads an expert into a slot and records the move.
 func (o *orderer) move(i int, e int32) {
 	o.moves = append(o.moves, Move{
 		Layer: o.layer, Rank: i / o.s.Slots, Slot: i % o.s.Slots, From: o.now[i], To: e,
 	})
-	o.copies[o.now[i]]--
-	o.copies[e]++
+	o.replicas[o.now[i]]--
+	o.replicas[e]++
 	o.now[i] = e
 	rank := i / o.s.Slots
 	alignRank(o.rank(o.now, rank), o.rank(o.want, rank))
--- a/placement/moves_test.go
+++ b/placement/moves_test.go
@@ -9,13 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// drawShape draws small shapes, with and without spare slots, and with experts that
-// don't divide evenly.
+// drawShape draws a small shape, with or without spare slots; experts need not divide evenly.
 func drawShape(t *rapid.T) Shape {
 	s := Shape{Ranks: rapid.IntRange(2, 6).Draw(t, "ranks"), Layers: rapid.IntRange(1, 3).Draw(t, "layers")}
 	s.Experts = rapid.IntRange(s.Ranks, 18).Draw(t, "experts")
-	least := (s.Experts + s.Ranks - 1) / s.Ranks
-	s.Slots = min(least+rapid.IntRange(0, 2).Draw(t, "spare"), s.Experts)
+	minSlots := (s.Experts + s.Ranks - 1) / s.Ranks
+	s.Slots = min(minSlots+rapid.IntRange(0, 2).Draw(t, "spare"), s.Experts)
 	return s
 }
 
@@ -31,13 +30,13 @@
 	return load
 }
 
-// checkPrefixes checks that the map after each move is valid.
+// checkPrefixes checks that the map is valid after each move and that the moves lead to want.
 func checkPrefixes(t rapid.TB, s Shape, from *Map, moves []Move, want *Map) {
 	m := &Map{Epoch: from.Epoch, Slots: slices.Clone(from.Slots)}
 	for i, mv := range moves {
 		at := &m.At(s, mv.Layer, mv.Rank)[mv.Slot]
 		if *at != mv.From {
-			t.Fatalf("move %d overwrites expert %d, not %d", i, *at, mv.From)
+			t.Fatalf("move %d overwrites expert %d, want %d", i, *at, mv.From)
 		}
 		*at = mv.To
 		if err := m.Check(s); err != nil {
@@ -45,17 +44,15 @@
 		}
 	}
 	if !slices.Equal(m.Slots, want.Slots) {
-		t.Fatalf("the moves lead to another map")
+		t.Fatalf("the moves don't lead to the wanted map")
 	}
 	if want.Epoch != from.Epoch+1 {
-		t.Fatalf("epoch %d after %d", want.Epoch, from.Epoch)
+		t.Fatalf("got epoch %d after epoch %d", want.Epoch, from.Epoch)
 	}
 }
 
-// An operator undoes a plan, or repack replaces the whole map: the engine loads
-// experts in place, one by one. If a slot with an expert's only copy were
-// overwritten, tokens for that expert would have no rank until the copy is back.
-// Between any two maps, every prefix of the moves must be a valid map.
+// Experts are loaded in place, one at a time: overwriting an expert's only replica would leave
+// its tokens without a rank until it is loaded again.
 func TestOrderKeepsEachPrefixValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawShape(t)
@@ -80,9 +77,9 @@
 	})
 }
 
-// Two ranks want to exchange their only copies. In place that is a cycle: one
-// expert must wait in the spare slot of a third rank, whose own expert comes back.
-func TestOrderTurnsACycleThroughASpareSlot(t *testing.T) {
+// Two ranks exchange experts with one replica each, through the spare slot of a third rank,
+// which gets its own expert back.
+func TestOrderResolvesCycleThroughSpareSlot(t *testing.T) {
 	s := Shape{Ranks: 3, Experts: 5, Layers: 1, Slots: 2}
 	from := &Map{Epoch: 1, Slots: []int32{0, 4, 1, 2, 3, 4}}
 	to := &Map{Epoch: 1, Slots: []int32{1, 4, 0, 2, 3, 4}}
@@ -93,15 +90,14 @@
 	assert.DeepEqual(t, next.Slots, to.Slots)
 }
 
-// Without a second copy of any expert, the first move would leave one without a
-// rank, so there is no order at all.
-func TestOrderRefusesACycleWithoutASpareSlot(t *testing.T) {
+// Without a second replica of any expert, any first move would leave an expert without a rank.
+func TestOrderRejectsCycleWithoutSpareSlot(t *testing.T) {
 	s := Shape{Ranks: 2, Experts: 4, Layers: 1, Slots: 2}
 	_, _, err := Order(s, Contiguous(s), &Map{Epoch: 1, Slots: []int32{0, 2, 1, 3}})
 	assert.ErrorIs(t, err, ErrNoSpare)
 }
 
-func TestApplyRefusesAMoveThatDoesNotFit(t *testing.T) {
+func TestApplyRejectsMismatchedMove(t *testing.T) {
 	s := Shape{Ranks: 2, Experts: 4, Layers: 1, Slots: 3}
 	_, err := Apply(s, Contiguous(s), []Move{{Rank: 1, Slot: 0, From: 0, To: 1}})
 	assert.ErrorIs(t, err, ErrMove)
--- a/placement/noise.go
+++ b/placement/noise.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	// jumpFactor is by how much the squared error of a window must exceed the usual one,
-	// in the middle layer, to end a regime.
+	// regimeErrorRatio is the ratio of a window's squared error to the usual one, in the median
+	// layer, above which a new regime starts.
 	jumpFactor = 4
-	// clipAt is the number of standard errors at which a single counter is clipped.
+	// clipSigmas is the number of standard errors beyond which a single counter is clipped.
 	clipAt = 3
-	// minNoise is the least relative error that counters are taken to have, so that
-	// exact ones don't make each small drift a jump.
+	// minRelativeError is the least relative error that is assumed of counters, so that with
+	// exact counters a small drift doesn't start a new regime.
 	minNoise = 0.02
-	// learnWindows is the number of windows that teach the noise before it is used.
+	// minNoiseWindows is the number of windows observed before the estimate is used.
 	learnWindows = 4
 )
 
-// noise is by how much counters of single windows lately erred about the forecast.
+// noise estimates how far the counters of a single window are from the forecast.
 type noise struct {
-	// squares sums the squared errors of each layer, weights their number; expected the
-	// squared forecast.
+	// squaredErrors and squaredForecast are decayed sums over the windows, per layer: of the squared errors,
+	// and of the squared forecast. weight is the decayed number of windows.
 	squares, expected []float64
 	weight            float64
 	windows           int
-	// high and low say which counters were clipped in the window before.
+	// wasHigh and wasLow tell which counters were out of bounds in the window before.
 	high, low []bool
 }
 
-// of is the squared error of a window in a layer.
+// squaredError returns the mean squared error of a window in a layer.
 func (n *noise) of(layer int) float64 {
 	if n.weight == 0 {
 		return 0
@@ -37,6 +37,7 @@
 	return max(n.squares[layer], minNoise*minNoise*n.expected[layer]) / n.weight
 }
 
+// totalSquaredError returns the mean squared error of a window over all layers.
 func (n *noise) total() float64 {
 	sum := 0.0
 	for layer := range n.squares {
@@ -45,7 +46,8 @@
 	return sum
 }
 
-func (n *noise) learn(s Shape, load, expected Load, by float64) {
+// observe updates the estimate with a window. Earlier windows are multiplied by decay.
+func (n *noise) learn(s Shape, load, expected Load, decay float64) {
 	if n.squares == nil {
 		n.squares, n.expected = make([]float64, s.Layers), make([]float64, s.Layers)
 	}
@@ -56,33 +58,33 @@
 			sum += d * d
 			all += expected[i] * expected[i]
 		}
-		n.squares[layer] = n.squares[layer]*by + sum
-		n.expected[layer] = n.expected[layer]*by + all
+		n.squares[layer] = n.squares[layer]*decay + sum
+		n.expected[layer] = n.expected[layer]*decay + all
 	}
-	n.weight = n.weight*by + 1
+	n.weight = n.weight*decay + 1
 	n.windows++
 }
 
-// jump says whether a window errs far more than usual in at least half of the layers.
-// One wrong counter, or one rank's, can't do that.
+// suddenChange reports whether the error of a window is far above the usual one in at least
+// half of the layers. A wrong counter of one expert, or those of one rank, can't cause that.
 func (n *noise) jump(s Shape, raw, expected Load) bool {
 	if n.windows < learnWindows {
 		return false
 	}
-	over := make([]float64, s.Layers)
-	for layer := range over {
+	ratios := make([]float64, s.Layers)
+	for layer := range ratios {
 		sum := 0.0
 		for i := layer * s.Experts; i < (layer+1)*s.Experts; i++ {
 			d := raw[i] - expected[i]
 			sum += d * d
 		}
-		over[layer] = sum / n.of(layer)
+		ratios[layer] = sum / n.of(layer)
 	}
-	return median(over) > jumpFactor
+	return median(ratios) > jumpFactor
 }
 
-// clip bounds each counter to what noise explains. A counter that exceeds it on the
-// same side in the next window, too, is let through: it isn't a single wrong one.
+// clip bounds each counter to the range that noise explains. A counter beyond the same bound in
+// two consecutive windows is kept the second time, as it is not a single wrong value.
 func (n *noise) clip(raw, expected Load) Load {
 	if n.windows < learnWindows {
 		return raw
@@ -93,17 +95,17 @@
 	experts := len(raw) / len(n.squares)
 	out := slices.Clone(raw)
 	for layer := range n.squares {
-		by := 0.0
+		bound := 0.0
 		if n.expected[layer] > 0 {
-			by = clipAt * math.Sqrt(n.of(layer)*n.weight/n.expected[layer])
+			bound = clipAt * math.Sqrt(n.of(layer)*n.weight/n.expected[layer])
 		}
 		for i := layer * experts; i < (layer+1)*experts; i++ {
-			high, low := raw[i] > expected[i]*(1+by), raw[i] < expected[i]*(1-by)
+			high, low := raw[i] > expected[i]*(1+bound), raw[i] < expected[i]*(1-bound)
 			if high && !n.high[i] {
-				out[i] = expected[i] * (1 + by)
+				out[i] = expected[i] * (1 + bound)
 			}
 			if low && !n.low[i] {
-				out[i] = expected[i] * (1 - by)
+				out[i] = expected[i] * (1 - bound)
 			}
 			n.high[i], n.low[i] = high, low
 		}
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-var epoch0 = time.Unix(0, 0).UTC()
+var startTime = time.Unix(0, 0).UTC()
 
 func testCost(skew, move float64) Cost {
 	return Cost{SkewWeight: skew, MoveWeight: move, ExpertBytes: 44e6, StoreRate: 1e9, StepTime: 5 * time.Millisecond}
@@ -27,16 +27,15 @@
 	return p
 }
 
-// Whatever the counters say, and however the load jumps, each planned map and each
-// prefix of its moves must be valid: an expert without a rank fails every token
-// that is routed to it.
-func TestEachPlanIsValidAtEachMove(t *testing.T) {
+// Tokens routed to an expert without a rank fail, so the map must be valid after every move of
+// any planner, whatever the load.
+func TestPlansAreValidAfterEachMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, c := drawShape(t), drawCost(t)
 		p := drawPlanner(t)
 		p.Reset(s, c)
 		current := Contiguous(s)
-		now := epoch0
+		now := startTime
 		for range 4 {
 			p.Observe(now, drawLoad(t, s))
 			d := p.Plan(now, current)
@@ -50,18 +49,18 @@
 	})
 }
 
-// A plan that costs more than it saves slows the group: whatever is planned must pay
-// by its own figures, and these figures must be those of the map it leads to.
-func TestIncrementalMovesOnlyWhatPays(t *testing.T) {
+// Every plan must be worth its price by its own figures, and these must match the map that
+// results from it.
+func TestIncrementalPlansAreWorthTheirPrice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, c := drawShape(t), drawCost(t)
 		p := NewIncremental()
 		p.Margin = rapid.Float64Range(1, 8).Draw(t, "margin")
 		p.Reset(s, c)
 		load := drawLoad(t, s)
-		p.Observe(epoch0, load)
+		p.Observe(startTime, load)
 		current := Contiguous(s)
-		d := p.Plan(epoch0, current)
+		d := p.Plan(startTime, current)
 		assert.Assert(t, math.Abs(d.SkewBefore-meanSkew(s, current, load)) < 1e-9)
 		if d.Next == nil {
 			return
@@ -73,24 +72,23 @@
 	})
 }
 
-func TestNoMoveWhenThePriceExceedsAnyGain(t *testing.T) {
+func TestNoMoveIfPriceExceedsAnyGain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawShape(t)
 		p := NewIncremental()
-		// Even a fall from one rank with everything to even ranks is worth less than
-		// one move.
-		worth := p.HorizonFactor * p.HalfLifeSeconds * halfLifeFactor * halfLifeFactor * float64(s.Ranks)
+		// The price of one move, above the gain of spreading the load of one rank evenly.
+		maxGain := p.HorizonFactor * p.HalfLifeSeconds * halfLifeFactor * halfLifeFactor * float64(s.Ranks)
 		c := testCost(1, 0)
-		c.MoveWeight = worth / c.LoadTime().Seconds()
+		c.MoveWeight = maxGain / c.LoadTime().Seconds()
 		p.Reset(s, c)
-		p.Observe(epoch0, drawLoad(t, s))
-		d := p.Plan(epoch0, Contiguous(s))
+		p.Observe(startTime, drawLoad(t, s))
+		d := p.Plan(startTime, Contiguous(s))
 		assert.Assert(t, d.Next == nil)
 		assert.Equal(t, len(d.Moves), 0)
 	})
 }
 
-// Two control leaders that saw the same windows must come to the same plan.
+// Control leaders that observed the same windows must make the same plan.
 func TestPlansAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, c := drawShape(t), drawCost(t)
@@ -99,16 +97,16 @@
 			p := NewIncremental()
 			p.Reset(s, c)
 			for i, l := range loads {
-				p.Observe(epoch0.Add(time.Duration(i)*time.Minute), l)
+				p.Observe(startTime.Add(time.Duration(i)*time.Minute), l)
 			}
-			return p.Plan(epoch0.Add(3*time.Minute), Contiguous(s))
+			return p.Plan(startTime.Add(3*time.Minute), Contiguous(s))
 		}
 		assert.DeepEqual(t, plan(), plan())
 	})
 }
 
-// allMaps calls back with each valid assignment of one layer, up to the order of
-// slots within a rank.
+// allMaps calls visit with every valid map of one layer, up to the order of slots within a
+// rank.
 func allMaps(s Shape, visit func(*Map)) {
 	m := &Map{Epoch: 1, Slots: make([]int32, s.Ranks*s.Slots)}
 	var fill func(i int)
@@ -131,18 +129,18 @@
 	fill(0)
 }
 
-// With one expert a rank, the hottest sets the pace under any map; with a copy on each
-// rank, none does.
-func TestBoundIsReachedWhereOneExpertDecides(t *testing.T) {
+// With one expert per rank, the hottest expert determines the skew of any map; with a replica
+// on every rank, the load can be spread evenly.
+func TestBoundWithOneHotExpert(t *testing.T) {
 	load := Load{3, 1}
 	assert.Assert(t, math.Abs(Bound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 1}, 0, load)-1.5) < 1e-9)
 	assert.Equal(t, Bound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 2}, 0, load), 1.0)
 	assert.Equal(t, Bound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 1}, 0, Load{0, 0}), 1.0)
 }
 
-// On tiny shapes all maps can be tried: none may be below the bound, and free moves
-// must come close to the best of them.
-func TestAgainstAllMapsOfTinyShapes(t *testing.T) {
+// Compares with all maps of tiny shapes: none may be below the bound, and repeated planning
+// with free moves must come close to the best one.
+func TestBoundAndPlansAgainstAllMaps(t *testing.T) {
 	worst := 1.0
 	for seed := range uint64(60) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
@@ -159,10 +157,10 @@
 		p := NewIncremental()
 		p.MinGain = 0
 		p.Reset(s, testCost(1, 0))
-		p.Observe(epoch0, load)
+		p.Observe(startTime, load)
 		current := Contiguous(s)
 		for range 5 {
-			if d := p.Plan(epoch0.Add(time.Second), current); d.Next != nil {
+			if d := p.Plan(startTime.Add(time.Second), current); d.Next != nil {
 				current = d.Next
 			}
 			p.busy = time.Time{}
@@ -179,16 +177,16 @@
 	assert.Assert(t, worst <= 1.25)
 }
 
-// The search changes rank loads step by step; each trial must agree with the loads
-// of the whole map counted anew, otherwise it takes steps that don't even anything.
-func TestTrialsAgreeWithWholeMaps(t *testing.T) {
+// The search updates rank loads incrementally; a wrong result would make it take steps that
+// don't lower the skew.
+func TestPeakAfterMatchesRecomputedLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawShape(t)
 		s.Layers = 1
 		load := drawLoad(t, s)
 		f := Forecast{HalfLives: []time.Duration{time.Minute}, ErrorHalfLife: time.Minute}
 		f.Reset(s)
-		f.Observe(epoch0, load)
+		f.Observe(startTime, load)
 		m := Contiguous(s)
 		slow := slices.Repeat([]float64{1}, s.Ranks)
 		st := newLayerState(s, 0, m.Slots, f.Load(), slow)
@@ -205,60 +203,59 @@
 					for _, v := range next.RankLoads(s, 0, f.Load()) {
 						want += st.peakOf(v)
 					}
-					assert.Assert(t, math.Abs(got-want) <= 1e-6*max(want, st.peak), "%v, not %v", got, want)
+					assert.Assert(t, math.Abs(got-want) <= 1e-6*max(want, st.peak), "got %v, want %v", got, want)
 				}
 			}
 		}
 	})
 }
 
-// The engines of a group fall silent, or the control leader has just started: the
-// load now is unknown, and moves made by old counters would be paid for nothing.
-func TestIncrementalHoldsWithoutFreshCounters(t *testing.T) {
+// Without counters, or with outdated ones, the current load is unknown and no move must be
+// made.
+func TestIncrementalRequiresRecentCounters(t *testing.T) {
 	s := Shape{Ranks: 2, Experts: 4, Layers: 1, Slots: 3}
 	p := NewIncremental()
 	p.Reset(s, testCost(4, 1))
-	assert.Assert(t, p.Plan(epoch0, Contiguous(s)).Next == nil)
-	p.Observe(epoch0, Load{1, 100, 1, 1})
-	d := p.Plan(epoch0.Add(11*time.Minute), Contiguous(s))
+	assert.Assert(t, p.Plan(startTime, Contiguous(s)).Next == nil)
+	p.Observe(startTime, Load{1, 100, 1, 1})
+	d := p.Plan(startTime.Add(11*time.Minute), Contiguous(s))
 	assert.Assert(t, d.Next == nil)
 	assert.Equal(t, d.Why, "incremental: counters are 11m0s old")
-	assert.Assert(t, p.Plan(epoch0.Add(time.Minute), Contiguous(s)).Next != nil)
+	assert.Assert(t, p.Plan(startTime.Add(time.Minute), Contiguous(s)).Next != nil)
 }
 
-// The store still gives out the last plan's weights: another plan would queue behind
-// it, and be old when it is in force.
-func TestIncrementalWaitsForTheStore(t *testing.T) {
+// A plan made while the store is still serving the last one would be queued behind it and
+// outdated when it takes effect.
+func TestIncrementalWaitsForWeightStore(t *testing.T) {
 	s := Shape{Ranks: 2, Experts: 4, Layers: 1, Slots: 3}
 	p := NewIncremental()
 	c := testCost(4, 0)
 	c.StoreRate = c.ExpertBytes / 30
 	p.Reset(s, c)
-	p.Observe(epoch0, Load{1, 100, 1, 1})
-	first := p.Plan(epoch0, Contiguous(s))
+	p.Observe(startTime, Load{1, 100, 1, 1})
+	first := p.Plan(startTime, Contiguous(s))
 	assert.Assert(t, first.Next != nil)
 	assert.Assert(t, len(first.Moves) <= 2)
-	again := p.Plan(epoch0.Add(29*time.Second), Contiguous(s))
-	assert.Equal(t, again.Why, "incremental: the store still gives out the last plan's weights")
+	again := p.Plan(startTime.Add(29*time.Second), Contiguous(s))
+	assert.Equal(t, again.Why, "incremental: weight store is still serving the last plan")
 }
 
-// A wrong counter must not poison the forecast: a window of another size, with a
-// negative, infinite or undefined value, or that arrives twice, is dropped.
-func TestForecastDropsUnusableWindows(t *testing.T) {
+// Windows of another size, with a negative, infinite or NaN value, and duplicates are dropped.
+func TestForecastDropsInvalidWindows(t *testing.T) {
 	s := Shape{Ranks: 2, Experts: 4, Layers: 1, Slots: 3}
 	f := NewIncremental().NewForecast()
 	f.Reset(s)
 	for _, bad := range []Load{{1, 2, 3}, {1, 2, 3, -1}, {1, 2, 3, math.NaN()}, {1, 2, 3, math.Inf(1)}} {
-		assert.Assert(t, !f.Observe(epoch0, bad))
+		assert.Assert(t, !f.Observe(startTime, bad))
 	}
 	assert.Assert(t, f.Load() == nil)
-	assert.Assert(t, f.Observe(epoch0, Load{1, 2, 3, 2}))
-	assert.Assert(t, !f.Observe(epoch0, Load{9, 9, 9, 9}))
+	assert.Assert(t, f.Observe(startTime, Load{1, 2, 3, 2}))
+	assert.Assert(t, !f.Observe(startTime, Load{9, 9, 9, 9}))
 	assert.DeepEqual(t, f.Load(), Load{0.25, 0.5, 0.75, 0.5})
 }
 
-// Without the median, late windows count as if they had come in time.
-func TestLateWindowsCountByTheirEnd(t *testing.T) {
+// Without Robust the forecast doesn't depend on the order in which windows arrive.
+func TestForecastIgnoresArrivalOrder(t *testing.T) {
 	s := Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 2}
 	rapid.Check(t, func(t *rapid.T) {
 		order := rapid.Permutation([]int{0, 1, 2, 3}).Draw(t, "order")
@@ -266,7 +263,7 @@
 			f := Forecast{HalfLives: []time.Duration{time.Minute}, ErrorHalfLife: time.Minute}
 			f.Reset(s)
 			for _, i := range order {
-				f.Observe(epoch0.Add(time.Duration(i)*time.Minute), Load{float64(i + 1), 1})
+				f.Observe(startTime.Add(time.Duration(i)*time.Minute), Load{float64(i + 1), 1})
 			}
 			return f.Load()
 		}
@@ -284,17 +281,17 @@
 	}
 }
 
-// An operator's row names more spare slots than there are experts to fill them. No
-// valid map exists; the planners must say so by not moving, and not fail.
-func TestNoPlanForAnImpossibleShape(t *testing.T) {
+// A row may configure a shape that no valid map exists for; planners must then make no plan and
+// not fail.
+func TestNoPlanForInvalidShape(t *testing.T) {
 	for _, s := range []Shape{{Ranks: 2, Experts: 4, Layers: 1, Slots: 5}, {Ranks: 2, Experts: 8, Layers: 1, Slots: 3}, {}} {
 		assert.ErrorIs(t, s.Check(), ErrShape)
 		for _, name := range []string{"static", "repack", "incremental"} {
 			p, err := NewPlanner(name)
 			assert.NilError(t, err)
 			p.Reset(s, testCost(1, 1))
-			p.Observe(epoch0, make(Load, s.Layers*s.Experts))
-			assert.Assert(t, p.Plan(epoch0, Contiguous(s)).Next == nil)
+			p.Observe(startTime, make(Load, s.Layers*s.Experts))
+			assert.Assert(t, p.Plan(startTime, Contiguous(s)).Next == nil)
 		}
 	}
 }
--- a/placement/regimes.go
+++ b/placement/regimes.go
@@ -6,43 +6,45 @@
 )
 
 const (
-	// maxPatterns bounds the regimes that are remembered.
+	// maxPatterns bounds the number of remembered regimes.
 	maxPatterns = 8
-	// minRegime is the number of windows that a regime must have to be remembered.
+	// minRegimeWindows is the number of windows that a regime must have to be remembered.
 	minRegime = 4
-	// sameRegime is the share of a change's squared length within which two regimes
-	// count as one.
+	// sameRegimeDistance bounds the squared distance of two regimes that count as one, as a
+	// fraction of the squared length of the change.
 	sameRegime = 0.25
-	// knownRest is the share of a change's squared length that may remain beside a
-	// remembered one.
+	// maxResidual bounds the squared residual of a change that matches a remembered regime, as
+	// a fraction of the squared length of the change.
 	knownRest = 0.3
-	// leastPart is the part of a remembered change that must be seen to recognise it.
+	// minMatchProgress is the fraction of a remembered change that must be visible for a match.
 	leastPart = 0.08
-	// risingBy is by how much the part must grow from window to window to count as
-	// still rising.
+	// minRise is the growth of the progress between two consecutive changes above which the
+	// load is taken to be still on its way to the matched regime.
 	risingBy = 0.1
-	// knownWeight is the number of windows that a remembered regime counts as.
+	// matchedWeight is the number of windows that the load of a matched regime counts as.
 	knownWeight = 2
 )
 
-// regimes remembers how load was spread between sudden changes, because the same few
-// hot sets come back. The first windows of one of them show only part of it: a change
-// in the direction of a remembered regime is taken to go all the way.
+// regimeHistory remembers the load of past regimes, the periods between sudden changes, because
+// the same hot sets of experts tend to recur. The first windows after a change show only part
+// of it: a change towards a remembered regime is expected to be completed.
 type regimes struct {
-	// since is the start of the regime in force, windows their number in it.
+	// since is the start of the current regime, windows the number of windows in it.
 	since   time.Time
 	windows int
-	// base is the last regime that lasted, patterns those before, newest last.
+	// base is the load of the last regime that was remembered. patterns are the remembered
+	// loads, newest last.
 	base     Load
 	patterns []Load
-	// part is how far the change had come in the last window.
+	// progress is how far the latest change had come from base to the matched regime, 0 to 2.
 	part float64
-	// lasted is how long regimes lasted in all, ended their number.
+	// lasted and ended are the total duration and the number of the ended regimes, without
+	// those of fewer than minRegimeWindows windows.
 	lasted time.Duration
 	ended  int
 }
 
-// mean is for how long a regime lasts; zero if none has ended.
+// meanDuration returns the mean duration of these regimes, 0 if none has ended.
 func (g *regimes) mean() time.Duration {
 	if g.ended == 0 {
 		return 0
@@ -50,8 +52,9 @@
 	return g.lasted / time.Duration(g.ended)
 }
 
-// next ends the regime in force, whose last forecast is given, and says with what, and
-// as how many windows, the next one begins.
+// startNext ends the current regime, whose last forecast is given, at a window with load raw.
+// It returns the load with which the new regime starts, and the number of windows that it
+// counts as.
 func (g *regimes) next(at time.Time, last, raw Load, noise float64) (Load, float64) {
 	if g.windows >= minRegime || g.base == nil {
 		g.remember(last, distance(last, raw))
@@ -61,29 +64,30 @@
 			g.ended++
 		}
 	}
-	again := g.windows == 0
+	consecutive := g.windows == 0
 	g.windows, g.since = 0, at
-	p, part := g.recognise(raw, noise)
+	p, progress := g.recognise(raw, noise)
 	if p == nil {
 		g.part = 0
 		return raw, 1
 	}
-	rising := part > g.part+risingBy && part < 1
-	g.part = part
+	rising := progress > g.part+risingBy && progress < 1
+	g.part = progress
 	switch {
 	case rising:
 		return between(g.base, p, 1), knownWeight
-	case again:
-		// What is remembered doesn't fit this time.
+	case consecutive:
+		// A second sudden change in a row that isn't a rise towards the regime.
 		return raw, 1
 	}
-	return between(between(g.base, p, part), raw, 0.5), knownWeight
+	return between(between(g.base, p, progress), raw, 0.5), knownWeight
 }
 
-// recognise finds the remembered regime in whose direction the load has gone, and how
-// far.
-func (g *regimes) recognise(raw Load, noise float64) (found Load, part float64) {
-	least := noise + knownRest*distance(g.base, raw)
+// match returns the remembered regime towards which the load has changed from base, and the
+// progress of the change. It returns nil if no regime fits better than noise and maxResidual
+// allow.
+func (g *regimes) recognise(raw Load, noise float64) (found Load, progress float64) {
+	leastResidual := noise + knownRest*distance(g.base, raw)
 	for _, p := range g.patterns {
 		along, length := 0.0, 0.0
 		for i, b := range g.base {
@@ -94,15 +98,15 @@
 		if length <= noise || along < leastPart*length {
 			continue
 		}
-		at := min(along/length, 2)
-		if rest := distance(between(g.base, p, at), raw); rest < least {
-			found, part, least = p, at, rest
+		reached := min(along/length, 2)
+		if residual := distance(between(g.base, p, reached), raw); residual < leastResidual {
+			found, progress, leastResidual = p, reached, residual
 		}
 	}
-	return found, part
+	return found, progress
 }
 
-// remember keeps a regime in place of one that it resembles, or of the oldest.
+// remember adds a pattern. It replaces similar ones, or the oldest if there are too many.
 func (g *regimes) remember(p Load, change float64) {
 	g.patterns = slices.DeleteFunc(g.patterns, func(other Load) bool {
 		return distance(p, other) < sameRegime*change
@@ -113,7 +117,7 @@
 	g.patterns = append(g.patterns, p)
 }
 
-// distance is the squared distance of two loads.
+// squaredDistance returns the squared Euclidean distance of two loads.
 func distance(a, b Load) float64 {
 	sum := 0.0
 	for i, v := range a {
@@ -123,11 +127,11 @@
 	return sum
 }
 
-// between is the load a part of the way from one to another.
-func between(a, b Load, part float64) Load {
+// interpolate returns the load at a fraction of the way from a to b, at least 0.
+func between(a, b Load, fraction float64) Load {
 	out := make(Load, len(a))
 	for i, v := range a {
-		out[i] = max(v+part*(b[i]-v), 0)
+		out[i] = max(v+fraction*(b[i]-v), 0)
 	}
 	return out
 }
--- a/placement/regimes_test.go
+++ b/placement/regimes_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// feed gives a forecast windows with 5% noise, half a minute apart.
+// forecastFeed observes windows with 5% noise, half a minute apart.
 type feed struct {
 	f   Forecast
 	rnd *rand.Rand
@@ -20,7 +20,7 @@
 var feedShape = Shape{Ranks: 4, Experts: 32, Layers: 4, Slots: 9}
 
 func newFeed() *feed {
-	fd := &feed{f: NewIncremental().NewForecast(), rnd: rand.New(rand.NewPCG(1, 1)), at: epoch0}
+	fd := &feed{f: NewIncremental().NewForecast(), rnd: rand.New(rand.NewPCG(1, 1)), at: startTime}
 	fd.f.Reset(feedShape)
 	return fd
 }
@@ -36,7 +36,7 @@
 	}
 }
 
-// off is the forecast's squared distance from a load, as a share of that of another one.
+// relativeError returns the forecast's squared distance from load, divided by that of other.
 func (fd *feed) off(load, other Load) float64 {
 	want := fd.f.shares(load)
 	return distance(fd.f.Load(), want) / distance(fd.f.shares(other), want)
@@ -44,7 +44,7 @@
 
 func evenLoad() Load { return slices.Repeat([]float64{100}, feedShape.Layers*feedShape.Experts) }
 
-// hotLoad has two hot experts in each layer.
+// hotLoad has two hot experts in each layer, first and first+7.
 func hotLoad(first int, by float64) Load {
 	l := evenLoad()
 	for layer := range feedShape.Layers {
@@ -54,9 +54,9 @@
 	return l
 }
 
-// A hot set that came before comes again. The first window shows a part of the rise;
-// without a memory the map would follow the rise step by step, always too late.
-func TestAKnownHotSetIsRecognisedByItsFirstWindow(t *testing.T) {
+// The first window of a recurring hot set shows only part of the increase; following it window
+// by window would be too late.
+func TestRecurringHotSetIsRecognisedFromFirstWindow(t *testing.T) {
 	fd := newFeed()
 	calm, hot, other := evenLoad(), hotLoad(3, 8), hotLoad(11, 8)
 	for _, l := range []Load{calm, hot, calm, other, calm} {
@@ -65,16 +65,16 @@
 	assert.Equal(t, len(fd.f.regimes.patterns), 3)
 	fd.windows(1, hotLoad(3, 3))
 	assert.Assert(t, fd.off(hot, calm) < 0.02, "%v", fd.off(hot, calm))
-	// This time it is weaker: the forecast follows what is seen.
+	// The set stays weaker than before, so the forecast must follow the windows.
 	fd.windows(3, hotLoad(3, 4))
 	assert.Assert(t, fd.off(hotLoad(3, 4), calm) < 0.05, "%v", fd.off(hotLoad(3, 4), calm))
 	fd.windows(1, calm)
 	assert.Assert(t, fd.off(calm, hot) < 0.02, "%v", fd.off(calm, hot))
 }
 
-// Other experts become hot in all layers: the next plan must know, after one window.
-// A window of the time before that comes late changes nothing.
-func TestASuddenChangeIsFollowedAtOnce(t *testing.T) {
+// The forecast must follow a sudden change of all layers after one window, and ignore a late
+// window from before it.
+func TestSuddenChangeIsFollowedAfterOneWindow(t *testing.T) {
 	fd := newFeed()
 	fd.windows(12, evenLoad())
 	fd.windows(1, hotLoad(5, 8))
@@ -84,9 +84,9 @@
 	assert.DeepEqual(t, fd.f.Load(), before)
 }
 
-// One counter is ten times too high, in one window. Moves made for it would be paid
-// for twice. If the next window says the same, it is no wrong counter.
-func TestASingleWrongCounterIsClipped(t *testing.T) {
+// A counter that is ten times too high in a single window must not cause moves; if the next
+// windows confirm it, it is real.
+func TestSingleOutlierIsClipped(t *testing.T) {
 	fd := newFeed()
 	fd.windows(12, evenLoad())
 	wrong := evenLoad()
@@ -97,9 +97,8 @@
 	assert.Assert(t, fd.f.Load()[9] > 2*fd.f.Load()[10])
 }
 
-// The load drifts steadily, as the auction's does. A mean of windows lags behind by
-// as long as it needs to smooth the noise; maps made by it are always of yesterday.
-func TestASteadyDriftIsFollowed(t *testing.T) {
+// A weighted mean of windows lags behind a steady drift; a smoother with a trend must not.
+func TestTrendFollowsSteadyDrift(t *testing.T) {
 	trend, level := newFeed(), newFeed()
 	level.f.Trends = nil
 	level.f.Reset(feedShape)
@@ -113,10 +112,9 @@
 	assert.Assert(t, trend.off(coming, now) < level.off(coming, now)/2, "%v, %v", trend.off(coming, now), level.off(coming, now))
 }
 
-// Windows are of a second, as the control leader takes them. After a minute there are
-// sixty, but a trend through them, followed for two minutes, is mostly noise: plans would
-// chase a load that never comes.
-func TestShortWindowsMakeNoWildTrend(t *testing.T) {
+// A minute of windows of one second has many windows, but a trend fitted to them and
+// extrapolated for two minutes would be mostly noise.
+func TestNoTrendFromShortTimeSpan(t *testing.T) {
 	fd := newFeed()
 	fd.f.HalfLives = nil
 	fd.f.Reset(feedShape)
@@ -130,8 +128,7 @@
 	}
 }
 
-// Ever new hot sets must not make the memory grow.
-func TestFewRegimesAreRemembered(t *testing.T) {
+func TestRememberedRegimesAreBounded(t *testing.T) {
 	fd := newFeed()
 	for first := range 20 {
 		fd.windows(6, hotLoad(first, 8))
@@ -139,9 +136,9 @@
 	assert.Equal(t, len(fd.f.regimes.patterns), maxPatterns)
 }
 
-// An expert grows until it fills a rank alone, among spare copies of light experts. Each
-// single step makes another rank the busiest; the plan must go through that.
-func TestAnExpertThatFillsARankIsCopied(t *testing.T) {
+// One expert accounts for a whole rank's load, among spare replicas of light experts. Any
+// single step makes another rank the busiest, so the search must accept a worse map in between.
+func TestSearchLeavesLocalOptimum(t *testing.T) {
 	s := Shape{Ranks: 4, Experts: 16, Layers: 1, Slots: 5}
 	load := Load{
 		4.8, 0.1, 0.1, 0.1, 0.1,
@@ -158,7 +155,7 @@
 	assert.NilError(t, m.Check(s))
 	f := Forecast{HalfLives: []time.Duration{time.Minute}, ErrorHalfLife: time.Minute}
 	f.Reset(s)
-	f.Observe(epoch0, load)
+	f.Observe(startTime, load)
 	d := Improve(s, testCost(4, 1), m, f.Load(), Limits{Horizon: time.Hour, Margin: 1})
 	assert.Assert(t, d.Next != nil, d.Why)
 	assert.Assert(t, d.SkewAfter < 1.08, d.Why)
--- a/placement/repack.go
+++ b/placement/repack.go
@@ -13,15 +13,15 @@
 func init() {
 	kernel.Register(kernel.Module{
 		ID:  "placement.repack",
-		Doc: "packs all experts anew every period; the naive baseline",
+		Doc: "computes a new map from scratch every period; the naive baseline",
 		New: func() any { return &Repack{PeriodSeconds: int(defaultRepackPeriod / time.Second)} },
 	})
 }
 
-// Repack packs all experts anew every period, from the last window alone and
-// whatever the moves cost.
+// Repack computes a new map from scratch every period, from the latest window alone and without
+// regard to the cost of the moves. It is the baseline that other planners are compared to.
 type Repack struct {
-	// PeriodSeconds is the time between two maps.
+	// PeriodSeconds is the minimum time between two maps.
 	PeriodSeconds int `toml:"period_seconds"`
 
 	shape  Shape
@@ -51,7 +51,7 @@
 		return Decision{Why: "repack: no counters yet"}
 	}
 	if now.Before(p.planAt) {
-		return Decision{Why: "repack: the period has not ended"}
+		return Decision{Why: "repack: period has not elapsed"}
 	}
 	moves, next, err := Order(p.shape, current, Pack(p.shape, p.load))
 	if err != nil {
@@ -69,10 +69,10 @@
 	return d
 }
 
-// Pack makes a map from loads alone: spare slots go, one by one, to the expert
-// whose copies are the heaviest; copies are then placed, heaviest first, on the
-// emptiest rank that may take them (longest processing time first; Graham 1969). The
-// shape must pass its check.
+// Pack computes a map from the load alone. Each spare slot goes to the expert with the highest
+// load per replica. Replicas are then placed in descending order of load, each on the least
+// loaded rank that can take it (longest processing time first; Graham 1969). The shape must
+// pass Shape.Check.
 func Pack(s Shape, load Load) *Map {
 	m := &Map{Epoch: 1, Slots: make([]int32, s.Layers*s.Ranks*s.Slots)}
 	for layer := range s.Layers {
@@ -82,19 +82,19 @@
 }
 
 func packLayer(s Shape, m *Map, layer int, load []float64) {
-	copies := spread(s, load)
+	replicas := spread(s, load)
 	order := make([]int32, 0, s.Ranks*s.Slots)
-	for e, n := range copies {
+	for e, n := range replicas {
 		for range n {
 			order = append(order, int32(e))
 		}
 	}
-	share := func(e int32) float64 { return load[e] / float64(copies[e]) }
+	perReplica := func(e int32) float64 { return load[e] / float64(replicas[e]) }
 	slices.SortStableFunc(order, func(a, b int32) int {
 		switch {
-		case share(a) > share(b):
+		case perReplica(a) > perReplica(b):
 			return -1
-		case share(a) < share(b):
+		case perReplica(a) < perReplica(b):
 			return 1
 		}
 		return int(a - b)
@@ -104,36 +104,38 @@
 	for _, e := range order {
 		rank := emptiest(s, m, layer, e, sums, used)
 		if rank < 0 {
-			rank = makeRoom(s, m, layer, e, share, sums, used)
+			rank = makeRoom(s, m, layer, e, perReplica, sums, used)
 		}
 		m.At(s, layer, rank)[used[rank]] = e
 		used[rank]++
-		sums[rank] += share(e)
+		sums[rank] += perReplica(e)
 	}
 }
 
-// spread gives each expert one copy, and the slots that are left to the expert
-// whose copies are the heaviest.
+// replicaCounts gives each expert one replica, and each remaining slot to the expert with the
+// highest load per replica.
 func spread(s Shape, load []float64) []int {
-	copies := make([]int, s.Experts)
-	for e := range copies {
-		copies[e] = 1
+	replicas := make([]int, s.Experts)
+	for e := range replicas {
+		replicas[e] = 1
 	}
 	for range s.Ranks*s.Slots - s.Experts {
 		best := -1
-		for e, n := range copies {
+		for e, n := range replicas {
 			if n >= s.Ranks {
 				continue
 			}
-			if best < 0 || load[e]/float64(n) > load[best]/float64(copies[best]) {
+			if best < 0 || load[e]/float64(n) > load[best]/float64(replicas[best]) {
 				best = e
 			}
 		}
-		copies[best]++
+		replicas[best]++
 	}
-	return copies
+	return replicas
 }
 
+// leastLoadedFree returns the least loaded rank that has a free slot and doesn't hold the
+// expert, or -1.
 func emptiest(s Shape, m *Map, layer int, e int32, sums []float64, used []int) int {
 	best := -1
 	for rank := range s.Ranks {
@@ -147,9 +149,9 @@
 	return best
 }
 
-// makeRoom frees a slot for an expert that every rank with a free slot holds
-// already: another rank hands one of its experts over to such a rank.
-func makeRoom(s Shape, m *Map, layer int, e int32, share func(int32) float64, sums []float64, used []int) int {
+// makeRoom frees a slot for an expert that every rank with a free slot holds already: another
+// rank hands one of its experts over to such a rank. It returns the rank with the freed slot.
+func makeRoom(s Shape, m *Map, layer int, e int32, perReplica func(int32) float64, sums []float64, used []int) int {
 	for free := range s.Ranks {
 		if used[free] == s.Slots {
 			continue
@@ -166,15 +168,15 @@
 				}
 				m.At(s, layer, free)[used[free]] = other
 				used[free]++
-				sums[free] += share(other)
+				sums[free] += perReplica(other)
 				used[rank]--
 				slots[i] = slots[used[rank]]
-				sums[rank] -= share(other)
+				sums[rank] -= perReplica(other)
 				return rank
 			}
 		}
 	}
-	panic("placement: more copies than slots")
+	panic("placement: more replicas than slots")
 }
 
 func meanSkew(s Shape, m *Map, load Load) float64 {
--- a/placement/search.go
+++ b/placement/search.go
@@ -8,70 +8,70 @@
 	"time"
 )
 
-// Limits bound one plan.
+// Limits bounds one plan.
 type Limits struct {
-	// Horizon is for how long a gain is expected to last.
+	// Horizon is the time for which a gain is expected to last.
 	Horizon time.Duration
-	// Horizons, if given, replace Horizon layer by layer.
+	// Horizons, if set, replaces Horizon with a value per layer.
 	Horizons []time.Duration
-	// Margin is by how much a gain must exceed its price: 1 is break-even.
+	// Margin is the ratio of gain to price that a layer's moves must exceed; 1 is break-even.
 	Margin float64
-	// MinGain is the least skew that one move must save in its layer; it holds back
-	// moves for gains that are smaller than the forecast's error.
+	// MinGain is the least skew that each move must save in its layer on average. It prevents
+	// moves for gains below the error of the forecast.
 	MinGain float64
-	// MinGains, if given, replace MinGain layer by layer.
+	// MinGains, if set, replaces MinGain with a value per layer.
 	MinGains []float64
-	// MaxMoves bounds the moves of the plan, 0 is no bound.
+	// MaxMoves bounds the moves of the plan; 0 means no bound.
 	MaxMoves int
-	// Slow is the time that a rank takes over what its load explains; nil if all
-	// ranks are alike.
+	// Slowdown is the factor by which each rank takes longer than its load explains; nil means that
+	// no rank does.
 	Slow []float64
 }
 
 const (
-	// maxSteps bounds the search in one layer and so the time of a plan.
+	// maxLayerSteps bounds the search in one layer.
 	maxSteps = 16
-	// planSteps bounds the search of one plan over all layers; the least even layers
-	// come first, and the others' turn comes with the next plans.
+	// maxPlanSteps bounds the search of a plan over all layers. Layers are searched in
+	// descending order of skew; those that are left out get their turn in later plans.
 	planSteps = 192
-	// exchangeRanks is how many of the emptiest ranks are looked at for exchanges
-	// of two experts, the costly part of the search.
+	// exchangeRanks is the number of least loaded ranks that are considered for exchanging two
+	// experts, the expensive part of the search.
 	exchangeRanks = 7
-	// maxPartners is how many experts of such a rank are tried for each one of the
-	// busy rank.
+	// maxPartners is the number of experts on such a rank that are tried as the exchange
+	// partner of each expert of the busiest rank.
 	maxPartners = 2
-	// kickSkew is the skew above which a search that is stuck goes on from a worse map,
-	// maxKicks how often.
+	// perturbSkew is the skew above which a search in a local optimum continues from a worse
+	// map, at most maxPerturbations times.
 	kickSkew = 1.03
 	maxKicks = 1
-	// maxSideways is the number of steps in a row that may bring less than progress, as
-	// where several ranks are equally busy.
+	// maxSideways is the number of consecutive steps that may lower the skew by less than
+	// minProgress, as happens where several ranks are equally busy.
 	maxSideways = 3
 	progress    = 0.002
 )
 
-// Improve looks for the few moves that lower the forecast skew most, and keeps
-// those whose gain within the horizon pays for them. It is a local search: every
-// move overwrites a copy that has another one elsewhere, so each prefix of the
-// moves is a valid map. Load is scaled as by Forecast.Load.
+// Improve looks for the few moves that lower the forecast skew most, and keeps those whose gain
+// within the horizon exceeds their price. It is a local search. Every move overwrites an expert
+// that has another replica, so the map is valid after each move. The load must be scaled like
+// the result of Forecast.Load.
 func Improve(s Shape, c Cost, m *Map, load Load, lim Limits) Decision {
 	if lim.Slow == nil {
 		lim.Slow = slices.Repeat([]float64{1}, s.Ranks)
 	}
-	search := &search{s: s, lim: lim}
-	search.weight = c.SkewWeight / float64(s.Layers)
-	search.price = c.Price(s, 1)
+	sr := &search{s: s, lim: lim}
+	sr.weight = c.SkewWeight / float64(s.Layers)
+	sr.price = c.Price(s, 1)
 	var found []layerPlan
-	states, before := search.states(m, load)
-	left := planSteps
+	states, before := sr.states(m, load)
+	stepsLeft := planSteps
 	for _, st := range states {
-		p := search.plan(st, min(left, maxSteps))
-		left -= len(p.steps)
+		p := sr.plan(st, min(stepsLeft, maxSteps))
+		stepsLeft -= len(p.steps)
 		if p.best > 0 {
 			found = append(found, p)
 		}
 	}
-	chosen := search.choose(found)
+	chosen := sr.choose(found)
 	gain := 0.0
 	d := Decision{SkewBefore: before}
 	for _, p := range chosen {
@@ -82,9 +82,9 @@
 		}
 	}
 	d.SkewAfter = before - gain/float64(s.Layers)
-	d.Price = search.price * float64(len(d.Moves))
+	d.Price = sr.price * float64(len(d.Moves))
 	if len(d.Moves) == 0 {
-		d.Why = fmt.Sprintf("skew %.3f, no move pays", d.SkewBefore)
+		d.Why = fmt.Sprintf("skew %.3f, no move is worth its cost", d.SkewBefore)
 		return d
 	}
 	next, err := Apply(s, m, d.Moves)
@@ -92,21 +92,21 @@
 		return Decision{Why: err.Error()}
 	}
 	d.Next = next
-	d.Why = fmt.Sprintf("%d moves in %d layers, skew %.3f to %.3f, gain %.3g s for a price of %.3g s",
+	d.Why = fmt.Sprintf("%d moves in %d layers, skew %.3f to %.3f, gain %.3g s at a cost of %.3g s",
 		len(d.Moves), len(chosen), d.SkewBefore, d.SkewAfter, d.Gain, d.Price)
 	return d
 }
 
-// search is the state of one call of Improve.
+// search holds the parameters of one call of Improve.
 type search struct {
 	s   Shape
 	lim Limits
-	// weight is what 1 of skew saved in one layer is worth for a second; price what a
-	// move costs.
+	// weight is the value of saving a skew of 1 in one layer for a second; price is the cost of
+	// one move.
 	weight, price float64
 }
 
-// value is what 1 of skew saved in a layer is worth over its horizon.
+// value returns the value of saving a skew of 1 in a layer over its horizon.
 func (sr *search) value(layer int) float64 {
 	if sr.lim.Horizons != nil {
 		return sr.weight * sr.lim.Horizons[layer].Seconds()
@@ -114,7 +114,7 @@
 	return sr.weight * sr.lim.Horizon.Seconds()
 }
 
-// minGain is the least skew that one move must save in a layer.
+// minGain returns the least skew that each move must save in a layer.
 func (sr *search) minGain(layer int) float64 {
 	if sr.lim.MinGains != nil {
 		return sr.lim.MinGains[layer]
@@ -122,8 +122,8 @@
 	return sr.lim.MinGain
 }
 
-// layerPlan is the steps found for one layer; the first best of them are worth
-// their price. skews and moves hold what follows after each number of steps.
+// layerPlan holds the steps found for one layer. The first best of them are worth their price.
+// skews and moves are the layer's skew and the number of moves after each number of steps.
 type layerPlan struct {
 	value, minGain float64
 	steps          []step
@@ -132,21 +132,22 @@
 	best           int
 }
 
+// gain returns the skew that the first steps save.
 func (p *layerPlan) gain(steps int) float64 { return p.skews[0] - p.skews[steps] }
 
+// netValue returns the value of the first steps minus their price.
 func (sr *search) net(p *layerPlan, steps int) float64 {
 	return p.value*p.gain(steps) - sr.price*float64(p.moves[steps])
 }
 
-// pays says whether the first steps are worth their price.
+// worthPrice reports whether the first steps exceed the required gain and margin.
 func (sr *search) pays(p *layerPlan, steps int) bool {
 	moves := float64(p.moves[steps])
 	gain := p.gain(steps)
 	return gain > p.minGain*moves && p.value*gain > sr.lim.Margin*sr.price*moves
 }
 
-// states makes the layers' states, the least even layer first, and gives their mean
-// skew.
+// states returns the states of all layers in descending order of skew, and the mean skew.
 func (sr *search) states(m *Map, load Load) ([]*layerState, float64) {
 	size := sr.s.Ranks * sr.s.Slots
 	states := make([]*layerState, sr.s.Layers)
@@ -160,26 +161,26 @@
 	return states, sum / float64(sr.s.Layers)
 }
 
-// plan searches one layer.
+// planLayer searches one layer with a bounded number of steps.
 func (sr *search) plan(st *layerState, steps int) layerPlan {
 	p := layerPlan{value: sr.value(st.layer), minGain: sr.minGain(st.layer), skews: []float64{st.skew()}, moves: []int{0}}
-	mark, sideways, kicks := st.skew(), 0, 0
+	lastSkew, sideways, perturbations := st.skew(), 0, 0
 	for len(p.steps) < steps && sr.mayPay(st) {
 		found := step{}
 		if sideways < maxSideways {
 			found = st.bestStep()
 		}
-		if found.n == 0 && kicks < maxKicks && st.skew() > kickSkew {
+		if found.n == 0 && perturbations < maxKicks && st.skew() > kickSkew {
 			found = st.kick()
-			kicks++
-			mark, sideways = st.skew(), -1
+			perturbations++
+			lastSkew, sideways = st.skew(), -1
 		}
 		if found.n == 0 {
 			break
 		}
 		sideways++
-		if st.skew() < mark-progress {
-			mark, sideways = st.skew(), 0
+		if st.skew() < lastSkew-progress {
+			lastSkew, sideways = st.skew(), 0
 		}
 		p.steps = append(p.steps, found)
 		p.skews = append(p.skews, st.skew())
@@ -189,16 +190,19 @@
 	return p
 }
 
-// mayPay says whether reaching the lower bound would pay for one more move.
+// canPay reports whether a single move that reached the lower bound of the skew would be worth
+// its price.
 func (sr *search) mayPay(st *layerState) bool {
-	room, value, least := st.skew()-1, sr.value(st.layer), sr.minGain(st.layer)
-	if room <= least || value*room <= sr.lim.Margin*sr.price {
+	reducible, value, least := st.skew()-1, sr.value(st.layer), sr.minGain(st.layer)
+	if reducible <= least || value*reducible <= sr.lim.Margin*sr.price {
 		return false
 	}
-	room = st.skew() - boundOf(sr.s, st.share)
-	return room > least && value*room > sr.lim.Margin*sr.price
+	reducible = st.skew() - boundOf(sr.s, st.share)
+	return reducible > least && value*reducible > sr.lim.Margin*sr.price
 }
 
+// bestPrefix returns the number of steps with the highest net value within a bound on the
+// moves; 0 if no steps are worth their price.
 func (sr *search) bestPrefix(p *layerPlan, maxMoves int) int {
 	best := 0
 	for n := 1; n < len(p.skews); n++ {
@@ -209,32 +213,34 @@
 	return best
 }
 
-// choose fills the bound on moves with the layers that gain most per move.
+// choose spends the bound on moves on the layers in descending order of net value per move.
 func (sr *search) choose(found []layerPlan) (chosen []layerPlan) {
 	slices.SortStableFunc(found, func(a, b layerPlan) int {
 		return cmp.Compare(sr.net(&b, b.best)/float64(b.moves[b.best]), sr.net(&a, a.best)/float64(a.moves[a.best]))
 	})
-	left := math.MaxInt
+	movesLeft := math.MaxInt
 	if sr.lim.MaxMoves > 0 {
-		left = sr.lim.MaxMoves
+		movesLeft = sr.lim.MaxMoves
 	}
 	for _, p := range found {
-		p.best = sr.bestPrefix(&p, left)
+		p.best = sr.bestPrefix(&p, movesLeft)
 		if p.best == 0 {
 			continue
 		}
-		left -= p.moves[p.best]
+		movesLeft -= p.moves[p.best]
 		chosen = append(chosen, p)
 	}
 	return chosen
 }
 
-// candidate is a step that is being compared, by the fall of the peak per move.
+// candidate is the best step found so far, by the decrease of the peak per move.
 type candidate struct {
 	step step
 	fall float64
 }
 
+// offer replaces the candidate if the moves lower the peak by more per move. fall is the
+// decrease of all moves together.
 func (best *candidate) offer(fall float64, moves ...Move) {
 	if fall /= float64(len(moves)); fall <= best.fall {
 		return
@@ -246,7 +252,8 @@
 	}
 }
 
-// bestStep finds the best change that relieves the busiest rank and makes it.
+// applyBestStep makes the step that lowers the peak most per move. The result has no moves if
+// no step lowers it noticeably.
 func (st *layerState) bestStep() step {
 	busy := st.busiest()
 	best := &candidate{fall: st.peak * 1e-6}
@@ -262,10 +269,11 @@
 	return best.step
 }
 
-// kick copies the heaviest expert of the busiest rank to the rank that has least with
-// it, even if that one becomes the busiest. An expert with a rank's whole load ends up
-// alone among spare copies of light ones; no single step relieves it, as each other
-// rank has to be unloaded next. What follows counts only if it pays as a whole.
+// perturb copies the heaviest expert of the busiest rank over a spare replica on another rank,
+// the one that leaves that rank with the least load, even if it then becomes the busiest. This
+// leads out of a local optimum: if an expert accounts for a whole rank's load, no single step
+// helps, because each other rank must be unloaded first. The following steps are kept only if
+// they are worth their price together with this one.
 func (st *layerState) kick() step {
 	busy := st.busiest()
 	heaviest := st.rankSlots(busy)[0]
@@ -281,8 +289,8 @@
 			continue
 		}
 		for i, c := range st.rankSlots(r) {
-			if with := st.load[r] - st.each(c)*st.slow[r]; st.spare(c) && with < least {
-				rank, slot, least = r, i, with
+			if load := st.load[r] - st.each(c)*st.slow[r]; st.spare(c) && load < least {
+				rank, slot, least = r, i, load
 			}
 		}
 	}
@@ -295,7 +303,8 @@
 	return found
 }
 
-// offerCopies looks at copying an expert of the busy rank to a spare slot.
+// offerCopies offers every replication of an expert of the busy rank into a spare slot of
+// another rank.
 func (st *layerState) offerCopies(busy int, best *candidate) {
 	for rank := range st.s.Ranks {
 		if rank == busy {
@@ -314,15 +323,15 @@
 	}
 }
 
-// offerDrops looks at overwriting a spare copy on the busy rank by a lighter expert.
+// offerDrops offers every replacement of a spare replica on the busy rank by a lighter expert.
 func (st *layerState) offerDrops(busy int, best *candidate) {
 	for slot, c := range st.rankSlots(busy) {
 		if !st.free(c) {
 			continue
 		}
-		dropped := st.share[c] / float64(len(st.holders[c]))
+		saved := st.share[c] / float64(len(st.holders[c]))
 		for e := range int32(st.s.Experts) {
-			if st.share[e]/float64(len(st.holders[e])+1) >= dropped || st.holds(busy, e) {
+			if st.share[e]/float64(len(st.holders[e])+1) >= saved || st.holds(busy, e) {
 				continue
 			}
 			best.offer(st.peak-st.try(busy, slot, e), Move{st.layer, busy, slot, c, e})
@@ -330,9 +339,9 @@
 	}
 }
 
-// offerExchanges looks at moving an expert of the busy rank to another one, and at
-// exchanging two experts. A slot with a spare copy on either rank is used to pass
-// through, so no expert is without a rank in between.
+// offerExchanges offers to move an expert of the busy rank to another rank, and to exchange two
+// experts. The moves go through a slot with a spare replica on either rank, so that every
+// expert stays on some rank in between.
 func (st *layerState) offerExchanges(busy, rank int, best *candidate) {
 	for from, e := range st.rankSlots(busy) {
 		if e == st.kicked || st.holds(rank, e) {
@@ -352,20 +361,20 @@
 	}
 }
 
-// partnersOf lists the slots of a rank whose expert may be exchanged for e of the
-// busy rank, at most maxPartners. What passes over must be less than the difference of
-// the ranks, otherwise the other one becomes as busy; half of it evens them best.
-// This spares the search most trials.
+// partnersOf appends the slots of a rank whose experts are considered for an exchange with e of
+// the busy rank, at most maxPartners. The load that an exchange moves must be below the
+// difference of the two ranks, or the other rank would become as busy; slots are sorted by how
+// close it is to half of that difference. This saves most trials of the search.
 func (st *layerState) partnersOf(busy, rank int, e int32, slots []int) []int {
 	gap := st.load[busy] - st.load[rank]
-	given := st.share[e] / float64(len(st.holders[e]))
+	loadOfE := st.share[e] / float64(len(st.holders[e]))
 	var off [maxPartners]float64
 	for slot, x := range st.rankSlots(rank) {
-		passed := given - st.share[x]/float64(len(st.holders[x]))
-		if passed <= 0 || passed >= gap || x == st.kicked || st.holds(busy, x) {
+		moved := loadOfE - st.share[x]/float64(len(st.holders[x]))
+		if moved <= 0 || moved >= gap || x == st.kicked || st.holds(busy, x) {
 			continue
 		}
-		d := math.Abs(passed - gap/2)
+		d := math.Abs(moved - gap/2)
 		at := len(slots)
 		if at < maxPartners {
 			slots = append(slots, slot)
@@ -381,18 +390,19 @@
 	return slots
 }
 
-// offerThroughOther copies e over a spare copy c of the other rank; the old slot of e
-// then gets c or a partner, and in the latter case c may come back.
+// offerThroughOther exchanges through a spare replica c on the other rank: e overwrites c, and
+// the old slot of e gets c or a partner of e. In the latter case c may then take the partner's
+// slot.
 func (st *layerState) offerThroughOther(busy, from, rank, spareSlot int, best *candidate) {
 	e, c := st.rankSlots(busy)[from], st.rankSlots(rank)[spareSlot]
-	restored := !st.holds(busy, c)
-	if !restored && len(st.partners) == 0 {
+	canMoveSpare := !st.holds(busy, c)
+	if !canMoveSpare && len(st.partners) == 0 {
 		return
 	}
 	peak := st.peak
 	first := st.put(rank, spareSlot, e)
-	base := st.peak
-	if restored {
+	peakAfterFirst := st.peak
+	if canMoveSpare {
 		best.offer(peak-st.try(busy, from, c), first, Move{st.layer, busy, from, e, c})
 	}
 	for _, slot := range st.partners {
@@ -404,14 +414,14 @@
 		best.offer(peak-st.peak, first, second)
 		best.offer(peak-st.try(rank, slot, c), first, second, Move{st.layer, rank, slot, x, c})
 		st.take(second)
-		st.peak = base
+		st.peak = peakAfterFirst
 	}
 	st.take(first)
 	st.peak = peak
 }
 
-// offerThroughBusy passes through the busy rank's own spare copy: a partner comes
-// over it, e takes the partner's slot, and the spare copy comes back in the slot of e.
+// offerThroughBusy exchanges through a spare replica c on the busy rank: a partner x of e
+// overwrites c, e takes the slot of x, and c may then take the old slot of e.
 func (st *layerState) offerThroughBusy(busy, from, rank, spareSlot int, best *candidate) {
 	peak := st.peak
 	e, c := st.rankSlots(busy)[from], st.rankSlots(busy)[spareSlot]
@@ -430,9 +440,11 @@
 	}
 }
 
-// take reverses a move that was the last one made.
+// undoMove reverses the latest move.
 func (st *layerState) take(mv Move) { st.put(mv.Rank, mv.Slot, mv.From) }
 
+// leastLoaded returns up to exchangeRanks ranks in ascending order of load, without one of
+// them.
 func (st *layerState) emptiest(except int) []int {
 	ranks := make([]int, 0, st.s.Ranks)
 	for r := range st.s.Ranks {
--- a/placement/smoother.go
+++ b/placement/smoother.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// smoother is one half-life's weighted sum of windows, and its recent squared error
-// in each layer. One with a trend fits a line through the windows in place of their
-// mean: it needs a longer half-life for the same noise, but doesn't lag behind a
+// smoother is an exponentially weighted sum of windows with one half-life, and its recent
+// squared error in each layer. With a trend it fits a line to the windows instead of taking
+// their mean: it then needs a longer half-life for the same noise, but doesn't lag behind a
 // steady drift.
 type smoother struct {
 	half  time.Duration
 	trend bool
-	// sum is of the weighted shares, aged of the same times the windows' ages.
+	// sum holds the weighted shares, aged the weighted shares times the windows' ages in
+	// seconds.
 	sum, aged []float64
-	// weight, age and age2 sum the windows' weights, times their ages to the power of
-	// 0, 1 and 2; squares sums the squared weights.
+	// weight, age and age2 are the sums of the weights times the windows' ages to the power of
+	// 0, 1 and 2. squares is the sum of the squared weights.
 	weight, age, age2, squares float64
-	errors                     []float64
+	// errors is the decayed sum of squared errors in each layer.
+	errors []float64
 }
 
 func newSmoother(half time.Duration, trend bool, s Shape) smoother {
@@ -28,58 +30,60 @@
 	return sm
 }
 
-// line holds the factors by which a forecast follows from a smoother's sums, and the
-// variance of its error over that of one window.
+// projection holds the factors that turn a smoother's sums into a forecast, and the variance of
+// the forecast relative to that of a single window.
 type line struct{ sum, aged, variance float64 }
 
-// minTrendWindows is the number of effective windows below which a line through them
-// would be mostly noise.
+// minTrendWindows is the effective number of windows below which no trend is fitted, because it
+// would mostly follow noise.
 const minTrendWindows = 6
 
-// minTrendSpread is the standard deviation of the windows' ages below which a line isn't
-// followed: counters of a second each are soon many, but a line through half a minute of
-// them, followed for two minutes, leads anywhere.
+// minTrendSpread is the standard deviation of the windows' ages below which no trend is fitted.
+// Many windows over a short time pass minTrendWindows, but their trend can't be extrapolated
+// for minutes.
 const minTrendSpread = 40 * time.Second
 
-// ahead is the forecast for a time after the newest window.
+// project returns the projection for a time after the newest window.
 func (sm *smoother) ahead(by time.Duration) line {
-	l := line{sum: 1 / sm.weight, variance: sm.squares / (sm.weight * sm.weight)}
+	p := line{sum: 1 / sm.weight, variance: sm.squares / (sm.weight * sm.weight)}
 	mean := sm.age / sm.weight
 	spread := sm.age2/sm.weight - mean*mean
-	if !sm.trend || l.variance*minTrendWindows > 1 || spread < minTrendSpread.Seconds()*minTrendSpread.Seconds() {
-		return l
+	if !sm.trend || p.variance*minTrendWindows > 1 || spread < minTrendSpread.Seconds()*minTrendSpread.Seconds() {
+		return p
 	}
-	off := -by.Seconds() - mean
-	slope := off / spread
-	l.sum *= 1 - mean*slope
-	l.aged = slope / sm.weight
-	l.variance *= 1 + off*off/spread
-	return l
+	offset := -by.Seconds() - mean
+	slope := offset / spread
+	p.sum *= 1 - mean*slope
+	p.aged = slope / sm.weight
+	p.variance *= 1 + offset*offset/spread
+	return p
 }
 
-func (sm *smoother) at(i int, l line) float64 {
-	v := sm.sum[i] * l.sum
-	if l.aged != 0 {
-		v += sm.aged[i] * l.aged
+// value returns the forecast for index i of a load, at least 0.
+func (sm *smoother) at(i int, p line) float64 {
+	v := sm.sum[i] * p.sum
+	if p.aged != 0 {
+		v += sm.aged[i] * p.aged
 	}
 	return max(v, 0)
 }
 
-// judge adds the error about a window that is the newest so far.
-func (sm *smoother) judge(load Load, after time.Duration, by float64) {
+// score adds the squared error of the forecast for a window that is newer than all others by
+// the given time. Earlier errors are multiplied by decay.
+func (sm *smoother) judge(load Load, after time.Duration, decay float64) {
 	experts := len(load) / len(sm.errors)
-	l := sm.ahead(after)
+	p := sm.ahead(after)
 	for layer := range sm.errors {
 		sum := 0.0
 		for i := layer * experts; i < (layer+1)*experts; i++ {
-			d := load[i] - sm.at(i, l)
+			d := load[i] - sm.at(i, p)
 			sum += d * d
 		}
-		sm.errors[layer] = sm.errors[layer]*by + sum
+		sm.errors[layer] = sm.errors[layer]*decay + sum
 	}
 }
 
-// add takes a window of an age.
+// add adds a window of the given age that counts as weight windows.
 func (sm *smoother) add(load Load, age time.Duration, weight float64) {
 	w := weight * fade(age, sm.half)
 	a := age.Seconds()
@@ -97,13 +101,13 @@
 	sm.squares += w * w / weight
 }
 
-// minWeight keeps sums from vanishing over a long gap: only their ratio counts.
+// minWeight keeps the sums from underflowing over a long gap; only their ratios matter.
 const minWeight = 1e-9
 
-// pass lets all windows grow older.
-func (sm *smoother) pass(by time.Duration) {
-	f := max(fade(by, sm.half), minWeight/sm.weight)
-	s := by.Seconds()
+// advance moves the reference time forward: all windows become older by the given time.
+func (sm *smoother) pass(elapsed time.Duration) {
+	f := max(fade(elapsed, sm.half), minWeight/sm.weight)
+	s := elapsed.Seconds()
 	if sm.trend {
 		for i := range sm.aged {
 			sm.aged[i] = f * (sm.aged[i] + s*sm.sum[i])
@@ -118,7 +122,7 @@
 	sm.squares *= f * f
 }
 
-// forget drops all windows and errors.
+// reset discards all windows and errors.
 func (sm *smoother) forget() {
 	clear(sm.sum)
 	clear(sm.aged)
@@ -126,4 +130,5 @@
 	sm.weight, sm.age, sm.age2, sm.squares = 0, 0, 0, 0
 }
 
+// decayFactor returns the weight of a window of the given age, 1 for age 0.
 func fade(age, half time.Duration) float64 { return math.Exp2(-float64(age) / float64(half)) }
--- a/placement/state.go
+++ b/placement/state.go
@@ -2,27 +2,28 @@
 
 import "slices"
 
-// layerState is one layer of a map with the forecast loads of its ranks, changed
-// move by move. Loads are scaled so that the mean rank has 1.
+// layerState is one layer of a map with the forecast loads of its ranks. The search changes it
+// move by move. Loads are scaled so that the mean rank has load 1.
 type layerState struct {
 	s     Shape
 	layer int
-	// share is the forecast of each expert; slow is by how much a rank's time for
-	// the same load exceeds the others', 1 for an ordinary rank.
+	// share is the forecast load of each expert. slowdown is the factor by which each rank takes
+	// longer for the same load, 1 for an ordinary rank.
 	share, slow []float64
-	slots       []int32
-	holders     [][]int32
-	load        []float64
-	// peak is the sum of high powers of the loads, see peakOf; steep takes higher
-	// ones.
+	// slots holds the experts, ordered by rank and slot; holders the ranks of each expert's replicas.
+	slots   []int32
+	holders [][]int32
+	// load is the load of each rank, multiplied by its slowdown.
+	load []float64
+	// peak approximates the maximum of load, see peakTerm; highPower selects a higher power.
 	peak  float64
 	steep bool
-	// kicked is the expert that the search copied against its own measure, -1 if none: its
-	// copies stay, else the next step would take the change back.
+	// perturbed is the expert that perturb has copied, -1 if none. Its replicas stay where they
+	// are, otherwise the next step would undo the perturbation.
 	kicked int32
-	// undo holds what a trial has overwritten.
+	// undo holds the loads that a trial has overwritten.
 	undo []savedLoad
-	// partners is scratch space of the search.
+	// partners is scratch space of offerExchanges.
 	partners []int
 }
 
@@ -31,7 +32,7 @@
 	load float64
 }
 
-// step is a change that is made as a whole: one to three moves.
+// step is a change that is made as a whole, of one to three moves.
 type step struct {
 	moves [3]Move
 	n     int
@@ -42,14 +43,13 @@
 	st.n++
 }
 
-// steepBelow is the skew below which the peak takes 64th powers in place of 16th:
-// they tell small differences apart but would overflow the precision of a sum
-// with large ones.
+// highPowerSkew is the skew below which peak sums 64th powers instead of 16th. They distinguish
+// small differences, but next to large ones a sum of them would lose precision.
 const steepBelow = 1.25
 
-// peakOf stands for the maximum in the search: a sum of high powers follows the
-// busiest rank closely, but also tells apart two maps that differ only in the next
-// busiest, so the search doesn't stop where several ranks are equally busy.
+// peakTerm returns a rank's contribution to the peak, a high power of its load. The sum of
+// these follows the busiest rank closely, but also distinguishes two maps that differ only in
+// the next busiest rank, so that the search doesn't stop where several ranks are equally busy.
 func (st *layerState) peakOf(load float64) float64 {
 	p := load * load
 	p *= p
@@ -67,6 +67,7 @@
 		s: s, layer: layer, kicked: -1, share: share, slow: slow, slots: slices.Clone(slots),
 		holders: make([][]int32, s.Experts), load: make([]float64, s.Ranks),
 	}
+	// One allocation for all holders; each list has room for two more replicas.
 	backing := make([]int32, 0, len(slots)+4*s.Experts)
 	counts := make([]int, s.Experts)
 	for _, e := range slots {
@@ -84,7 +85,7 @@
 	return st
 }
 
-// settle computes loads and peak anew, so rounding can't build up.
+// recompute derives loads and peak from the slots, so that rounding errors don't accumulate.
 func (st *layerState) settle() {
 	clear(st.load)
 	for i, e := range st.slots {
@@ -106,12 +107,13 @@
 	return st.slots[rank*st.s.Slots : (rank+1)*st.s.Slots]
 }
 
-// free says whether the search may overwrite a copy of an expert.
+// mayOverwrite reports whether the search may overwrite a replica of an expert.
 func (st *layerState) free(e int32) bool { return st.spare(e) && e != st.kicked }
 
-// each is the load of one copy of an expert.
+// replicaLoad returns the load of one replica of an expert.
 func (st *layerState) each(e int32) float64 { return st.share[e] / float64(len(st.holders[e])) }
 
+// hasSpare reports whether an expert has more than one replica.
 func (st *layerState) spare(e int32) bool { return len(st.holders[e]) > 1 }
 
 func (st *layerState) busiest() int {
@@ -126,10 +128,10 @@
 
 func (st *layerState) skew() float64 { return st.load[st.busiest()] }
 
-// try gives the peak that follows from putting an expert into a slot whose own
-// expert has another copy; the state is left as it was.
+// peakAfter returns the peak that would follow from loading an expert into a slot whose current
+// expert has another replica. The state is left unchanged.
 func (st *layerState) try(rank, slot int, e int32) float64 {
-	was := st.peak
+	before := st.peak
 	st.undo = st.undo[:0]
 	c := st.rankSlots(rank)[slot]
 	st.shift(c, -1, rank)
@@ -138,12 +140,12 @@
 	for i := len(st.undo) - 1; i >= 0; i-- {
 		st.load[st.undo[i].rank] = st.undo[i].load
 	}
-	st.peak = was
+	st.peak = before
 	return result
 }
 
-// shift changes loads as if an expert gained (by is 1) or lost (-1) a copy on a
-// rank.
+// changeReplicas updates the loads as if an expert gained (by is 1) or lost (by is -1) a
+// replica on a rank.
 func (st *layerState) shift(e int32, by int, rank int) {
 	n := float64(len(st.holders[e]))
 	before, after := st.share[e]/n, st.share[e]/(n+float64(by))
@@ -159,6 +161,7 @@
 	}
 }
 
+// addLoad adds to the load of a rank and saves the old value in undo.
 func (st *layerState) bump(rank int32, by float64) {
 	old := st.load[rank]
 	st.undo = append(st.undo, savedLoad{rank, old})
@@ -167,7 +170,8 @@
 	st.peak += st.peakOf(v) - st.peakOf(old)
 }
 
-// put makes a move and returns it. The expert in the slot must have another copy.
+// applyMove loads an expert into a slot and returns the move. The expert in the slot must have
+// another replica.
 func (st *layerState) put(rank, slot int, e int32) Move {
 	i := rank*st.s.Slots + slot
 	c := st.slots[i]
--- a/placement/static.go
+++ b/placement/static.go
@@ -9,7 +9,7 @@
 func init() {
 	kernel.Register(kernel.Module{
 		ID:  "placement.static",
-		Doc: "keeps the map in force; the baseline without moves",
+		Doc: "never changes the map; the baseline without moves",
 		New: func() any { return &Static{} },
 	})
 }
@@ -25,5 +25,5 @@
 
 // Plan implements Planner.
 func (*Static) Plan(time.Time, *Map) Decision {
-	return Decision{Why: "static: the map stays"}
+	return Decision{Why: "static: never changes the map"}
 }
--- a/placement/straggler.go
+++ b/placement/straggler.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// stragglerFactor is by how much a rank must exceed the others to be called slow.
+	// stragglerFactor is the ratio to the median rank from which a rank counts as slow.
 	stragglerFactor = 1.15
-	// stragglerWindows is in how many windows in a row it must do so: a pause for
-	// garbage or a burst of long prompts is not a slow rank.
+	// stragglerWindows is the number of consecutive slow windows after which a rank is a
+	// straggler. A garbage collection pause or a burst of long prompts ends before that.
 	stragglerWindows = 4
 )
 
-// TimesObserver is a planner that also takes the ranks' busy times, the time of a
-// step without waiting for other ranks.
+// TimesObserver is implemented by planners that also use the busy time of each rank: the
+// duration of a step without the time spent waiting for other ranks.
 type TimesObserver interface {
 	ObserveTimes(times []time.Duration, current *Map)
 }
 
-// Slowness compares ranks' busy times with those of the median rank: their time, and
-// their time per token. Both are nil if times or loads are missing.
+// RankSlowdown returns each rank's busy time and its busy time per token, both relative to the
+// median rank. Both are nil if the load or a rank's time is missing.
 func Slowness(s Shape, m *Map, load Load, times []time.Duration) (byTime, byToken []float64) {
 	if len(times) != s.Ranks || load == nil {
 		return nil, nil
@@ -46,6 +46,7 @@
 	return byTime, byToken
 }
 
+// divideByMedian divides all values by their median in place.
 func overMedian(v []float64) {
 	m := median(v)
 	for i := range v {
@@ -53,45 +54,49 @@
 	}
 }
 
+// median returns the middle value, the lower one of two.
 func median(v []float64) float64 {
 	sorted := slices.Sorted(slices.Values(v))
 	return sorted[(len(sorted)-1)/2]
 }
 
-// stragglerWatch turns the slowness of single windows into a lasting one.
+// stragglerDetector finds ranks that stay slow over several windows.
 //
-// How much of a step's time grows with load isn't known. So a rank becomes slow only
-// by the lesser of its ratios: a rank with the hottest expert is long because of its
-// load. Once it is slow it stays so by its time per token alone: if it is given less
-// load its time is as the others', and it would be loaded again and again. The ratio
-// is kept as it was found, so that it can't grow by the lightening itself.
+// Which part of a step's time grows with the load is unknown. So a rank becomes a straggler
+// only by the smaller of its two ratios: the rank with the hottest expert takes long because of
+// its load. Once it is a straggler, only its time per token can clear it: after its load has
+// been reduced its step time equals that of the others, and clearing it by that would make the
+// map oscillate. The slowdown is not updated after detection, so reducing the load can't
+// increase it.
 type stragglerWatch struct {
+	// slowWindows counts consecutive slow windows of each rank, up to detection; slowdown is
+	// the mean ratio in them, 1 for a rank that isn't slow.
 	runs []int
 	slow []float64
 }
 
-// observe takes one window.
+// observe takes the ratios of one window as returned by RankSlowdown.
 func (w *stragglerWatch) observe(byTime, byToken []float64) {
 	if w.runs == nil {
 		w.runs = make([]int, len(byTime))
 		w.slow = slices.Repeat([]float64{1}, len(byTime))
 	}
 	for r := range byTime {
-		known := w.runs[r] >= stragglerWindows
-		lesser := min(byTime[r], byToken[r])
+		detected := w.runs[r] >= stragglerWindows
+		ratio := min(byTime[r], byToken[r])
 		switch {
-		case known && byToken[r] >= stragglerFactor:
-		case !known && lesser >= stragglerFactor:
+		case detected && byToken[r] >= stragglerFactor:
+		case !detected && ratio >= stragglerFactor:
 			w.runs[r]++
-			w.slow[r] += (lesser - w.slow[r]) / float64(w.runs[r])
+			w.slow[r] += (ratio - w.slow[r]) / float64(w.runs[r])
 		default:
 			w.runs[r], w.slow[r] = 0, 1
 		}
 	}
 }
 
-// lasting is the slowness of the ranks that have been slow for long enough, 1 for
-// others; nil if there are none.
+// stragglers returns the slowdown of each straggler and 1 for other ranks; nil if there are no
+// stragglers.
 func (w *stragglerWatch) lasting() []float64 {
 	var out []float64
 	for r, n := range w.runs {
@@ -106,12 +111,12 @@
 	return out
 }
 
-// report says which ranks are slow, for Decision.Why.
+// summary describes the stragglers for Decision.Why.
 func (w *stragglerWatch) report() string {
 	var b strings.Builder
 	for r, v := range w.lasting() {
 		if v > 1 {
-			fmt.Fprintf(&b, "; rank %d takes %.2f times what its load explains", r, v)
+			fmt.Fprintf(&b, "; rank %d takes %.2f times as long as its load explains", r, v)
 		}
 	}
 	return b.String()
--- a/placement/straggler_test.go
+++ b/placement/straggler_test.go
@@ -13,30 +13,28 @@
 	return slices.Repeat([]time.Duration{5 * time.Millisecond}, s.Ranks)
 }
 
-// The step is long though the load is even: one host is hot or shares its bus. The
-// operator must read which rank it is, but not after one long window, and no longer
-// once it has recovered.
-func TestASlowRankIsReportedOnceItLasts(t *testing.T) {
+// A rank that stays slow with an even load is reported to the operator, but not before
+// stragglerWindows windows and not after it has recovered.
+func TestStragglerIsReportedAfterSeveralWindows(t *testing.T) {
 	s := Shape{Ranks: 4, Experts: 8, Layers: 2, Slots: 3}
 	p := NewIncremental()
 	p.Reset(s, testCost(1, 1000))
 	m := Contiguous(s)
-	p.Observe(epoch0, Load(slices.Repeat([]float64{10}, 16)))
+	p.Observe(startTime, Load(slices.Repeat([]float64{10}, 16)))
 	times := evenTimes(s)
 	times[2] = 6500 * time.Microsecond
 	for i := range stragglerWindows {
-		why := p.Plan(epoch0, m).Why
+		why := p.Plan(startTime, m).Why
 		assert.Assert(t, !strings.Contains(why, "rank 2"), "after %d windows: %s", i, why)
 		p.ObserveTimes(times, m)
 	}
-	assert.Assert(t, strings.Contains(p.Plan(epoch0, m).Why, "rank 2 takes 1.30 times what its load explains"))
+	assert.Assert(t, strings.Contains(p.Plan(startTime, m).Why, "rank 2 takes 1.30 times as long as its load explains"))
 	p.ObserveTimes(evenTimes(s), m)
-	assert.Assert(t, !strings.Contains(p.Plan(epoch0, m).Why, "rank 2"))
+	assert.Assert(t, !strings.Contains(p.Plan(startTime, m).Why, "rank 2"))
 }
 
-// A rank with the hottest expert is long because of its load: it must not be called
-// slow, because other experts than its own would be moved.
-func TestABusyRankIsNotASlowRank(t *testing.T) {
+// A rank that takes longer because it holds the hottest expert is not a straggler.
+func TestRankWithHotExpertIsNoStraggler(t *testing.T) {
 	s := Shape{Ranks: 4, Experts: 8, Layers: 1, Slots: 2}
 	load := Load{10, 10, 10, 10, 60, 10, 10, 10}
 	m := Contiguous(s)
@@ -55,9 +53,9 @@
 	assert.Assert(t, byTime == nil)
 }
 
-// A slow rank has been given less load, and now takes no longer than the others. If
-// that ended its slowness it would be loaded again, and the map would swing to and fro.
-func TestALightenedRankStaysSlow(t *testing.T) {
+// A straggler with reduced load takes as long as other ranks. If that cleared it, it would get
+// its load back and the map would oscillate.
+func TestStragglerWithReducedLoadStaysStraggler(t *testing.T) {
 	var w stragglerWatch
 	for range stragglerWindows {
 		w.observe([]float64{1, 1.3, 1}, []float64{1, 1.3, 1})
--- a/placement/types.go
+++ b/placement/types.go
@@ -1,10 +1,9 @@
-// Package placement decides which rank of a group holds which experts.
+// Package placement plans which rank of an expert-parallel group holds which experts.
 //
-// All ranks of an expert-parallel group advance in lock-step, so in each layer
-// the rank with the most tokens sets the pace. A planner keeps the ranks even by
-// copying popular experts into spare slots and by swapping experts, and weighs
-// the time that it saves against the cost of moving weights. It is pure: counters
-// and maps in, a decision out.
+// All ranks of a group run each step together, so in each layer the rank with the most tokens
+// determines the step time. A planner balances the ranks by replicating popular experts into
+// spare slots and by swapping experts, and weighs the time saved against the cost of loading
+// weights. The package does no I/O: counters and maps go in, a decision comes out.
 package placement
 
 import (
@@ -15,83 +14,85 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// Errors of this layer.
+// Errors returned by this package.
 var (
 	ErrShape      = merry.Sentinel("expert map doesn't fit the group")
-	ErrNotPlanner = merry.Sentinel("plug-in doesn't plan expert maps")
+	ErrNotPlanner = merry.Sentinel("module is not a placement planner")
 )
 
 // Shape is the size of a group.
 type Shape struct {
 	Ranks, Experts, Layers int
-	// Slots is how many experts a rank holds in one layer, spare ones included.
+	// Slots is the number of experts that a rank holds in one layer, including spare slots.
 	Slots int
 }
 
-// Map says which experts each rank holds. It is immutable once made.
+// Map assigns experts to the slots of each rank. It must not be modified once it is in use.
 type Map struct {
-	// Epoch grows with each map of a group.
+	// Epoch increases with each new map of a group.
 	Epoch uint64
-	// Slots holds the expert in each slot: layer by layer, rank by rank, slot by
-	// slot. An expert's tokens are divided evenly between its copies.
+	// Slots holds the expert in each slot, ordered by layer, rank and slot. The tokens of an
+	// expert are divided evenly between its replicas.
 	Slots []int32
 }
 
-// At returns the experts of one rank in one layer.
+// At returns the experts of one rank in one layer. The result shares memory with the map.
 func (m *Map) At(s Shape, layer, rank int) []int32 {
 	from := (layer*s.Ranks + rank) * s.Slots
 	return m.Slots[from : from+s.Slots]
 }
 
-// Load is the tokens that each expert got, layer by layer: Layers x Experts.
+// Load is the number of tokens per expert, layer by layer: Layers x Experts values.
 type Load []float64
 
-// Cost says what a group's row and the platform make of time and moves.
+// Cost holds the parameters that put skew and moves on one scale.
 type Cost struct {
-	// SkewWeight and MoveWeight are the group row's.
+	// SkewWeight and MoveWeight are the weights of time lost to skew and of the time spent on
+	// moves, as the group's row sets them.
 	SkewWeight, MoveWeight float64
-	// ExpertBytes is the weight of one expert in one layer.
+	// ExpertBytes is the size of one expert's weights in one layer.
 	ExpertBytes float64
-	// StoreRate bounds how fast the weight store gives out weights, in bytes/s.
+	// StoreRate is the throughput of the weight store in bytes/s.
 	StoreRate float64
-	// StepTime is a step's time when all ranks are even.
+	// StepTime is the duration of a step when all ranks have the same load.
 	StepTime time.Duration
 }
 
-// Move loads one expert into one slot.
+// Move loads expert To into a slot that holds expert From.
 type Move struct {
 	Layer, Rank, Slot int
 	From, To          int32
 }
 
-// Decision is what a planner comes to.
+// Decision is the result of planning.
 type Decision struct {
-	// Next is nil when the map in force stays.
+	// Next is the new map; nil keeps the current one.
 	Next  *Map
 	Moves []Move
-	// SkewBefore and SkewAfter are busiest over mean, averaged over the layers,
-	// by the forecast.
+	// SkewBefore and SkewAfter are the predicted skew with the current and the new map: the
+	// load of the busiest rank over the mean, averaged over the layers.
 	SkewBefore, SkewAfter float64
-	// Gain and Price are what the moves are expected to save and to cost, in
-	// seconds of group time weighted by the row.
+	// Gain and Price are what the moves are expected to save and to cost, in seconds of group
+	// time weighted by the group's row.
 	Gain, Price float64
-	// Why explains the decision to an operator, with its figures.
+	// Why explains the decision to an operator.
 	Why string
 }
 
-// Planner is a plug-in of the namespace "placement". It keeps what it has
-// observed of one group.
+// Planner is a module in the "placement" namespace. Each instance plans for one group and keeps
+// the load that it has observed there.
 type Planner interface {
-	// Reset tells the group's size and costs.
+	// Reset sets the group's size and costs and discards all observations.
 	Reset(s Shape, c Cost)
-	// Observe takes the load of a window that ended at a time. Windows may be
-	// missing or late.
+	// Observe takes the load of a window that ended at the given time. Windows may be missing
+	// or arrive late.
 	Observe(at time.Time, load Load)
-	// Plan decides whether and how to change the map in force.
+	// Plan decides whether and how to change the current map.
 	Plan(now time.Time, current *Map) Decision
 }
 
-// NewPlanner makes the planner that a group row names.
+// NewPlanner returns the planner module with the given name. It returns ErrNotPlanner if the
+// module is of another kind.
 func NewPlanner(name string) (Planner, error) {
 	v, err := kernel.Load("placement."+name, nil)
 	if err != nil {
@@ -104,11 +105,11 @@
 	return p, nil
 }
 
-// Check says whether a map fits a group: every expert has a slot in every layer,
-// and no rank holds an expert twice in one layer.
+// Check returns an ErrShape error unless the map is valid for a group: every expert has a slot
+// in every layer, and no rank holds an expert twice in one layer.
 func (m *Map) Check(s Shape) error {
 	if len(m.Slots) != s.Layers*s.Ranks*s.Slots {
-		return merry.Prependf(ErrShape, "%d slots, not %d", len(m.Slots), s.Layers*s.Ranks*s.Slots)
+		return merry.Prependf(ErrShape, "%d slots, want %d", len(m.Slots), s.Layers*s.Ranks*s.Slots)
 	}
 	for layer := range s.Layers {
 		held := make([]bool, s.Experts)
@@ -129,11 +130,11 @@
 func checkRank(slots []int32, held []bool) error {
 	for i, e := range slots {
 		if e < 0 || int(e) >= len(held) {
-			return merry.Prependf(ErrShape, "no expert %d", e)
+			return merry.Prependf(ErrShape, "expert %d does not exist", e)
 		}
 		for _, other := range slots[:i] {
 			if other == e {
-				return merry.Prependf(ErrShape, "expert %d stands twice", e)
+				return merry.Prependf(ErrShape, "expert %d is held twice", e)
 			}
 		}
 		held[e] = true
@@ -141,8 +142,8 @@
 	return nil
 }
 
-// Contiguous is the map that a group starts with: experts in order, and spare
-// slots filled with the experts that follow the rank's own.
+// Contiguous returns the initial map of a group: consecutive experts on each rank, with spare
+// slots filled by the experts that follow them.
 func Contiguous(s Shape) *Map {
 	m := &Map{Epoch: 1, Slots: make([]int32, s.Layers*s.Ranks*s.Slots)}
 	for layer := range s.Layers {
@@ -157,32 +158,32 @@
 	return m
 }
 
-// Skew is the busiest rank's tokens over the mean, in one layer.
+// Skew returns the load of the busiest rank over the mean in one layer, 1 if there is no load.
 func (m *Map) Skew(s Shape, layer int, load Load) float64 {
 	sums := m.RankLoads(s, layer, load)
-	total, busiest := 0.0, 0.0
+	total, highest := 0.0, 0.0
 	for _, v := range sums {
 		total += v
-		busiest = max(busiest, v)
+		highest = max(highest, v)
 	}
 	if total == 0 {
 		return 1
 	}
-	return busiest * float64(s.Ranks) / total
+	return highest * float64(s.Ranks) / total
 }
 
-// RankLoads is the tokens of each rank in one layer.
+// RankLoads returns the tokens of each rank in one layer.
 func (m *Map) RankLoads(s Shape, layer int, load Load) []float64 {
-	copies := make([]int, s.Experts)
+	replicas := make([]int, s.Experts)
 	for rank := range s.Ranks {
 		for _, e := range m.At(s, layer, rank) {
-			copies[e]++
+			replicas[e]++
 		}
 	}
 	sums := make([]float64, s.Ranks)
 	for rank := range s.Ranks {
 		for _, e := range m.At(s, layer, rank) {
-			sums[rank] += load[layer*s.Experts+int(e)] / float64(copies[e])
+			sums[rank] += load[layer*s.Experts+int(e)] / float64(replicas[e])
 		}
 	}
 	return sums
