--- a/lockstep/bench_test.go
+++ b/lockstep/bench_test.go
@@ -9,10 +9,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// large is the largest group that the product is to lead on small hosts.
+// large is a large group as led from small hosts.
 var large = Shape{Ranks: 72, Sets: 12, Experts: 144, Places: 3, Spare: 2}
 
-// huge is the largest group that was seen: one of 192 ranks.
+// huge is a group of the largest supported size.
 var huge = Shape{Ranks: 192, Sets: 10, Experts: 384, Places: 3, Spare: 2}
 
 func BenchmarkPlanHuge(b *testing.B) {
@@ -22,7 +22,8 @@
 	}
 }
 
-// A plan for a demand that differs little from that of the map in force, as most do.
+// BenchmarkPlanHugeSecond plans for a load to which the current map already fits, as most plans
+// do.
 func BenchmarkPlanHugeSecond(b *testing.B) {
 	m, load := inTurn(huge), zipf(huge, 1.1, 0)
 	p, _ := Plan(huge, DefaultPlanSettings(), m, load, nil)
@@ -50,8 +51,7 @@
 	}
 }
 
-// What a leader does with the choices that one call brings: those of a rank read alone before,
-// those of a part of thirteen now.
+// BenchmarkTakeChoicesHuge measures what a leader does with the choices of one reading.
 func BenchmarkTakeChoicesHuge(b *testing.B) {
 	chosen := make([]uint32, huge.Sets*huge.Experts)
 	for i := range chosen {
@@ -68,7 +68,7 @@
 	}
 }
 
-// What a round of orders to prepare a map carries: whole, and as changes.
+// BenchmarkEncodeMapHuge measures encoding a map as changes.
 func BenchmarkEncodeMapHuge(b *testing.B) {
 	m := inTurn(huge)
 	p, _ := Plan(huge, DefaultPlanSettings(), m, zipf(huge, 0.6, 0), nil)
--- a/lockstep/choices.go
+++ b/lockstep/choices.go
@@ -2,29 +2,28 @@
 
 import "sync"
 
-// mostReaders is how many leaders' last readings are kept: one that leads, one that
-// doesn't know yet that it was replaced, and one that has just begun.
+// maxReaders bounds the readers whose last reading is kept: the current leader, a former one
+// that hasn't noticed its replacement, and a new one.
 const mostReaders = 3
 
-// Choices tells each reader how often the requests of one rank chose each expert since
-// its last reading. A rank's counters only grow while it runs, and are many: 3,840 of
-// them take 9 kB, what has been added in a fifth of a second takes less than half.
-//
-// It is kept beside the rank, so that whoever sums up many ranks keeps nothing for them.
+// Choices turns the cumulative counters of one rank, how often its requests chose each expert,
+// into the increase since the last reading of each reader. It runs on the rank's host, so that
+// a relay that sums up many ranks needs no state. Choices is safe for concurrent use.
 type Choices struct {
 	mu      sync.Mutex
 	readers []readerCounts
 }
 
-// readerCounts is what a reader was told last.
+// readerCounts is the last reading of a reader.
 type readerCounts struct {
 	reader      uint64
 	incarnation uint64
 	counts      []uint64
 }
 
-// Since returns what was chosen since a reader's last reading; nil at its first one of a
-// run, because the counters count since the start of the rank.
+// Since returns the increase of each counter since the reader's last reading. It returns nil
+// for the first reading of an incarnation of the rank, because the counters then cover the
+// whole time since its start, and if a counter has decreased.
 func (c *Choices) Since(reader, incarnation uint64, counts []uint64) []uint32 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +36,8 @@
 	return added(last.counts, counts)
 }
 
-// take removes a reader's last reading, or else the oldest one if there are too many.
+// takeLast removes and returns a reader's last reading. If the reader is unknown it makes room
+// for it by dropping the oldest reading, and returns the zero value.
 func (c *Choices) take(reader uint64) readerCounts {
 	for i, r := range c.readers {
 		if r.reader == reader {
@@ -51,8 +51,8 @@
 	return readerCounts{}
 }
 
-// added is the growth of each counter; nil if one has become less, as after a start of the
-// rank that nothing else tells.
+// increase returns the growth of each counter, or nil if one has decreased, as after an
+// unreported restart of the rank.
 func added(before, now []uint64) []uint32 {
 	out := make([]uint32, len(now))
 	for i, n := range now {
@@ -64,7 +64,8 @@
 	return out
 }
 
-// AddChoices adds what was chosen at one rank to a sum, which may be nil.
+// AddChoices adds the choices of one rank to a sum, which may be nil, and returns the sum.
+// Choices of another length are ignored.
 func AddChoices(sum, chosen []uint32) []uint32 {
 	if len(sum) == 0 {
 		return append(sum, chosen...)
--- a/lockstep/choices_test.go
+++ b/lockstep/choices_test.go
@@ -7,27 +7,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// A leader that was replaced goes on reading for a moment. Each leader is told every
-// choice once: were there one last reading for both, each would miss what the other read.
-func TestEachReaderIsToldEachChoiceOnce(t *testing.T) {
+// A replaced leader may keep reading for a moment. Each reader must get every increase exactly
+// once, whatever others read.
+func TestChoicesReportsEachIncreaseOncePerReader(t *testing.T) {
 	var c Choices
 	counts := []uint64{100, 50}
-	tell := func(reader uint64, more ...uint64) []uint32 {
+	read := func(reader uint64, more ...uint64) []uint32 {
 		for i, n := range more {
 			counts[i] += n
 		}
 		return c.Since(reader, 1, slices.Clone(counts))
 	}
-	assert.Assert(t, tell(1) == nil, "the first reading counts since the start of the rank")
-	assert.Assert(t, tell(2, 1, 0) == nil)
-	assert.DeepEqual(t, tell(1, 2, 3), []uint32{3, 3})
-	assert.DeepEqual(t, tell(2, 0, 1), []uint32{2, 4})
-	assert.DeepEqual(t, tell(1), []uint32{0, 1})
+	assert.Assert(t, read(1) == nil, "the first reading counts since the start of the rank")
+	assert.Assert(t, read(2, 1, 0) == nil)
+	assert.DeepEqual(t, read(1, 2, 3), []uint32{3, 3})
+	assert.DeepEqual(t, read(2, 0, 1), []uint32{2, 4})
+	assert.DeepEqual(t, read(1), []uint32{0, 1})
 }
 
-// A rank that has started again counts from nothing, whether it says so or not. Its counts
-// are no choices of the time between two readings.
-func TestChoicesBeginAnewWithTheRank(t *testing.T) {
+// A restarted rank counts from zero, under a new incarnation or not; its counters must not be
+// taken for an increase.
+func TestChoicesAfterRankRestart(t *testing.T) {
 	var c Choices
 	c.Since(1, 7, []uint64{10, 10})
 	assert.Assert(t, c.Since(1, 8, []uint64{11, 11}) == nil)
@@ -36,7 +36,7 @@
 	assert.DeepEqual(t, c.Since(1, 8, []uint64{4, 20}), []uint32{1, 0})
 }
 
-func TestChoicesKeepFewReaders(t *testing.T) {
+func TestChoicesBoundsReaders(t *testing.T) {
 	var c Choices
 	for reader := range uint64(100) {
 		c.Since(reader, 1, []uint64{1})
--- a/lockstep/choicespack_test.go
+++ b/lockstep/choicespack_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestUnpackGivesBackPackedChoices(t *testing.T) {
+func TestPackChoicesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.SampledFrom([]uint32{0, 1, 3, 20, 300, 1<<32 - 1}).Draw(t, "most")
 		chosen := rapid.SliceOf(rapid.Uint32Range(0, most)).Draw(t, "chosen")
@@ -26,14 +26,13 @@
 	f.Add([]byte{4, 255})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if got, err := UnpackChoices(data); err == nil && len(got) > maxChoices {
-			t.Fatal("too many")
+			t.Fatalf("unpacked %d choices, want at most %d", len(got), maxChoices)
 		}
 	})
 }
 
-// The load: 13 ranks tell a relay, whose link carries 6 Mbit/s, each 0.15 s what they have
-// chosen among 3,840 experts, some of which are in demand. That must leave half of the link.
-func TestChoicesLeaveRoomOnASmallLink(t *testing.T) {
+// The choices of all ranks of a relay must use at most half of a link of 6 Mbit/s.
+func TestPackedChoicesFitSlowLink(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var chosen []uint32
 	for i := range 3840 {
--- a/lockstep/demand.go
+++ b/lockstep/demand.go
@@ -6,49 +6,51 @@
 	"time"
 )
 
-// DemandSettings say how fast an estimate follows.
+// DemandSettings determines how fast an estimate follows the demand.
 type DemandSettings struct {
-	// Window is the time whose choices make one observation.
+	// Window is the duration of one observation.
 	Window time.Duration
-	// Weight is that of the newest window in the smoothed load.
+	// Weight is the smoothing factor of the load: the weight of the newest window.
 	Weight float64
-	// Shift is the distance between two windows' shares, 0 to 1, above which other
-	// experts are in demand and the past counts no more. Where windows differ less from
-	// each other than those that it was measured for, less is enough (noise).
+	// Shift is the distance between the estimate and a window, 0 to 1, above which the demand
+	// has shifted and earlier windows are discarded. A lower threshold is used if windows
+	// usually differ less, see noise.
 	Shift float64
 }
 
 const (
-	// usualWindow is the window for which the figures below were measured: on played days
-	// of 75 streams a second it holds a dozen prompts, whose mix of subjects moves the
-	// shares by 0.03 to 0.12; a shift of half of the demand moves them by 0.19 to 0.47.
+	// defaultWindow is the duration that defaultWeight and noiseShift refer to.
 	usualWindow = 150 * time.Millisecond
 	usualWeight = 0.2
-	// meanShift is the threshold without any noise, and noiseShift what the noise of a usual
-	// window adds: that of a shorter one is greater, as it holds fewer prompts.
+	// baseShift is the threshold of a shift without noise; noiseShift is what the noise of a
+	// default window adds. Shorter windows hold fewer prompts and have more noise.
 	meanShift  = 0.11
 	noiseShift = 0.06
 )
 
-// DemandSettingsFor suits windows of some length: their weight lets the estimate follow
-// as fast in time, and the threshold of a shift is above the noise of their prompts.
+// DemandSettingsFor returns settings for windows of a given duration: the estimate follows as
+// fast as with default windows, and the threshold of a shift is above the noise of such
+// windows.
 func DemandSettingsFor(window time.Duration) DemandSettings {
-	part := window.Seconds() / usualWindow.Seconds()
-	return DemandSettings{Window: window, Weight: min(usualWeight*part, 1), Shift: meanShift + noiseShift/math.Sqrt(part)}
+	ratio := window.Seconds() / usualWindow.Seconds()
+	return DemandSettings{Window: window, Weight: min(usualWeight*ratio, 1), Shift: meanShift + noiseShift/math.Sqrt(ratio)}
 }
 
-// DefaultDemandSettings are those of usual windows.
+// DefaultDemandSettings returns the settings for default windows.
 func DefaultDemandSettings() DemandSettings { return DemandSettingsFor(usualWindow) }
 
-// Demand estimates how often each expert is chosen, from what the ranks tell. They may be
-// read at different times, one by one or summed up, and be missing.
+// Demand estimates the share of each expert in the choices of its set, from the increase of the
+// ranks' counters. Ranks may be observed at different times, one at a time or summed up, and
+// observations may be missing.
 type Demand struct {
 	settings DemandSettings
 	shape    Shape
-	window   [][]float64
-	began    time.Time
-	load     [][]float64
-	// latest are the shares in the newest window alone.
+	// window counts the choices of the open window, which began at windowBegan.
+	window [][]float64
+	began  time.Time
+	// load is the smoothed estimate.
+	load [][]float64
+	// latest holds the shares in the newest closed window.
 	latest [][]float64
 	noise  noise
 	// windows counts those observed since the last shift.
@@ -56,7 +58,7 @@
 	shifts  int
 }
 
-// NewDemand makes an estimate without observations.
+// NewDemand returns an estimate without observations.
 func NewDemand(settings DemandSettings, s Shape) *Demand {
 	return &Demand{settings: settings, shape: s, window: zeros(s)}
 }
@@ -69,8 +71,8 @@
 	return out
 }
 
-// Observe takes what was chosen at some ranks, set by set, expert by expert. It returns
-// whether a window has been closed.
+// Observe adds choices of one or more ranks, ordered by set and expert. It reports whether a
+// window has been closed.
 func (d *Demand) Observe(now time.Time, chosen []uint32) bool {
 	if len(chosen) != d.shape.Sets*d.shape.Experts {
 		return false
@@ -89,7 +91,8 @@
 	return d.close(now)
 }
 
-// close ends a window. One without any choice is no observation.
+// closeWindow ends the window. If a set has no choices yet, the window isn't used and its
+// counts are carried over to the next one.
 func (d *Demand) close(now time.Time) bool {
 	d.began = now
 	shares := normalize(d.window)
@@ -102,19 +105,19 @@
 		d.load, d.windows = CloneShares(shares), 1
 		return true
 	}
-	apart := distance(d.load, shares)
-	if apart > d.noise.threshold(d.settings.Shift) {
+	dist := distance(d.load, shares)
+	if dist > d.noise.threshold(d.settings.Shift) {
 		if d.windows != 1 {
-			// One that follows another at once is the rest of it: the first window still held
-			// choices from before.
+			// A second shift in a row belongs to the first, whose window still held choices
+			// from before.
 			d.shifts++
 		}
 		d.windows = 0
 	} else if d.windows >= steadyWindows {
-		d.noise.observe(apart)
+		d.noise.observe(dist)
 	}
 	d.windows++
-	// After a shift all windows count alike, until there are enough of them.
+	// After a shift the estimate is the mean of the windows, until Weight is larger.
 	weight := max(d.settings.Weight, 1/float64(d.windows))
 	for set := range d.load {
 		for e := range d.load[set] {
@@ -125,49 +128,47 @@
 }
 
 const (
-	// steadyWindows is how many windows after a shift the estimate has come close to the new
-	// demand: what windows differ from it then is their noise.
+	// steadyWindows is the number of windows after a shift from which the estimate is close to
+	// the new demand, so that the distance of a window to it is noise.
 	steadyWindows = 5
-	// noiseWindows is how many windows of noise are enough to go by.
+	// minNoiseWindows is the number of windows that the noise must be based on.
 	noiseWindows = 5
-	// noiseDown and noiseUp are the weights of a window that differs less or more than usual.
-	// An estimate that follows a shift which was not seen differs more, for a dozen windows,
-	// and that isn't noise.
+	// noiseDown and noiseUp are the smoothing factors for a window with less and with more
+	// noise than before. While the estimate follows an undetected shift, windows differ more
+	// for a while, which must not count as noise.
 	noiseDown, noiseUp = 0.3, 0.02
-	// shiftFactor and leastShift say what is more than noise. A group of 192 ranks reads 70
-	// prompts in a window: its windows are 0.008 to 0.016 apart, and a shift of an eighth of
-	// the demand, which doubles the skew, 0.13. Taken for noise it was planned for 1.5 s late.
+	// A distance above shiftFactor times the noise plus minShift is a shift.
 	shiftFactor = 5
 	leastShift  = 0.02
 )
 
-// noise is how far windows of the same demand usually are from the estimate.
+// noise is the usual distance of a window to the estimate while the demand doesn't change.
 type noise struct {
 	usual   float64
 	windows int
 }
 
-func (n *noise) observe(apart float64) {
+func (n *noise) observe(dist float64) {
 	n.windows++
 	weight := noiseUp
-	if apart < n.usual || n.windows == 1 {
+	if dist < n.usual || n.windows == 1 {
 		weight = noiseDown
 	}
 	if n.windows == 1 {
-		n.usual = apart
+		n.usual = dist
 	}
-	n.usual += weight * (apart - n.usual)
+	n.usual += weight * (dist - n.usual)
 }
 
-// threshold is the distance above which demand has shifted, where it is most at most.
-func (n *noise) threshold(most float64) float64 {
+// threshold returns the distance above which the demand has shifted, at most limit.
+func (n *noise) threshold(limit float64) float64 {
 	if n.windows < noiseWindows {
-		return most
+		return limit
 	}
-	return min(most, shiftFactor*n.usual+leastShift)
+	return min(limit, shiftFactor*n.usual+leastShift)
 }
 
-// normalize gives each expert's share of its set, or nil if a set has none.
+// normalize returns each expert's share of its set, or nil if a set has no choices.
 func normalize(window [][]float64) [][]float64 {
 	out := make([][]float64, len(window))
 	for set, counts := range window {
@@ -186,7 +187,7 @@
 	return out
 }
 
-// CloneShares copies shares of experts, set by set.
+// CloneShares returns a deep copy of the shares of experts, set by set.
 func CloneShares(shares [][]float64) [][]float64 {
 	out := make([][]float64, len(shares))
 	for set := range shares {
@@ -195,8 +196,8 @@
 	return out
 }
 
-// distance is half the sum of differences, averaged over the sets: the part of the
-// choices that goes elsewhere.
+// distance is the total variation distance averaged over the sets: the fraction of choices that
+// go to other experts.
 func distance(a, b [][]float64) float64 {
 	sum := 0.0
 	for set := range a {
@@ -207,22 +208,22 @@
 	return sum / 2 / float64(len(a))
 }
 
-// settledWindows is how many windows after a shift an estimate is worth a plan: the
-// first one still holds choices from before it.
+// settledWindows is the number of windows after a shift from which an estimate can be planned
+// for. The first window may still hold choices from before the shift.
 const settledWindows = 2
 
-// Settled says whether the estimate is worth a plan.
+// Settled reports whether the estimate can be planned for.
 func (d *Demand) Settled() bool { return d.load != nil && d.windows >= settledWindows }
 
-// Load is the estimated share of each expert in its set; nil before the first window.
+// Load returns the estimated share of each expert in its set, nil before the first window.
 func (d *Demand) Load() [][]float64 { return d.load }
 
-// Latest is each expert's share in the newest window alone: what a few passes asked for, which
-// differs from the estimate by the few prompts that they read. nil before the first window.
+// Latest returns each expert's share in the newest closed window, without smoothing; nil before
+// the first window.
 func (d *Demand) Latest() [][]float64 { return d.latest }
 
-// Shifts is how many shifts were seen.
+// Shifts returns the number of detected shifts.
 func (d *Demand) Shifts() int { return d.shifts }
 
-// Windows is how many windows were observed since the last shift.
+// Windows returns the number of windows since the last shift.
 func (d *Demand) Windows() int { return d.windows }
--- a/lockstep/demand_test.go
+++ b/lockstep/demand_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// drawn is what about n choices a set, drawn by a load, add to each expert.
+// drawChoices returns about n random choices per set, distributed like a load.
 func drawn(rnd *rand.Rand, load [][]float64, n float64) []uint32 {
 	var chosen []uint32
 	for _, shares := range normalize(load) {
@@ -21,11 +21,10 @@
 	return chosen
 }
 
-// The load: a group of 192 ranks reads so many prompts in a window that windows of the same
-// demand hardly differ, and then an eighth of the demand goes to other experts. That is seen in
-// the first whole window after it, where a fixed threshold that suits small groups sees nothing;
-// and demand that stays the same is never taken for another.
-func TestSmallShiftIsSeenWhereWindowsHardlyDiffer(t *testing.T) {
+// In a large group the windows of a constant demand hardly differ. A shift of a small part of
+// the demand must then be detected in the first window after it, and constant demand never as a
+// shift.
+func TestSmallShiftIsDetectedAtLowNoise(t *testing.T) {
 	shape := Shape{Ranks: 192, Sets: 2, Experts: 384, Places: 3, Spare: 2}
 	settings := DefaultDemandSettings()
 	d := NewDemand(settings, shape)
@@ -38,8 +37,8 @@
 			after[set][e] = 0.8*after[set][e] + 0.2*other[set][e]
 		}
 	}
-	apart := distance(normalize(before), normalize(after))
-	assert.Assert(t, apart > 0.08 && apart < 0.15, "%f", apart)
+	dist := distance(normalize(before), normalize(after))
+	assert.Assert(t, dist > 0.08 && dist < 0.15, "%f", dist)
 	now := time.Unix(100, 0)
 	window := func(load [][]float64) {
 		now = now.Add(settings.Window)
@@ -61,14 +60,13 @@
 	assert.Equal(t, d.Shifts(), 1)
 }
 
-// Windows of a small group hold a dozen prompts and differ by a tenth: the threshold stays what
-// it was measured to be, however long nothing shifts.
-func TestNoisyWindowsKeepTheThreshold(t *testing.T) {
+// Windows of small groups differ much: the threshold must not fall below the configured one.
+func TestThresholdIsUnchangedAtHighNoise(t *testing.T) {
 	var n noise
 	rnd := rand.New(rand.NewPCG(3, 4))
-	most := DefaultDemandSettings().Shift
+	limit := DefaultDemandSettings().Shift
 	for range 1000 {
 		n.observe(0.03 + 0.09*rnd.Float64())
 	}
-	assert.Equal(t, n.threshold(most), most)
+	assert.Equal(t, n.threshold(limit), limit)
 }
--- a/lockstep/doc.go
+++ b/lockstep/doc.go
@@ -1,12 +1,13 @@
-// Package lockstep keeps the ranks of a group even that runs each pass together,
-// and switches the group from one expert map to the next so that no pass begins
-// with two.
+// Package lockstep balances the load of a group whose ranks run every pass together, and
+// switches the group from one expert map to the next such that all ranks begin each pass with
+// the same map.
 //
-// Demand estimates which experts requests choose, Plan finds a better map, and
-// Switcher brings it into force by orders that may be lost, come late or be
-// answered late. All are pure: time, readings and answers go in, orders come out.
+// Demand estimates which experts the requests use, Plan computes a better map, and Switcher
+// activates it by orders to the ranks. Orders and their replies may be lost, delayed or
+// duplicated. None of them does any I/O: the caller passes in the time, readings and replies,
+// and sends the orders that are returned.
 //
-// Ranks here take orders by themselves: one that is armed switches at its step
-// without another word. The group is kept from that step by a hold until every
-// rank is known to be armed. Package rollout is for ranks that wait for a decision.
+// The ranks handled here act on their own: an armed rank switches at its step without a further
+// order. The group is therefore held before that step until every rank is known to be armed.
+// Package rollout is for ranks that wait for a commit.
 package lockstep
--- a/lockstep/expertmap.go
+++ b/lockstep/expertmap.go
@@ -8,18 +8,18 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrMap is returned for a map that doesn't fit its group.
+// ErrMap is returned for a map that is malformed or doesn't fit its group.
 var ErrMap = merry.Sentinel("expert map doesn't fit the group")
 
 // Shape is the size of a group.
 type Shape struct {
 	Ranks, Sets, Experts int
-	// Places is how many experts a rank holds in one set at most, Spare how many of
-	// them one switch may bring.
+	// Places is the number of experts that a rank can hold in each set, Spare the number of new
+	// experts that one switch may bring to a rank in each set.
 	Places, Spare int
 }
 
-// ShapeOf is the shape of a service's groups.
+// ShapeOf returns the shape of a service's groups.
 func ShapeOf(p *wire.EngineProfile, ranks int) Shape {
 	return Shape{
 		Ranks: ranks, Sets: int(p.GetSets()), Experts: int(p.GetExperts()),
@@ -27,16 +27,16 @@
 	}
 }
 
-// Valid says whether a group of this shape can have a map.
+// Valid reports whether a valid map exists for the shape.
 func (s Shape) Valid() bool {
 	return s.Ranks > 0 && s.Sets > 0 && s.Experts > 0 && s.Places > 0 && s.Ranks*s.Places >= s.Experts
 }
 
-// Map says which experts each rank holds: set by set, rank by rank. The ranks that
-// hold an expert share its work evenly.
+// Map holds the experts of each rank, indexed by set and rank. The ranks that hold an expert
+// share its work evenly.
 type Map [][][]uint32
 
-// Clone copies a map.
+// Clone returns a deep copy.
 func (m Map) Clone() Map {
 	out := make(Map, len(m))
 	for set, ranks := range m {
@@ -48,15 +48,15 @@
 	return out
 }
 
-// Check says whether a map fits a shape: each expert of each set on a rank, and no
-// rank with more experts than places.
+// Check returns an ErrMap error unless the map fits the shape: every expert of each set is on
+// some rank, and no rank holds an expert twice or more experts than it has places for.
 func (m Map) Check(s Shape) error {
 	if len(m) != s.Sets {
-		return merry.Prependf(ErrMap, "%d sets, not %d", len(m), s.Sets)
+		return merry.Prependf(ErrMap, "%d sets, want %d", len(m), s.Sets)
 	}
 	for set, ranks := range m {
 		if len(ranks) != s.Ranks {
-			return merry.Prependf(ErrMap, "set %d: %d ranks, not %d", set, len(ranks), s.Ranks)
+			return merry.Prependf(ErrMap, "set %d: %d ranks, want %d", set, len(ranks), s.Ranks)
 		}
 		if err := checkSet(s, ranks); err != nil {
 			return merry.Prependf(err, "set %d", set)
@@ -73,7 +73,7 @@
 		}
 		for i, e := range experts {
 			if int(e) >= s.Experts || slices.Contains(experts[:i], e) {
-				return merry.Prependf(ErrMap, "rank %d: expert %d", r, e)
+				return merry.Prependf(ErrMap, "rank %d: expert %d is unknown or held twice", r, e)
 			}
 			held[e] = true
 		}
@@ -84,12 +84,12 @@
 	return nil
 }
 
-// SlowPace is the pace from which on a rank is slow: below it its part differs by less
-// than the estimate of the load.
+// SlowPace is the pace from which a rank counts as slow. Below it, the difference is within the
+// error of the load estimate.
 const SlowPace = 1.2
 
-// Pace is how many times as long as usual each rank takes for the same work; nil says
-// that none is slow.
+// Pace is the factor by which each rank takes longer than usual for the same work; nil means
+// that no rank is slow.
 type Pace []float64
 
 func (p Pace) of(rank int) float64 {
@@ -99,8 +99,8 @@
 	return p[rank]
 }
 
-// Skew is the part of the rank that takes longest over that of the mean rank at the
-// usual pace, averaged over the sets.
+// Skew returns the load of the busiest rank, weighted by pace, over the mean load, averaged
+// over the sets. A set without load counts as 1.
 func (m Map) Skew(load [][]float64, pace Pace) float64 {
 	sum := 0.0
 	for set, ranks := range m {
@@ -118,6 +118,7 @@
 	return sum / float64(len(m))
 }
 
+// rankLoads returns the load of each rank in one set.
 func rankLoads(ranks [][]uint32, load []float64) []float64 {
 	copies := make([]int, len(load))
 	for _, experts := range ranks {
--- a/lockstep/mapcode.go
+++ b/lockstep/mapcode.go
@@ -9,13 +9,13 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrNoBase is returned for a map that is told as changes to one that isn't known.
-var ErrNoBase = merry.Sentinel("base of an expert map isn't known")
+// ErrNoBase is returned for a map that is encoded as changes to an unknown map.
+var ErrNoBase = merry.Sentinel("unknown base of an expert map")
 
-// baseInTurn is the version that stands for the map in which experts go to ranks in turn.
+// baseRoundRobin is the version that stands for the round-robin map.
 const baseInTurn = 0
 
-// mapInTurn is that map.
+// roundRobinMap assigns the experts of each set to the ranks in turn.
 func mapInTurn(ranks, sets, experts int) Map {
 	m := make(Map, sets)
 	for set := range m {
@@ -27,8 +27,8 @@
 	return m
 }
 
-// encode is a map as orders carry it: whole, or as changes to the map in turn if that is
-// shorter, as it is for a group that has formed lately.
+// encode returns the map as orders carry it: in full, or as changes to the round-robin map if
+// that is shorter, as for a newly formed group.
 func (m Map) encode() []byte {
 	out := &wire.ExpertMap{}
 	for _, ranks := range m {
@@ -38,15 +38,15 @@
 			out.Experts = append(out.Experts, experts...)
 		}
 	}
-	whole := marshalMap(out)
-	if changes := m.encodeChanges(mapInTurn(int(out.Ranks), len(m), m.experts()), baseInTurn); len(changes) < len(whole) {
+	full := marshalMap(out)
+	if changes := m.encodeChanges(mapInTurn(int(out.Ranks), len(m), m.experts()), baseInTurn); len(changes) < len(full) {
 		return changes
 	}
-	return whole
+	return full
 }
 
-// encodeChanges is a map as the ranks and sets in which it differs from a base. A switch changes some tens of them: 1 kB for each of 192 ranks and not
-// 10, which over a relay's link of 6 Mbit/s took longer than a rank takes to copy an expert.
+// encodeChanges encodes the lists of experts, by set and rank, that differ from a base with the
+// given version. This is much smaller than the full map, as a switch changes few of them.
 func (m Map) encodeChanges(base Map, version uint64) []byte {
 	changes := &wire.MapChanges{Base: version, Sets: uint32(len(m)), Experts: uint32(m.experts())}
 	out := &wire.ExpertMap{Changes: changes}
@@ -64,7 +64,7 @@
 	return marshalMap(out)
 }
 
-// experts is how many experts a set has: each is on some rank.
+// experts returns the number of experts in a set, which is the highest expert plus one.
 func (m Map) experts() int {
 	n := 0
 	for _, ranks := range m {
@@ -80,20 +80,21 @@
 func marshalMap(m *wire.ExpertMap) []byte {
 	data, err := proto.Marshal(m)
 	if err != nil {
-		// Numbers can always be encoded.
+		// The message has only integer fields, which always encode.
 		panic(err)
 	}
 	return data
 }
 
-// Bounds of a map that is read.
+// Limits of a decoded map. A cell is the list of experts of one rank in one set.
 const (
 	maxCells   = 1 << 20
 	maxExperts = 1 << 16
 )
 
-// DecodeMap reads the map that an order carries; nil if it carries none. base returns the
-// map of a version; nil if it isn't known.
+// DecodeMap decodes the map that an order carries, nil if it carries none. base returns the map
+// of a version, nil if it is unknown; ErrNoBase is returned in that case, and an ErrMap error
+// for malformed data.
 func DecodeMap(data []byte, base func(version uint64) Map) (Map, error) {
 	if len(data) == 0 {
 		return nil, nil
@@ -127,7 +128,8 @@
 	return m, m.fill(in, cells)
 }
 
-// baseOf is a copy of the map that changes are based on; its lists are shared.
+// baseOf returns a copy of the map that changes are based on. It shares the lists of experts
+// with it.
 func baseOf(c *wire.MapChanges, ranks int, base func(version uint64) Map) (Map, error) {
 	if uint64(ranks)*uint64(c.Sets) > maxCells || c.Experts > maxExperts {
 		return nil, merry.Prependf(ErrMap, "%d ranks, %d sets of %d experts", ranks, c.Sets, c.Experts)
@@ -140,7 +142,7 @@
 		return nil, merry.Prependf(ErrNoBase, "version %d", c.Base)
 	}
 	if len(known) != int(c.Sets) || len(known) == 0 || len(known[0]) != ranks {
-		return nil, merry.Prependf(ErrMap, "base %d has another shape", c.Base)
+		return nil, merry.Prependf(ErrMap, "shape differs from that of base %d", c.Base)
 	}
 	m := make(Map, len(known))
 	for set := range known {
@@ -149,19 +151,19 @@
 	return m, nil
 }
 
-// fill sets the cells that a message tells of.
+// fill sets the given cells to the lists of a message.
 func (m Map) fill(in *wire.ExpertMap, cells []uint32) error {
 	ranks, experts := int(in.Ranks), in.Experts
 	if len(cells) != len(in.Counts) {
-		return merry.Prependf(ErrMap, "%d counts for %d places", len(in.Counts), len(cells))
+		return merry.Prependf(ErrMap, "%d counts for %d lists", len(in.Counts), len(cells))
 	}
 	for i, n := range in.Counts {
 		if int(n) > len(experts) {
-			return merry.Prependf(ErrMap, "%d experts are missing", int(n)-len(experts))
+			return merry.Prependf(ErrMap, "list is missing %d experts", int(n)-len(experts))
 		}
 		set, rank := int(cells[i])/ranks, int(cells[i])%ranks
 		if set >= len(m) {
-			return merry.Prependf(ErrMap, "set %d of %d", set, len(m))
+			return merry.Prependf(ErrMap, "set %d out of range, map has %d", set, len(m))
 		}
 		m[set][rank] = experts[:n:n]
 		experts = experts[n:]
--- a/lockstep/mapcode_test.go
+++ b/lockstep/mapcode_test.go
@@ -8,16 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// A group of 192 ranks is told a map of which the plan changed little. Whoever knows the one
-// in force reads the same map from the changes as from the whole; who doesn't says so, and
-// never takes another map for the base.
-func TestMapIsToldAsChanges(t *testing.T) {
+// Changes and the full encoding must decode to the same map. Without the right base, decoding
+// changes must fail.
+func TestMapIsEncodedAsChanges(t *testing.T) {
 	current, load := inTurn(huge), zipf(huge, 1.1, 0)
 	p, ok := Plan(huge, DefaultPlanSettings(), current, load, nil)
 	assert.Assert(t, ok)
-	changes, whole := p.Map.encodeChanges(current, 7), p.Map.encode()
+	changes, full := p.Map.encodeChanges(current, 7), p.Map.encode()
 	assert.Assert(t, len(changes) < 3000, "%d bytes", len(changes))
-	assert.Assert(t, len(whole) < 3000, "a new group's first map is told as changes to the one in turn: %d bytes", len(whole))
+	assert.Assert(t, len(full) < 3000, "the first map of a new group should be encoded as changes to the round-robin map: %d bytes", len(full))
 
 	got, err := DecodeMap(changes, func(v uint64) Map {
 		assert.Equal(t, v, uint64(7))
@@ -25,7 +24,7 @@
 	})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, p.Map)
-	again, err := DecodeMap(whole, nil)
+	again, err := DecodeMap(full, nil)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, again, p.Map)
 
@@ -35,7 +34,7 @@
 	assert.ErrorIs(t, err, ErrMap)
 }
 
-func TestChangesGiveBackAnyMap(t *testing.T) {
+func TestEncodeChangesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets, ranks := rapid.IntRange(1, 4).Draw(t, "sets"), rapid.IntRange(1, 8).Draw(t, "ranks")
 		draw := func(name string) Map {
@@ -56,14 +55,14 @@
 		for set := range m {
 			for r := range m[set] {
 				if !slices.Equal(got[set][r], m[set][r]) || !slices.Equal(base[set][r], before[set][r]) {
-					t.Fatalf("%v, not %v", got, m)
+					t.Fatalf("got %v, want %v", got, m)
 				}
 			}
 		}
 	})
 }
 
-// What is not read as a map must not end the process, nor take its memory.
+// Malformed maps must neither cause a panic nor exhaust the memory.
 func FuzzDecodeMap(f *testing.F) {
 	m := inTurn(small)
 	f.Add(m.encode())
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -6,73 +6,66 @@
 	"slices"
 )
 
-// PlanSettings bound a plan.
+// PlanSettings bounds a plan.
 type PlanSettings struct {
-	// MinGain is the least skew that an expert which is copied must save in its
-	// set: less is within the error of the estimate, and each copy slows the
-	// passes while it is made. It is that of groups of gainRanks ranks, and less in
-	// proportion in larger ones.
+	// MinGain is the least skew that each copied expert must save in its set, for groups of up
+	// to referenceRanks ranks; see minCopyGain for larger ones. Smaller gains are within the
+	// error of the estimate, and passes are slower during a copy.
 	MinGain float64
-	// MaxPerRank is how many experts one rank may copy in a switch, over all sets,
-	// while the skew is above Steep; 0 is no bound. A rank copies one after the other,
-	// and until the last one is there all ranks run with the old map: a first switch
-	// with the few copies that matter most comes in force sooner.
+	// MaxCopiesHighSkew bounds the experts that one rank copies in a switch, over all sets, while the
+	// skew is above HighSkew; 0 means no bound. A rank copies one expert at a time, and the old
+	// map stays in use until the last copy is done. So a steep skew falls sooner with few
+	// copies per switch.
 	MaxPerRank int
 	Steep      float64
-	// MaxPerRankEven is the same below Steep. Without a bound the last switch after a shift copied eight experts
-	// a rank: for 0.7 s all ran with the old map, at a skew of 1.6 to 1.8 and with passes that copying makes
-	// longer, and the next shift came as it was done. Switches of two copies a rank take 0.25 s each, and
-	// the skew falls with each of them.
+	// MaxCopiesLowSkew replaces MaxCopiesHighSkew below HighSkew.
 	MaxPerRankEven int
-	// MinTotal is the least skew, averaged over the sets, that a switch must save.
+	// MinTotalGain is the least skew, averaged over the sets, that a switch must save.
 	MinTotal float64
 }
 
-// DefaultPlanSettings are those of a control replica. With half the least gain a third
-// more copies are made, with twice of it passes stay longer; on the played days of both
-// users neither served callers better.
+// DefaultPlanSettings returns the settings that control replicas use.
 func DefaultPlanSettings() PlanSettings {
 	return PlanSettings{MinGain: 0.025, MinTotal: 0.15, MaxPerRank: 1, Steep: 1.8, MaxPerRankEven: 2}
 }
 
-// gainRanks is the size of the groups for which MinGain was measured.
-//
-// A larger group has more ranks near the top, so that one copy gains less, and all of them
-// copy at once, so that one more doesn't take longer. With the same least gain for each copy a
-// group of 192 ranks stayed at a skew of 1.7 to 2.1 after a shift, where as many switches as
-// in a group of 24 now bring it to 1.3.
+// referenceRanks is the group size up to which MinGain applies unchanged.
 const gainRanks = 24
 
-// leastGain is the gain that a copy must have in a group of a size.
+// minCopyGain returns the gain that each copy must have in a group of a given size. In larger
+// groups more ranks are close to the busiest one, so a single copy gains less, while copies on
+// different ranks run in parallel.
 func (p *PlanSettings) leastGain(ranks int) float64 {
 	return p.MinGain * min(1, gainRanks/float64(ranks))
 }
 
 const (
-	// peakPower makes a sum of powers stand for the maximum, but also tell apart two
-	// maps that differ only in the next busiest rank.
+	// peakPower is the exponent of the power sum that approximates the load of the busiest
+	// rank. Unlike the maximum it also distinguishes two maps that differ only in the next
+	// busiest rank.
 	peakPower = 16
-	// partners is how many of the emptiest ranks are tried for each change.
+	// maxTargets is the number of least loaded ranks that are tried as the target of a change.
 	partners = 16
-	// stepsPerRank bounds the search in one set.
+	// maxStepsPerRank bounds the search in one set, relative to the number of ranks.
 	stepsPerRank = 3
 )
 
-// Proposal is a better map.
+// Proposal is a map that improves on the current one.
 type Proposal struct {
 	Map Map
-	// Copies is how many experts ranks must copy.
+	// Copies is the number of experts that ranks must copy.
 	Copies int
-	// Before and After are the skews by the estimate.
+	// Before and After are the skews of the current and the proposed map under the estimated
+	// load.
 	Before, After float64
 }
 
-// Plan looks for a better map than the one in force, by the load of each expert and
-// the pace of each rank; ok is false if none is worth its copies.
+// Plan looks for a better map than the current one, given the load of each expert and the pace
+// of each rank. ok is false if the improvement is below MinTotalGain or no expert would be copied.
 func Plan(s Shape, settings PlanSettings, current Map, load [][]float64, pace Pace) (p Proposal, ok bool) {
 	p.Before = current.Skew(load, pace)
 	if p.Before < 1+settings.MinTotal {
-		// No map has a skew below one.
+		// The skew of a map is at least 1, so MinTotalGain can't be saved.
 		return p, false
 	}
 	p.Map = current.Clone()
@@ -97,48 +90,51 @@
 	return p, p.Before-p.After >= settings.MinTotal && p.Copies > 0
 }
 
-// search makes one change after the other, in the least even set first, so that ranks
-// copy first what matters most.
+// improveSets makes one change at a time in the set with the highest skew, so that the copies
+// that the limits per rank allow go where they matter most.
 func search(all []*setState) {
 	sets := slices.Clone(all)
 	for len(sets) > 0 {
-		worst := slices.MaxFunc(sets, func(a, b *setState) int { return cmp.Compare(a.most, b.most) })
-		best, ok := worst.best()
-		worst.steps++
-		if !ok || worst.steps > stepsPerRank*worst.s.Ranks {
-			sets = slices.DeleteFunc(sets, func(st *setState) bool { return st == worst })
+		steepest := slices.MaxFunc(sets, func(a, b *setState) int { return cmp.Compare(a.most, b.most) })
+		best, ok := steepest.best()
+		steepest.steps++
+		if !ok || steepest.steps > stepsPerRank*steepest.s.Ranks {
+			sets = slices.DeleteFunc(sets, func(st *setState) bool { return st == steepest })
 			continue
 		}
-		worst.keep(best)
+		steepest.keep(best)
 	}
 }
 
-// setState is one set of a map while it is searched. Loads are scaled so that the
-// mean rank has 1; that of a slow rank counts as many times as it takes longer.
+// setState is the state of the search in one set. Loads are scaled so that the mean rank has
+// load 1; that of a slow rank is multiplied by its pace.
 type setState struct {
 	s        Shape
 	settings PlanSettings
 	pace     Pace
-	load     []float64
-	hold     [][]uint32
-	// base is what each rank held before the search; taking one of these back is
-	// no copy.
-	base    [][]uint32
+	// load is that of each expert, held lists the experts of each rank.
+	load []float64
+	hold [][]uint32
+	// base lists what each rank held before the search. A rank that gets such an expert back
+	// needs no copy.
+	base [][]uint32
+	// holders lists the ranks of each expert, rankLoad the load of each rank.
 	holders [][]int
 	ranks   []float64
-	// power is the sum of the ranks' loads to the peakPower. It is kept up while changes
-	// are tried: summed anew for each of them, plans of 192 ranks took three times as long.
+	// power is the sum of the ranks' loads to the power of peakPower. It is updated
+	// incrementally, because summing it for every tried change is expensive in large groups.
 	power float64
-	// most is the load of the busiest rank.
-	most   float64
+	// maxLoad is the load of the busiest rank as of the last change that was made.
+	most float64
+	// copies counts the copies in this set.
 	copied int
 	set    int
 	steps  int
-	// perRank counts the copies of each rank over all sets.
+	// rankCopies counts the copies of each rank, shared by all sets.
 	perRank []int
 }
 
-// newSetState returns nil for a set without any load.
+// newSetState returns nil for a set without load.
 func newSetState(s Shape, settings PlanSettings, hold [][]uint32, load []float64, pace Pace) *setState {
 	total := 0.0
 	for _, v := range load {
@@ -166,14 +162,15 @@
 	return st
 }
 
+// replicaLoad returns the load of an expert on each of its ranks.
 func (st *setState) each(e uint32) float64 { return st.load[e] / float64(len(st.holders[e])) }
 
-// nobody is the rank of a change that puts nothing anywhere.
+// noRank is the target of a change that only drops an expert.
 const nobody = -1
 
-// change puts expert in onto a rank, in place of expert out if that is not none. A
-// swap also puts out onto the busy rank in place of in; with leaves the busy rank
-// drops in and gets nothing for it.
+// change puts expert in, which the busy rank holds, onto a rank. With replaces it takes the
+// place of expert out there. With swap the busy rank gets out in return for in; with leaves it
+// drops in without a replacement. gain is the decrease of the peak per copy.
 type change struct {
 	rank, busy int
 	in, out    uint32
@@ -184,7 +181,7 @@
 	gain       float64
 }
 
-// keep makes a change for good.
+// commit makes a change permanently.
 func (st *setState) keep(c change) {
 	if c.rank != nobody {
 		st.perRank[c.rank] += st.cost(c.rank, c.in)
@@ -193,16 +190,16 @@
 		st.perRank[c.busy] += st.cost(c.busy, c.out)
 	}
 	st.apply(c)
-	// What was rounded off while changes were tried must not add up.
+	// Rounding errors of tried changes must not accumulate.
 	st.sum()
 	st.copied += c.copies
 }
 
-// best is the change that relieves the busiest rank most for each copy, if any gains
+// bestChange returns the change that lowers the peak most per copy. ok is false if none gains
 // enough.
 func (st *setState) best() (best change, ok bool) {
 	busy := st.busiest()
-	// Trials change the lists and change them back, in another order.
+	// Undoing a tried change may reorder the lists, so iterate over a copy.
 	held := slices.Clone(st.hold[busy])
 	slow := st.pace.of(busy) > 1
 	for _, e := range held {
@@ -223,8 +220,8 @@
 	return best, best.gain > 0
 }
 
-// offer tries all ways of making a change that takes work for an expert of the busy
-// rank to another.
+// tryVariants tries all variants of a change that puts an expert of the busy rank onto another
+// rank.
 func (st *setState) offer(c change, best *change) {
 	if len(st.hold[c.rank]) < st.s.Places {
 		st.try(c, best)
@@ -243,7 +240,8 @@
 	}
 }
 
-// try keeps a change if it is allowed and gains more for its copies than the best.
+// tryChange replaces best by a change that is within the copy limits and gains more per copy. A
+// change without copies counts as one.
 func (st *setState) try(c change, best *change) {
 	if c.rank != nobody {
 		c.copies = st.cost(c.rank, c.in)
@@ -257,11 +255,11 @@
 			return
 		}
 	}
-	before, power := st.peak(), st.power
+	peakBefore, powerBefore := st.peak(), st.power
 	st.apply(c)
-	gain := before - st.peak()
+	gain := peakBefore - st.peak()
 	st.undo(c)
-	st.power = power
+	st.power = powerBefore
 	if gain < st.settings.leastGain(st.s.Ranks)*float64(max(c.copies, 1)) {
 		return
 	}
@@ -271,8 +269,8 @@
 	}
 }
 
-// restoreOrder gives ranks that hold what they held before the search the same list: trials
-// change the order, and a map is told as what differs from the one before.
+// restoreOrder restores the original list of each rank that holds the same experts as before
+// the search. Tried changes reorder the lists, and maps are encoded as the lists that differ.
 func (st *setState) restoreOrder() {
 	for r, experts := range st.hold {
 		if len(experts) == len(st.base[r]) && !slices.ContainsFunc(experts, func(e uint32) bool { return st.cost(r, e) > 0 }) {
@@ -281,7 +279,7 @@
 	}
 }
 
-// cost is 1 if a rank would have to copy an expert.
+// copyCost returns 1 if a rank would have to copy an expert, otherwise 0.
 func (st *setState) cost(r int, e uint32) int {
 	if slices.Contains(st.base[r], e) {
 		return 0
@@ -289,25 +287,26 @@
 	return 1
 }
 
-// over says whether another new expert is more than a rank may copy in one switch.
+// exceedsLimit reports whether another expert would exceed the copies that a rank may make in
+// one switch.
 func (st *setState) over(r int, e uint32) bool {
 	if st.cost(r, e) == 0 {
 		return false
 	}
-	if m := st.settings.MaxPerRank; m > 0 && st.perRank[r] >= m {
+	if limit := st.settings.MaxPerRank; limit > 0 && st.perRank[r] >= limit {
 		return true
 	}
-	fresh := 0
+	copies := 0
 	for _, x := range st.hold[r] {
-		fresh += st.cost(r, x)
+		copies += st.cost(r, x)
 	}
-	return fresh >= st.s.Spare
+	return copies >= st.s.Spare
 }
 
-// peak is close to the busiest rank's load.
+// peak approximates the load of the busiest rank.
 func (st *setState) peak() float64 { return math.Pow(st.power, 1.0/peakPower) }
 
-// sum makes power and most from the ranks' loads.
+// recompute derives power and maxLoad from the ranks' loads.
 func (st *setState) sum() {
 	st.power, st.most = 0, 0
 	for _, v := range st.ranks {
@@ -316,7 +315,7 @@
 	}
 }
 
-// powered is v to the peakPower.
+// toPeakPower returns v to the power of peakPower.
 func powered(v float64) float64 {
 	v *= v
 	v *= v
@@ -356,8 +355,7 @@
 	}
 }
 
-// add and drop change who holds an expert. An expert may have no holder between the
-// two halves of a swap.
+// add makes a rank hold an expert. An expert may temporarily have no holder during a swap.
 func (st *setState) add(r int, e uint32) {
 	st.share(e, -1)
 	st.hold[r] = append(st.hold[r], e)
@@ -372,7 +370,7 @@
 	st.share(e, 1)
 }
 
-// share adds an expert's load to its holders, or takes it off them.
+// addReplicaLoad adds sign times an expert's load per replica to the load of its holders.
 func (st *setState) share(e uint32, sign float64) {
 	for _, r := range st.holders[e] {
 		before := st.ranks[r]
@@ -396,8 +394,8 @@
 	return best
 }
 
-// emptiest returns the ranks with the least load, but for one. Of hundreds of ranks only a
-// few are wanted: sorting all of them was a third of a plan's time.
+// leastLoaded returns up to maxTargets ranks in ascending order of load, without one of them.
+// It avoids sorting all ranks of a large group.
 func (st *setState) emptiest(except int) []int {
 	list := make([]int, 0, partners+1)
 	for r, v := range st.ranks {
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -12,7 +12,8 @@
 
 var small = Shape{Ranks: 16, Sets: 4, Experts: 64, Places: 5, Spare: 2}
 
-// inTurn is the map that a group starts with: experts in turn, spare places empty.
+// initialMap is the first map of a group: experts are assigned to the ranks in turn, and spare
+// places are empty.
 func inTurn(s Shape) Map {
 	m := make(Map, s.Sets)
 	for set := range m {
@@ -25,7 +26,7 @@
 	return m
 }
 
-// zipf is a demand in which few experts get most: their order is turned by shift.
+// zipf is a Zipf-distributed load. shift rotates the order of the experts.
 func zipf(s Shape, skew float64, shift int) [][]float64 {
 	load := zeros(s)
 	for set := range load {
@@ -36,7 +37,7 @@
 	return load
 }
 
-// copied counts what each rank must copy for a map, by set and over all.
+// maxCopies returns the most experts that any rank must copy, in one set and over all sets.
 func copied(from, to Map) (perSet, perRank int) {
 	ranks := make([]int, len(from[0]))
 	for set := range from {
@@ -54,11 +55,9 @@
 	return perSet, slices.Max(ranks)
 }
 
-// The load: a group has just formed, or other experts are suddenly in demand, so that
-// the busiest rank has three times the mean and passes take twice as long. Switches of
-// one copy a rank each, which are in force within a fifth of a second, bring it below
-// one and a half times the mean, and then nothing more is worth a copy.
-func TestSteepSkewFallsByQuickSwitches(t *testing.T) {
+// At a high skew, switches of one copy per rank must lower it below 1.5 within a few switches,
+// after which no switch is worth its copies.
+func TestHighSkewIsReducedByFewCopiesPerSwitch(t *testing.T) {
 	current := inTurn(small)
 	load := zipf(small, 1.1, 3)
 	assert.Assert(t, current.Skew(load, nil) > 2.5, "skew %f", current.Skew(load, nil))
@@ -81,15 +80,14 @@
 	assert.Assert(t, switches < 8, "%d switches", switches)
 }
 
-// What callers saw: streams late by passes at a skew of 1.6 to 1.8, for the second after the first copies.
-// What happens: the last switch after a shift of demand copied up to eight experts at a rank, one after the other, and until the
-// last was there all ranks ran with the old map; the next shift came as it was in force.
-// Each switch brings a rank two experts at most, in time for the skew to fall with each, and together they bring it as low.
-func TestSkewFallsByShortSwitches(t *testing.T) {
+// The old map stays in use until the last copy of a switch is done. So each switch must bring a
+// rank two experts at most, lower the skew noticeably, and all switches together must balance
+// the group.
+func TestCopiesPerRankAreBounded(t *testing.T) {
 	s := Shape{Ranks: 24, Sets: 16, Experts: 96, Places: 5, Spare: 2}
 	current := inTurn(s)
 	load := zipf(s, 1, 5)
-	most := current.Skew(load, nil)
+	initial := current.Skew(load, nil)
 	for n := range 12 {
 		p, ok := Plan(s, DefaultPlanSettings(), current, load, nil)
 		if !ok {
@@ -102,11 +100,11 @@
 		}
 		current = p.Map
 	}
-	assert.Assert(t, current.Skew(load, nil) < 1.35, "%f of %f", current.Skew(load, nil), most)
+	assert.Assert(t, current.Skew(load, nil) < 1.35, "skew %f, initially %f", current.Skew(load, nil), initial)
 }
 
-// The load: demand that moves a little. No copy is worth it.
-func TestEvenGroupIsLeftAlone(t *testing.T) {
+// Small differences of the load are not worth a copy.
+func TestNoPlanForBalancedGroup(t *testing.T) {
 	load := zeros(small)
 	for set := range load {
 		for e := range load[set] {
@@ -117,9 +115,9 @@
 	assert.Assert(t, !ok)
 }
 
-// Whatever the demand, a plan is a map that fits the group, within what one switch may
-// bring, and never worse; what was given to it stays as it was.
-func TestPlansFitTheGroup(t *testing.T) {
+// For any load, a plan is a valid map within the limits of one switch and is never worse; the
+// current map is not modified.
+func TestPlansAreValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Shape{
 			Ranks: rapid.IntRange(1, 8).Draw(t, "ranks"), Sets: rapid.IntRange(1, 3).Draw(t, "sets"),
@@ -158,7 +156,7 @@
 	})
 }
 
-// count adds choices to the counters of each rank.
+// addCounts adds about n choices per set to the counters of each rank.
 func count(counts [][]uint64, load [][]float64, n float64) {
 	for r := range counts {
 		for set := range load {
@@ -173,10 +171,9 @@
 	}
 }
 
-// The load: demand shifts to other experts at once. The window in which it falls is read
-// before most ranks have counted it; after two more the estimate is that of the new
-// demand alone. A rank that starts again, and so counts from nothing, is no shift.
-func TestShiftIsSeenInTwoWindows(t *testing.T) {
+// The first window after a sudden shift may hold choices from before; after two more the
+// estimate must follow the new demand only. A rank restart is not a shift.
+func TestShiftIsDetectedWithinTwoWindows(t *testing.T) {
 	settings := DefaultDemandSettings()
 	d := NewDemand(settings, small)
 	counts := make([][]uint64, small.Ranks)
@@ -218,10 +215,8 @@
 	assert.Equal(t, d.Shifts(), shifts)
 }
 
-// The load: one rank's host takes five times as long for the same work, so that all
-// ranks wait for it in each pass. Its experts are copied to others within a few
-// switches, and it is left with none that counts; once it is well again, it gets work
-// as others do.
+// The experts of a slow rank must move to other ranks within a few switches, without
+// overloading these.
 func TestSlowRankIsRelieved(t *testing.T) {
 	for name, shape := range map[string]Shape{"small": small, "large": large} {
 		t.Run(name, func(t *testing.T) {
@@ -249,9 +244,9 @@
 	}
 }
 
-// Orders carry any map that fits a group, also one that leaves a rank without experts;
-// what is cut or makes no sense is refused rather than taken for another map.
-func TestOrdersCarryMapsWhole(t *testing.T) {
+// Any map must survive encoding, also one that leaves a rank without experts; truncated or
+// malformed data must not decode to another map.
+func TestMapEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets, ranks := rapid.IntRange(1, 4).Draw(t, "sets"), rapid.IntRange(1, 8).Draw(t, "ranks")
 		m := make(Map, sets)
@@ -268,12 +263,12 @@
 		for set := range m {
 			for r := range m[set] {
 				if !slices.Equal(m[set][r], back[set][r]) {
-					t.Fatalf("%v, not %v", back, m)
+					t.Fatalf("got %v, want %v", back, m)
 				}
 			}
 		}
 		if cut, err := DecodeMap(data[:rapid.IntRange(0, len(data)-1).Draw(t, "cut")], nil); err == nil && len(cut) == len(m) && len(m) > 0 && !slices.EqualFunc(cut[0], m[0], slices.Equal[[]uint32]) {
-			t.Fatalf("a cut map was read as %v, not %v", cut, m)
+			t.Fatalf("truncated map decodes to %v, want an error or %v", cut, m)
 		}
 	})
 	none, err := DecodeMap(nil, nil)
@@ -283,10 +278,8 @@
 	assert.ErrorIs(t, err, ErrMap)
 }
 
-// The load: a group of 192 ranks, of which each holds two experts of a set and has room for one
-// more, and a few experts that get most. Each copy gains little, as many ranks are near the top;
-// all of them together must be made all the same, or every pass takes a third longer.
-func TestManyRanksAreMadeEven(t *testing.T) {
+// In a large group each single copy gains little, but together they must balance the group.
+func TestLargeGroupIsBalanced(t *testing.T) {
 	m, load := inTurn(huge), zipf(huge, 0.6, 0)
 	switches := 0
 	for {
--- a/lockstep/relays.go
+++ b/lockstep/relays.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// directRanks is the size up to which a leader calls each rank itself: a round of
-	// orders is a hop shorter, and 16 readings of counters take it a millisecond.
+	// maxDirectRanks is the size up to which the leader calls each rank itself, which saves a
+	// hop.
 	directRanks = 16
-	// relayRest is how long a relay that did not answer isn't used: a host that stands
-	// still does so for some seconds, and each try costs its ranks one timeout.
+	// relayRetryDelay is the time for which a relay that didn't answer isn't used. Each attempt
+	// costs its ranks a timeout.
 	relayRest = 2 * time.Second
 )
 
-// Relays says through which rank's sidecar each rank of a large group is called, so that
-// its leader has a call for the root of the ranks and not for each. With 192 ranks that
-// are called one by one a leader of 0.12 cores spends 0.07 of them on readings alone, and
-// a switch, four rounds of orders, takes it a second.
+// Relays assigns the ranks of a large group to relays, the sidecars of other ranks through
+// which the leader calls them. The leader of n ranks then makes about sqrt(n) calls per round
+// instead of n.
 //
-// A relay serves ranks of its own failure domain: what it reads and passes on stays
-// there, and a cut between failure domains takes a rank and its relay alike.
+// A relay serves ranks of its own failure domain, so that a partition between failure domains
+// cuts off a rank together with its relay.
 //
-// It keeps no promise of its own. An order that a relay got and gave no answer for counts
-// as one that may be carried out later, as any order without an answer does.
+// Relays give no guarantees about orders: one that was sent to a relay and not answered may be
+// carried out later, as with a direct call.
 type Relays struct {
+	// parts lists the ranks that share a relay. partOf is the part of each rank, -1 for a direct
+	// call.
 	parts  [][]int
 	partOf []int
-	// failed is when a rank's sidecar did not answer as a relay.
+	// failedAt is when a rank's sidecar last failed to answer as a relay.
 	failed []time.Time
 }
 
-// NewRelays divides ranks by their failure domains. A small group has no relays.
+// NewRelays assigns relays to ranks by their failure domains. A small group gets none.
 func NewRelays(domains []string) *Relays {
 	n := len(domains)
 	r := &Relays{partOf: slices.Repeat([]int{-1}, n), failed: make([]time.Time, n)}
@@ -58,11 +59,11 @@
 	return r
 }
 
-// partSize is the most ranks that share a relay, in a group of n.
+// maxPartSize returns the maximum number of ranks that share a relay in a group of n.
 func partSize(n int) int { return int(math.Ceil(math.Sqrt(float64(n)))) }
 
-// CallsFor is how many calls reach all ranks of a group, about, and whether they are to
-// relays: failure domains may make some more.
+// CallsFor returns the approximate number of calls that reach all ranks of a group, and whether
+// they go to relays. Failure domains may add some calls.
 func CallsFor(ranks int) (calls int, relayed bool) {
 	if ranks <= directRanks {
 		return ranks, false
@@ -71,7 +72,7 @@
 	return (ranks + size - 1) / size, true
 }
 
-// divide makes parts of about equal size, and none larger than size.
+// divide adds parts of about equal size, none larger than size.
 func (r *Relays) divide(ranks []int, size int) {
 	parts := (len(ranks) + size - 1) / size
 	for i := range parts {
@@ -83,7 +84,7 @@
 	}
 }
 
-// Calls is how many calls reach all ranks.
+// Calls returns the number of calls that reach all ranks.
 func (r *Relays) Calls() int {
 	if len(r.parts) == 0 {
 		return len(r.partOf)
@@ -91,12 +92,12 @@
 	return len(r.parts)
 }
 
-// Part numbers the ranks that share a relay; ok is false for a rank that is called
-// without one.
+// Part returns the number of the part, the ranks that share a relay, that a rank belongs to; ok
+// is false for a rank that is called directly.
 func (r *Relays) Part(rank int) (part int, ok bool) { return r.partOf[rank], r.partOf[rank] >= 0 }
 
-// Via is the rank whose sidecar relays for a part now; ok is false while none of them
-// answers as a relay.
+// Via returns the rank whose sidecar currently relays for a part; ok is false if all of them
+// have failed within relayRetryDelay.
 func (r *Relays) Via(now time.Time, part int) (rank int, ok bool) {
 	for _, rank := range r.parts[part] {
 		if r.failed[rank].IsZero() || now.Sub(r.failed[rank]) >= relayRest {
@@ -106,5 +107,5 @@
 	return 0, false
 }
 
-// Failed notes that a rank's sidecar did not answer as a relay.
+// Failed records that a rank's sidecar didn't answer as a relay.
 func (r *Relays) Failed(now time.Time, rank int) { r.failed[rank] = now }
--- a/lockstep/relays_test.go
+++ b/lockstep/relays_test.go
@@ -9,9 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// The load: a leader on a small host has 192 ranks in five failure domains. It has calls
-// for about the root of them, and each rank is called through one of its own failure
-// domain.
+// Every rank of a large group is called through a relay in its own failure domain, with about
+// sqrt(n) calls in total.
 func TestRelaysStayInTheirFailureDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), directRanks+1, 400).Draw(t, "domains")
@@ -28,7 +27,7 @@
 	})
 }
 
-func TestRelaysOfAnEvenGroup(t *testing.T) {
+func TestRelayCallsOfLargeGroup(t *testing.T) {
 	var domains []string
 	for i := range 192 {
 		domains = append(domains, fmt.Sprint("d", i%5))
@@ -43,11 +42,9 @@
 	assert.Equal(t, r.Calls(), directRanks)
 }
 
-// The caller sees streams that pause until the leader of the group reads and orders again.
-// The host of a relay stands still: the next rank of the part takes its place at the next
-// call, and the part is called without a relay once none answers. A relay that is back is
-// used again after its rest.
-func TestLostRelayIsReplaced(t *testing.T) {
+// A failed relay is replaced by another rank of its part. If all have failed, the ranks are
+// called directly; a relay is used again after relayRetryDelay.
+func TestFailedRelayIsReplaced(t *testing.T) {
 	domains := make([]string, 25)
 	r := NewRelays(domains)
 	now := time.Unix(100, 0)
--- a/lockstep/replan.go
+++ b/lockstep/replan.go
@@ -6,16 +6,15 @@
 )
 
 const (
-	// replanPeriod is the least time between two plans.
+	// replanPeriod is the minimum time between two plans.
 	replanPeriod = 300 * time.Millisecond
-	// idleReplanPeriod is that after a plan that found nothing to do, while the same
-	// experts are in demand and the ranks are as fast as then: the estimate grows better by
-	// some hundredths of the skew in this time. A plan of 192 ranks takes 6 ms, and made
-	// each 0.3 s it was a sixth of what a leader of 0.12 cores may spend.
+	// idleReplanPeriod replaces replanPeriod after a plan without result, while neither the
+	// demand has shifted nor a pace has changed: the estimate improves only slowly then, and
+	// plans of large groups are expensive.
 	idleReplanPeriod = 1500 * time.Millisecond
 )
 
-// Replan says when to plan again.
+// Replan schedules the plans of a group.
 type Replan struct {
 	at     time.Time
 	shifts int
@@ -23,7 +22,7 @@
 	idle   bool
 }
 
-// Due says whether to plan now, and notes that it is done.
+// Due reports whether to plan now. If so, it records the plan as started.
 func (r *Replan) Due(now time.Time, shifts int, pace Pace) bool {
 	period := replanPeriod
 	if r.idle && shifts == r.shifts && slices.Equal(pace, r.pace) {
@@ -36,5 +35,5 @@
 	return true
 }
 
-// FoundNothing notes that the latest plan found no map that is worth a switch.
+// FoundNothing records that the latest plan found no map worth a switch.
 func (r *Replan) FoundNothing() { r.idle = true }
