--- a/lockstep/relaysim_test.go
+++ b/lockstep/relaysim_test.go
@@ -13,9 +13,7 @@
 // simRelayRanks is how many ranks share a relay in the simulation.
 const simRelayRanks = 2
 
-// sendThroughRelays gives the orders of one look through relays. Each may do its work, be
-// lost after it has passed on some orders, stand still and pass them on seconds later, or
-// pass on each of them twice.
+// sendThroughRelays sends the orders of one tick through relays.
 func (s *sim) sendThroughRelays(l *simLeader, orders []Order) {
 	parts := map[int][]Order{}
 	for _, o := range orders {
@@ -32,6 +30,8 @@
 	}
 }
 
+// sendViaRelay sends orders through one relay. It may work, fail after passing on some orders, pass
+// them on seconds later without an answer, or pass each of them on twice.
 func (s *sim) relay(l *simLeader, list []Order) {
 	draw := s.rnd.Float64()
 	if s.calm {
@@ -65,7 +65,8 @@
 	})
 }
 
-// relayAll passes orders on and answers once all ranks have, or after 0.12 s with what there is.
+// passOn passes orders on and answers once all ranks have replied, or after 120 ms with the
+// replies so far.
 func (s *sim) relayAll(l *simLeader, list []Order) {
 	replies := make([]*wire.RankOrderReply, len(list))
 	cameAt := make([]time.Duration, len(list))
@@ -107,10 +108,8 @@
 	return s
 }
 
-// Callers would get tokens of experts that other ranks hold. Relays are lost in the middle of
-// a round, stand still and pass orders on seconds later, and double them, while hosts answer
-// nothing, leaders overlap and the group forms again: no pass begins with two maps, switches
-// come to their end, and once faults end the group goes on.
+// Checks the invariant of Switcher while relays fail during a round of orders, delay orders and
+// duplicate them, and that switches still succeed.
 func TestNoPassBeginsWithTwoMapsThroughRelays(t *testing.T) {
 	finished := 0
 	for seed := range uint64(schedules) {
@@ -118,10 +117,10 @@
 		assert.Equal(t, s.broken, "", "seed %d\n%s", seed, strings.Join(s.log, "\n"))
 		finished += s.finished
 	}
-	assert.Assert(t, finished > schedules/2, "only %d switches came to their end", finished)
+	assert.Assert(t, finished > schedules/2, "only %d switches succeeded", finished)
 }
 
-func TestGroupGoesOnAfterFaultsOfRelays(t *testing.T) {
+func TestGroupRecoversAfterRelayFaults(t *testing.T) {
 	for seed := range uint64(schedules / 10) {
 		s := playRelayed(seed, safeguards{})
 		s.calm = true
@@ -129,24 +128,24 @@
 			r.away = min(r.away, s.now+4*time.Second)
 		}
 		s.run(s.now + 25*time.Second)
-		began, step := s.finished, s.step
+		finished, step := s.finished, s.step
 		s.run(s.now + 5*time.Second)
 		assert.Equal(t, s.broken, "", "seed %d", seed)
-		assert.Assert(t, s.step > step+30, "seed %d: the group stands still\n%s", seed, s.state())
-		assert.Assert(t, s.finished > began, "seed %d: no switch comes to its end\n%s", seed, strings.Join(s.log, "\n"))
+		assert.Assert(t, s.step > step+30, "seed %d: no passes are run\n%s", seed, s.state())
+		assert.Assert(t, s.finished > finished, "seed %d: no switch succeeds\n%s", seed, strings.Join(s.log, "\n"))
 	}
 }
 
-// The schedules are hard enough: without either safeguard a pass begins with two maps.
-func TestRelayedSchedulesCatchMissingSafeguards(t *testing.T) {
+// The simulation must detect each disabled safeguard, otherwise it is too easy.
+func TestRelayedSimDetectsDisabledSafeguards(t *testing.T) {
 	for name, off := range map[string]safeguards{"settle": {settle: true}, "hold": {hold: true}} {
-		caught := 0
+		detected := 0
 		for seed := range uint64(schedules / 3) {
 			if playRelayed(seed, off).broken != "" {
-				caught++
+				detected++
 			}
 		}
-		assert.Assert(t, caught > 0, "nothing notices that %s is off", name)
-		t.Logf("%s: caught in %d of %d schedules", name, caught, schedules/3)
+		assert.Assert(t, detected > 0, "disabled safeguard %s is not detected", name)
+		t.Logf("%s: detected in %d of %d schedules", name, detected, schedules/3)
 	}
 }
--- a/lockstep/sim_test.go
+++ b/lockstep/sim_test.go
@@ -9,7 +9,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// simRank carries out orders as the ranks of a group in lock-step do.
+// simRank carries out orders like a rank of a group.
 type simRank struct {
 	instance  string
 	inUse     uint64
@@ -21,17 +21,17 @@
 	held      uint64
 	highest   uint64
 	token     uint64
-	// away is until when the rank's host answers nothing.
+	// unresponsiveUntil is the time until which the rank's host doesn't respond.
 	away time.Duration
 }
 
-// event happens at a time of the simulation.
+// event is a callback at a time of the simulation.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// sim is a group, its leaders and the network between them.
+// sim simulates a group, its leaders and the network between them.
 type sim struct {
 	rnd     *rand.Rand
 	now     time.Duration
@@ -45,16 +45,18 @@
 	shape   Shape
 	maps    map[uint64]Map
 	off     safeguards
-	// calm says that no more faults happen.
+	// noFaults turns faults off.
 	calm bool
-	// late is the share of orders without an answer that are carried out seconds later.
+	// late is the share of orders without a reply that are carried out seconds later, lost the
+	// share of lost orders and of lost replies.
 	late, lost float64
-	// relays says that orders go through relays, unageing that these don't tell how long an
-	// answer has waited.
+	// relays sends orders through relays. omitAge makes the relays omit the age of the reports
+	// that they return.
 	relays, unageing bool
-	broken           string
-	finished         int
-	log              []string
+	// violation describes a violation of the invariant, finished counts the successful switches.
+	broken   string
+	finished int
+	log      []string
 }
 
 // simLeader drives a Switcher as a control replica does.
@@ -101,8 +103,8 @@
 	return time.Duration(from+s.rnd.IntN(to-from+1)) * time.Millisecond
 }
 
-// elect brings up a leader with a new token. An earlier one may go on for a while
-// without knowing that it is replaced.
+// startLeader starts a leader with a new token. Earlier leaders may continue for a while without
+// noticing.
 func (s *sim) elect() {
 	for _, l := range s.leaders {
 		l.until = min(l.until, s.now+s.ms(0, 250))
@@ -117,7 +119,7 @@
 	return &simLeader{switcher: New(cfg), epoch: s.epoch, until: time.Hour, reading: make([]bool, s.shape.Ranks)}
 }
 
-// run plays until a time.
+// run simulates until the given time.
 func (s *sim) run(until time.Duration) {
 	const tick = 25 * time.Millisecond
 	for s.now < until && s.broken == "" {
@@ -140,7 +142,7 @@
 	}
 }
 
-// pass begins the next pass unless a rank holds it.
+// beginPass begins the next pass unless a rank holds it.
 func (s *sim) pass() {
 	if s.now < s.nextRun {
 		return
@@ -164,7 +166,7 @@
 	}
 }
 
-// faults strike at random: hosts that answer nothing, new leaders, a group that forms
+// injectFaults injects random faults: hosts that don't respond, new leaders, and a group that forms
 // again.
 func (s *sim) faults() {
 	if s.calm {
@@ -173,7 +175,7 @@
 	if s.rnd.Float64() < 0.01 {
 		r := s.ranks[s.rnd.IntN(len(s.ranks))]
 		r.away = s.now + s.ms(200, 4000)
-		s.note("%s answers nothing until %v", r.instance, r.away)
+		s.note("%s doesn't respond until %v", r.instance, r.away)
 	}
 	if s.rnd.Float64() < 0.006 {
 		s.elect()
@@ -184,6 +186,7 @@
 	}
 }
 
+// reformGroup forms the group again under a new epoch, with one rank replaced by a new instance.
 func (s *sim) formAgain() {
 	s.epoch++
 	s.note("epoch %d", s.epoch)
@@ -200,7 +203,7 @@
 		}
 		l := s.leaders[len(s.leaders)-1]
 		if l.epoch == epoch {
-			// It was elected since, and knows.
+			// This leader was elected after the group had formed again.
 			return
 		}
 		used := l.switcher.Used()
@@ -209,7 +212,7 @@
 	})
 }
 
-// lead is one look of a leader.
+// tickLeader runs one tick of a leader.
 func (s *sim) lead(l *simLeader) {
 	period := 14
 	if l.switcher.Phase() != Idle {
@@ -248,7 +251,7 @@
 	}
 }
 
-// state shows what a leader knows of the ranks, for a test that fails.
+// state describes the ranks and what the leaders know of them, for failure messages.
 func (s *sim) state() string {
 	text := ""
 	for i, r := range s.ranks {
@@ -262,7 +265,7 @@
 	return text
 }
 
-// learn reads the map in force from the ranks.
+// learnCurrent sets a leader's current map once all ranks respond and use the same one.
 func (s *sim) learn(l *simLeader) {
 	for _, r := range s.ranks {
 		if r.inUse != s.ranks[0].inUse || s.now < r.away {
@@ -282,6 +285,7 @@
 	return r.instance, &wire.RankReport{Step: s.step, Map: r.inUse, Prepared: r.prepared, Armed: r.armed, ArmedStep: r.armedStep, Held: r.held}
 }
 
+// read reads a rank's state for a leader, unless the rank doesn't respond.
 func (s *sim) read(l *simLeader, i int) {
 	if s.now < s.ranks[i].away || l.epoch != s.epoch {
 		return
@@ -291,14 +295,14 @@
 	s.after(s.ms(1, 20), func() { l.switcher.Heard(at, i, instance, rep) })
 }
 
-// send gives an order and tells the leader the answer, or that none came.
+// send sends an order and passes the reply to the leader, or nil after a timeout.
 func (s *sim) send(l *simLeader, o Order) {
 	answer := s.once(func(reply *wire.RankOrderReply) { l.switcher.Replied(s.time(), o.Rank, o.RankOrder, reply) })
 	s.after(250*time.Millisecond, func() { answer(nil) })
 	s.deliver(o, func(reply *wire.RankOrderReply) { s.after(s.ms(1, 8), func() { answer(reply) }) })
 }
 
-// once lets the first answer through.
+// firstOnly passes on the first call only.
 func (s *sim) once(f func(*wire.RankOrderReply)) func(*wire.RankOrderReply) {
 	answered := false
 	return func(reply *wire.RankOrderReply) {
@@ -309,8 +313,8 @@
 	}
 }
 
-// deliver carries an order to its rank, or loses it, or carries it out much later. answer is
-// called with what the rank says, if it says something.
+// deliver carries an order to its rank, loses it, or has it carried out much later. answer is
+// called with the rank's reply, if there is one.
 func (s *sim) deliver(o Order, answer func(*wire.RankOrderReply)) {
 	draw := s.rnd.Float64()
 	late, lost := s.late, s.lost
@@ -318,7 +322,7 @@
 		late, lost = 0, 0
 	}
 	if s.now < s.ranks[o.Rank].away {
-		// It arrives when the host answers again, or never.
+		// It arrives when the host responds again, or never.
 		if s.rnd.IntN(2) == 0 {
 			s.after(s.ranks[o.Rank].away-s.now+s.ms(0, 50), func() { s.carryOut(o) })
 		}
@@ -340,7 +344,7 @@
 	}
 }
 
-// carryOut is what the platform's pages say of each order.
+// execute executes an order as the platform's documentation specifies.
 func (s *sim) carryOut(o Order) wire.RankOrderStatus {
 	const conflict = wire.RankOrderStatus_RANK_ORDER_STATUS_CONFLICT
 	const done = wire.RankOrderStatus_RANK_ORDER_STATUS_DONE
--- a/lockstep/switcher.go
+++ b/lockstep/switcher.go
@@ -6,10 +6,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Phase is how far a switch has come.
+// Phase is the phase of a switch.
 type Phase int
 
-// Phases.
+// Phases of a switch.
 const (
 	// Idle: no switch is in progress.
 	Idle Phase = iota
@@ -27,45 +27,47 @@
 
 var phaseNames = [...]string{"idle", "preparing", "holding", "arming", "releasing", "cleaning"}
 
-// String returns the phase as logs show it.
+// String returns the name of the phase as it is logged.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Config of a Switcher.
+// Config configures a Switcher.
 type Config struct {
 	Ranks int
-	// Token is the fencing token of who leads the group.
+	// Token is the fencing token of the group's leader.
 	Token uint64
-	// Epoch is how the group was formed last.
+	// Epoch identifies the current formation of the group.
 	Epoch uint64
-	// Used is the last version that this leader has used in an earlier epoch. A rank
-	// that outlived it takes none that isn't higher.
+	// Used is the highest map version that this leader used in an earlier epoch. Ranks that
+	// were running then reject all versions up to it.
 	Used uint64
-	// Lead is the time between the hold and its step, at least: the ranks are to be
-	// armed before the group gets there.
+	// Lead is the minimum time from the hold order to the held step: the hold must arrive
+	// before the group gets there.
 	Lead time.Duration
-	// PrepareLimit bounds the copying, HoldLimit the time from the hold until all are
-	// armed. A switch that takes longer is given up.
+	// PrepareTimeout bounds the copying of experts, HoldTimeout the time from the hold until
+	// all ranks are armed. A switch that exceeds one of them is given up.
 	PrepareLimit, HoldLimit time.Duration
-	// TakeoverGrace is how long a group that an earlier leader holds is left to it.
+	// TakeoverGrace is the time for which a group that is held by an earlier leader's switch is
+	// left alone.
 	TakeoverGrace time.Duration
-	// Resend is the time after which an order that brought nothing is sent again.
+	// ResendInterval is the time after which an order without effect is sent again.
 	Resend time.Duration
-	// UsualPass is taken for a pass's time until two readings tell it.
+	// DefaultPassTime is the assumed duration of a pass until it can be estimated.
 	UsualPass time.Duration
 
-	// off turns safeguards off, to show that tests catch what they prevent.
+	// disabled turns safeguards off, so that tests can show that a missing safeguard is detected.
 	off safeguards
 }
 
-// safeguards of a Switcher.
+// safeguards lists safeguards that tests can disable.
 type safeguards struct {
-	// settle: a rank that a late order may arm doesn't count as clean.
+	// voidArmOrders: a rank that a late order may still arm doesn't count as clean.
 	settle bool
-	// hold: the group is held before any rank is armed.
+	// holdBeforeArm: the group is held before any rank is armed.
 	hold bool
 }
 
-// DefaultConfig suits passes of some tens of milliseconds and orders that take a few.
+// DefaultConfig returns a configuration for passes of some tens of milliseconds and orders that
+// take a few milliseconds.
 func DefaultConfig(ranks int, token, epoch uint64) Config {
 	return Config{
 		Ranks: ranks, Token: token, Epoch: epoch,
@@ -76,15 +78,15 @@
 }
 
 const (
-	// versionBits leave each fencing token a range of map versions: versions of a
-	// later leader are higher than any that an earlier one may have used.
+	// versionBits is the size of the range of map versions of each fencing token. Versions of a
+	// later leader are thus higher than those of any earlier one.
 	versionBits = 20
-	// leadPasses are added to the lead: the step that is read is already under way.
+	// leadPasses is added to the lead, because the latest known step has already begun.
 	leadPasses = 2
-	// minPass and maxPass bound what is believed of a pass's time.
+	// minPass and maxPass bound the estimated duration of a pass.
 	minPass = 10 * time.Millisecond
 	maxPass = 500 * time.Millisecond
-	// maxHolds bounds the tries to hold a step before the group gets there.
+	// maxHoldAttempts bounds the attempts to hold a step before the group gets there.
 	maxHolds = 4
 )
 
@@ -94,70 +96,74 @@
 	*wire.RankOrder
 }
 
-// Switcher brings maps into force on one group in one epoch, for one leader.
+// Switcher activates new maps on one group, for one leader and one epoch of the group.
 //
-// Invariant: no rank begins a step with another map than the others. A rank is armed
-// only while the group is held at that step, and the hold ends only when every rank
-// is known to be armed, or every rank is known not to be and no order is left that
-// could still arm one.
+// Invariant: no rank begins a step with another map than the other ranks. Otherwise tokens
+// would be sent to ranks that don't hold their experts. To ensure this, ranks are armed only
+// while the group is held at the step of the switch. The hold ends only when every rank is
+// known to be armed, or when every rank is known not to be armed and no outstanding order can
+// arm one.
 //
-// An order without an answer may be carried out seconds later, and one with an answer a
-// second time. A late copy does nothing once what it names is over: each switch has a version of its own, and a
-// rank arms only a version that it has prepared and a step that has not begun. So an
-// arm order is void as soon as the rank has prepared another version.
+// An order without a reply may be carried out seconds later, and one with a reply a second
+// time. Such late copies are harmless once what they refer to is over: each switch has a
+// version of its own, and a rank arms only a version that it has prepared, at a step that has
+// not begun. So an arm order is void once the rank has prepared another version.
 //
-// What breaks without it: one rank that is armed late, or not at all, begins a step
-// with another map, and tokens go to ranks that don't hold their experts.
-//
-// It is not safe for use by several goroutines.
+// A Switcher is not safe for concurrent use.
 type Switcher struct {
-	cfg     Config
-	ranks   []rank
+	cfg   Config
+	ranks []rank
+	// phase is the current phase, phaseSince the time at which it began.
 	phase   Phase
 	since   time.Time
 	version uint64
-	// target is the map of the switch, current the one in force.
+	// target is the map of the latest switch, current the map in use; nil if unknown.
 	target, current Map
-	// targetEncoded is the target as orders carry it. It is made once a switch: a tick
-	// follows each answer of a rank, and made for each rank in each of them it took the
-	// leader of 72 ranks 0.15 s of processor time a switch, in which it gave no sign of
-	// life to its followers.
+	// targetEncoded is target as orders carry it. It is encoded only once per switch, because
+	// Tick is called after each reply and encoding a large map is expensive.
 	targetEncoded []byte
-	// targetChanges is the target as changes to the map in force; nil if that has no version.
+	// targetChanges is target as changes to the current map, nil if that has no version.
 	targetChanges []byte
-	step          uint64
-	// holder is the rank at which the group is held, holds how often it was tried.
+	// step is the step at which the group is held and switches.
+	step uint64
+	// holder is the rank that is ordered to hold the group, holdAttempts the number of attempts.
 	holder, holds int
-	used          uint64
-	outcome       string
-	pass          time.Duration
-	seenStep      uint64
-	seenAt        time.Time
-	// heldSince is when the group was first seen held while no switch is in progress.
+	// lastVersion is the highest version used.
+	used    uint64
+	outcome string
+	// passTime is the estimated duration of a pass, 0 if unknown.
+	pass time.Duration
+	// latestStep is the highest step that was reported, latestStepAt the time of that report.
+	seenStep uint64
+	seenAt   time.Time
+	// heldSince is the time at which the group was first seen held while no switch is in
+	// progress.
 	heldSince time.Time
 }
 
-// rank is what is known of one rank.
+// rank is the known state of one rank.
 type rank struct {
 	instance string
 	report   *wire.RankReport
-	// at is when the report was read.
+	// reportAt is the time at which report was read.
 	at time.Time
-	// pending is the order that is on its way; sent is when the last one left.
+	// pending is the order that awaits a reply, sentAt the time of the last order.
 	pending *wire.RankOrder
 	sent    time.Time
-	// armDoubt is a version that an order which was given may arm yet, or again; 0 is none.
+	// mayArm is a version that an order sent earlier may still arm, 0 if none.
 	armDoubt uint64
-	// accepted is the version that the rank has begun to prepare.
+	// preparing is the version that the rank has last begun to prepare.
 	accepted uint64
-	// fenced says that the rank has carried out an order of this leader.
+	// fenced reports whether the rank has carried out an order of this leader, and so rejects
+	// those of earlier leaders.
 	fenced bool
-	// lacksBase says that the process beside the rank didn't know the map in force when it
-	// was told of changes to it: it has started since. Whole maps are told until it has one.
+	// lacksBase reports whether the sidecar of the rank didn't know the current map, as after a
+	// restart. It is then sent full maps until it has accepted one.
 	lacksBase bool
 }
 
-// mapFor is the target as a rank is to be told of it.
+// mapFor returns the target in the encoding for a rank: as changes if it knows the base and
+// they are shorter.
 func (s *Switcher) mapFor(r *rank) []byte {
 	if r.lacksBase || s.targetChanges == nil || len(s.targetChanges) >= len(s.targetEncoded) {
 		return s.targetEncoded
@@ -165,31 +171,31 @@
 	return s.targetChanges
 }
 
-// New makes a switcher that has heard of nothing.
+// New returns a Switcher in phase Idle that knows nothing of the ranks.
 func New(cfg Config) *Switcher {
 	return &Switcher{cfg: cfg, ranks: make([]rank, cfg.Ranks), phase: Idle, used: max(cfg.Token<<versionBits, cfg.Used)}
 }
 
-// Phase returns how far a switch has come.
+// Phase returns the current phase.
 func (s *Switcher) Phase() Phase { return s.phase }
 
-// Outcome says how the last switch ended.
+// Outcome describes how the last switch ended.
 func (s *Switcher) Outcome() string { return s.outcome }
 
-// SetCurrent tells the map in force, once, as the ranks hold it.
+// SetCurrent sets the current map, as learned from the ranks.
 func (s *Switcher) SetCurrent(m Map) { s.current = m }
 
-// Current is the map in force; nil if it isn't known.
+// Current returns the current map, nil if it is unknown.
 func (s *Switcher) Current() Map { return s.current }
 
-// Used is the last version that was used.
+// Used returns the highest map version that was used.
 func (s *Switcher) Used() uint64 { return s.used }
 
-// Version is that of the switch in progress, or of the last one.
+// Version returns the version of the latest switch.
 func (s *Switcher) Version() uint64 { return s.version }
 
-// Ready says whether a switch may begin: all ranks are known, use one map, and
-// nothing is left of an earlier switch.
+// Ready reports whether a switch may begin: all ranks are known and use the same map, and no
+// order, armed map or hold of an earlier switch is left.
 func (s *Switcher) Ready(now time.Time) bool {
 	if s.phase != Idle || s.current == nil {
 		return false
@@ -203,20 +209,20 @@
 	return true
 }
 
-// Awaits says whether the switch goes on when the state of a rank has changed: the
-// others need no closer look.
+// Awaits reports whether the switch is waiting for the state of a rank to change. Other ranks
+// can be read less often.
 func (s *Switcher) Awaits(i int) bool {
 	r := &s.ranks[i]
 	switch {
 	case s.phase == Idle:
-		// The next switch begins when all ranks have told that they use the map of this one.
+		// The next switch can begin once no rank reports the last one's map as armed.
 		return r.report != nil && r.report.Armed != 0
 	case r.report == nil || s.phase == Cleaning:
 		return true
 	case s.phase == Preparing:
 		return r.report.Prepared != s.version
 	case i == s.holder:
-		// The hold must stand until all are armed, and be gone after it.
+		// The hold must remain until all ranks are armed, and end after that.
 		return true
 	case s.phase == Arming:
 		return r.report.Armed != s.version
@@ -233,7 +239,7 @@
 		s.targetChanges = m.encodeChanges(s.current, v)
 	}
 	for i := range s.ranks {
-		// Each rank prepares another version now.
+		// Preparing the new version makes earlier arm orders void.
 		s.ranks[i].armDoubt = 0
 	}
 	s.enter(now, Preparing)
@@ -250,13 +256,14 @@
 	}
 }
 
-// giveUp ends a switch before it is certain. Ranks may be armed, and the group held.
+// giveUp ends a switch before the group is released. Ranks may be armed and the group held.
 func (s *Switcher) giveUp(now time.Time, why string) {
 	s.outcome = "given up: " + why
 	s.enter(now, Cleaning)
 }
 
-// Heard takes a rank's state as it was read at a time.
+// Heard takes the state of a rank as read at a given time. An older state than the known one is
+// ignored.
 func (s *Switcher) Heard(at time.Time, i int, instance string, report *wire.RankReport) {
 	if i < 0 || i >= len(s.ranks) || report == nil {
 		return
@@ -264,7 +271,7 @@
 	at = at.Add(-time.Duration(report.AgeMs) * time.Millisecond)
 	r := &s.ranks[i]
 	if r.instance != instance {
-		// A new start of the rank: its sequence begins anew, and the group forms again.
+		// The rank has restarted: its sequence starts over, and the group will form again.
 		*r = rank{instance: instance}
 	}
 	if r.report != nil && at.Before(r.at) {
@@ -274,23 +281,23 @@
 	s.time(at, report.Step)
 }
 
-// time estimates the time of a pass from the steps that were read.
+// observeStep updates the estimated duration of a pass.
 func (s *Switcher) time(at time.Time, step uint64) {
 	if step <= s.seenStep {
 		return
 	}
-	passed := at.Sub(s.seenAt)
-	if s.seenStep > 0 && passed > 0 && passed < time.Second {
-		each := min(max(passed/time.Duration(step-s.seenStep), minPass), maxPass)
+	elapsed := at.Sub(s.seenAt)
+	if s.seenStep > 0 && elapsed > 0 && elapsed < time.Second {
+		perStep := min(max(elapsed/time.Duration(step-s.seenStep), minPass), maxPass)
 		if s.pass == 0 {
-			s.pass = each
+			s.pass = perStep
 		}
-		s.pass += (each - s.pass) / 4
+		s.pass += (perStep - s.pass) / 4
 	}
 	s.seenStep, s.seenAt = step, at
 }
 
-// PassTime is the estimated time of a pass.
+// PassTime returns the estimated duration of a pass.
 func (s *Switcher) PassTime() time.Duration {
 	if s.pass == 0 {
 		return s.cfg.UsualPass
@@ -298,7 +305,7 @@
 	return s.pass
 }
 
-// Replied takes the answer to an order; nil if none came.
+// Replied takes the reply to an order, nil if there was none.
 func (s *Switcher) Replied(at time.Time, i int, o *wire.RankOrder, reply *wire.RankOrderReply) {
 	r := &s.ranks[i]
 	if r.pending != o {
@@ -321,6 +328,6 @@
 	}
 }
 
-// Fenced says whether a rank has refused this leader for a higher token. It must
-// give no more orders.
+// Fenced reports whether a rank has rejected this leader's fencing token as too low. It then
+// gives no more orders.
 func (s *Switcher) Fenced() bool { return s.outcome == "another leader has a higher fencing token" }
--- a/lockstep/switchersteps.go
+++ b/lockstep/switchersteps.go
@@ -6,8 +6,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Tick moves the switch on and returns the orders to give now. Each is to be answered
-// by Replied, also when nothing came back.
+// Tick advances the switch and returns the orders to send now. Replied must be called for each
+// of them, also if no reply came.
 func (s *Switcher) Tick(now time.Time) []Order {
 	if s.Fenced() || !s.known() {
 		return nil
@@ -28,6 +28,7 @@
 	}
 }
 
+// allKnown reports whether the state of every rank has been read.
 func (s *Switcher) known() bool {
 	for i := range s.ranks {
 		if s.ranks[i].report == nil {
@@ -37,13 +38,14 @@
 	return true
 }
 
-// mayOrder says whether no order to a rank is on its way or has just been sent.
+// canSend reports whether a rank can be sent an order: none awaits a reply, and the last one is
+// older than ResendInterval.
 func (s *Switcher) mayOrder(now time.Time, i int) bool {
 	r := &s.ranks[i]
 	return r.pending == nil && (r.sent.IsZero() || now.Sub(r.sent) >= s.cfg.Resend)
 }
 
-// order makes an order to a rank, unless one is on its way or has just been sent.
+// makeOrder returns an order to a rank, or nothing if it can't be sent now.
 func (s *Switcher) order(now time.Time, i int, o *wire.RankOrder) []Order {
 	if !s.mayOrder(now, i) {
 		return nil
@@ -55,11 +57,11 @@
 	return []Order{{i, o}}
 }
 
-// prepare has each rank copy what is new to it. Nothing is armed or held yet, so a
-// switch that is given up here leaves nothing behind.
+// prepareRanks has each rank copy the experts that are new to it. As nothing is armed or held
+// yet, the switch can be given up without a cleanup.
 func (s *Switcher) prepare(now time.Time) []Order {
 	if now.Sub(s.since) > s.cfg.PrepareLimit {
-		s.outcome = "given up: ranks did not prepare in time"
+		s.outcome = "given up: not all ranks prepared the map in time"
 		s.enter(now, Idle)
 		return nil
 	}
@@ -83,8 +85,8 @@
 	return out
 }
 
-// pickStep chooses the step of the switch, far enough ahead for the hold to come
-// before it.
+// pickStep chooses the step of the switch, far enough ahead that the hold arrives before it,
+// and the rank that is to hold the group.
 func (s *Switcher) pickStep(now time.Time) {
 	pass := s.PassTime()
 	ahead := uint64(s.cfg.Lead/pass) + leadPasses
@@ -97,8 +99,8 @@
 	s.holds++
 }
 
-// hold keeps the group from the step of the switch. A rank that doesn't confirm it
-// may hold all the same, later: it is remembered, and released with the others.
+// holdGroup holds the group at the step of the switch. A rank that hasn't confirmed the hold
+// may still carry it out later: that hold is released with the others.
 func (s *Switcher) hold(now time.Time) []Order {
 	r := &s.ranks[s.holder]
 	if r.report.Held == s.step || s.cfg.off.hold {
@@ -120,12 +122,12 @@
 	return s.order(now, s.holder, &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_HOLD, Step: s.step})
 }
 
-// arm tells each rank the step. The group is held before it, so that time does no
-// harm but to callers who wait.
+// armRanks tells each rank the step of the switch. As the group is held before that step, this
+// may take any time up to HoldTimeout; requests wait meanwhile.
 func (s *Switcher) arm(now time.Time) []Order {
 	switch {
 	case s.ranks[s.holder].report.Held != s.step && !s.cfg.off.hold:
-		s.giveUp(now, "the hold is gone")
+		s.giveUp(now, "the group is no longer held")
 		return nil
 	case now.Sub(s.since) > s.cfg.HoldLimit:
 		s.giveUp(now, "not all ranks could be armed in time")
@@ -138,8 +140,8 @@
 			continue
 		}
 		done = false
-		// Also one that is answered may come once more: whoever passes it on may have done so
-		// twice, and a second copy that comes after the rank was disarmed arms it alone.
+		// This holds even after a reply: a relay may have sent the order twice, and a second copy
+		// that arrives after the rank was disarmed would arm this rank only.
 		s.ranks[i].armDoubt = s.version
 		out = append(out, s.order(now, i, &wire.RankOrder{
 			Kind: wire.RankOrderKind_RANK_ORDER_KIND_ARM, Version: s.version, Step: s.step,
@@ -152,62 +154,62 @@
 	return out
 }
 
-// release lets the group go on. All ranks switch as the step begins.
+// releaseGroup lets the group continue. All ranks switch when the step begins.
 func (s *Switcher) release(now time.Time) []Order {
-	out, free := s.letGo(now)
-	if free {
+	out, released := s.letGo(now)
+	if released {
 		s.current, s.outcome = s.target, "in force"
 		s.enter(now, Idle)
 	}
 	return out
 }
 
-// letGo orders each rank that holds, or may, to go on. free says that none holds and
-// none may yet.
-func (s *Switcher) letGo(now time.Time) (out []Order, free bool) {
-	free = true
+// releaseHolds orders each rank that reports a hold to continue. released is true if no rank
+// does.
+func (s *Switcher) letGo(now time.Time) (out []Order, released bool) {
+	released = true
 	for i := range s.ranks {
 		r := &s.ranks[i]
 		if r.report.Held == 0 {
-			// A hold in doubt that comes after this is void once its step has begun;
-			// idle looks for one that came before.
+			// An unconfirmed hold may still arrive. It is void once its step has begun;
+			// checkStaleHold releases it if it arrives earlier.
 			continue
 		}
-		free = false
+		released = false
 		out = append(out, s.order(now, i, &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_GO, Step: r.report.Held})...)
 	}
-	return out, free
+	return out, released
 }
 
-// clean disarms every rank and makes sure that no order is left that could arm one,
-// and only then lets the group go on.
+// cleanUp disarms all ranks and makes sure that no outstanding order can arm one before it
+// releases the group.
 //
-// Where an order without an answer might arm the rank later, the rank prepares the
-// map in force under a new version: what is no longer prepared can't be armed.
+// If an arm order may still be carried out on a rank, the rank prepares the current map under a
+// new version, which makes the order void.
 func (s *Switcher) clean(now time.Time) []Order {
 	out, fencing := s.fenceHolders(now)
 	if fencing {
 		return out
 	}
 	if !s.held() && s.anyArmed() {
-		// An earlier leader has let the group go, so every rank is armed.
+		// An earlier leader has released the group, so every rank is armed.
 		s.enter(now, Idle)
 		return nil
 	}
 	if out := s.cleanRanks(now); out != nil || !s.cleaned() {
 		return out
 	}
-	out, free := s.letGo(now)
-	if free {
+	out, released := s.letGo(now)
+	if released {
 		s.enter(now, Idle)
 	}
 	return out
 }
 
-// fenceHolders makes the ranks that hold the group obey this leader only. The others
-// wait meanwhile: an earlier leader may still let the group go, and a rank that was
-// disarmed between that and the next pass would be the only one without the map. The
-// order is to hold the same step once more: it changes nothing, or takes the hold back.
+// fenceHolders makes the ranks that hold the group reject orders of earlier leaders. Other
+// ranks must not be disarmed before: if an earlier leader released the group between that and
+// the next pass, a disarmed rank would be the only one without the new map. The order repeats
+// the existing hold, so it changes nothing or restores a hold that was released meanwhile.
 func (s *Switcher) fenceHolders(now time.Time) (out []Order, fencing bool) {
 	for i := range s.ranks {
 		r := &s.ranks[i]
@@ -220,7 +222,7 @@
 	return out, fencing
 }
 
-// held says whether a rank holds the group that obeys this leader only.
+// fencedHold reports whether a fenced rank holds the group.
 func (s *Switcher) held() bool {
 	for i := range s.ranks {
 		if s.ranks[i].report.Held != 0 && s.ranks[i].fenced {
@@ -239,6 +241,7 @@
 	return false
 }
 
+// cleanRanks disarms armed ranks and makes outstanding arm orders void.
 func (s *Switcher) cleanRanks(now time.Time) []Order {
 	var out []Order
 	for i := range s.ranks {
@@ -254,8 +257,8 @@
 	return out
 }
 
-// cleaned says whether no rank is armed or can still become so by an order of this
-// leader or an earlier one.
+// allClean reports whether no rank is armed or can still be armed by an order of this or an
+// earlier leader.
 func (s *Switcher) cleaned() bool {
 	for i := range s.ranks {
 		if !s.isClean(i) {
@@ -265,14 +268,15 @@
 	return true
 }
 
-// isClean says whether a rank is not armed and can't become so.
+// isClean reports whether a rank is not armed and can't be armed by an outstanding order.
 func (s *Switcher) isClean(i int) bool {
 	r := &s.ranks[i]
-	settled := r.armDoubt == 0 || r.report.Prepared != r.armDoubt || s.cfg.off.settle
-	return r.report.Armed == 0 && settled && r.pending == nil && r.fenced
+	noArmOrder := r.armDoubt == 0 || r.report.Prepared != r.armDoubt || s.cfg.off.settle
+	return r.report.Armed == 0 && noArmOrder && r.pending == nil && r.fenced
 }
 
-// settle gives a rank an order that changes nothing and makes earlier ones void.
+// voidArmOrders has a rank prepare the current map under a new version, which changes nothing
+// but makes earlier arm orders void.
 func (s *Switcher) settle(now time.Time, i int) []Order {
 	if !s.mayOrder(now, i) {
 		return nil
@@ -283,12 +287,13 @@
 	})
 }
 
-// idle looks for what an earlier leader, or a late order, has left: a held group.
+// checkStaleHold looks for a held group while no switch is in progress, left by an earlier
+// leader or by an order that was delayed.
 //
-// What an earlier leader began is given some time to come to its end, and undone
-// then: a group that is held while its leader lives is let go within a few passes.
-// Ranks that are armed while nothing holds the group are left alone: the leader that
-// armed them has let the group go, so all are.
+// An earlier leader may still complete its switch, so its hold is cleaned up only after
+// TakeoverGrace; a live leader releases the group within a few passes. Armed ranks in a group
+// that isn't held are left alone: the leader that armed them has released the group, so all
+// ranks are armed.
 func (s *Switcher) idle(now time.Time) []Order {
 	held, fenced, armed := false, true, 0
 	for i := range s.ranks {
@@ -306,7 +311,7 @@
 		s.heldSince = now
 	}
 	if fenced && armed == 0 {
-		// A hold of this leader's own that came late.
+		// A delayed hold order of this leader.
 		out, _ := s.letGo(now)
 		return out
 	}
