--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -36,7 +36,7 @@
 	p.Observe(now, load)
 	current := Contiguous(s)
 	for b.Loop() {
-		p.busy = time.Time{}
+		p.storeBusyUntil = time.Time{}
 		p.Plan(now, current)
 	}
 }
--- a/placement/bound.go
+++ b/placement/bound.go
@@ -10,10 +10,10 @@
 // replicas on as many ranks, and all replicas must fit into the slots. Bound finds the smallest
 // such t by bisection.
 func Bound(s Shape, layer int, load Load) float64 {
-	return boundOf(s, load[layer*s.Experts:(layer+1)*s.Experts])
+	return layerBound(s, load[layer*s.Experts:(layer+1)*s.Experts])
 }
 
-func boundOf(s Shape, load []float64) float64 {
+func layerBound(s Shape, load []float64) float64 {
 	total, highest := 0.0, 0.0
 	for _, v := range load {
 		total += v
@@ -24,12 +24,12 @@
 	}
 	mean := total / float64(s.Ranks)
 	low, high := mean, max(highest, mean)
-	if fits(s, load, low) {
+	if fitsSlots(s, load, low) {
 		return 1
 	}
 	for range boundSteps {
 		mid := (low + high) / 2
-		if fits(s, load, mid) {
+		if fitsSlots(s, load, mid) {
 			high = mid
 		} else {
 			low = mid
@@ -40,7 +40,7 @@
 
 // fitsSlots reports whether the replicas that keep the load of every rank at t or below fit
 // into the slots. An expert without load still needs one replica.
-func fits(s Shape, load []float64, t float64) bool {
+func fitsSlots(s Shape, load []float64, t float64) bool {
 	slots := 0
 	for _, v := range load {
 		n := max(int(math.Ceil(v/t-1e-12)), 1)
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -49,7 +49,7 @@
 // negative, NaN or infinite, which would spoil all later forecasts. With a shape that no map
 // can have (a row may configure more slots than experts) no window is valid, so no plan is
 // made.
-func usable(s Shape, load Load) bool {
+func validLoad(s Shape, load Load) bool {
 	if s.Check() != nil || len(load) != s.Layers*s.Experts {
 		return false
 	}
--- a/placement/forecast.go
+++ b/placement/forecast.go
@@ -7,7 +7,7 @@
 )
 
 // maxSeenWindows bounds the window ends that are remembered to drop duplicates.
-const seenWindows = 32
+const maxSeenWindows = 32
 
 // Forecast predicts the load of the near future by exponential smoothing of each expert's share
 // of its layer. Windows may be late, out of order, duplicated or missing: the weight of a
@@ -22,10 +22,10 @@
 	// HalfLives are the half-lives of the smoothers without a trend.
 	HalfLives []time.Duration
 	// TrendHalfLives are the half-lives of the smoothers with a trend.
-	Trends []time.Duration
+	TrendHalfLives []time.Duration
 	// Lookahead is the time after the newest window that is forecast; trends are extrapolated that
 	// far.
-	Ahead time.Duration
+	Lookahead time.Duration
 	// ErrorHalfLife is the half-life of the errors by which smoothers are compared.
 	ErrorHalfLife time.Duration
 	// Robust clips outliers of single counters, so that one wrong counter can't cause a move,
@@ -34,22 +34,22 @@
 
 	shape     Shape
 	smoothers []smoother
-	ref       time.Time
-	seen      []time.Time
+	newestEnd time.Time
+	seenEnds  []time.Time
 	noise     noise
-	regimes   regimes
+	regimes   regimeHistory
 }
 
 // Reset discards all windows and sets the group's shape.
 func (f *Forecast) Reset(s Shape) {
 	*f = Forecast{
-		HalfLives: f.HalfLives, Trends: f.Trends, Ahead: f.Ahead,
+		HalfLives: f.HalfLives, TrendHalfLives: f.TrendHalfLives, Lookahead: f.Lookahead,
 		ErrorHalfLife: f.ErrorHalfLife, Robust: f.Robust, shape: s,
 	}
 	for _, half := range f.HalfLives {
 		f.smoothers = append(f.smoothers, newSmoother(half, false, s))
 	}
-	for _, half := range f.Trends {
+	for _, half := range f.TrendHalfLives {
 		f.smoothers = append(f.smoothers, newSmoother(half, true, s))
 	}
 }
@@ -57,45 +57,45 @@
 // Observe adds a window that ended at the given time. It returns false if the window is
 // dropped: invalid, a duplicate, or from before the current regime.
 func (f *Forecast) Observe(at time.Time, load Load) bool {
-	if !usable(f.shape, load) || slices.ContainsFunc(f.seen, at.Equal) {
+	if !validLoad(f.shape, load) || slices.ContainsFunc(f.seenEnds, at.Equal) {
 		return false
 	}
-	f.seen = append(f.seen, at)
-	if len(f.seen) > seenWindows {
-		f.seen = slices.Delete(f.seen, 0, 1)
+	f.seenEnds = append(f.seenEnds, at)
+	if len(f.seenEnds) > maxSeenWindows {
+		f.seenEnds = slices.Delete(f.seenEnds, 0, 1)
 	}
 	if at.Before(f.regimes.since) {
 		return false
 	}
-	f.add(at, f.shares(load))
+	f.addWindow(at, f.shares(load))
 	return true
 }
 
 // Latest returns the end of the newest window, or the zero time if there is none.
-func (f *Forecast) Latest() time.Time { return f.ref }
+func (f *Forecast) Latest() time.Time { return f.newestEnd }
 
 // Load returns the forecast, or nil without windows. The shares of each layer sum to the number
 // of ranks, so that the mean rank has load 1.
 func (f *Forecast) Load() Load {
-	if f.ref.IsZero() {
+	if f.newestEnd.IsZero() {
 		return nil
 	}
-	return f.after(f.Ahead)
+	return f.loadAfter(f.Lookahead)
 }
 
-// loadAfter returns the forecast for a time after the newest window.
-func (f *Forecast) after(by time.Duration) Load {
-	projections := make([]line, len(f.smoothers))
+// loadAfter returns the forecast for a time loadAfter the newest window.
+func (f *Forecast) loadAfter(by time.Duration) Load {
+	projections := make([]projection, len(f.smoothers))
 	for i := range f.smoothers {
-		projections[i] = f.smoothers[i].ahead(by)
+		projections[i] = f.smoothers[i].project(by)
 	}
 	out := make(Load, f.shape.Layers*f.shape.Experts)
 	trend := false
 	for layer := range f.shape.Layers {
-		k := f.best(layer)
+		k := f.bestSmoother(layer)
 		trend = trend || f.smoothers[k].trend
 		for i := layer * f.shape.Experts; i < (layer+1)*f.shape.Experts; i++ {
-			out[i] = f.smoothers[k].at(i, projections[k])
+			out[i] = f.smoothers[k].value(i, projections[k])
 		}
 	}
 	if trend {
@@ -106,33 +106,33 @@
 
 // trendLifetime is the fraction of a trend's half-life that HalfLife returns: a drift goes on,
 // so a gain lasts for a shorter time than without a trend.
-const trendLife = 0.2
+const trendLifetime = 0.2
 
 // HalfLife returns the half-life by which a layer is currently forecast, scaled by
 // trendLifetime if it is forecast with a trend.
 func (f *Forecast) HalfLife(layer int) time.Duration {
-	sm := &f.smoothers[f.best(layer)]
+	sm := &f.smoothers[f.bestSmoother(layer)]
 	if sm.trend {
-		return time.Duration(trendLife * float64(sm.half))
+		return time.Duration(trendLifetime * float64(sm.half))
 	}
 	return sm.half
 }
 
 // MeanRegime returns the mean duration of past regimes, 0 if none has ended.
-func (f *Forecast) Lasting() time.Duration { return f.regimes.mean() }
+func (f *Forecast) MeanRegime() time.Duration { return f.regimes.meanDuration() }
 
 // Error returns the standard error of a rank's forecast load that follows from the noise of the
 // counters. The mean rank has load 1.
 func (f *Forecast) Error(layer int) float64 {
-	if f.noise.squares == nil {
+	if f.noise.squaredErrors == nil {
 		return 0
 	}
-	variance := f.smoothers[f.best(layer)].ahead(f.Ahead).variance
-	return math.Sqrt(f.noise.of(layer) * variance / float64(f.shape.Ranks))
+	variance := f.smoothers[f.bestSmoother(layer)].project(f.Lookahead).variance
+	return math.Sqrt(f.noise.squaredError(layer) * variance / float64(f.shape.Ranks))
 }
 
 // bestSmoother returns the index of the smoother by which a layer is forecast.
-func (f *Forecast) best(layer int) int {
+func (f *Forecast) bestSmoother(layer int) int {
 	best := 0
 	for i := range f.smoothers {
 		if f.smoothers[i].errors[layer] < f.smoothers[best].errors[layer] {
@@ -164,16 +164,16 @@
 
 // addWindow adds a window to all smoothers. If Robust, a late window is clipped against the
 // forecast for its own time.
-func (f *Forecast) add(at time.Time, raw Load) {
-	if f.ref.IsZero() {
-		f.ref = at
+func (f *Forecast) addWindow(at time.Time, raw Load) {
+	if f.newestEnd.IsZero() {
+		f.newestEnd = at
 	}
-	age := f.ref.Sub(at) // negative for a window that is newer than all others
+	age := f.newestEnd.Sub(at) // negative for a window that is newer than all others
 	load := raw
 	if age < 0 {
-		load = f.newest(at, -age, raw)
-	} else if f.Robust && f.noise.squares != nil {
-		load = f.noise.clip(raw, f.after(-age))
+		load = f.addNewest(at, -age, raw)
+	} else if f.Robust && f.noise.squaredErrors != nil {
+		load = f.noise.clip(raw, f.loadAfter(-age))
 	}
 	if load == nil {
 		return
@@ -186,32 +186,32 @@
 // addNewest handles a window that is newer than all others. It returns the load that the
 // smoothers are to add, or nil if the window has started a new regime. Smoothers are scored
 // against the raw window, because a clipped one resembles the forecast.
-func (f *Forecast) newest(at time.Time, after time.Duration, raw Load) Load {
+func (f *Forecast) addNewest(at time.Time, after time.Duration, raw Load) Load {
 	load := raw
 	if f.Robust {
-		expected := f.after(after)
-		if f.noise.squares != nil && f.noise.jump(f.shape, raw, expected) {
-			f.turn(at, raw)
+		expected := f.loadAfter(after)
+		if f.noise.squaredErrors != nil && f.noise.suddenChange(f.shape, raw, expected) {
+			f.startRegime(at, raw)
 			return nil
 		}
 		load = f.noise.clip(raw, expected)
-		f.noise.learn(f.shape, load, expected, fade(after, f.ErrorHalfLife))
+		f.noise.observe(f.shape, load, expected, decayFactor(after, f.ErrorHalfLife))
 	}
 	for i := range f.smoothers {
-		f.smoothers[i].judge(raw, after, fade(after, f.ErrorHalfLife))
-		f.smoothers[i].pass(after)
+		f.smoothers[i].score(raw, after, decayFactor(after, f.ErrorHalfLife))
+		f.smoothers[i].advance(after)
 	}
-	f.ref = at
+	f.newestEnd = at
 	f.regimes.windows++
 	return load
 }
 
 // startRegime resets the smoothers at a window that starts a new regime.
-func (f *Forecast) turn(at time.Time, raw Load) {
-	start, weight := f.regimes.next(at, f.after(0), raw, f.noise.total())
+func (f *Forecast) startRegime(at time.Time, raw Load) {
+	start, weight := f.regimes.startNext(at, f.loadAfter(0), raw, f.noise.totalSquaredError())
 	for i := range f.smoothers {
-		f.smoothers[i].forget()
+		f.smoothers[i].reset()
 		f.smoothers[i].add(start, 0, weight)
 	}
-	f.ref = at
+	f.newestEnd = at
 }
--- a/placement/incremental.go
+++ b/placement/incremental.go
@@ -30,12 +30,12 @@
 	defaultMinGain       = 0.002
 	defaultNoiseGain     = 2.5
 	defaultRegimeShare   = 0.25
-	defaultAhead         = 2 * time.Minute
+	defaultLookahead     = 2 * time.Minute
 	// maxNoiseGain bounds the least gain that follows from noise. With inaccurate counters a
 	// higher one would leave more skew than it saves in moves.
-	maxNoiseGain = 0.01
-	defaultPace  = 60 * time.Second
-	defaultStale = 10 * time.Minute
+	maxNoiseGain         = 0.01
+	defaultMaxStoreBusy  = 60 * time.Second
+	defaultMaxCounterAge = 10 * time.Minute
 )
 
 // Incremental changes the current map by the few moves whose forecast gain exceeds their price.
@@ -52,9 +52,9 @@
 	Margin  float64 `toml:"margin"`
 	MinGain float64 `toml:"min_gain"`
 	// MaxStoreBusySeconds bounds the time for which one plan keeps the weight store busy.
-	PaceSeconds float64 `toml:"pace_seconds"`
+	MaxStoreBusySeconds float64 `toml:"pace_seconds"`
 	// MaxCounterAgeSeconds is the age of the newest counters above which no plan is made.
-	StaleSeconds float64 `toml:"stale_seconds"`
+	MaxCounterAgeSeconds float64 `toml:"stale_seconds"`
 	// Robust is that of Forecast.
 	Robust bool `toml:"robust"`
 	// TrendSeconds are the half-lives of the smoothers with a trend. AheadSeconds is the time
@@ -70,36 +70,36 @@
 	// Lighten gives stragglers less load.
 	Lighten bool `toml:"lighten"`
 
-	shape    Shape
-	cost     Cost
-	forecast Forecast
-	watch    stragglerWatch
-	busy     time.Time
+	shape          Shape
+	cost           Cost
+	forecast       Forecast
+	detector       stragglerDetector
+	storeBusyUntil time.Time
 }
 
 // NewIncremental returns a planner with the default settings.
 func NewIncremental() *Incremental {
 	return &Incremental{
-		HalfLifeSeconds:  defaultHalfLife.Seconds(),
-		ErrorLifeSeconds: defaultErrorLife.Seconds(),
-		HorizonFactor:    defaultHorizonFactor,
-		Margin:           defaultMargin,
-		MinGain:          defaultMinGain,
-		PaceSeconds:      defaultPace.Seconds(),
-		StaleSeconds:     defaultStale.Seconds(),
-		Robust:           true,
-		TrendSeconds:     []float64{400, 1200, 3600},
-		AheadSeconds:     defaultAhead.Seconds(),
-		NoiseGain:        defaultNoiseGain,
-		RegimeShare:      defaultRegimeShare,
-		Lighten:          true,
+		HalfLifeSeconds:      defaultHalfLife.Seconds(),
+		ErrorLifeSeconds:     defaultErrorLife.Seconds(),
+		HorizonFactor:        defaultHorizonFactor,
+		Margin:               defaultMargin,
+		MinGain:              defaultMinGain,
+		MaxStoreBusySeconds:  defaultMaxStoreBusy.Seconds(),
+		MaxCounterAgeSeconds: defaultMaxCounterAge.Seconds(),
+		Robust:               true,
+		TrendSeconds:         []float64{400, 1200, 3600},
+		AheadSeconds:         defaultLookahead.Seconds(),
+		NoiseGain:            defaultNoiseGain,
+		RegimeShare:          defaultRegimeShare,
+		Lighten:              true,
 	}
 }
 
 // Reset implements Planner.
 func (p *Incremental) Reset(s Shape, c Cost) {
-	p.shape, p.cost, p.busy = s, c, time.Time{}
-	p.watch = stragglerWatch{}
+	p.shape, p.cost, p.storeBusyUntil = s, c, time.Time{}
+	p.detector = stragglerDetector{}
 	p.forecast = p.NewForecast()
 	p.forecast.Reset(s)
 }
@@ -107,9 +107,9 @@
 // NewForecast returns a forecast with the planner's settings. Reset must be called before its
 // use.
 func (p *Incremental) NewForecast() Forecast {
-	f := Forecast{Robust: p.Robust, ErrorHalfLife: seconds(p.ErrorLifeSeconds), Ahead: seconds(p.AheadSeconds)}
+	f := Forecast{Robust: p.Robust, ErrorHalfLife: seconds(p.ErrorLifeSeconds), Lookahead: seconds(p.AheadSeconds)}
 	for _, half := range p.TrendSeconds {
-		f.Trends = append(f.Trends, seconds(half))
+		f.TrendHalfLives = append(f.TrendHalfLives, seconds(half))
 	}
 	half := p.HalfLifeSeconds
 	for range halfLifeSteps {
@@ -131,34 +131,34 @@
 // ObserveTimes implements TimesObserver. The times must be those of the latest observed window,
 // and current the map that was in use during it.
 func (p *Incremental) ObserveTimes(times []time.Duration, current *Map) {
-	byTime, byToken := Slowness(p.shape, current, p.forecast.Load(), times)
+	byTime, byToken := RankSlowdown(p.shape, current, p.forecast.Load(), times)
 	if byTime != nil {
-		p.watch.observe(byTime, byToken)
+		p.detector.observe(byTime, byToken)
 	}
 }
 
 // Plan implements Planner.
 func (p *Incremental) Plan(now time.Time, current *Map) Decision {
-	if reason := p.hold(now, current); reason != "" {
-		return Decision{Why: "incremental: " + reason + p.watch.report()}
+	if reason := p.reasonToWait(now, current); reason != "" {
+		return Decision{Why: "incremental: " + reason + p.detector.summary()}
 	}
 	d := Improve(p.shape, p.cost, current, p.forecast.Load(), p.Limits())
-	d.Why = "incremental: " + d.Why + p.watch.report()
-	p.busy = now.Add(time.Duration(len(d.Moves)) * p.cost.LoadTime())
+	d.Why = "incremental: " + d.Why + p.detector.summary()
+	p.storeBusyUntil = now.Add(time.Duration(len(d.Moves)) * p.cost.LoadTime())
 	return d
 }
 
 // reasonToWait returns why no plan can be made now, or "".
-func (p *Incremental) hold(now time.Time, current *Map) string {
+func (p *Incremental) reasonToWait(now time.Time, current *Map) string {
 	latest := p.forecast.Latest()
 	if latest.IsZero() {
 		return "no counters yet"
 	}
 	// Moves for an outdated load may have to be undone.
-	if age := now.Sub(latest); age > seconds(p.StaleSeconds) {
+	if age := now.Sub(latest); age > seconds(p.MaxCounterAgeSeconds) {
 		return fmt.Sprintf("counters are %v old", age)
 	}
-	if now.Before(p.busy) {
+	if now.Before(p.storeBusyUntil) {
 		return "weight store is still serving the last plan"
 	}
 	if err := current.Check(p.shape); err != nil {
@@ -172,17 +172,17 @@
 	lim := Limits{Margin: p.Margin, MinGain: p.MinGain}
 	for layer := range p.shape.Layers {
 		horizon := p.HorizonFactor * float64(p.forecast.HalfLife(layer))
-		if regime := p.RegimeShare * float64(p.forecast.Lasting()); regime > 0 {
+		if regime := p.RegimeShare * float64(p.forecast.MeanRegime()); regime > 0 {
 			horizon = regime
 		}
 		lim.Horizons = append(lim.Horizons, time.Duration(horizon))
 		lim.MinGains = append(lim.MinGains, max(p.MinGain, p.noiseGain(layer)))
 	}
 	if p.Lighten {
-		lim.Slow = p.watch.lasting()
+		lim.Slowdown = p.detector.stragglers()
 	}
 	if loadTime := p.cost.LoadTime().Seconds(); loadTime > 0 {
-		lim.MaxMoves = max(int(p.PaceSeconds/loadTime), 1)
+		lim.MaxMoves = max(int(p.MaxStoreBusySeconds/loadTime), 1)
 	}
 	return lim
 }
--- a/placement/moves.go
+++ b/placement/moves.go
@@ -8,7 +8,7 @@
 
 // ErrNoSpareSlot is returned if a map can't be reached: every expert has a single replica, so
 // any first move would leave an expert without a rank.
-var ErrNoSpare = merry.Sentinel("no spare slot to move through")
+var ErrNoSpareSlot = merry.Sentinel("no spare slot to move through")
 
 // ErrMove is returned for a move whose slot doesn't hold the expert that it replaces.
 var ErrMove = merry.Sentinel("move does not match the map")
@@ -74,13 +74,13 @@
 		o.replicas[e]++
 	}
 	for rank := range s.Ranks {
-		alignRank(o.rank(o.now, rank), o.rank(o.want, rank))
+		alignRank(o.rankSlots(o.now, rank), o.rankSlots(o.want, rank))
 	}
 	return o
 }
 
-// rankSlots returns the part of slots that belongs to a rank.
-func (o *orderer) rank(slots []int32, rank int) []int32 {
+// rankSlots returns the part of slots that belongs to a rankSlots.
+func (o *orderer) rankSlots(slots []int32, rank int) []int32 {
 	return slots[rank*o.s.Slots : (rank+1)*o.s.Slots]
 }
 
@@ -103,7 +103,7 @@
 		if progress {
 			continue
 		}
-		if err := o.open(); err != nil {
+		if err := o.breakCycle(); err != nil {
 			return err
 		}
 	}
@@ -131,7 +131,7 @@
 // experts among themselves. One such expert is copied over a replica that can be spared on
 // another rank, and its own slot gets the expert that it wants. Later passes resolve the rest
 // of the cycle and restore the overwritten replica.
-func (o *orderer) open() error {
+func (o *orderer) breakCycle() error {
 	for i, e := range o.now {
 		if e == o.want[i] {
 			continue
@@ -144,11 +144,11 @@
 			}
 		}
 	}
-	return ErrNoSpare
+	return ErrNoSpareSlot
 }
 
 func (o *orderer) holds(rank int, e int32) bool {
-	return slices.Contains(o.rank(o.now, rank), e)
+	return slices.Contains(o.rankSlots(o.now, rank), e)
 }
 
 // move loads an expert into a slot and records the move.
@@ -160,5 +160,5 @@
 	o.replicas[e]++
 	o.now[i] = e
 	rank := i / o.s.Slots
-	alignRank(o.rank(o.now, rank), o.rank(o.want, rank))
+	alignRank(o.rankSlots(o.now, rank), o.rankSlots(o.want, rank))
 }
--- a/placement/moves_test.go
+++ b/placement/moves_test.go
@@ -60,7 +60,7 @@
 		moves, next, err := Order(s, from, to)
 		if s.Ranks*s.Slots == s.Experts {
 			if err != nil {
-				assert.ErrorIs(t, err, ErrNoSpare)
+				assert.ErrorIs(t, err, ErrNoSpareSlot)
 				return
 			}
 		}
@@ -94,7 +94,7 @@
 func TestOrderRejectsCycleWithoutSpareSlot(t *testing.T) {
 	s := Shape{Ranks: 2, Experts: 4, Layers: 1, Slots: 2}
 	_, _, err := Order(s, Contiguous(s), &Map{Epoch: 1, Slots: []int32{0, 2, 1, 3}})
-	assert.ErrorIs(t, err, ErrNoSpare)
+	assert.ErrorIs(t, err, ErrNoSpareSlot)
 }
 
 func TestApplyRejectsMismatchedMove(t *testing.T) {
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -68,7 +68,7 @@
 		assert.Assert(t, d.Gain > p.Margin*d.Price)
 		assert.Assert(t, math.Abs(d.SkewAfter-meanSkew(s, d.Next, load)) < 1e-9)
 		assert.Assert(t, d.SkewAfter < d.SkewBefore)
-		assert.Assert(t, len(d.Moves) <= int(p.PaceSeconds/c.LoadTime().Seconds()))
+		assert.Assert(t, len(d.Moves) <= int(p.MaxStoreBusySeconds/c.LoadTime().Seconds()))
 	})
 }
 
@@ -163,7 +163,7 @@
 			if d := p.Plan(startTime.Add(time.Second), current); d.Next != nil {
 				current = d.Next
 			}
-			p.busy = time.Time{}
+			p.storeBusyUntil = time.Time{}
 		}
 		if s.Ranks*s.Slots == s.Experts {
 			assert.DeepEqual(t, current, Contiguous(s)) // no spare slot, no move
@@ -193,15 +193,15 @@
 		for rank := range s.Ranks {
 			for slot, c := range m.At(s, 0, rank) {
 				for e := range int32(s.Experts) {
-					if !st.spare(c) || st.holds(rank, e) {
+					if !st.hasSpare(c) || st.holds(rank, e) {
 						continue
 					}
-					got := st.try(rank, slot, e)
+					got := st.peakAfter(rank, slot, e)
 					next, err := Apply(s, m, []Move{{0, rank, slot, c, e}})
 					assert.NilError(t, err)
 					want := 0.0
 					for _, v := range next.RankLoads(s, 0, f.Load()) {
-						want += st.peakOf(v)
+						want += st.peakTerm(v)
 					}
 					assert.Assert(t, math.Abs(got-want) <= 1e-6*max(want, st.peak), "got %v, want %v", got, want)
 				}
--- a/placement/regimes_test.go
+++ b/placement/regimes_test.go
@@ -11,7 +11,7 @@
 )
 
 // forecastFeed observes windows with 5% noise, half a minute apart.
-type feed struct {
+type forecastFeed struct {
 	f   Forecast
 	rnd *rand.Rand
 	at  time.Time
@@ -19,13 +19,13 @@
 
 var feedShape = Shape{Ranks: 4, Experts: 32, Layers: 4, Slots: 9}
 
-func newFeed() *feed {
-	fd := &feed{f: NewIncremental().NewForecast(), rnd: rand.New(rand.NewPCG(1, 1)), at: startTime}
+func newForecastFeed() *forecastFeed {
+	fd := &forecastFeed{f: NewIncremental().NewForecast(), rnd: rand.New(rand.NewPCG(1, 1)), at: startTime}
 	fd.f.Reset(feedShape)
 	return fd
 }
 
-func (fd *feed) windows(n int, load Load) {
+func (fd *forecastFeed) observe(n int, load Load) {
 	for range n {
 		noisy := slices.Clone(load)
 		for i := range noisy {
@@ -37,9 +37,9 @@
 }
 
 // relativeError returns the forecast's squared distance from load, divided by that of other.
-func (fd *feed) off(load, other Load) float64 {
+func (fd *forecastFeed) relativeError(load, other Load) float64 {
 	want := fd.f.shares(load)
-	return distance(fd.f.Load(), want) / distance(fd.f.shares(other), want)
+	return squaredDistance(fd.f.Load(), want) / squaredDistance(fd.f.shares(other), want)
 }
 
 func evenLoad() Load { return slices.Repeat([]float64{100}, feedShape.Layers*feedShape.Experts) }
@@ -57,28 +57,28 @@
 // The first window of a recurring hot set shows only part of the increase; following it window
 // by window would be too late.
 func TestRecurringHotSetIsRecognisedFromFirstWindow(t *testing.T) {
-	fd := newFeed()
+	fd := newForecastFeed()
 	calm, hot, other := evenLoad(), hotLoad(3, 8), hotLoad(11, 8)
 	for _, l := range []Load{calm, hot, calm, other, calm} {
-		fd.windows(12, l)
+		fd.observe(12, l)
 	}
 	assert.Equal(t, len(fd.f.regimes.patterns), 3)
-	fd.windows(1, hotLoad(3, 3))
-	assert.Assert(t, fd.off(hot, calm) < 0.02, "%v", fd.off(hot, calm))
+	fd.observe(1, hotLoad(3, 3))
+	assert.Assert(t, fd.relativeError(hot, calm) < 0.02, "%v", fd.relativeError(hot, calm))
 	// The set stays weaker than before, so the forecast must follow the windows.
-	fd.windows(3, hotLoad(3, 4))
-	assert.Assert(t, fd.off(hotLoad(3, 4), calm) < 0.05, "%v", fd.off(hotLoad(3, 4), calm))
-	fd.windows(1, calm)
-	assert.Assert(t, fd.off(calm, hot) < 0.02, "%v", fd.off(calm, hot))
+	fd.observe(3, hotLoad(3, 4))
+	assert.Assert(t, fd.relativeError(hotLoad(3, 4), calm) < 0.05, "%v", fd.relativeError(hotLoad(3, 4), calm))
+	fd.observe(1, calm)
+	assert.Assert(t, fd.relativeError(calm, hot) < 0.02, "%v", fd.relativeError(calm, hot))
 }
 
 // The forecast must follow a sudden change of all layers after one window, and ignore a late
 // window from before it.
 func TestSuddenChangeIsFollowedAfterOneWindow(t *testing.T) {
-	fd := newFeed()
-	fd.windows(12, evenLoad())
-	fd.windows(1, hotLoad(5, 8))
-	assert.Assert(t, fd.off(hotLoad(5, 8), evenLoad()) < 0.02)
+	fd := newForecastFeed()
+	fd.observe(12, evenLoad())
+	fd.observe(1, hotLoad(5, 8))
+	assert.Assert(t, fd.relativeError(hotLoad(5, 8), evenLoad()) < 0.02)
 	before := fd.f.Load()
 	assert.Assert(t, !fd.f.Observe(fd.at.Add(-15*time.Second), evenLoad()))
 	assert.DeepEqual(t, fd.f.Load(), before)
@@ -87,40 +87,40 @@
 // A counter that is ten times too high in a single window must not cause moves; if the next
 // windows confirm it, it is real.
 func TestSingleOutlierIsClipped(t *testing.T) {
-	fd := newFeed()
-	fd.windows(12, evenLoad())
+	fd := newForecastFeed()
+	fd.observe(12, evenLoad())
 	wrong := evenLoad()
 	wrong[9] *= 10
-	fd.windows(1, wrong)
+	fd.observe(1, wrong)
 	assert.Assert(t, fd.f.Load()[9] < 1.1*fd.f.Load()[10])
-	fd.windows(3, wrong)
+	fd.observe(3, wrong)
 	assert.Assert(t, fd.f.Load()[9] > 2*fd.f.Load()[10])
 }
 
 // A weighted mean of windows lags behind a steady drift; a smoother with a trend must not.
 func TestTrendFollowsSteadyDrift(t *testing.T) {
-	trend, level := newFeed(), newFeed()
-	level.f.Trends = nil
+	trend, level := newForecastFeed(), newForecastFeed()
+	level.f.TrendHalfLives = nil
 	level.f.Reset(feedShape)
 	var now Load
 	for i := range 80 {
 		now = hotLoad(3, 1+0.1*float64(i))
-		trend.windows(1, now)
-		level.windows(1, now)
+		trend.observe(1, now)
+		level.observe(1, now)
 	}
-	coming := hotLoad(3, 1+0.1*(79+trend.f.Ahead.Seconds()/30))
-	assert.Assert(t, trend.off(coming, now) < level.off(coming, now)/2, "%v, %v", trend.off(coming, now), level.off(coming, now))
+	coming := hotLoad(3, 1+0.1*(79+trend.f.Lookahead.Seconds()/30))
+	assert.Assert(t, trend.relativeError(coming, now) < level.relativeError(coming, now)/2, "%v, %v", trend.relativeError(coming, now), level.relativeError(coming, now))
 }
 
 // A minute of windows of one second has many windows, but a trend fitted to them and
 // extrapolated for two minutes would be mostly noise.
 func TestNoTrendFromShortTimeSpan(t *testing.T) {
-	fd := newFeed()
+	fd := newForecastFeed()
 	fd.f.HalfLives = nil
 	fd.f.Reset(feedShape)
 	for range 60 {
 		fd.at = fd.at.Add(-29 * time.Second)
-		fd.windows(1, evenLoad())
+		fd.observe(1, evenLoad())
 	}
 	assert.Assert(t, fd.f.Load()[0] > 0)
 	for i, v := range fd.f.Load() {
@@ -129,9 +129,9 @@
 }
 
 func TestRememberedRegimesAreBounded(t *testing.T) {
-	fd := newFeed()
+	fd := newForecastFeed()
 	for first := range 20 {
-		fd.windows(6, hotLoad(first, 8))
+		fd.observe(6, hotLoad(first, 8))
 	}
 	assert.Equal(t, len(fd.f.regimes.patterns), maxPatterns)
 }
--- a/placement/repack.go
+++ b/placement/repack.go
@@ -39,7 +39,7 @@
 
 // Observe implements Planner.
 func (p *Repack) Observe(at time.Time, load Load) {
-	if !usable(p.shape, load) || !at.After(p.at) {
+	if !validLoad(p.shape, load) || !at.After(p.at) {
 		return
 	}
 	p.at, p.load = at, slices.Clone(load)
@@ -82,7 +82,7 @@
 }
 
 func packLayer(s Shape, m *Map, layer int, load []float64) {
-	replicas := spread(s, load)
+	replicas := replicaCounts(s, load)
 	order := make([]int32, 0, s.Ranks*s.Slots)
 	for e, n := range replicas {
 		for range n {
@@ -102,7 +102,7 @@
 	sums := make([]float64, s.Ranks)
 	used := make([]int, s.Ranks)
 	for _, e := range order {
-		rank := emptiest(s, m, layer, e, sums, used)
+		rank := leastLoadedFree(s, m, layer, e, sums, used)
 		if rank < 0 {
 			rank = makeRoom(s, m, layer, e, perReplica, sums, used)
 		}
@@ -114,7 +114,7 @@
 
 // replicaCounts gives each expert one replica, and each remaining slot to the expert with the
 // highest load per replica.
-func spread(s Shape, load []float64) []int {
+func replicaCounts(s Shape, load []float64) []int {
 	replicas := make([]int, s.Experts)
 	for e := range replicas {
 		replicas[e] = 1
@@ -136,7 +136,7 @@
 
 // leastLoadedFree returns the least loaded rank that has a free slot and doesn't hold the
 // expert, or -1.
-func emptiest(s Shape, m *Map, layer int, e int32, sums []float64, used []int) int {
+func leastLoadedFree(s Shape, m *Map, layer int, e int32, sums []float64, used []int) int {
 	best := -1
 	for rank := range s.Ranks {
 		if used[rank] == s.Slots || slices.Contains(m.At(s, layer, rank)[:used[rank]], e) {
--- a/placement/search.go
+++ b/placement/search.go
@@ -25,15 +25,15 @@
 	MaxMoves int
 	// Slowdown is the factor by which each rank takes longer than its load explains; nil means that
 	// no rank does.
-	Slow []float64
+	Slowdown []float64
 }
 
 const (
 	// maxLayerSteps bounds the search in one layer.
-	maxSteps = 16
+	maxLayerSteps = 16
 	// maxPlanSteps bounds the search of a plan over all layers. Layers are searched in
 	// descending order of skew; those that are left out get their turn in later plans.
-	planSteps = 192
+	maxPlanSteps = 192
 	// exchangeRanks is the number of least loaded ranks that are considered for exchanging two
 	// experts, the expensive part of the search.
 	exchangeRanks = 7
@@ -42,12 +42,12 @@
 	maxPartners = 2
 	// perturbSkew is the skew above which a search in a local optimum continues from a worse
 	// map, at most maxPerturbations times.
-	kickSkew = 1.03
-	maxKicks = 1
+	perturbSkew      = 1.03
+	maxPerturbations = 1
 	// maxSideways is the number of consecutive steps that may lower the skew by less than
 	// minProgress, as happens where several ranks are equally busy.
 	maxSideways = 3
-	progress    = 0.002
+	minProgress = 0.002
 )
 
 // Improve looks for the few moves that lower the forecast skew most, and keeps those whose gain
@@ -55,17 +55,17 @@
 // that has another replica, so the map is valid after each move. The load must be scaled like
 // the result of Forecast.Load.
 func Improve(s Shape, c Cost, m *Map, load Load, lim Limits) Decision {
-	if lim.Slow == nil {
-		lim.Slow = slices.Repeat([]float64{1}, s.Ranks)
+	if lim.Slowdown == nil {
+		lim.Slowdown = slices.Repeat([]float64{1}, s.Ranks)
 	}
 	sr := &search{s: s, lim: lim}
 	sr.weight = c.SkewWeight / float64(s.Layers)
 	sr.price = c.Price(s, 1)
 	var found []layerPlan
 	states, before := sr.states(m, load)
-	stepsLeft := planSteps
+	stepsLeft := maxPlanSteps
 	for _, st := range states {
-		p := sr.plan(st, min(stepsLeft, maxSteps))
+		p := sr.planLayer(st, min(stepsLeft, maxLayerSteps))
 		stepsLeft -= len(p.steps)
 		if p.best > 0 {
 			found = append(found, p)
@@ -136,12 +136,12 @@
 func (p *layerPlan) gain(steps int) float64 { return p.skews[0] - p.skews[steps] }
 
 // netValue returns the value of the first steps minus their price.
-func (sr *search) net(p *layerPlan, steps int) float64 {
+func (sr *search) netValue(p *layerPlan, steps int) float64 {
 	return p.value*p.gain(steps) - sr.price*float64(p.moves[steps])
 }
 
 // worthPrice reports whether the first steps exceed the required gain and margin.
-func (sr *search) pays(p *layerPlan, steps int) bool {
+func (sr *search) worthPrice(p *layerPlan, steps int) bool {
 	moves := float64(p.moves[steps])
 	gain := p.gain(steps)
 	return gain > p.minGain*moves && p.value*gain > sr.lim.Margin*sr.price*moves
@@ -154,7 +154,7 @@
 	sum := 0.0
 	for layer := range states {
 		share := load[layer*sr.s.Experts : (layer+1)*sr.s.Experts]
-		states[layer] = newLayerState(sr.s, layer, m.Slots[layer*size:(layer+1)*size], share, sr.lim.Slow)
+		states[layer] = newLayerState(sr.s, layer, m.Slots[layer*size:(layer+1)*size], share, sr.lim.Slowdown)
 		sum += states[layer].skew()
 	}
 	slices.SortStableFunc(states, func(a, b *layerState) int { return cmp.Compare(b.skew(), a.skew()) })
@@ -162,16 +162,16 @@
 }
 
 // planLayer searches one layer with a bounded number of steps.
-func (sr *search) plan(st *layerState, steps int) layerPlan {
+func (sr *search) planLayer(st *layerState, steps int) layerPlan {
 	p := layerPlan{value: sr.value(st.layer), minGain: sr.minGain(st.layer), skews: []float64{st.skew()}, moves: []int{0}}
 	lastSkew, sideways, perturbations := st.skew(), 0, 0
-	for len(p.steps) < steps && sr.mayPay(st) {
+	for len(p.steps) < steps && sr.canPay(st) {
 		found := step{}
 		if sideways < maxSideways {
-			found = st.bestStep()
+			found = st.applyBestStep()
 		}
-		if found.n == 0 && perturbations < maxKicks && st.skew() > kickSkew {
-			found = st.kick()
+		if found.n == 0 && perturbations < maxPerturbations && st.skew() > perturbSkew {
+			found = st.perturb()
 			perturbations++
 			lastSkew, sideways = st.skew(), -1
 		}
@@ -179,7 +179,7 @@
 			break
 		}
 		sideways++
-		if st.skew() < lastSkew-progress {
+		if st.skew() < lastSkew-minProgress {
 			lastSkew, sideways = st.skew(), 0
 		}
 		p.steps = append(p.steps, found)
@@ -192,12 +192,12 @@
 
 // canPay reports whether a single move that reached the lower bound of the skew would be worth
 // its price.
-func (sr *search) mayPay(st *layerState) bool {
+func (sr *search) canPay(st *layerState) bool {
 	reducible, value, least := st.skew()-1, sr.value(st.layer), sr.minGain(st.layer)
 	if reducible <= least || value*reducible <= sr.lim.Margin*sr.price {
 		return false
 	}
-	reducible = st.skew() - boundOf(sr.s, st.share)
+	reducible = st.skew() - layerBound(sr.s, st.share)
 	return reducible > least && value*reducible > sr.lim.Margin*sr.price
 }
 
@@ -206,7 +206,7 @@
 func (sr *search) bestPrefix(p *layerPlan, maxMoves int) int {
 	best := 0
 	for n := 1; n < len(p.skews); n++ {
-		if p.moves[n] <= maxMoves && sr.pays(p, n) && sr.net(p, n) > sr.net(p, best) {
+		if p.moves[n] <= maxMoves && sr.worthPrice(p, n) && sr.netValue(p, n) > sr.netValue(p, best) {
 			best = n
 		}
 	}
@@ -216,7 +216,7 @@
 // choose spends the bound on moves on the layers in descending order of net value per move.
 func (sr *search) choose(found []layerPlan) (chosen []layerPlan) {
 	slices.SortStableFunc(found, func(a, b layerPlan) int {
-		return cmp.Compare(sr.net(&b, b.best)/float64(b.moves[b.best]), sr.net(&a, a.best)/float64(a.moves[a.best]))
+		return cmp.Compare(sr.netValue(&b, b.best)/float64(b.moves[b.best]), sr.netValue(&a, a.best)/float64(a.moves[a.best]))
 	})
 	movesLeft := math.MaxInt
 	if sr.lim.MaxMoves > 0 {
@@ -254,18 +254,18 @@
 
 // applyBestStep makes the step that lowers the peak most per move. The result has no moves if
 // no step lowers it noticeably.
-func (st *layerState) bestStep() step {
+func (st *layerState) applyBestStep() step {
 	busy := st.busiest()
 	best := &candidate{fall: st.peak * 1e-6}
 	st.offerCopies(busy, best)
 	st.offerDrops(busy, best)
-	for _, rank := range st.emptiest(busy) {
+	for _, rank := range st.leastLoaded(busy) {
 		st.offerExchanges(busy, rank, best)
 	}
 	for i, mv := range best.step.moves[:best.step.n] {
-		best.step.moves[i] = st.put(mv.Rank, mv.Slot, mv.To)
+		best.step.moves[i] = st.applyMove(mv.Rank, mv.Slot, mv.To)
 	}
-	st.settle()
+	st.recompute()
 	return best.step
 }
 
@@ -274,11 +274,11 @@
 // leads out of a local optimum: if an expert accounts for a whole rank's load, no single step
 // helps, because each other rank must be unloaded first. The following steps are kept only if
 // they are worth their price together with this one.
-func (st *layerState) kick() step {
+func (st *layerState) perturb() step {
 	busy := st.busiest()
 	heaviest := st.rankSlots(busy)[0]
 	for _, e := range st.rankSlots(busy) {
-		if st.each(e) > st.each(heaviest) {
+		if st.replicaLoad(e) > st.replicaLoad(heaviest) {
 			heaviest = e
 		}
 	}
@@ -289,16 +289,16 @@
 			continue
 		}
 		for i, c := range st.rankSlots(r) {
-			if load := st.load[r] - st.each(c)*st.slow[r]; st.spare(c) && load < least {
+			if load := st.load[r] - st.replicaLoad(c)*st.slowdown[r]; st.hasSpare(c) && load < least {
 				rank, slot, least = r, i, load
 			}
 		}
 	}
 	found := step{}
 	if rank >= 0 {
-		found.add(st.put(rank, slot, heaviest))
-		st.kicked = heaviest
-		st.settle()
+		found.add(st.applyMove(rank, slot, heaviest))
+		st.perturbed = heaviest
+		st.recompute()
 	}
 	return found
 }
@@ -311,12 +311,12 @@
 			continue
 		}
 		for slot, c := range st.rankSlots(rank) {
-			if !st.free(c) {
+			if !st.mayOverwrite(c) {
 				continue
 			}
 			for _, e := range st.rankSlots(busy) {
 				if e != c && !st.holds(rank, e) {
-					best.offer(st.peak-st.try(rank, slot, e), Move{st.layer, rank, slot, c, e})
+					best.offer(st.peak-st.peakAfter(rank, slot, e), Move{st.layer, rank, slot, c, e})
 				}
 			}
 		}
@@ -326,7 +326,7 @@
 // offerDrops offers every replacement of a spare replica on the busy rank by a lighter expert.
 func (st *layerState) offerDrops(busy int, best *candidate) {
 	for slot, c := range st.rankSlots(busy) {
-		if !st.free(c) {
+		if !st.mayOverwrite(c) {
 			continue
 		}
 		saved := st.share[c] / float64(len(st.holders[c]))
@@ -334,7 +334,7 @@
 			if st.share[e]/float64(len(st.holders[e])+1) >= saved || st.holds(busy, e) {
 				continue
 			}
-			best.offer(st.peak-st.try(busy, slot, e), Move{st.layer, busy, slot, c, e})
+			best.offer(st.peak-st.peakAfter(busy, slot, e), Move{st.layer, busy, slot, c, e})
 		}
 	}
 }
@@ -344,17 +344,17 @@
 // expert stays on some rank in between.
 func (st *layerState) offerExchanges(busy, rank int, best *candidate) {
 	for from, e := range st.rankSlots(busy) {
-		if e == st.kicked || st.holds(rank, e) {
+		if e == st.perturbed || st.holds(rank, e) {
 			continue
 		}
 		st.partners = st.partnersOf(busy, rank, e, st.partners[:0])
 		for slot, c := range st.rankSlots(rank) {
-			if st.free(c) {
+			if st.mayOverwrite(c) {
 				st.offerThroughOther(busy, from, rank, slot, best)
 			}
 		}
 		for slot, c := range st.rankSlots(busy) {
-			if slot != from && st.free(c) {
+			if slot != from && st.mayOverwrite(c) {
 				st.offerThroughBusy(busy, from, rank, slot, best)
 			}
 		}
@@ -371,7 +371,7 @@
 	var off [maxPartners]float64
 	for slot, x := range st.rankSlots(rank) {
 		moved := loadOfE - st.share[x]/float64(len(st.holders[x]))
-		if moved <= 0 || moved >= gap || x == st.kicked || st.holds(busy, x) {
+		if moved <= 0 || moved >= gap || x == st.perturbed || st.holds(busy, x) {
 			continue
 		}
 		d := math.Abs(moved - gap/2)
@@ -400,23 +400,23 @@
 		return
 	}
 	peak := st.peak
-	first := st.put(rank, spareSlot, e)
+	first := st.applyMove(rank, spareSlot, e)
 	peakAfterFirst := st.peak
 	if canMoveSpare {
-		best.offer(peak-st.try(busy, from, c), first, Move{st.layer, busy, from, e, c})
+		best.offer(peak-st.peakAfter(busy, from, c), first, Move{st.layer, busy, from, e, c})
 	}
 	for _, slot := range st.partners {
 		if slot == spareSlot {
 			continue
 		}
 		x := st.rankSlots(rank)[slot]
-		second := st.put(busy, from, x)
+		second := st.applyMove(busy, from, x)
 		best.offer(peak-st.peak, first, second)
-		best.offer(peak-st.try(rank, slot, c), first, second, Move{st.layer, rank, slot, x, c})
-		st.take(second)
+		best.offer(peak-st.peakAfter(rank, slot, c), first, second, Move{st.layer, rank, slot, x, c})
+		st.undoMove(second)
 		st.peak = peakAfterFirst
 	}
-	st.take(first)
+	st.undoMove(first)
 	st.peak = peak
 }
 
@@ -430,22 +430,22 @@
 		if x == c {
 			continue
 		}
-		first := st.put(busy, spareSlot, x)
-		second := st.put(rank, slot, e)
+		first := st.applyMove(busy, spareSlot, x)
+		second := st.applyMove(rank, slot, e)
 		best.offer(peak-st.peak, first, second)
-		best.offer(peak-st.try(busy, from, c), first, second, Move{st.layer, busy, from, e, c})
-		st.take(second)
-		st.take(first)
+		best.offer(peak-st.peakAfter(busy, from, c), first, second, Move{st.layer, busy, from, e, c})
+		st.undoMove(second)
+		st.undoMove(first)
 		st.peak = peak
 	}
 }
 
 // undoMove reverses the latest move.
-func (st *layerState) take(mv Move) { st.put(mv.Rank, mv.Slot, mv.From) }
+func (st *layerState) undoMove(mv Move) { st.applyMove(mv.Rank, mv.Slot, mv.From) }
 
 // leastLoaded returns up to exchangeRanks ranks in ascending order of load, without one of
 // them.
-func (st *layerState) emptiest(except int) []int {
+func (st *layerState) leastLoaded(except int) []int {
 	ranks := make([]int, 0, st.s.Ranks)
 	for r := range st.s.Ranks {
 		if r != except {
--- a/placement/smoother.go
+++ b/placement/smoother.go
@@ -32,7 +32,7 @@
 
 // projection holds the factors that turn a smoother's sums into a forecast, and the variance of
 // the forecast relative to that of a single window.
-type line struct{ sum, aged, variance float64 }
+type projection struct{ sum, aged, variance float64 }
 
 // minTrendWindows is the effective number of windows below which no trend is fitted, because it
 // would mostly follow noise.
@@ -44,8 +44,8 @@
 const minTrendSpread = 40 * time.Second
 
 // project returns the projection for a time after the newest window.
-func (sm *smoother) ahead(by time.Duration) line {
-	p := line{sum: 1 / sm.weight, variance: sm.squares / (sm.weight * sm.weight)}
+func (sm *smoother) project(by time.Duration) projection {
+	p := projection{sum: 1 / sm.weight, variance: sm.squares / (sm.weight * sm.weight)}
 	mean := sm.age / sm.weight
 	spread := sm.age2/sm.weight - mean*mean
 	if !sm.trend || p.variance*minTrendWindows > 1 || spread < minTrendSpread.Seconds()*minTrendSpread.Seconds() {
@@ -59,8 +59,8 @@
 	return p
 }
 
-// value returns the forecast for index i of a load, at least 0.
-func (sm *smoother) at(i int, p line) float64 {
+// value returns the forecast for index i of a load, value least 0.
+func (sm *smoother) value(i int, p projection) float64 {
 	v := sm.sum[i] * p.sum
 	if p.aged != 0 {
 		v += sm.aged[i] * p.aged
@@ -70,13 +70,13 @@
 
 // score adds the squared error of the forecast for a window that is newer than all others by
 // the given time. Earlier errors are multiplied by decay.
-func (sm *smoother) judge(load Load, after time.Duration, decay float64) {
+func (sm *smoother) score(load Load, after time.Duration, decay float64) {
 	experts := len(load) / len(sm.errors)
-	p := sm.ahead(after)
+	p := sm.project(after)
 	for layer := range sm.errors {
 		sum := 0.0
 		for i := layer * experts; i < (layer+1)*experts; i++ {
-			d := load[i] - sm.at(i, p)
+			d := load[i] - sm.value(i, p)
 			sum += d * d
 		}
 		sm.errors[layer] = sm.errors[layer]*decay + sum
@@ -85,7 +85,7 @@
 
 // add adds a window of the given age that counts as weight windows.
 func (sm *smoother) add(load Load, age time.Duration, weight float64) {
-	w := weight * fade(age, sm.half)
+	w := weight * decayFactor(age, sm.half)
 	a := age.Seconds()
 	for i, v := range load {
 		sm.sum[i] += w * v
@@ -105,8 +105,8 @@
 const minWeight = 1e-9
 
 // advance moves the reference time forward: all windows become older by the given time.
-func (sm *smoother) pass(elapsed time.Duration) {
-	f := max(fade(elapsed, sm.half), minWeight/sm.weight)
+func (sm *smoother) advance(elapsed time.Duration) {
+	f := max(decayFactor(elapsed, sm.half), minWeight/sm.weight)
 	s := elapsed.Seconds()
 	if sm.trend {
 		for i := range sm.aged {
@@ -123,7 +123,7 @@
 }
 
 // reset discards all windows and errors.
-func (sm *smoother) forget() {
+func (sm *smoother) reset() {
 	clear(sm.sum)
 	clear(sm.aged)
 	clear(sm.errors)
@@ -131,4 +131,4 @@
 }
 
 // decayFactor returns the weight of a window of the given age, 1 for age 0.
-func fade(age, half time.Duration) float64 { return math.Exp2(-float64(age) / float64(half)) }
+func decayFactor(age, half time.Duration) float64 { return math.Exp2(-float64(age) / float64(half)) }
--- a/placement/state.go
+++ b/placement/state.go
@@ -9,18 +9,18 @@
 	layer int
 	// share is the forecast load of each expert. slowdown is the factor by which each rank takes
 	// longer for the same load, 1 for an ordinary rank.
-	share, slow []float64
+	share, slowdown []float64
 	// slots holds the experts, ordered by rank and slot; holders the ranks of each expert's replicas.
 	slots   []int32
 	holders [][]int32
 	// load is the load of each rank, multiplied by its slowdown.
 	load []float64
 	// peak approximates the maximum of load, see peakTerm; highPower selects a higher power.
-	peak  float64
-	steep bool
+	peak      float64
+	highPower bool
 	// perturbed is the expert that perturb has copied, -1 if none. Its replicas stay where they
 	// are, otherwise the next step would undo the perturbation.
-	kicked int32
+	perturbed int32
 	// undo holds the loads that a trial has overwritten.
 	undo []savedLoad
 	// partners is scratch space of offerExchanges.
@@ -45,17 +45,17 @@
 
 // highPowerSkew is the skew below which peak sums 64th powers instead of 16th. They distinguish
 // small differences, but next to large ones a sum of them would lose precision.
-const steepBelow = 1.25
+const highPowerSkew = 1.25
 
 // peakTerm returns a rank's contribution to the peak, a high power of its load. The sum of
 // these follows the busiest rank closely, but also distinguishes two maps that differ only in
 // the next busiest rank, so that the search doesn't stop where several ranks are equally busy.
-func (st *layerState) peakOf(load float64) float64 {
+func (st *layerState) peakTerm(load float64) float64 {
 	p := load * load
 	p *= p
 	p *= p
 	p *= p
-	if st.steep {
+	if st.highPower {
 		p *= p
 		p *= p
 	}
@@ -64,7 +64,7 @@
 
 func newLayerState(s Shape, layer int, slots []int32, share, slow []float64) *layerState {
 	st := &layerState{
-		s: s, layer: layer, kicked: -1, share: share, slow: slow, slots: slices.Clone(slots),
+		s: s, layer: layer, perturbed: -1, share: share, slowdown: slow, slots: slices.Clone(slots),
 		holders: make([][]int32, s.Experts), load: make([]float64, s.Ranks),
 	}
 	// One allocation for all holders; each list has room for two more replicas.
@@ -81,21 +81,21 @@
 	for i, e := range slots {
 		st.holders[e] = append(st.holders[e], int32(i/s.Slots))
 	}
-	st.settle()
+	st.recompute()
 	return st
 }
 
 // recompute derives loads and peak from the slots, so that rounding errors don't accumulate.
-func (st *layerState) settle() {
+func (st *layerState) recompute() {
 	clear(st.load)
 	for i, e := range st.slots {
 		rank := i / st.s.Slots
-		st.load[rank] += st.share[e] / float64(len(st.holders[e])) * st.slow[rank]
+		st.load[rank] += st.share[e] / float64(len(st.holders[e])) * st.slowdown[rank]
 	}
-	st.steep = st.skew() < steepBelow
+	st.highPower = st.skew() < highPowerSkew
 	st.peak = 0
 	for _, v := range st.load {
-		st.peak += st.peakOf(v)
+		st.peak += st.peakTerm(v)
 	}
 }
 
@@ -108,13 +108,13 @@
 }
 
 // mayOverwrite reports whether the search may overwrite a replica of an expert.
-func (st *layerState) free(e int32) bool { return st.spare(e) && e != st.kicked }
+func (st *layerState) mayOverwrite(e int32) bool { return st.hasSpare(e) && e != st.perturbed }
 
 // replicaLoad returns the load of one replica of an expert.
-func (st *layerState) each(e int32) float64 { return st.share[e] / float64(len(st.holders[e])) }
+func (st *layerState) replicaLoad(e int32) float64 { return st.share[e] / float64(len(st.holders[e])) }
 
 // hasSpare reports whether an expert has more than one replica.
-func (st *layerState) spare(e int32) bool { return len(st.holders[e]) > 1 }
+func (st *layerState) hasSpare(e int32) bool { return len(st.holders[e]) > 1 }
 
 func (st *layerState) busiest() int {
 	best := 0
@@ -130,12 +130,12 @@
 
 // peakAfter returns the peak that would follow from loading an expert into a slot whose current
 // expert has another replica. The state is left unchanged.
-func (st *layerState) try(rank, slot int, e int32) float64 {
+func (st *layerState) peakAfter(rank, slot int, e int32) float64 {
 	before := st.peak
 	st.undo = st.undo[:0]
 	c := st.rankSlots(rank)[slot]
-	st.shift(c, -1, rank)
-	st.shift(e, 1, rank)
+	st.changeReplicas(c, -1, rank)
+	st.changeReplicas(e, 1, rank)
 	result := st.peak
 	for i := len(st.undo) - 1; i >= 0; i-- {
 		st.load[st.undo[i].rank] = st.undo[i].load
@@ -146,38 +146,38 @@
 
 // changeReplicas updates the loads as if an expert gained (by is 1) or lost (by is -1) a
 // replica on a rank.
-func (st *layerState) shift(e int32, by int, rank int) {
+func (st *layerState) changeReplicas(e int32, by int, rank int) {
 	n := float64(len(st.holders[e]))
 	before, after := st.share[e]/n, st.share[e]/(n+float64(by))
 	if by > 0 {
-		st.bump(int32(rank), after)
+		st.addLoad(int32(rank), after)
 	}
 	for _, h := range st.holders[e] {
 		if by < 0 && int(h) == rank {
-			st.bump(h, -before)
+			st.addLoad(h, -before)
 			continue
 		}
-		st.bump(h, after-before)
+		st.addLoad(h, after-before)
 	}
 }
 
 // addLoad adds to the load of a rank and saves the old value in undo.
-func (st *layerState) bump(rank int32, by float64) {
+func (st *layerState) addLoad(rank int32, by float64) {
 	old := st.load[rank]
 	st.undo = append(st.undo, savedLoad{rank, old})
-	v := old + by*st.slow[rank]
+	v := old + by*st.slowdown[rank]
 	st.load[rank] = v
-	st.peak += st.peakOf(v) - st.peakOf(old)
+	st.peak += st.peakTerm(v) - st.peakTerm(old)
 }
 
 // applyMove loads an expert into a slot and returns the move. The expert in the slot must have
 // another replica.
-func (st *layerState) put(rank, slot int, e int32) Move {
+func (st *layerState) applyMove(rank, slot int, e int32) Move {
 	i := rank*st.s.Slots + slot
 	c := st.slots[i]
 	st.undo = st.undo[:0]
-	st.shift(c, -1, rank)
-	st.shift(e, 1, rank)
+	st.changeReplicas(c, -1, rank)
+	st.changeReplicas(e, 1, rank)
 	st.slots[i] = e
 	st.holders[e] = append(st.holders[e], int32(rank))
 	at := slices.Index(st.holders[c], int32(rank))
--- a/placement/straggler.go
+++ b/placement/straggler.go
@@ -23,7 +23,7 @@
 
 // RankSlowdown returns each rank's busy time and its busy time per token, both relative to the
 // median rank. Both are nil if the load or a rank's time is missing.
-func Slowness(s Shape, m *Map, load Load, times []time.Duration) (byTime, byToken []float64) {
+func RankSlowdown(s Shape, m *Map, load Load, times []time.Duration) (byTime, byToken []float64) {
 	if len(times) != s.Ranks || load == nil {
 		return nil, nil
 	}
@@ -41,13 +41,13 @@
 		byTime[r] = d.Seconds()
 		byToken[r] = d.Seconds() / tokens[r]
 	}
-	overMedian(byTime)
-	overMedian(byToken)
+	divideByMedian(byTime)
+	divideByMedian(byToken)
 	return byTime, byToken
 }
 
 // divideByMedian divides all values by their median in place.
-func overMedian(v []float64) {
+func divideByMedian(v []float64) {
 	m := median(v)
 	for i := range v {
 		v[i] /= m
@@ -68,53 +68,53 @@
 // been reduced its step time equals that of the others, and clearing it by that would make the
 // map oscillate. The slowdown is not updated after detection, so reducing the load can't
 // increase it.
-type stragglerWatch struct {
+type stragglerDetector struct {
 	// slowWindows counts consecutive slow windows of each rank, up to detection; slowdown is
 	// the mean ratio in them, 1 for a rank that isn't slow.
-	runs []int
-	slow []float64
+	slowWindows []int
+	slowdown    []float64
 }
 
 // observe takes the ratios of one window as returned by RankSlowdown.
-func (w *stragglerWatch) observe(byTime, byToken []float64) {
-	if w.runs == nil {
-		w.runs = make([]int, len(byTime))
-		w.slow = slices.Repeat([]float64{1}, len(byTime))
+func (w *stragglerDetector) observe(byTime, byToken []float64) {
+	if w.slowWindows == nil {
+		w.slowWindows = make([]int, len(byTime))
+		w.slowdown = slices.Repeat([]float64{1}, len(byTime))
 	}
 	for r := range byTime {
-		detected := w.runs[r] >= stragglerWindows
+		detected := w.slowWindows[r] >= stragglerWindows
 		ratio := min(byTime[r], byToken[r])
 		switch {
 		case detected && byToken[r] >= stragglerFactor:
 		case !detected && ratio >= stragglerFactor:
-			w.runs[r]++
-			w.slow[r] += (ratio - w.slow[r]) / float64(w.runs[r])
+			w.slowWindows[r]++
+			w.slowdown[r] += (ratio - w.slowdown[r]) / float64(w.slowWindows[r])
 		default:
-			w.runs[r], w.slow[r] = 0, 1
+			w.slowWindows[r], w.slowdown[r] = 0, 1
 		}
 	}
 }
 
 // stragglers returns the slowdown of each straggler and 1 for other ranks; nil if there are no
 // stragglers.
-func (w *stragglerWatch) lasting() []float64 {
+func (w *stragglerDetector) stragglers() []float64 {
 	var out []float64
-	for r, n := range w.runs {
+	for r, n := range w.slowWindows {
 		if n < stragglerWindows {
 			continue
 		}
 		if out == nil {
-			out = slices.Repeat([]float64{1}, len(w.runs))
+			out = slices.Repeat([]float64{1}, len(w.slowWindows))
 		}
-		out[r] = w.slow[r]
+		out[r] = w.slowdown[r]
 	}
 	return out
 }
 
 // summary describes the stragglers for Decision.Why.
-func (w *stragglerWatch) report() string {
+func (w *stragglerDetector) summary() string {
 	var b strings.Builder
-	for r, v := range w.lasting() {
+	for r, v := range w.stragglers() {
 		if v > 1 {
 			fmt.Fprintf(&b, "; rank %d takes %.2f times as long as its load explains", r, v)
 		}
--- a/placement/straggler_test.go
+++ b/placement/straggler_test.go
@@ -40,28 +40,28 @@
 	m := Contiguous(s)
 	times := evenTimes(s)
 	times[2] = 17500 * time.Microsecond
-	var w stragglerWatch
+	var w stragglerDetector
 	for range 2 * stragglerWindows {
-		w.observe(Slowness(s, m, load, times))
+		w.observe(RankSlowdown(s, m, load, times))
 	}
-	assert.Assert(t, w.lasting() == nil)
+	assert.Assert(t, w.stragglers() == nil)
 
-	byTime, _ := Slowness(s, m, load, times[:2])
+	byTime, _ := RankSlowdown(s, m, load, times[:2])
 	assert.Assert(t, byTime == nil)
 	times[0] = 0
-	byTime, _ = Slowness(s, m, load, times)
+	byTime, _ = RankSlowdown(s, m, load, times)
 	assert.Assert(t, byTime == nil)
 }
 
 // A straggler with reduced load takes as long as other ranks. If that cleared it, it would get
 // its load back and the map would oscillate.
 func TestStragglerWithReducedLoadStaysStraggler(t *testing.T) {
-	var w stragglerWatch
+	var w stragglerDetector
 	for range stragglerWindows {
 		w.observe([]float64{1, 1.3, 1}, []float64{1, 1.3, 1})
 	}
 	w.observe([]float64{1, 1, 1}, []float64{1, 1.4, 1})
-	assert.DeepEqual(t, w.lasting(), []float64{1, 1.3, 1})
+	assert.DeepEqual(t, w.stragglers(), []float64{1, 1.3, 1})
 	w.observe([]float64{1, 1, 1}, []float64{1, 1.05, 1})
-	assert.Assert(t, w.lasting() == nil)
+	assert.Assert(t, w.stragglers() == nil)
 }
--- a/placement/trace/counters.go
+++ b/placement/trace/counters.go
@@ -47,12 +47,12 @@
 		if rnd.Float64() < q.missing || 1+rnd.IntN(q.maxLag) != lag {
 			continue
 		}
-		out = append(out, Report{Window: w, Load: q.blur(rnd, t.Load(w))})
+		out = append(out, Report{Window: w, Load: q.distort(rnd, t.Load(w))})
 	}
 	return out
 }
 
-func (q quality) blur(rnd *rand.Rand, load placement.Load) placement.Load {
+func (q quality) distort(rnd *rand.Rand, load placement.Load) placement.Load {
 	for i := range load {
 		load[i] *= max(1+q.noise*rnd.NormFloat64(), 0)
 		if q.wrong > 0 && rnd.Float64() < q.wrong {
--- a/placement/trace/seeds.go
+++ b/placement/trace/seeds.go
@@ -12,7 +12,7 @@
 func seeds(k Kind, first uint64, n int) []uint64 {
 	out := make([]uint64, n)
 	for i := range out {
-		out[i] = kindSalt(k)>>32<<8 + uint64(2*i) + first
+		out[i] = kindHash(k)>>32<<8 + uint64(2*i) + first
 	}
 	return out
 }
--- a/placement/trace/trace.go
+++ b/placement/trace/trace.go
@@ -54,7 +54,7 @@
 type Trace struct {
 	Params
 	topics []topic
-	snaps  []snap
+	bursts []burst
 	// jitter shifts the daily peaks, by day.
 	jitter []time.Duration
 }
@@ -62,14 +62,14 @@
 // topic is a kind of request with its own popularity of experts: Layers x Experts values with
 // mean 1.
 type topic struct {
-	weight   func(t *Trace, at time.Duration) float64
-	popular  []float64
-	wander   []float64 // phase of each expert's slow drift, 0 to 1
-	strength float64   // relative amplitude of the drift
+	weight         func(t *Trace, at time.Duration) float64
+	popular        []float64
+	driftPhase     []float64 // phase of each expert's slow drift, 0 to 1
+	driftAmplitude float64   // relative amplitude of the drift
 }
 
 // burst is a period with its own hot experts.
-type snap struct {
+type burst struct {
 	from, to time.Duration
 	rise     time.Duration
 	strength float64
@@ -79,26 +79,26 @@
 // New returns the trace that the parameters describe.
 func New(p Params) *Trace {
 	t := &Trace{Params: p}
-	rnd := rand.New(rand.NewPCG(p.Seed, kindSalt(p.Kind)))
+	rnd := rand.New(rand.NewPCG(p.Seed, kindHash(p.Kind)))
 	days := int((t.Start+t.Length())/day) + 2
 	for range days {
 		t.jitter = append(t.jitter, time.Duration(rnd.NormFloat64()*float64(10*time.Minute)))
 	}
 	switch p.Kind {
 	case Auction, Noisy:
-		t.auction(rnd)
+		t.initDiurnal(rnd)
 	case Lift:
-		t.lift(rnd)
+		t.initBursty(rnd)
 	case Adversarial:
-		t.adversarial(rnd)
+		t.initAdversarial(rnd)
 	default:
-		t.topics = []topic{t.topic(rnd, 0.8, 0, always(1))}
+		t.topics = []topic{t.newTopic(rnd, 0.8, 0, constant(1))}
 	}
 	return t
 }
 
-// kindSalt returns the FNV-1a hash of a kind, so that the kinds differ for the same seed.
-func kindSalt(k Kind) uint64 {
+// kindHash returns the FNV-1a hash of a kind, so that the kinds differ for the same seed.
+func kindHash(k Kind) uint64 {
 	salt := uint64(14695981039346656037)
 	for _, b := range []byte(k) {
 		salt = (salt ^ uint64(b)) * 1099511628211
@@ -109,25 +109,25 @@
 // Length returns the duration of the trace.
 func (t *Trace) Length() time.Duration { return time.Duration(t.Windows) * t.Window }
 
-func always(v float64) func(*Trace, time.Duration) float64 {
+func constant(v float64) func(*Trace, time.Duration) float64 {
 	return func(*Trace, time.Duration) float64 { return v }
 }
 
 // newTopic draws lognormal popularities with standard deviation sigma of the logarithm. drift
 // is the relative amplitude of the slow drift.
-func (t *Trace) topic(rnd *rand.Rand, sigma, drift float64, weight func(*Trace, time.Duration) float64) topic {
+func (t *Trace) newTopic(rnd *rand.Rand, sigma, drift float64, weight func(*Trace, time.Duration) float64) topic {
 	n := t.Layers * t.Experts
-	tp := topic{weight: weight, strength: drift, popular: make([]float64, n), wander: make([]float64, n)}
+	tp := topic{weight: weight, driftAmplitude: drift, popular: make([]float64, n), driftPhase: make([]float64, n)}
 	for i := range n {
 		tp.popular[i] = math.Exp(sigma*rnd.NormFloat64() - sigma*sigma/2)
-		tp.wander[i] = rnd.Float64()
+		tp.driftPhase[i] = rnd.Float64()
 	}
 	return tp
 }
 
 // dailyPeak is a smooth rise and fall around an hour of the day, width being the standard
 // deviation in hours.
-func hump(hour, width, height float64) func(*Trace, time.Duration) float64 {
+func dailyPeak(hour, width, height float64) func(*Trace, time.Duration) float64 {
 	return func(t *Trace, at time.Duration) float64 {
 		at += t.jitter[int(at/day)]
 		h := math.Mod(at.Hours()+24, 24)
@@ -137,26 +137,26 @@
 	}
 }
 
-func (t *Trace) auction(rnd *rand.Rand) {
+func (t *Trace) initDiurnal(rnd *rand.Rand) {
 	t.topics = []topic{
-		t.topic(rnd, 0.7, 0.15, always(0.25)),         // all day
-		t.topic(rnd, 0.9, 0.15, hump(6.5, 1.6, 1.5)),  // morning
-		t.topic(rnd, 0.9, 0.15, hump(12.5, 2.2, 1.2)), // midday
-		t.topic(rnd, 0.7, 0.15, hump(19.0, 2.5, 0.3)), // evening
+		t.newTopic(rnd, 0.7, 0.15, constant(0.25)),            // all day
+		t.newTopic(rnd, 0.9, 0.15, dailyPeak(6.5, 1.6, 1.5)),  // morning
+		t.newTopic(rnd, 0.9, 0.15, dailyPeak(12.5, 2.2, 1.2)), // midday
+		t.newTopic(rnd, 0.7, 0.15, dailyPeak(19.0, 2.5, 0.3)), // evening
 	}
 }
 
 // initBursty draws bursts of three recurring sets of hot experts, at varying strength.
-func (t *Trace) lift(rnd *rand.Rand) {
-	t.topics = []topic{t.topic(rnd, 0.6, 0.1, always(1))}
+func (t *Trace) initBursty(rnd *rand.Rand) {
+	t.topics = []topic{t.newTopic(rnd, 0.6, 0.1, constant(1))}
 	var hotSets [][]float64
 	for range 3 {
-		hotSets = append(hotSets, t.hot(rnd, 5, 4, 9))
+		hotSets = append(hotSets, t.hotExperts(rnd, 5, 4, 9))
 	}
 	at := time.Duration(rnd.ExpFloat64() * float64(40*time.Minute))
 	for at < t.Length() {
 		length := 10*time.Minute + time.Duration(rnd.ExpFloat64()*float64(25*time.Minute))
-		t.snaps = append(t.snaps, snap{
+		t.bursts = append(t.bursts, burst{
 			from: at, to: at + length, rise: 2 * time.Minute,
 			strength: 0.6 + 0.6*rnd.Float64(), hot: hotSets[rnd.IntN(len(hotSets))],
 		})
@@ -164,20 +164,20 @@
 	}
 }
 
-func (t *Trace) adversarial(rnd *rand.Rand) {
-	t.topics = []topic{t.topic(rnd, 0.5, 0, always(1))}
+func (t *Trace) initAdversarial(rnd *rand.Rand) {
+	t.topics = []topic{t.newTopic(rnd, 0.5, 0, constant(1))}
 	for at := time.Duration(0); at < t.Length(); {
 		length := 3*time.Minute + time.Duration(rnd.Float64()*float64(30*time.Minute))
-		t.snaps = append(t.snaps, snap{
-			from: at, to: at + length, rise: time.Second, strength: 1, hot: t.hot(rnd, 4, 5, 12),
+		t.bursts = append(t.bursts, burst{
+			from: at, to: at + length, rise: time.Second, strength: 1, hot: t.hotExperts(rnd, 4, 5, 12),
 		})
 		at += length
 	}
 }
 
-// hotExperts draws count hot experts per layer, scaled from 64 experts to the trace's number.
+// hotExperts draws count hotExperts experts per layer, scaled from 64 experts to the trace's number.
 // The values are the increase relative to the expert's usual load, 0 for all other experts.
-func (t *Trace) hot(rnd *rand.Rand, count int, low, high float64) []float64 {
+func (t *Trace) hotExperts(rnd *rand.Rand, count int, low, high float64) []float64 {
 	count = max(count*t.Experts/64, 1)
 	out := make([]float64, t.Layers*t.Experts)
 	for layer := range t.Layers {
@@ -196,33 +196,33 @@
 		w := tp.weight(t, t.Start+at)
 		cycles := (t.Start + at).Hours() / 5
 		for i, v := range tp.popular {
-			if tp.strength > 0 {
-				v *= 1 + tp.strength*math.Sin(2*math.Pi*(cycles+tp.wander[i]))
+			if tp.driftAmplitude > 0 {
+				v *= 1 + tp.driftAmplitude*math.Sin(2*math.Pi*(cycles+tp.driftPhase[i]))
 			}
 			out[i] += w * v
 		}
 	}
-	for _, b := range t.snaps {
-		if w := b.at(at); w > 0 {
+	for _, b := range t.bursts {
+		if w := b.strengthAt(at); w > 0 {
 			for i, h := range b.hot {
 				out[i] *= 1 + w*h
 			}
 		}
 	}
-	t.scale(out)
+	t.normalize(out)
 	return out
 }
 
-// strengthAt returns the strength of a burst at a time. It rises linearly over rise and ends
+// strengthAt returns the strength of a burst strengthAt a time. It rises linearly over rise and ends
 // abruptly.
-func (b *snap) at(at time.Duration) float64 {
+func (b *burst) strengthAt(at time.Duration) float64 {
 	if at < b.from || at >= b.to {
 		return 0
 	}
 	return b.strength * min(float64(at-b.from+time.Second)/float64(b.rise), 1)
 }
 
-func (t *Trace) scale(load placement.Load) {
+func (t *Trace) normalize(load placement.Load) {
 	for layer := range t.Layers {
 		row := load[layer*t.Experts : (layer+1)*t.Experts]
 		total := 0.0
