--- a/lockstep/bench_test.go
+++ b/lockstep/bench_test.go
@@ -16,7 +16,7 @@
 var huge = Shape{Ranks: 192, Sets: 10, Experts: 384, Places: 3, Spare: 2}
 
 func BenchmarkPlanHuge(b *testing.B) {
-	m, load := inTurn(huge), zipf(huge, 1.1, 0)
+	m, load := initialMap(huge), zipf(huge, 1.1, 0)
 	for b.Loop() {
 		Plan(huge, DefaultPlanSettings(), m, load, nil)
 	}
@@ -25,7 +25,7 @@
 // BenchmarkPlanHugeSecond plans for a load to which the current map already fits, as most plans
 // do.
 func BenchmarkPlanHugeSecond(b *testing.B) {
-	m, load := inTurn(huge), zipf(huge, 1.1, 0)
+	m, load := initialMap(huge), zipf(huge, 1.1, 0)
 	p, _ := Plan(huge, DefaultPlanSettings(), m, load, nil)
 	for b.Loop() {
 		Plan(huge, DefaultPlanSettings(), p.Map, load, nil)
@@ -33,14 +33,14 @@
 }
 
 func BenchmarkPlanLarge(b *testing.B) {
-	m, load := inTurn(large), zipf(large, 1.1, 0)
+	m, load := initialMap(large), zipf(large, 1.1, 0)
 	for b.Loop() {
 		Plan(large, DefaultPlanSettings(), m, load, nil)
 	}
 }
 
 func BenchmarkEncodePrepareLarge(b *testing.B) {
-	m := inTurn(large)
+	m := initialMap(large)
 	for b.Loop() {
 		o := &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_PREPARE, Map: m.encode()}
 		for range large.Ranks {
@@ -70,7 +70,7 @@
 
 // BenchmarkEncodeMapHuge measures encoding a map as changes.
 func BenchmarkEncodeMapHuge(b *testing.B) {
-	m := inTurn(huge)
+	m := initialMap(huge)
 	p, _ := Plan(huge, DefaultPlanSettings(), m, zipf(huge, 0.6, 0), nil)
 	for b.Loop() {
 		changes := p.Map.encodeChanges(m, 1)
--- a/lockstep/choices.go
+++ b/lockstep/choices.go
@@ -4,7 +4,7 @@
 
 // maxReaders bounds the readers whose last reading is kept: the current leader, a former one
 // that hasn't noticed its replacement, and a new one.
-const mostReaders = 3
+const maxReaders = 3
 
 // Choices turns the cumulative counters of one rank, how often its requests chose each expert,
 // into the increase since the last reading of each reader. It runs on the rank's host, so that
@@ -27,25 +27,25 @@
 func (c *Choices) Since(reader, incarnation uint64, counts []uint64) []uint32 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	last := c.take(reader)
+	last := c.takeLast(reader)
 	now := readerCounts{reader: reader, incarnation: incarnation, counts: counts}
 	c.readers = append(c.readers, now)
 	if last.incarnation != incarnation || len(last.counts) != len(counts) {
 		return nil
 	}
-	return added(last.counts, counts)
+	return increase(last.counts, counts)
 }
 
 // takeLast removes and returns a reader's last reading. If the reader is unknown it makes room
 // for it by dropping the oldest reading, and returns the zero value.
-func (c *Choices) take(reader uint64) readerCounts {
+func (c *Choices) takeLast(reader uint64) readerCounts {
 	for i, r := range c.readers {
 		if r.reader == reader {
 			c.readers = append(c.readers[:i], c.readers[i+1:]...)
 			return r
 		}
 	}
-	if len(c.readers) >= mostReaders {
+	if len(c.readers) >= maxReaders {
 		c.readers = append(c.readers[:0], c.readers[1:]...)
 	}
 	return readerCounts{}
@@ -53,7 +53,7 @@
 
 // increase returns the growth of each counter, or nil if one has decreased, as after an
 // unreported restart of the rank.
-func added(before, now []uint64) []uint32 {
+func increase(before, now []uint64) []uint32 {
 	out := make([]uint32, len(now))
 	for i, n := range now {
 		if n < before[i] {
--- a/lockstep/choices_test.go
+++ b/lockstep/choices_test.go
@@ -41,7 +41,7 @@
 	for reader := range uint64(100) {
 		c.Since(reader, 1, []uint64{1})
 	}
-	assert.Equal(t, len(c.readers), mostReaders)
+	assert.Equal(t, len(c.readers), maxReaders)
 	assert.DeepEqual(t, c.Since(99, 1, []uint64{3}), []uint32{2})
 }
 
--- a/lockstep/demand.go
+++ b/lockstep/demand.go
@@ -20,11 +20,11 @@
 
 const (
 	// defaultWindow is the duration that defaultWeight and noiseShift refer to.
-	usualWindow = 150 * time.Millisecond
-	usualWeight = 0.2
+	defaultWindow = 150 * time.Millisecond
+	defaultWeight = 0.2
 	// baseShift is the threshold of a shift without noise; noiseShift is what the noise of a
 	// default window adds. Shorter windows hold fewer prompts and have more noise.
-	meanShift  = 0.11
+	baseShift  = 0.11
 	noiseShift = 0.06
 )
 
@@ -32,12 +32,12 @@
 // fast as with default windows, and the threshold of a shift is above the noise of such
 // windows.
 func DemandSettingsFor(window time.Duration) DemandSettings {
-	ratio := window.Seconds() / usualWindow.Seconds()
-	return DemandSettings{Window: window, Weight: min(usualWeight*ratio, 1), Shift: meanShift + noiseShift/math.Sqrt(ratio)}
+	ratio := window.Seconds() / defaultWindow.Seconds()
+	return DemandSettings{Window: window, Weight: min(defaultWeight*ratio, 1), Shift: baseShift + noiseShift/math.Sqrt(ratio)}
 }
 
 // DefaultDemandSettings returns the settings for default windows.
-func DefaultDemandSettings() DemandSettings { return DemandSettingsFor(usualWindow) }
+func DefaultDemandSettings() DemandSettings { return DemandSettingsFor(defaultWindow) }
 
 // Demand estimates the share of each expert in the choices of its set, from the increase of the
 // ranks' counters. Ranks may be observed at different times, one at a time or summed up, and
@@ -46,8 +46,8 @@
 	settings DemandSettings
 	shape    Shape
 	// window counts the choices of the open window, which began at windowBegan.
-	window [][]float64
-	began  time.Time
+	window      [][]float64
+	windowBegan time.Time
 	// load is the smoothed estimate.
 	load [][]float64
 	// latest holds the shares in the newest closed window.
@@ -82,19 +82,19 @@
 			counts[e] += float64(n)
 		}
 	}
-	if d.began.IsZero() {
-		d.began = now
+	if d.windowBegan.IsZero() {
+		d.windowBegan = now
 	}
-	if now.Sub(d.began) < d.settings.Window {
+	if now.Sub(d.windowBegan) < d.settings.Window {
 		return false
 	}
-	return d.close(now)
+	return d.closeWindow(now)
 }
 
 // closeWindow ends the window. If a set has no choices yet, the window isn't used and its
 // counts are carried over to the next one.
-func (d *Demand) close(now time.Time) bool {
-	d.began = now
+func (d *Demand) closeWindow(now time.Time) bool {
+	d.windowBegan = now
 	shares := normalize(d.window)
 	if shares == nil {
 		return false
@@ -132,40 +132,40 @@
 	// the new demand, so that the distance of a window to it is noise.
 	steadyWindows = 5
 	// minNoiseWindows is the number of windows that the noise must be based on.
-	noiseWindows = 5
+	minNoiseWindows = 5
 	// noiseDown and noiseUp are the smoothing factors for a window with less and with more
 	// noise than before. While the estimate follows an undetected shift, windows differ more
 	// for a while, which must not count as noise.
 	noiseDown, noiseUp = 0.3, 0.02
 	// A distance above shiftFactor times the noise plus minShift is a shift.
 	shiftFactor = 5
-	leastShift  = 0.02
+	minShift    = 0.02
 )
 
 // noise is the usual distance of a window to the estimate while the demand doesn't change.
 type noise struct {
-	usual   float64
+	mean    float64
 	windows int
 }
 
 func (n *noise) observe(dist float64) {
 	n.windows++
 	weight := noiseUp
-	if dist < n.usual || n.windows == 1 {
+	if dist < n.mean || n.windows == 1 {
 		weight = noiseDown
 	}
 	if n.windows == 1 {
-		n.usual = dist
+		n.mean = dist
 	}
-	n.usual += weight * (dist - n.usual)
+	n.mean += weight * (dist - n.mean)
 }
 
 // threshold returns the distance above which the demand has shifted, at most limit.
 func (n *noise) threshold(limit float64) float64 {
-	if n.windows < noiseWindows {
+	if n.windows < minNoiseWindows {
 		return limit
 	}
-	return min(limit, shiftFactor*n.usual+leastShift)
+	return min(limit, shiftFactor*n.mean+minShift)
 }
 
 // normalize returns each expert's share of its set, or nil if a set has no choices.
--- a/lockstep/demand_test.go
+++ b/lockstep/demand_test.go
@@ -10,7 +10,7 @@
 )
 
 // drawChoices returns about n random choices per set, distributed like a load.
-func drawn(rnd *rand.Rand, load [][]float64, n float64) []uint32 {
+func drawChoices(rnd *rand.Rand, load [][]float64, n float64) []uint32 {
 	var chosen []uint32
 	for _, shares := range normalize(load) {
 		for _, share := range shares {
@@ -42,7 +42,7 @@
 	now := time.Unix(100, 0)
 	window := func(load [][]float64) {
 		now = now.Add(settings.Window)
-		d.Observe(now, drawn(rnd, load, 600_000))
+		d.Observe(now, drawChoices(rnd, load, 600_000))
 	}
 	for range 200 {
 		window(before)
--- a/lockstep/mapcodec.go
+++ b/lockstep/mapcodec.go
@@ -13,10 +13,10 @@
 var ErrNoBase = merry.Sentinel("unknown base of an expert map")
 
 // baseRoundRobin is the version that stands for the round-robin map.
-const baseInTurn = 0
+const baseRoundRobin = 0
 
 // roundRobinMap assigns the experts of each set to the ranks in turn.
-func mapInTurn(ranks, sets, experts int) Map {
+func roundRobinMap(ranks, sets, experts int) Map {
 	m := make(Map, sets)
 	for set := range m {
 		m[set] = make([][]uint32, ranks)
@@ -39,7 +39,7 @@
 		}
 	}
 	full := marshalMap(out)
-	if changes := m.encodeChanges(mapInTurn(int(out.Ranks), len(m), m.experts()), baseInTurn); len(changes) < len(full) {
+	if changes := m.encodeChanges(roundRobinMap(int(out.Ranks), len(m), m.experts()), baseRoundRobin); len(changes) < len(full) {
 		return changes
 	}
 	return full
@@ -134,8 +134,8 @@
 	if uint64(ranks)*uint64(c.Sets) > maxCells || c.Experts > maxExperts {
 		return nil, merry.Prependf(ErrMap, "%d ranks, %d sets of %d experts", ranks, c.Sets, c.Experts)
 	}
-	if c.Base == baseInTurn {
-		return mapInTurn(ranks, int(c.Sets), int(c.Experts)), nil
+	if c.Base == baseRoundRobin {
+		return roundRobinMap(ranks, int(c.Sets), int(c.Experts)), nil
 	}
 	known := base(c.Base)
 	if known == nil {
--- a/lockstep/mapcodec_test.go
+++ b/lockstep/mapcodec_test.go
@@ -11,7 +11,7 @@
 // Changes and the full encoding must decode to the same map. Without the right base, decoding
 // changes must fail.
 func TestMapIsEncodedAsChanges(t *testing.T) {
-	current, load := inTurn(huge), zipf(huge, 1.1, 0)
+	current, load := initialMap(huge), zipf(huge, 1.1, 0)
 	p, ok := Plan(huge, DefaultPlanSettings(), current, load, nil)
 	assert.Assert(t, ok)
 	changes, full := p.Map.encodeChanges(current, 7), p.Map.encode()
@@ -30,7 +30,7 @@
 
 	_, err = DecodeMap(changes, func(uint64) Map { return nil })
 	assert.ErrorIs(t, err, ErrNoBase)
-	_, err = DecodeMap(changes, func(uint64) Map { return inTurn(small) })
+	_, err = DecodeMap(changes, func(uint64) Map { return initialMap(small) })
 	assert.ErrorIs(t, err, ErrMap)
 }
 
@@ -64,9 +64,9 @@
 
 // Malformed maps must neither cause a panic nor exhaust the memory.
 func FuzzDecodeMap(f *testing.F) {
-	m := inTurn(small)
+	m := initialMap(small)
 	f.Add(m.encode())
-	f.Add(m.encodeChanges(mapInTurn(small.Ranks, small.Sets, small.Experts), 2))
+	f.Add(m.encodeChanges(roundRobinMap(small.Ranks, small.Sets, small.Experts), 2))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = DecodeMap(data, func(uint64) Map { return m })
 	})
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -16,27 +16,27 @@
 	// skew is above HighSkew; 0 means no bound. A rank copies one expert at a time, and the old
 	// map stays in use until the last copy is done. So a steep skew falls sooner with few
 	// copies per switch.
-	MaxPerRank int
-	Steep      float64
+	MaxCopiesHighSkew int
+	HighSkew          float64
 	// MaxCopiesLowSkew replaces MaxCopiesHighSkew below HighSkew.
-	MaxPerRankEven int
+	MaxCopiesLowSkew int
 	// MinTotalGain is the least skew, averaged over the sets, that a switch must save.
-	MinTotal float64
+	MinTotalGain float64
 }
 
 // DefaultPlanSettings returns the settings that control replicas use.
 func DefaultPlanSettings() PlanSettings {
-	return PlanSettings{MinGain: 0.025, MinTotal: 0.15, MaxPerRank: 1, Steep: 1.8, MaxPerRankEven: 2}
+	return PlanSettings{MinGain: 0.025, MinTotalGain: 0.15, MaxCopiesHighSkew: 1, HighSkew: 1.8, MaxCopiesLowSkew: 2}
 }
 
 // referenceRanks is the group size up to which MinGain applies unchanged.
-const gainRanks = 24
+const referenceRanks = 24
 
 // minCopyGain returns the gain that each copy must have in a group of a given size. In larger
 // groups more ranks are close to the busiest one, so a single copy gains less, while copies on
 // different ranks run in parallel.
-func (p *PlanSettings) leastGain(ranks int) float64 {
-	return p.MinGain * min(1, gainRanks/float64(ranks))
+func (p *PlanSettings) minCopyGain(ranks int) float64 {
+	return p.MinGain * min(1, referenceRanks/float64(ranks))
 }
 
 const (
@@ -45,9 +45,9 @@
 	// busiest rank.
 	peakPower = 16
 	// maxTargets is the number of least loaded ranks that are tried as the target of a change.
-	partners = 16
+	maxTargets = 16
 	// maxStepsPerRank bounds the search in one set, relative to the number of ranks.
-	stepsPerRank = 3
+	maxStepsPerRank = 3
 )
 
 // Proposal is a map that improves on the current one.
@@ -64,45 +64,45 @@
 // of each rank. ok is false if the improvement is below MinTotalGain or no expert would be copied.
 func Plan(s Shape, settings PlanSettings, current Map, load [][]float64, pace Pace) (p Proposal, ok bool) {
 	p.Before = current.Skew(load, pace)
-	if p.Before < 1+settings.MinTotal {
+	if p.Before < 1+settings.MinTotalGain {
 		// The skew of a map is at least 1, so MinTotalGain can't be saved.
 		return p, false
 	}
 	p.Map = current.Clone()
-	if p.Before < settings.Steep {
-		settings.MaxPerRank = settings.MaxPerRankEven
+	if p.Before < settings.HighSkew {
+		settings.MaxCopiesHighSkew = settings.MaxCopiesLowSkew
 	}
 	copies := make([]int, s.Ranks)
 	var sets []*setState
 	for set := range p.Map {
 		if st := newSetState(s, settings, p.Map[set], load[set], pace); st != nil {
-			st.set, st.perRank = set, copies
+			st.set, st.rankCopies = set, copies
 			sets = append(sets, st)
 		}
 	}
-	search(sets)
+	improveSets(sets)
 	for _, st := range sets {
-		p.Copies += st.copied
+		p.Copies += st.copies
 		st.restoreOrder()
-		p.Map[st.set] = st.hold
+		p.Map[st.set] = st.held
 	}
 	p.After = p.Map.Skew(load, pace)
-	return p, p.Before-p.After >= settings.MinTotal && p.Copies > 0
+	return p, p.Before-p.After >= settings.MinTotalGain && p.Copies > 0
 }
 
 // improveSets makes one change at a time in the set with the highest skew, so that the copies
 // that the limits per rank allow go where they matter most.
-func search(all []*setState) {
+func improveSets(all []*setState) {
 	sets := slices.Clone(all)
 	for len(sets) > 0 {
-		steepest := slices.MaxFunc(sets, func(a, b *setState) int { return cmp.Compare(a.most, b.most) })
-		best, ok := steepest.best()
+		steepest := slices.MaxFunc(sets, func(a, b *setState) int { return cmp.Compare(a.maxLoad, b.maxLoad) })
+		best, ok := steepest.bestChange()
 		steepest.steps++
-		if !ok || steepest.steps > stepsPerRank*steepest.s.Ranks {
+		if !ok || steepest.steps > maxStepsPerRank*steepest.s.Ranks {
 			sets = slices.DeleteFunc(sets, func(st *setState) bool { return st == steepest })
 			continue
 		}
-		steepest.keep(best)
+		steepest.commit(best)
 	}
 }
 
@@ -114,28 +114,28 @@
 	pace     Pace
 	// load is that of each expert, held lists the experts of each rank.
 	load []float64
-	hold [][]uint32
+	held [][]uint32
 	// base lists what each rank held before the search. A rank that gets such an expert back
 	// needs no copy.
 	base [][]uint32
 	// holders lists the ranks of each expert, rankLoad the load of each rank.
-	holders [][]int
-	ranks   []float64
+	holders  [][]int
+	rankLoad []float64
 	// power is the sum of the ranks' loads to the power of peakPower. It is updated
 	// incrementally, because summing it for every tried change is expensive in large groups.
 	power float64
 	// maxLoad is the load of the busiest rank as of the last change that was made.
-	most float64
+	maxLoad float64
 	// copies counts the copies in this set.
-	copied int
+	copies int
 	set    int
 	steps  int
 	// rankCopies counts the copies of each rank, shared by all sets.
-	perRank []int
+	rankCopies []int
 }
 
 // newSetState returns nil for a set without load.
-func newSetState(s Shape, settings PlanSettings, hold [][]uint32, load []float64, pace Pace) *setState {
+func newSetState(s Shape, settings PlanSettings, held [][]uint32, load []float64, pace Pace) *setState {
 	total := 0.0
 	for _, v := range load {
 		total += v
@@ -143,30 +143,30 @@
 	if total <= 0 {
 		return nil
 	}
-	st := &setState{s: s, settings: settings, pace: pace, load: make([]float64, len(load)), hold: hold, holders: make([][]int, len(load)), ranks: make([]float64, len(hold))}
+	st := &setState{s: s, settings: settings, pace: pace, load: make([]float64, len(load)), held: held, holders: make([][]int, len(load)), rankLoad: make([]float64, len(held))}
 	for e, v := range load {
 		st.load[e] = v * float64(s.Ranks) / total
 	}
-	for r, experts := range hold {
+	for r, experts := range held {
 		st.base = append(st.base, slices.Clone(experts))
 		for _, e := range experts {
 			st.holders[e] = append(st.holders[e], r)
 		}
 	}
-	for r, experts := range hold {
+	for r, experts := range held {
 		for _, e := range experts {
-			st.ranks[r] += st.each(e) * pace.of(r)
+			st.rankLoad[r] += st.replicaLoad(e) * pace.of(r)
 		}
 	}
-	st.sum()
+	st.recompute()
 	return st
 }
 
-// replicaLoad returns the load of an expert on each of its ranks.
-func (st *setState) each(e uint32) float64 { return st.load[e] / float64(len(st.holders[e])) }
+// replicaLoad returns the load of an expert on replicaLoad of its ranks.
+func (st *setState) replicaLoad(e uint32) float64 { return st.load[e] / float64(len(st.holders[e])) }
 
 // noRank is the target of a change that only drops an expert.
-const nobody = -1
+const noRank = -1
 
 // change puts expert in, which the busy rank holds, onto a rank. With replaces it takes the
 // place of expert out there. With swap the busy rank gets out in return for in; with leaves it
@@ -182,37 +182,37 @@
 }
 
 // commit makes a change permanently.
-func (st *setState) keep(c change) {
-	if c.rank != nobody {
-		st.perRank[c.rank] += st.cost(c.rank, c.in)
+func (st *setState) commit(c change) {
+	if c.rank != noRank {
+		st.rankCopies[c.rank] += st.copyCost(c.rank, c.in)
 	}
 	if c.swap {
-		st.perRank[c.busy] += st.cost(c.busy, c.out)
+		st.rankCopies[c.busy] += st.copyCost(c.busy, c.out)
 	}
 	st.apply(c)
 	// Rounding errors of tried changes must not accumulate.
-	st.sum()
-	st.copied += c.copies
+	st.recompute()
+	st.copies += c.copies
 }
 
 // bestChange returns the change that lowers the peak most per copy. ok is false if none gains
 // enough.
-func (st *setState) best() (best change, ok bool) {
+func (st *setState) bestChange() (best change, ok bool) {
 	busy := st.busiest()
 	// Undoing a tried change may reorder the lists, so iterate over a copy.
-	held := slices.Clone(st.hold[busy])
+	held := slices.Clone(st.held[busy])
 	slow := st.pace.of(busy) > 1
 	for _, e := range held {
 		if slow && len(st.holders[e]) > 1 {
-			st.try(change{rank: nobody, busy: busy, in: e, leaves: true}, &best)
+			st.tryChange(change{rank: noRank, busy: busy, in: e, leaves: true}, &best)
 		}
 	}
-	for _, r := range st.emptiest(busy) {
+	for _, r := range st.leastLoaded(busy) {
 		for _, e := range held {
-			if !slices.Contains(st.hold[r], e) {
-				st.offer(change{rank: r, busy: busy, in: e}, &best)
+			if !slices.Contains(st.held[r], e) {
+				st.tryVariants(change{rank: r, busy: busy, in: e}, &best)
 				if slow {
-					st.offer(change{rank: r, busy: busy, in: e, leaves: true}, &best)
+					st.tryVariants(change{rank: r, busy: busy, in: e, leaves: true}, &best)
 				}
 			}
 		}
@@ -222,36 +222,36 @@
 
 // tryVariants tries all variants of a change that puts an expert of the busy rank onto another
 // rank.
-func (st *setState) offer(c change, best *change) {
-	if len(st.hold[c.rank]) < st.s.Places {
-		st.try(c, best)
+func (st *setState) tryVariants(c change, best *change) {
+	if len(st.held[c.rank]) < st.s.Places {
+		st.tryChange(c, best)
 	}
 	c.replaces = true
-	for _, x := range slices.Clone(st.hold[c.rank]) {
+	for _, x := range slices.Clone(st.held[c.rank]) {
 		c.out = x
 		if len(st.holders[x]) > 1 {
-			st.try(c, best)
+			st.tryChange(c, best)
 		}
-		if !c.leaves && !slices.Contains(st.hold[c.busy], x) && st.each(x) < st.each(c.in) {
+		if !c.leaves && !slices.Contains(st.held[c.busy], x) && st.replicaLoad(x) < st.replicaLoad(c.in) {
 			swap := c
 			swap.swap = true
-			st.try(swap, best)
+			st.tryChange(swap, best)
 		}
 	}
 }
 
 // tryChange replaces best by a change that is within the copy limits and gains more per copy. A
 // change without copies counts as one.
-func (st *setState) try(c change, best *change) {
-	if c.rank != nobody {
-		c.copies = st.cost(c.rank, c.in)
-		if st.over(c.rank, c.in) {
+func (st *setState) tryChange(c change, best *change) {
+	if c.rank != noRank {
+		c.copies = st.copyCost(c.rank, c.in)
+		if st.exceedsLimit(c.rank, c.in) {
 			return
 		}
 	}
 	if c.swap {
-		c.copies += st.cost(c.busy, c.out)
-		if st.over(c.busy, c.out) {
+		c.copies += st.copyCost(c.busy, c.out)
+		if st.exceedsLimit(c.busy, c.out) {
 			return
 		}
 	}
@@ -260,7 +260,7 @@
 	gain := peakBefore - st.peak()
 	st.undo(c)
 	st.power = powerBefore
-	if gain < st.settings.leastGain(st.s.Ranks)*float64(max(c.copies, 1)) {
+	if gain < st.settings.minCopyGain(st.s.Ranks)*float64(max(c.copies, 1)) {
 		return
 	}
 	c.gain = gain / float64(max(c.copies, 1))
@@ -272,15 +272,15 @@
 // restoreOrder restores the original list of each rank that holds the same experts as before
 // the search. Tried changes reorder the lists, and maps are encoded as the lists that differ.
 func (st *setState) restoreOrder() {
-	for r, experts := range st.hold {
-		if len(experts) == len(st.base[r]) && !slices.ContainsFunc(experts, func(e uint32) bool { return st.cost(r, e) > 0 }) {
-			st.hold[r] = st.base[r]
+	for r, experts := range st.held {
+		if len(experts) == len(st.base[r]) && !slices.ContainsFunc(experts, func(e uint32) bool { return st.copyCost(r, e) > 0 }) {
+			st.held[r] = st.base[r]
 		}
 	}
 }
 
 // copyCost returns 1 if a rank would have to copy an expert, otherwise 0.
-func (st *setState) cost(r int, e uint32) int {
+func (st *setState) copyCost(r int, e uint32) int {
 	if slices.Contains(st.base[r], e) {
 		return 0
 	}
@@ -289,16 +289,16 @@
 
 // exceedsLimit reports whether another expert would exceed the copies that a rank may make in
 // one switch.
-func (st *setState) over(r int, e uint32) bool {
-	if st.cost(r, e) == 0 {
+func (st *setState) exceedsLimit(r int, e uint32) bool {
+	if st.copyCost(r, e) == 0 {
 		return false
 	}
-	if limit := st.settings.MaxPerRank; limit > 0 && st.perRank[r] >= limit {
+	if limit := st.settings.MaxCopiesHighSkew; limit > 0 && st.rankCopies[r] >= limit {
 		return true
 	}
 	copies := 0
-	for _, x := range st.hold[r] {
-		copies += st.cost(r, x)
+	for _, x := range st.held[r] {
+		copies += st.copyCost(r, x)
 	}
 	return copies >= st.s.Spare
 }
@@ -307,16 +307,16 @@
 func (st *setState) peak() float64 { return math.Pow(st.power, 1.0/peakPower) }
 
 // recompute derives power and maxLoad from the ranks' loads.
-func (st *setState) sum() {
-	st.power, st.most = 0, 0
-	for _, v := range st.ranks {
-		st.power += powered(v)
-		st.most = max(st.most, v)
+func (st *setState) recompute() {
+	st.power, st.maxLoad = 0, 0
+	for _, v := range st.rankLoad {
+		st.power += toPeakPower(v)
+		st.maxLoad = max(st.maxLoad, v)
 	}
 }
 
 // toPeakPower returns v to the power of peakPower.
-func powered(v float64) float64 {
+func toPeakPower(v float64) float64 {
 	v *= v
 	v *= v
 	v *= v
@@ -331,7 +331,7 @@
 	if c.replaces {
 		st.drop(c.rank, c.out)
 	}
-	if c.rank != nobody {
+	if c.rank != noRank {
 		st.add(c.rank, c.in)
 	}
 	if c.leaves {
@@ -343,7 +343,7 @@
 	if c.leaves {
 		st.add(c.busy, c.in)
 	}
-	if c.rank != nobody {
+	if c.rank != noRank {
 		st.drop(c.rank, c.in)
 	}
 	if c.replaces {
@@ -357,25 +357,25 @@
 
 // add makes a rank hold an expert. An expert may temporarily have no holder during a swap.
 func (st *setState) add(r int, e uint32) {
-	st.share(e, -1)
-	st.hold[r] = append(st.hold[r], e)
+	st.addReplicaLoad(e, -1)
+	st.held[r] = append(st.held[r], e)
 	st.holders[e] = append(st.holders[e], r)
-	st.share(e, 1)
+	st.addReplicaLoad(e, 1)
 }
 
 func (st *setState) drop(r int, e uint32) {
-	st.share(e, -1)
-	st.hold[r] = remove(st.hold[r], e)
+	st.addReplicaLoad(e, -1)
+	st.held[r] = remove(st.held[r], e)
 	st.holders[e] = remove(st.holders[e], r)
-	st.share(e, 1)
+	st.addReplicaLoad(e, 1)
 }
 
 // addReplicaLoad adds sign times an expert's load per replica to the load of its holders.
-func (st *setState) share(e uint32, sign float64) {
+func (st *setState) addReplicaLoad(e uint32, sign float64) {
 	for _, r := range st.holders[e] {
-		before := st.ranks[r]
-		st.ranks[r] += sign * st.each(e) * st.pace.of(r)
-		st.power += powered(st.ranks[r]) - powered(before)
+		before := st.rankLoad[r]
+		st.rankLoad[r] += sign * st.replicaLoad(e) * st.pace.of(r)
+		st.power += toPeakPower(st.rankLoad[r]) - toPeakPower(before)
 	}
 }
 
@@ -386,8 +386,8 @@
 
 func (st *setState) busiest() int {
 	best := 0
-	for r, v := range st.ranks {
-		if v > st.ranks[best] {
+	for r, v := range st.rankLoad {
+		if v > st.rankLoad[best] {
 			best = r
 		}
 	}
@@ -396,18 +396,18 @@
 
 // leastLoaded returns up to maxTargets ranks in ascending order of load, without one of them.
 // It avoids sorting all ranks of a large group.
-func (st *setState) emptiest(except int) []int {
-	list := make([]int, 0, partners+1)
-	for r, v := range st.ranks {
-		if r == except || len(list) == partners && v >= st.ranks[list[partners-1]] {
+func (st *setState) leastLoaded(except int) []int {
+	list := make([]int, 0, maxTargets+1)
+	for r, v := range st.rankLoad {
+		if r == except || len(list) == maxTargets && v >= st.rankLoad[list[maxTargets-1]] {
 			continue
 		}
 		at := len(list)
-		for at > 0 && st.ranks[list[at-1]] > v {
+		for at > 0 && st.rankLoad[list[at-1]] > v {
 			at--
 		}
 		list = slices.Insert(list, at, r)
-		list = list[:min(partners, len(list))]
+		list = list[:min(maxTargets, len(list))]
 	}
 	return list
 }
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -14,7 +14,7 @@
 
 // initialMap is the first map of a group: experts are assigned to the ranks in turn, and spare
 // places are empty.
-func inTurn(s Shape) Map {
+func initialMap(s Shape) Map {
 	m := make(Map, s.Sets)
 	for set := range m {
 		m[set] = make([][]uint32, s.Ranks)
@@ -38,7 +38,7 @@
 }
 
 // maxCopies returns the most experts that any rank must copy, in one set and over all sets.
-func copied(from, to Map) (perSet, perRank int) {
+func maxCopies(from, to Map) (perSet, perRank int) {
 	ranks := make([]int, len(from[0]))
 	for set := range from {
 		for r := range from[set] {
@@ -58,7 +58,7 @@
 // At a high skew, switches of one copy per rank must lower it below 1.5 within a few switches,
 // after which no switch is worth its copies.
 func TestHighSkewIsReducedByFewCopiesPerSwitch(t *testing.T) {
-	current := inTurn(small)
+	current := initialMap(small)
 	load := zipf(small, 1.1, 3)
 	assert.Assert(t, current.Skew(load, nil) > 2.5, "skew %f", current.Skew(load, nil))
 	switches := 0
@@ -68,9 +68,9 @@
 			break
 		}
 		assert.NilError(t, p.Map.Check(small))
-		perSet, perRank := copied(current, p.Map)
+		perSet, perRank := maxCopies(current, p.Map)
 		assert.Assert(t, perSet <= small.Spare)
-		if p.Before >= DefaultPlanSettings().Steep {
+		if p.Before >= DefaultPlanSettings().HighSkew {
 			assert.Assert(t, perRank <= 1, "%d copies at one rank while the skew is %f", perRank, p.Before)
 		}
 		assert.Assert(t, p.After < p.Before)
@@ -85,7 +85,7 @@
 // the group.
 func TestCopiesPerRankAreBounded(t *testing.T) {
 	s := Shape{Ranks: 24, Sets: 16, Experts: 96, Places: 5, Spare: 2}
-	current := inTurn(s)
+	current := initialMap(s)
 	load := zipf(s, 1, 5)
 	initial := current.Skew(load, nil)
 	for n := range 12 {
@@ -93,7 +93,7 @@
 		if !ok {
 			break
 		}
-		_, perRank := copied(current, p.Map)
+		_, perRank := maxCopies(current, p.Map)
 		assert.Assert(t, perRank <= 2, "%d copies at a rank in switch %d", perRank, n)
 		if n >= 1 && p.Before > 1.4 {
 			assert.Assert(t, p.Before-p.After > 0.1, "switch %d: %f to %f", n, p.Before, p.After)
@@ -111,7 +111,7 @@
 			load[set][e] = 1 + 0.05*float64(e%3)
 		}
 	}
-	_, ok := Plan(small, DefaultPlanSettings(), inTurn(small), load, nil)
+	_, ok := Plan(small, DefaultPlanSettings(), initialMap(small), load, nil)
 	assert.Assert(t, !ok)
 }
 
@@ -130,7 +130,7 @@
 				load[set][e] = rapid.Float64Range(0, 100).Draw(t, "load")
 			}
 		}
-		current := inTurn(s)
+		current := initialMap(s)
 		before := current.Clone()
 		var pace Pace
 		if rapid.Bool().Draw(t, "some slow") {
@@ -138,7 +138,7 @@
 				pace = append(pace, rapid.SampledFrom([]float64{1, 1, 1.5, 5}).Draw(t, "pace"))
 			}
 		}
-		settings := PlanSettings{MinGain: rapid.Float64Range(0, 0.1).Draw(t, "gain"), MaxPerRank: rapid.IntRange(0, 2).Draw(t, "per rank"), Steep: 1.2}
+		settings := PlanSettings{MinGain: rapid.Float64Range(0, 0.1).Draw(t, "gain"), MaxCopiesHighSkew: rapid.IntRange(0, 2).Draw(t, "per rank"), HighSkew: 1.2}
 		p, ok := Plan(s, settings, current, load, pace)
 		assert.DeepEqual(t, current, before)
 		if !ok {
@@ -147,7 +147,7 @@
 		if err := p.Map.Check(s); err != nil {
 			t.Fatal(err)
 		}
-		if perSet, _ := copied(current, p.Map); perSet > s.Spare {
+		if perSet, _ := maxCopies(current, p.Map); perSet > s.Spare {
 			t.Fatalf("%d copies in one set of a rank", perSet)
 		}
 		if p.After > p.Before+1e-9 {
@@ -157,7 +157,7 @@
 }
 
 // addCounts adds about n choices per set to the counters of each rank.
-func count(counts [][]uint64, load [][]float64, n float64) {
+func addCounts(counts [][]uint64, load [][]float64, n float64) {
 	for r := range counts {
 		for set := range load {
 			total := 0.0
@@ -185,7 +185,7 @@
 	now := time.Unix(1000, 0)
 	window := func(load [][]float64) {
 		now = now.Add(settings.Window)
-		count(counts, load, 10_000)
+		addCounts(counts, load, 10_000)
 		for r := range counts {
 			d.Observe(now, choices[r].Since(1, incarnations[r], slices.Clone(counts[r])))
 		}
@@ -222,7 +222,7 @@
 		t.Run(name, func(t *testing.T) {
 			const slow = 3
 			load := zipf(shape, 0.5, 0)
-			current := inTurn(shape)
+			current := initialMap(shape)
 			pace := slices.Repeat(Pace{1}, shape.Ranks)
 			pace[slow] = 5
 			assert.Assert(t, current.Skew(load, pace) > 4, "%f", current.Skew(load, pace))
@@ -233,7 +233,7 @@
 					break
 				}
 				assert.NilError(t, p.Map.Check(shape))
-				perSet, _ := copied(current, p.Map)
+				perSet, _ := maxCopies(current, p.Map)
 				assert.Assert(t, perSet <= shape.Spare)
 				current = p.Map
 			}
@@ -280,7 +280,7 @@
 
 // In a large group each single copy gains little, but together they must balance the group.
 func TestLargeGroupIsBalanced(t *testing.T) {
-	m, load := inTurn(huge), zipf(huge, 0.6, 0)
+	m, load := initialMap(huge), zipf(huge, 0.6, 0)
 	switches := 0
 	for {
 		p, ok := Plan(huge, DefaultPlanSettings(), m, load, nil)
--- a/lockstep/relays.go
+++ b/lockstep/relays.go
@@ -10,10 +10,10 @@
 const (
 	// maxDirectRanks is the size up to which the leader calls each rank itself, which saves a
 	// hop.
-	directRanks = 16
+	maxDirectRanks = 16
 	// relayRetryDelay is the time for which a relay that didn't answer isn't used. Each attempt
 	// costs its ranks a timeout.
-	relayRest = 2 * time.Second
+	relayRetryDelay = 2 * time.Second
 )
 
 // Relays assigns the ranks of a large group to relays, the sidecars of other ranks through
@@ -30,15 +30,15 @@
 	// call.
 	parts  [][]int
 	partOf []int
-	// failedAt is when a rank's sidecar last failed to answer as a relay.
-	failed []time.Time
+	// failedAt is when a rank's sidecar last failedAt to answer as a relay.
+	failedAt []time.Time
 }
 
 // NewRelays assigns relays to ranks by their failure domains. A small group gets none.
 func NewRelays(domains []string) *Relays {
 	n := len(domains)
-	r := &Relays{partOf: slices.Repeat([]int{-1}, n), failed: make([]time.Time, n)}
-	if n <= directRanks {
+	r := &Relays{partOf: slices.Repeat([]int{-1}, n), failedAt: make([]time.Time, n)}
+	if n <= maxDirectRanks {
 		return r
 	}
 	order := make([]int, n)
@@ -46,7 +46,7 @@
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(domains[a], domains[b]) })
-	size := partSize(n)
+	size := maxPartSize(n)
 	for len(order) > 0 {
 		domain := domains[order[0]]
 		end := slices.IndexFunc(order, func(i int) bool { return domains[i] != domain })
@@ -60,15 +60,15 @@
 }
 
 // maxPartSize returns the maximum number of ranks that share a relay in a group of n.
-func partSize(n int) int { return int(math.Ceil(math.Sqrt(float64(n)))) }
+func maxPartSize(n int) int { return int(math.Ceil(math.Sqrt(float64(n)))) }
 
 // CallsFor returns the approximate number of calls that reach all ranks of a group, and whether
 // they go to relays. Failure domains may add some calls.
 func CallsFor(ranks int) (calls int, relayed bool) {
-	if ranks <= directRanks {
+	if ranks <= maxDirectRanks {
 		return ranks, false
 	}
-	size := partSize(ranks)
+	size := maxPartSize(ranks)
 	return (ranks + size - 1) / size, true
 }
 
@@ -100,7 +100,7 @@
 // have failed within relayRetryDelay.
 func (r *Relays) Via(now time.Time, part int) (rank int, ok bool) {
 	for _, rank := range r.parts[part] {
-		if r.failed[rank].IsZero() || now.Sub(r.failed[rank]) >= relayRest {
+		if r.failedAt[rank].IsZero() || now.Sub(r.failedAt[rank]) >= relayRetryDelay {
 			return rank, true
 		}
 	}
@@ -108,4 +108,4 @@
 }
 
 // Failed records that a rank's sidecar didn't answer as a relay.
-func (r *Relays) Failed(now time.Time, rank int) { r.failed[rank] = now }
+func (r *Relays) Failed(now time.Time, rank int) { r.failedAt[rank] = now }
--- a/lockstep/relays_test.go
+++ b/lockstep/relays_test.go
@@ -13,7 +13,7 @@
 // sqrt(n) calls in total.
 func TestRelaysStayInTheirFailureDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		domains := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), directRanks+1, 400).Draw(t, "domains")
+		domains := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), maxDirectRanks+1, 400).Draw(t, "domains")
 		r := NewRelays(domains)
 		now := time.Unix(100, 0)
 		for rank, domain := range domains {
@@ -36,10 +36,10 @@
 }
 
 func TestSmallGroupsAreCalledDirectly(t *testing.T) {
-	r := NewRelays(make([]string, directRanks))
+	r := NewRelays(make([]string, maxDirectRanks))
 	_, ok := r.Part(3)
 	assert.Assert(t, !ok)
-	assert.Equal(t, r.Calls(), directRanks)
+	assert.Equal(t, r.Calls(), maxDirectRanks)
 }
 
 // A failed relay is replaced by another rank of its part. If all have failed, the ranks are
@@ -61,7 +61,7 @@
 		}
 		r.Failed(now, via)
 	}
-	again, ok := r.Via(now.Add(relayRest), part)
+	again, ok := r.Via(now.Add(relayRetryDelay), part)
 	assert.Assert(t, ok)
 	assert.Equal(t, again, first)
 }
--- a/lockstep/relaysim_test.go
+++ b/lockstep/relaysim_test.go
@@ -25,21 +25,21 @@
 		case 1:
 			s.send(l, list[0])
 		default:
-			s.relay(l, list)
+			s.sendViaRelay(l, list)
 		}
 	}
 }
 
-// sendViaRelay sends orders through one relay. It may work, fail after passing on some orders, pass
+// sendViaRelay sends orders through one sendViaRelay. It may work, fail after passing on some orders, pass
 // them on seconds later without an answer, or pass each of them on twice.
-func (s *sim) relay(l *simLeader, list []Order) {
+func (s *sim) sendViaRelay(l *simLeader, list []Order) {
 	draw := s.rnd.Float64()
-	if s.calm {
+	if s.noFaults {
 		draw = 0
 	}
 	switch {
 	case draw < 0.6:
-		s.relayAll(l, list)
+		s.passOn(l, list)
 		return
 	case draw < 0.75:
 		for _, o := range list[:s.rnd.IntN(len(list)+1)] {
@@ -55,7 +55,7 @@
 		for _, o := range list {
 			s.after(s.ms(0, 3000), func() { s.deliver(o, func(*wire.RankOrderReply) {}) })
 		}
-		s.relayAll(l, list)
+		s.passOn(l, list)
 		return
 	}
 	s.after(250*time.Millisecond, func() {
@@ -67,7 +67,7 @@
 
 // passOn passes orders on and answers once all ranks have replied, or after 120 ms with the
 // replies so far.
-func (s *sim) relayAll(l *simLeader, list []Order) {
+func (s *sim) passOn(l *simLeader, list []Order) {
 	replies := make([]*wire.RankOrderReply, len(list))
 	cameAt := make([]time.Duration, len(list))
 	missing, done := len(list), false
@@ -77,7 +77,7 @@
 		}
 		done = true
 		for n, r := range replies {
-			if r != nil && !s.unageing {
+			if r != nil && !s.omitAge {
 				r.After.AgeMs = uint32((s.now-cameAt[n])/time.Millisecond) + 1
 			}
 		}
@@ -101,8 +101,8 @@
 	s.after(120*time.Millisecond, finish)
 }
 
-func playRelayed(seed uint64, off safeguards) *sim {
-	s := newSim(seed, off)
+func runRelayedSim(seed uint64, disabled safeguards) *sim {
+	s := newSim(seed, disabled)
 	s.relays = true
 	s.run(30 * time.Second)
 	return s
@@ -113,8 +113,8 @@
 func TestNoPassBeginsWithTwoMapsThroughRelays(t *testing.T) {
 	finished := 0
 	for seed := range uint64(schedules) {
-		s := playRelayed(seed, safeguards{})
-		assert.Equal(t, s.broken, "", "seed %d\n%s", seed, strings.Join(s.log, "\n"))
+		s := runRelayedSim(seed, safeguards{})
+		assert.Equal(t, s.violation, "", "seed %d\n%s", seed, strings.Join(s.log, "\n"))
 		finished += s.finished
 	}
 	assert.Assert(t, finished > schedules/2, "only %d switches succeeded", finished)
@@ -122,15 +122,15 @@
 
 func TestGroupRecoversAfterRelayFaults(t *testing.T) {
 	for seed := range uint64(schedules / 10) {
-		s := playRelayed(seed, safeguards{})
-		s.calm = true
+		s := runRelayedSim(seed, safeguards{})
+		s.noFaults = true
 		for _, r := range s.ranks {
-			r.away = min(r.away, s.now+4*time.Second)
+			r.unresponsiveUntil = min(r.unresponsiveUntil, s.now+4*time.Second)
 		}
 		s.run(s.now + 25*time.Second)
 		finished, step := s.finished, s.step
 		s.run(s.now + 5*time.Second)
-		assert.Equal(t, s.broken, "", "seed %d", seed)
+		assert.Equal(t, s.violation, "", "seed %d", seed)
 		assert.Assert(t, s.step > step+30, "seed %d: no passes are run\n%s", seed, s.state())
 		assert.Assert(t, s.finished > finished, "seed %d: no switch succeeds\n%s", seed, strings.Join(s.log, "\n"))
 	}
@@ -138,10 +138,10 @@
 
 // The simulation must detect each disabled safeguard, otherwise it is too easy.
 func TestRelayedSimDetectsDisabledSafeguards(t *testing.T) {
-	for name, off := range map[string]safeguards{"settle": {settle: true}, "hold": {hold: true}} {
+	for name, disabled := range map[string]safeguards{"voidArmOrders": {voidArmOrders: true}, "holdBeforeArm": {holdBeforeArm: true}} {
 		detected := 0
 		for seed := range uint64(schedules / 3) {
-			if playRelayed(seed, off).broken != "" {
+			if runRelayedSim(seed, disabled).violation != "" {
 				detected++
 			}
 		}
--- a/lockstep/replan.go
+++ b/lockstep/replan.go
@@ -16,10 +16,10 @@
 
 // Replan schedules the plans of a group.
 type Replan struct {
-	at     time.Time
-	shifts int
-	pace   Pace
-	idle   bool
+	plannedAt time.Time
+	shifts    int
+	pace      Pace
+	idle      bool
 }
 
 // Due reports whether to plan now. If so, it records the plan as started.
@@ -28,10 +28,10 @@
 	if r.idle && shifts == r.shifts && slices.Equal(pace, r.pace) {
 		period = idleReplanPeriod
 	}
-	if now.Sub(r.at) < period {
+	if now.Sub(r.plannedAt) < period {
 		return false
 	}
-	*r = Replan{at: now, shifts: shifts, pace: pace}
+	*r = Replan{plannedAt: now, shifts: shifts, pace: pace}
 	return true
 }
 
--- a/lockstep/sim_test.go
+++ b/lockstep/sim_test.go
@@ -12,7 +12,7 @@
 // simRank carries out orders like a rank of a group.
 type simRank struct {
 	instance  string
-	inUse     uint64
+	current   uint64
 	prepared  uint64
 	copying   uint64
 	copiedAt  time.Duration
@@ -22,7 +22,7 @@
 	highest   uint64
 	token     uint64
 	// unresponsiveUntil is the time until which the rank's host doesn't respond.
-	away time.Duration
+	unresponsiveUntil time.Duration
 }
 
 // event is a callback at a time of the simulation.
@@ -33,30 +33,30 @@
 
 // sim simulates a group, its leaders and the network between them.
 type sim struct {
-	rnd     *rand.Rand
-	now     time.Duration
-	events  []event
-	ranks   []*simRank
-	step    uint64
-	nextRun time.Duration
-	epoch   uint64
-	leaders []*simLeader
-	token   uint64
-	shape   Shape
-	maps    map[uint64]Map
-	off     safeguards
+	rnd      *rand.Rand
+	now      time.Duration
+	events   []event
+	ranks    []*simRank
+	step     uint64
+	nextRun  time.Duration
+	epoch    uint64
+	leaders  []*simLeader
+	token    uint64
+	shape    Shape
+	maps     map[uint64]Map
+	disabled safeguards
 	// noFaults turns faults off.
-	calm bool
+	noFaults bool
 	// late is the share of orders without a reply that are carried out seconds later, lost the
 	// share of lost orders and of lost replies.
 	late, lost float64
 	// relays sends orders through relays. omitAge makes the relays omit the age of the reports
 	// that they return.
-	relays, unageing bool
+	relays, omitAge bool
 	// violation describes a violation of the invariant, finished counts the successful switches.
-	broken   string
-	finished int
-	log      []string
+	violation string
+	finished  int
+	log       []string
 }
 
 // simLeader drives a Switcher as a control replica does.
@@ -68,23 +68,23 @@
 	planned  time.Duration
 }
 
-func newSim(seed uint64, off safeguards) *sim {
+func newSim(seed uint64, disabled safeguards) *sim {
 	s := &sim{
 		rnd: rand.New(rand.NewPCG(seed, 1)), shape: Shape{Ranks: 4, Sets: 1, Experts: 4, Places: 2, Spare: 2},
-		maps: map[uint64]Map{}, off: off, epoch: 1,
+		maps: map[uint64]Map{}, disabled: disabled, epoch: 1,
 	}
 	s.late, s.lost = 0.5*s.rnd.Float64(), 0.1*s.rnd.Float64()
 	for i := range s.shape.Ranks {
 		s.ranks = append(s.ranks, &simRank{instance: fmt.Sprint("r", i)})
 	}
 	s.maps[0] = Map{{{0, 1}, {1, 2}, {2, 3}, {3, 0}}}
-	s.elect()
+	s.startLeader()
 	return s
 }
 
 func (s *sim) time() time.Time { return time.Unix(0, 0).Add(s.now) }
 
-func (s *sim) note(format string, args ...any) {
+func (s *sim) logf(format string, args ...any) {
 	s.log = append(s.log, fmt.Sprintf("%8v ", s.now)+fmt.Sprintf(format, args...))
 }
 
@@ -105,7 +105,7 @@
 
 // startLeader starts a leader with a new token. Earlier leaders may continue for a while without
 // noticing.
-func (s *sim) elect() {
+func (s *sim) startLeader() {
 	for _, l := range s.leaders {
 		l.until = min(l.until, s.now+s.ms(0, 250))
 	}
@@ -115,14 +115,14 @@
 
 func (s *sim) newLeader() *simLeader {
 	cfg := DefaultConfig(s.shape.Ranks, s.token, s.epoch)
-	cfg.off = s.off
+	cfg.disabled = s.disabled
 	return &simLeader{switcher: New(cfg), epoch: s.epoch, until: time.Hour, reading: make([]bool, s.shape.Ranks)}
 }
 
 // run simulates until the given time.
 func (s *sim) run(until time.Duration) {
 	const tick = 25 * time.Millisecond
-	for s.now < until && s.broken == "" {
+	for s.now < until && s.violation == "" {
 		next := s.now + tick
 		for len(s.events) > 0 && s.events[0].at <= next {
 			e := s.events[0]
@@ -131,19 +131,19 @@
 			e.do()
 		}
 		s.now = next
-		s.pass()
-		s.faults()
+		s.beginPass()
+		s.injectFaults()
 		for _, l := range s.leaders {
 			if s.now < l.until {
-				s.lead(l)
+				s.tickLeader(l)
 			}
 		}
 		s.leaders = slices.DeleteFunc(s.leaders, func(l *simLeader) bool { return s.now >= l.until })
 	}
 }
 
-// beginPass begins the next pass unless a rank holds it.
-func (s *sim) pass() {
+// beginPass begins the next beginPass unless a rank holds it.
+func (s *sim) beginPass() {
 	if s.now < s.nextRun {
 		return
 	}
@@ -156,44 +156,44 @@
 	s.step++
 	for _, r := range s.ranks {
 		if r.armed != 0 && r.armedStep == s.step {
-			r.inUse, r.armed, r.prepared = r.armed, 0, 0
+			r.current, r.armed, r.prepared = r.armed, 0, 0
 		}
 	}
 	for _, r := range s.ranks[1:] {
-		if r.inUse != s.ranks[0].inUse {
-			s.broken = fmt.Sprintf("step %d begins with maps %d and %d", s.step, s.ranks[0].inUse, r.inUse)
+		if r.current != s.ranks[0].current {
+			s.violation = fmt.Sprintf("step %d begins with maps %d and %d", s.step, s.ranks[0].current, r.current)
 		}
 	}
 }
 
-// injectFaults injects random faults: hosts that don't respond, new leaders, and a group that forms
+// injectFaults injects random injectFaults: hosts that don't respond, new leaders, and a group that forms
 // again.
-func (s *sim) faults() {
-	if s.calm {
+func (s *sim) injectFaults() {
+	if s.noFaults {
 		return
 	}
 	if s.rnd.Float64() < 0.01 {
 		r := s.ranks[s.rnd.IntN(len(s.ranks))]
-		r.away = s.now + s.ms(200, 4000)
-		s.note("%s doesn't respond until %v", r.instance, r.away)
+		r.unresponsiveUntil = s.now + s.ms(200, 4000)
+		s.logf("%s doesn't respond until %v", r.instance, r.unresponsiveUntil)
 	}
 	if s.rnd.Float64() < 0.006 {
-		s.elect()
-		s.note("leader with token %d", s.token)
+		s.startLeader()
+		s.logf("leader with token %d", s.token)
 	}
 	if s.rnd.Float64() < 0.002 {
-		s.formAgain()
+		s.reformGroup()
 	}
 }
 
 // reformGroup forms the group again under a new epoch, with one rank replaced by a new instance.
-func (s *sim) formAgain() {
+func (s *sim) reformGroup() {
 	s.epoch++
-	s.note("epoch %d", s.epoch)
+	s.logf("epoch %d", s.epoch)
 	for i, r := range s.ranks {
-		*r = simRank{instance: r.instance, away: r.away, highest: r.highest, token: r.token}
+		*r = simRank{instance: r.instance, unresponsiveUntil: r.unresponsiveUntil, highest: r.highest, token: r.token}
 		if i == 0 {
-			*r = simRank{instance: fmt.Sprint("r0-", s.epoch), away: r.away}
+			*r = simRank{instance: fmt.Sprint("r0-", s.epoch), unresponsiveUntil: r.unresponsiveUntil}
 		}
 	}
 	epoch := s.epoch
@@ -208,12 +208,12 @@
 		}
 		used := l.switcher.Used()
 		*l = *s.newLeader()
-		l.switcher.used = max(l.switcher.used, used)
+		l.switcher.lastVersion = max(l.switcher.lastVersion, used)
 	})
 }
 
 // tickLeader runs one tick of a leader.
-func (s *sim) lead(l *simLeader) {
+func (s *sim) tickLeader(l *simLeader) {
 	period := 14
 	if l.switcher.Phase() != Idle {
 		period = 2
@@ -224,7 +224,7 @@
 		}
 	}
 	if l.switcher.Current() == nil {
-		s.learn(l)
+		s.learnCurrent(l)
 	}
 	if l.switcher.Ready(s.time()) && s.now-l.planned > 300*time.Millisecond {
 		l.planned = s.now
@@ -244,7 +244,7 @@
 		}
 	}
 	if after := l.switcher.Phase(); after != before {
-		s.note("token %d: %v, version %d, %s", l.switcher.cfg.Token, after, l.switcher.Version(), l.switcher.Outcome())
+		s.logf("token %d: %v, version %d, %s", l.switcher.cfg.Token, after, l.switcher.Version(), l.switcher.Outcome())
 		if after == Idle && l.switcher.Outcome() == "in force" {
 			s.finished++
 		}
@@ -266,13 +266,13 @@
 }
 
 // learnCurrent sets a leader's current map once all ranks respond and use the same one.
-func (s *sim) learn(l *simLeader) {
+func (s *sim) learnCurrent(l *simLeader) {
 	for _, r := range s.ranks {
-		if r.inUse != s.ranks[0].inUse || s.now < r.away {
+		if r.current != s.ranks[0].current || s.now < r.unresponsiveUntil {
 			return
 		}
 	}
-	if m := s.maps[s.ranks[0].inUse]; m != nil && l.epoch == s.epoch {
+	if m := s.maps[s.ranks[0].current]; m != nil && l.epoch == s.epoch {
 		l.switcher.SetCurrent(m)
 	}
 }
@@ -282,12 +282,12 @@
 	if r.copying != 0 && s.now >= r.copiedAt {
 		r.prepared, r.copying = r.copying, 0
 	}
-	return r.instance, &wire.RankReport{Step: s.step, Map: r.inUse, Prepared: r.prepared, Armed: r.armed, ArmedStep: r.armedStep, Held: r.held}
+	return r.instance, &wire.RankReport{Step: s.step, Map: r.current, Prepared: r.prepared, Armed: r.armed, ArmedStep: r.armedStep, Held: r.held}
 }
 
 // read reads a rank's state for a leader, unless the rank doesn't respond.
 func (s *sim) read(l *simLeader, i int) {
-	if s.now < s.ranks[i].away || l.epoch != s.epoch {
+	if s.now < s.ranks[i].unresponsiveUntil || l.epoch != s.epoch {
 		return
 	}
 	at := s.time()
@@ -297,13 +297,13 @@
 
 // send sends an order and passes the reply to the leader, or nil after a timeout.
 func (s *sim) send(l *simLeader, o Order) {
-	answer := s.once(func(reply *wire.RankOrderReply) { l.switcher.Replied(s.time(), o.Rank, o.RankOrder, reply) })
+	answer := s.firstOnly(func(reply *wire.RankOrderReply) { l.switcher.Replied(s.time(), o.Rank, o.RankOrder, reply) })
 	s.after(250*time.Millisecond, func() { answer(nil) })
 	s.deliver(o, func(reply *wire.RankOrderReply) { s.after(s.ms(1, 8), func() { answer(reply) }) })
 }
 
 // firstOnly passes on the first call only.
-func (s *sim) once(f func(*wire.RankOrderReply)) func(*wire.RankOrderReply) {
+func (s *sim) firstOnly(f func(*wire.RankOrderReply)) func(*wire.RankOrderReply) {
 	answered := false
 	return func(reply *wire.RankOrderReply) {
 		if !answered {
@@ -318,23 +318,23 @@
 func (s *sim) deliver(o Order, answer func(*wire.RankOrderReply)) {
 	draw := s.rnd.Float64()
 	late, lost := s.late, s.lost
-	if s.calm {
+	if s.noFaults {
 		late, lost = 0, 0
 	}
-	if s.now < s.ranks[o.Rank].away {
+	if s.now < s.ranks[o.Rank].unresponsiveUntil {
 		// It arrives when the host responds again, or never.
 		if s.rnd.IntN(2) == 0 {
-			s.after(s.ranks[o.Rank].away-s.now+s.ms(0, 50), func() { s.carryOut(o) })
+			s.after(s.ranks[o.Rank].unresponsiveUntil-s.now+s.ms(0, 50), func() { s.execute(o) })
 		}
 		return
 	}
 	switch {
 	case draw < lost:
 	case draw < lost+late:
-		s.after(s.ms(2000, 12000), func() { s.carryOut(o) })
+		s.after(s.ms(2000, 12000), func() { s.execute(o) })
 	default:
 		s.after(s.ms(1, 8), func() {
-			status := s.carryOut(o)
+			status := s.execute(o)
 			_, rep := s.report(o.Rank)
 			if s.rnd.Float64() < lost {
 				return
@@ -345,7 +345,7 @@
 }
 
 // execute executes an order as the platform's documentation specifies.
-func (s *sim) carryOut(o Order) wire.RankOrderStatus {
+func (s *sim) execute(o Order) wire.RankOrderStatus {
 	const conflict = wire.RankOrderStatus_RANK_ORDER_STATUS_CONFLICT
 	const done = wire.RankOrderStatus_RANK_ORDER_STATUS_DONE
 	r := s.ranks[o.Rank]
@@ -373,7 +373,7 @@
 		}
 		r.armed, r.armedStep = o.Version, o.Step
 	case wire.RankOrderKind_RANK_ORDER_KIND_DISARM:
-		if o.Version == r.inUse {
+		if o.Version == r.current {
 			return conflict
 		}
 		if r.armed == o.Version {
--- a/lockstep/switcher.go
+++ b/lockstep/switcher.go
@@ -45,25 +45,25 @@
 	Lead time.Duration
 	// PrepareTimeout bounds the copying of experts, HoldTimeout the time from the hold until
 	// all ranks are armed. A switch that exceeds one of them is given up.
-	PrepareLimit, HoldLimit time.Duration
+	PrepareTimeout, HoldTimeout time.Duration
 	// TakeoverGrace is the time for which a group that is held by an earlier leader's switch is
 	// left alone.
 	TakeoverGrace time.Duration
 	// ResendInterval is the time after which an order without effect is sent again.
-	Resend time.Duration
+	ResendInterval time.Duration
 	// DefaultPassTime is the assumed duration of a pass until it can be estimated.
-	UsualPass time.Duration
+	DefaultPassTime time.Duration
 
-	// disabled turns safeguards off, so that tests can show that a missing safeguard is detected.
-	off safeguards
+	// disabled turns safeguards disabled, so that tests can show that a missing safeguard is detected.
+	disabled safeguards
 }
 
 // safeguards lists safeguards that tests can disable.
 type safeguards struct {
 	// voidArmOrders: a rank that a late order may still arm doesn't count as clean.
-	settle bool
+	voidArmOrders bool
 	// holdBeforeArm: the group is held before any rank is armed.
-	hold bool
+	holdBeforeArm bool
 }
 
 // DefaultConfig returns a configuration for passes of some tens of milliseconds and orders that
@@ -71,9 +71,9 @@
 func DefaultConfig(ranks int, token, epoch uint64) Config {
 	return Config{
 		Ranks: ranks, Token: token, Epoch: epoch,
-		Lead: 60 * time.Millisecond, PrepareLimit: 4 * time.Second, HoldLimit: 1200 * time.Millisecond,
-		TakeoverGrace: 300 * time.Millisecond,
-		Resend:        40 * time.Millisecond, UsualPass: 50 * time.Millisecond,
+		Lead: 60 * time.Millisecond, PrepareTimeout: 4 * time.Second, HoldTimeout: 1200 * time.Millisecond,
+		TakeoverGrace:  300 * time.Millisecond,
+		ResendInterval: 40 * time.Millisecond, DefaultPassTime: 50 * time.Millisecond,
 	}
 }
 
@@ -87,7 +87,7 @@
 	minPass = 10 * time.Millisecond
 	maxPass = 500 * time.Millisecond
 	// maxHoldAttempts bounds the attempts to hold a step before the group gets there.
-	maxHolds = 4
+	maxHoldAttempts = 4
 )
 
 // Order is an order to a rank.
@@ -114,9 +114,9 @@
 	cfg   Config
 	ranks []rank
 	// phase is the current phase, phaseSince the time at which it began.
-	phase   Phase
-	since   time.Time
-	version uint64
+	phase      Phase
+	phaseSince time.Time
+	version    uint64
 	// target is the map of the latest switch, current the map in use; nil if unknown.
 	target, current Map
 	// targetEncoded is target as orders carry it. It is encoded only once per switch, because
@@ -127,15 +127,15 @@
 	// step is the step at which the group is held and switches.
 	step uint64
 	// holder is the rank that is ordered to hold the group, holdAttempts the number of attempts.
-	holder, holds int
-	// lastVersion is the highest version used.
-	used    uint64
-	outcome string
-	// passTime is the estimated duration of a pass, 0 if unknown.
-	pass time.Duration
+	holder, holdAttempts int
+	// lastVersion is the highest version lastVersion.
+	lastVersion uint64
+	outcome     string
+	// passTime is the estimated duration of a passTime, 0 if unknown.
+	passTime time.Duration
 	// latestStep is the highest step that was reported, latestStepAt the time of that report.
-	seenStep uint64
-	seenAt   time.Time
+	latestStep   uint64
+	latestStepAt time.Time
 	// heldSince is the time at which the group was first seen held while no switch is in
 	// progress.
 	heldSince time.Time
@@ -145,15 +145,15 @@
 type rank struct {
 	instance string
 	report   *wire.RankReport
-	// reportAt is the time at which report was read.
-	at time.Time
+	// reportAt is the time reportAt which report was read.
+	reportAt time.Time
 	// pending is the order that awaits a reply, sentAt the time of the last order.
 	pending *wire.RankOrder
-	sent    time.Time
+	sentAt  time.Time
 	// mayArm is a version that an order sent earlier may still arm, 0 if none.
-	armDoubt uint64
+	mayArm uint64
 	// preparing is the version that the rank has last begun to prepare.
-	accepted uint64
+	preparing uint64
 	// fenced reports whether the rank has carried out an order of this leader, and so rejects
 	// those of earlier leaders.
 	fenced bool
@@ -173,7 +173,7 @@
 
 // New returns a Switcher in phase Idle that knows nothing of the ranks.
 func New(cfg Config) *Switcher {
-	return &Switcher{cfg: cfg, ranks: make([]rank, cfg.Ranks), phase: Idle, used: max(cfg.Token<<versionBits, cfg.Used)}
+	return &Switcher{cfg: cfg, ranks: make([]rank, cfg.Ranks), phase: Idle, lastVersion: max(cfg.Token<<versionBits, cfg.Used)}
 }
 
 // Phase returns the current phase.
@@ -189,7 +189,7 @@
 func (s *Switcher) Current() Map { return s.current }
 
 // Used returns the highest map version that was used.
-func (s *Switcher) Used() uint64 { return s.used }
+func (s *Switcher) Used() uint64 { return s.lastVersion }
 
 // Version returns the version of the latest switch.
 func (s *Switcher) Version() uint64 { return s.version }
@@ -233,25 +233,25 @@
 
 // Begin starts a switch to another map.
 func (s *Switcher) Begin(now time.Time, m Map) {
-	s.used++
-	s.version, s.target, s.targetEncoded, s.targetChanges = s.used, m, m.encode(), nil
-	if v := s.ranks[0].report.GetMap(); v != baseInTurn && s.current != nil {
+	s.lastVersion++
+	s.version, s.target, s.targetEncoded, s.targetChanges = s.lastVersion, m, m.encode(), nil
+	if v := s.ranks[0].report.GetMap(); v != baseRoundRobin && s.current != nil {
 		s.targetChanges = m.encodeChanges(s.current, v)
 	}
 	for i := range s.ranks {
 		// Preparing the new version makes earlier arm orders void.
-		s.ranks[i].armDoubt = 0
+		s.ranks[i].mayArm = 0
 	}
-	s.enter(now, Preparing)
+	s.enterPhase(now, Preparing)
 }
 
-func (s *Switcher) enter(now time.Time, p Phase) {
-	s.phase, s.since = p, now
+func (s *Switcher) enterPhase(now time.Time, p Phase) {
+	s.phase, s.phaseSince = p, now
 	for i := range s.ranks {
-		s.ranks[i].sent = time.Time{}
+		s.ranks[i].sentAt = time.Time{}
 	}
 	if p == Holding {
-		s.holds = 0
+		s.holdAttempts = 0
 		s.pickStep(now)
 	}
 }
@@ -259,7 +259,7 @@
 // giveUp ends a switch before the group is released. Ranks may be armed and the group held.
 func (s *Switcher) giveUp(now time.Time, why string) {
 	s.outcome = "given up: " + why
-	s.enter(now, Cleaning)
+	s.enterPhase(now, Cleaning)
 }
 
 // Heard takes the state of a rank as read at a given time. An older state than the known one is
@@ -274,35 +274,35 @@
 		// The rank has restarted: its sequence starts over, and the group will form again.
 		*r = rank{instance: instance}
 	}
-	if r.report != nil && at.Before(r.at) {
+	if r.report != nil && at.Before(r.reportAt) {
 		return
 	}
-	r.report, r.at = report, at
-	s.time(at, report.Step)
+	r.report, r.reportAt = report, at
+	s.observeStep(at, report.Step)
 }
 
 // observeStep updates the estimated duration of a pass.
-func (s *Switcher) time(at time.Time, step uint64) {
-	if step <= s.seenStep {
+func (s *Switcher) observeStep(at time.Time, step uint64) {
+	if step <= s.latestStep {
 		return
 	}
-	elapsed := at.Sub(s.seenAt)
-	if s.seenStep > 0 && elapsed > 0 && elapsed < time.Second {
-		perStep := min(max(elapsed/time.Duration(step-s.seenStep), minPass), maxPass)
-		if s.pass == 0 {
-			s.pass = perStep
+	elapsed := at.Sub(s.latestStepAt)
+	if s.latestStep > 0 && elapsed > 0 && elapsed < time.Second {
+		perStep := min(max(elapsed/time.Duration(step-s.latestStep), minPass), maxPass)
+		if s.passTime == 0 {
+			s.passTime = perStep
 		}
-		s.pass += (perStep - s.pass) / 4
+		s.passTime += (perStep - s.passTime) / 4
 	}
-	s.seenStep, s.seenAt = step, at
+	s.latestStep, s.latestStepAt = step, at
 }
 
 // PassTime returns the estimated duration of a pass.
 func (s *Switcher) PassTime() time.Duration {
-	if s.pass == 0 {
-		return s.cfg.UsualPass
+	if s.passTime == 0 {
+		return s.cfg.DefaultPassTime
 	}
-	return s.pass
+	return s.passTime
 }
 
 // Replied takes the reply to an order, nil if there was none.
@@ -316,10 +316,10 @@
 	case wire.RankOrderStatus_RANK_ORDER_STATUS_BEGUN, wire.RankOrderStatus_RANK_ORDER_STATUS_DONE:
 		r.fenced = true
 		if o.Kind == wire.RankOrderKind_RANK_ORDER_KIND_PREPARE {
-			r.accepted, r.lacksBase = o.Version, false
+			r.preparing, r.lacksBase = o.Version, false
 		}
 	case wire.RankOrderStatus_RANK_ORDER_STATUS_NO_BASE:
-		r.lacksBase, r.sent = true, time.Time{}
+		r.lacksBase, r.sentAt = true, time.Time{}
 	case wire.RankOrderStatus_RANK_ORDER_STATUS_FENCED:
 		s.outcome = "another leader has a higher fencing token"
 	}
--- a/lockstep/switcher_test.go
+++ b/lockstep/switcher_test.go
@@ -15,8 +15,8 @@
 // group forms again.
 const schedules = 10000
 
-func play(seed uint64, off safeguards) *sim {
-	s := newSim(seed, off)
+func runSim(seed uint64, disabled safeguards) *sim {
+	s := newSim(seed, disabled)
 	s.run(30 * time.Second)
 	return s
 }
@@ -26,8 +26,8 @@
 func TestNoPassBeginsWithTwoMaps(t *testing.T) {
 	finished := 0
 	for seed := range uint64(schedules) {
-		s := play(seed, safeguards{})
-		assert.Equal(t, s.broken, "", "seed %d\n%s", seed, strings.Join(s.log, "\n"))
+		s := runSim(seed, safeguards{})
+		assert.Equal(t, s.violation, "", "seed %d\n%s", seed, strings.Join(s.log, "\n"))
 		finished += s.finished
 	}
 	assert.Assert(t, finished > schedules, "only %d switches succeeded", finished)
@@ -37,16 +37,16 @@
 // are left.
 func TestGroupRecoversAfterFaults(t *testing.T) {
 	for seed := range uint64(schedules / 3) {
-		s := play(seed, safeguards{})
-		s.calm = true
+		s := runSim(seed, safeguards{})
+		s.noFaults = true
 		for _, r := range s.ranks {
-			r.away = min(r.away, s.now+4*time.Second)
+			r.unresponsiveUntil = min(r.unresponsiveUntil, s.now+4*time.Second)
 		}
 		// Delayed orders are carried out within 12 s.
 		s.run(s.now + 20*time.Second)
 		finished, step := s.finished, s.step
 		s.run(s.now + 5*time.Second)
-		assert.Equal(t, s.broken, "", "seed %d", seed)
+		assert.Equal(t, s.violation, "", "seed %d", seed)
 		assert.Assert(t, s.step > step+30, "seed %d: no passes are run\n%s\n%s", seed, strings.Join(s.log, "\n"), s.state())
 		assert.Assert(t, s.finished > finished, "seed %d: no switch succeeds\n%s", seed, strings.Join(s.log, "\n"))
 	}
@@ -54,10 +54,10 @@
 
 // The simulation must detect each disabled safeguard, otherwise it is too easy.
 func TestSimDetectsDisabledSafeguards(t *testing.T) {
-	for name, off := range map[string]safeguards{"settle": {settle: true}, "hold": {hold: true}} {
+	for name, disabled := range map[string]safeguards{"voidArmOrders": {voidArmOrders: true}, "holdBeforeArm": {holdBeforeArm: true}} {
 		detected := 0
 		for seed := range uint64(schedules / 3) {
-			if play(seed, off).broken != "" {
+			if runSim(seed, disabled).violation != "" {
 				detected++
 			}
 		}
@@ -70,14 +70,14 @@
 // large group on a small host would be too busy to send heartbeats.
 func TestTickOfLargeGroupAllocatesLittle(t *testing.T) {
 	cfg := DefaultConfig(large.Ranks, 1, 1)
-	cfg.PrepareLimit = time.Hour
+	cfg.PrepareTimeout = time.Hour
 	s := New(cfg)
 	now := time.Unix(0, 0)
 	for i := range large.Ranks {
 		s.Heard(now, i, "instance", &wire.RankReport{Step: 1})
 	}
-	s.SetCurrent(inTurn(large))
-	s.Begin(now, inTurn(large))
+	s.SetCurrent(initialMap(large))
+	s.Begin(now, initialMap(large))
 	orders := s.Tick(now)
 	assert.Equal(t, len(orders), large.Ranks)
 	for _, o := range orders[1:] {
@@ -93,7 +93,7 @@
 	for i := range large.Ranks {
 		s.Heard(now, i, "instance", &wire.RankReport{Step: 1})
 	}
-	s.Begin(now, inTurn(large))
+	s.Begin(now, initialMap(large))
 	first := testing.AllocsPerRun(1, func() { s.Tick(now) })
 	assert.Assert(t, first < float64(large.Ranks*large.Sets), "the first Tick allocates %v times", first)
 }
@@ -120,8 +120,8 @@
 	}
 	assert.Equal(t, len(awaited()), 0)
 
-	s.SetCurrent(inTurn(small))
-	s.Begin(now, inTurn(small))
+	s.SetCurrent(initialMap(small))
+	s.Begin(now, initialMap(small))
 	s.Tick(now)
 	report(2, &wire.RankReport{Step: 1, Prepared: s.Version()})
 	assert.DeepEqual(t, awaited(), []int{0, 1, 3})
@@ -166,7 +166,7 @@
 	for i := range 2 {
 		s.Heard(now, i, "r", &wire.RankReport{Step: 1, Map: 5})
 	}
-	current := mapInTurn(2, 40, 8)
+	current := roundRobinMap(2, 40, 8)
 	s.SetCurrent(current)
 	next := current.Clone()
 	next[3][1] = append(next[3][1], 0)
--- a/lockstep/switchersteps.go
+++ b/lockstep/switchersteps.go
@@ -9,27 +9,27 @@
 // Tick advances the switch and returns the orders to send now. Replied must be called for each
 // of them, also if no reply came.
 func (s *Switcher) Tick(now time.Time) []Order {
-	if s.Fenced() || !s.known() {
+	if s.Fenced() || !s.allKnown() {
 		return nil
 	}
 	switch s.phase {
 	case Preparing:
-		return s.prepare(now)
+		return s.prepareRanks(now)
 	case Holding:
-		return s.hold(now)
+		return s.holdGroup(now)
 	case Arming:
-		return s.arm(now)
+		return s.armRanks(now)
 	case Releasing:
-		return s.release(now)
+		return s.releaseGroup(now)
 	case Cleaning:
-		return s.clean(now)
+		return s.cleanUp(now)
 	default:
-		return s.idle(now)
+		return s.checkStaleHold(now)
 	}
 }
 
 // allKnown reports whether the state of every rank has been read.
-func (s *Switcher) known() bool {
+func (s *Switcher) allKnown() bool {
 	for i := range s.ranks {
 		if s.ranks[i].report == nil {
 			return false
@@ -40,29 +40,29 @@
 
 // canSend reports whether a rank can be sent an order: none awaits a reply, and the last one is
 // older than ResendInterval.
-func (s *Switcher) mayOrder(now time.Time, i int) bool {
+func (s *Switcher) canSend(now time.Time, i int) bool {
 	r := &s.ranks[i]
-	return r.pending == nil && (r.sent.IsZero() || now.Sub(r.sent) >= s.cfg.Resend)
+	return r.pending == nil && (r.sentAt.IsZero() || now.Sub(r.sentAt) >= s.cfg.ResendInterval)
 }
 
-// makeOrder returns an order to a rank, or nothing if it can't be sent now.
-func (s *Switcher) order(now time.Time, i int, o *wire.RankOrder) []Order {
-	if !s.mayOrder(now, i) {
+// makeOrder returns an makeOrder to a rank, or nothing if it can't be sent now.
+func (s *Switcher) makeOrder(now time.Time, i int, o *wire.RankOrder) []Order {
+	if !s.canSend(now, i) {
 		return nil
 	}
 	r := &s.ranks[i]
 	o.Instance, o.FencingToken, o.Epoch = r.instance, s.cfg.Token, s.cfg.Epoch
 	o.ExpectSequence = r.report.Sequence
-	r.pending, r.sent = o, now
+	r.pending, r.sentAt = o, now
 	return []Order{{i, o}}
 }
 
 // prepareRanks has each rank copy the experts that are new to it. As nothing is armed or held
 // yet, the switch can be given up without a cleanup.
-func (s *Switcher) prepare(now time.Time) []Order {
-	if now.Sub(s.since) > s.cfg.PrepareLimit {
+func (s *Switcher) prepareRanks(now time.Time) []Order {
+	if now.Sub(s.phaseSince) > s.cfg.PrepareTimeout {
 		s.outcome = "given up: not all ranks prepared the map in time"
-		s.enter(now, Idle)
+		s.enterPhase(now, Idle)
 		return nil
 	}
 	var out []Order
@@ -73,14 +73,14 @@
 			continue
 		}
 		done = false
-		if r.accepted != s.version {
-			out = append(out, s.order(now, i, &wire.RankOrder{
+		if r.preparing != s.version {
+			out = append(out, s.makeOrder(now, i, &wire.RankOrder{
 				Kind: wire.RankOrderKind_RANK_ORDER_KIND_PREPARE, Version: s.version, Map: s.mapFor(r),
 			})...)
 		}
 	}
 	if done {
-		s.enter(now, Holding)
+		s.enterPhase(now, Holding)
 	}
 	return out
 }
@@ -90,46 +90,46 @@
 func (s *Switcher) pickStep(now time.Time) {
 	pass := s.PassTime()
 	ahead := uint64(s.cfg.Lead/pass) + leadPasses
-	begun := s.seenStep
-	if !s.seenAt.IsZero() && now.After(s.seenAt) {
-		begun += uint64(min(now.Sub(s.seenAt), s.cfg.Lead) / pass)
+	begun := s.latestStep
+	if !s.latestStepAt.IsZero() && now.After(s.latestStepAt) {
+		begun += uint64(min(now.Sub(s.latestStepAt), s.cfg.Lead) / pass)
 	}
 	s.step = begun + ahead
 	s.holder = (s.holder + 1) % s.cfg.Ranks
-	s.holds++
+	s.holdAttempts++
 }
 
-// holdGroup holds the group at the step of the switch. A rank that hasn't confirmed the hold
-// may still carry it out later: that hold is released with the others.
-func (s *Switcher) hold(now time.Time) []Order {
+// holdGroup holds the group at the step of the switch. A rank that hasn't confirmed the holdGroup
+// may still carry it out later: that holdGroup is released with the others.
+func (s *Switcher) holdGroup(now time.Time) []Order {
 	r := &s.ranks[s.holder]
-	if r.report.Held == s.step || s.cfg.off.hold {
-		s.enter(now, Arming)
-		return s.arm(now)
+	if r.report.Held == s.step || s.cfg.disabled.holdBeforeArm {
+		s.enterPhase(now, Arming)
+		return s.armRanks(now)
 	}
 	if r.pending != nil {
 		return nil
 	}
-	if !r.sent.IsZero() {
-		if s.holds >= maxHolds {
+	if !r.sentAt.IsZero() {
+		if s.holdAttempts >= maxHoldAttempts {
 			s.giveUp(now, "no rank confirmed the hold")
 			return nil
 		}
 		s.pickStep(now)
 		r = &s.ranks[s.holder]
-		r.sent = time.Time{}
+		r.sentAt = time.Time{}
 	}
-	return s.order(now, s.holder, &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_HOLD, Step: s.step})
+	return s.makeOrder(now, s.holder, &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_HOLD, Step: s.step})
 }
 
 // armRanks tells each rank the step of the switch. As the group is held before that step, this
 // may take any time up to HoldTimeout; requests wait meanwhile.
-func (s *Switcher) arm(now time.Time) []Order {
+func (s *Switcher) armRanks(now time.Time) []Order {
 	switch {
-	case s.ranks[s.holder].report.Held != s.step && !s.cfg.off.hold:
+	case s.ranks[s.holder].report.Held != s.step && !s.cfg.disabled.holdBeforeArm:
 		s.giveUp(now, "the group is no longer held")
 		return nil
-	case now.Sub(s.since) > s.cfg.HoldLimit:
+	case now.Sub(s.phaseSince) > s.cfg.HoldTimeout:
 		s.giveUp(now, "not all ranks could be armed in time")
 		return nil
 	}
@@ -142,31 +142,31 @@
 		done = false
 		// This holds even after a reply: a relay may have sent the order twice, and a second copy
 		// that arrives after the rank was disarmed would arm this rank only.
-		s.ranks[i].armDoubt = s.version
-		out = append(out, s.order(now, i, &wire.RankOrder{
+		s.ranks[i].mayArm = s.version
+		out = append(out, s.makeOrder(now, i, &wire.RankOrder{
 			Kind: wire.RankOrderKind_RANK_ORDER_KIND_ARM, Version: s.version, Step: s.step,
 		})...)
 	}
 	if done {
-		s.enter(now, Releasing)
-		return s.release(now)
+		s.enterPhase(now, Releasing)
+		return s.releaseGroup(now)
 	}
 	return out
 }
 
 // releaseGroup lets the group continue. All ranks switch when the step begins.
-func (s *Switcher) release(now time.Time) []Order {
-	out, released := s.letGo(now)
+func (s *Switcher) releaseGroup(now time.Time) []Order {
+	out, released := s.releaseHolds(now)
 	if released {
 		s.current, s.outcome = s.target, "in force"
-		s.enter(now, Idle)
+		s.enterPhase(now, Idle)
 	}
 	return out
 }
 
 // releaseHolds orders each rank that reports a hold to continue. released is true if no rank
 // does.
-func (s *Switcher) letGo(now time.Time) (out []Order, released bool) {
+func (s *Switcher) releaseHolds(now time.Time) (out []Order, released bool) {
 	released = true
 	for i := range s.ranks {
 		r := &s.ranks[i]
@@ -176,7 +176,7 @@
 			continue
 		}
 		released = false
-		out = append(out, s.order(now, i, &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_GO, Step: r.report.Held})...)
+		out = append(out, s.makeOrder(now, i, &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_GO, Step: r.report.Held})...)
 	}
 	return out, released
 }
@@ -186,22 +186,22 @@
 //
 // If an arm order may still be carried out on a rank, the rank prepares the current map under a
 // new version, which makes the order void.
-func (s *Switcher) clean(now time.Time) []Order {
+func (s *Switcher) cleanUp(now time.Time) []Order {
 	out, fencing := s.fenceHolders(now)
 	if fencing {
 		return out
 	}
-	if !s.held() && s.anyArmed() {
+	if !s.fencedHold() && s.anyArmed() {
 		// An earlier leader has released the group, so every rank is armed.
-		s.enter(now, Idle)
+		s.enterPhase(now, Idle)
 		return nil
 	}
-	if out := s.cleanRanks(now); out != nil || !s.cleaned() {
+	if out := s.cleanRanks(now); out != nil || !s.allClean() {
 		return out
 	}
-	out, released := s.letGo(now)
+	out, released := s.releaseHolds(now)
 	if released {
-		s.enter(now, Idle)
+		s.enterPhase(now, Idle)
 	}
 	return out
 }
@@ -216,14 +216,14 @@
 		if r.report.Held == 0 || r.fenced {
 			continue
 		}
-		out = append(out, s.order(now, i, &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_HOLD, Step: r.report.Held})...)
+		out = append(out, s.makeOrder(now, i, &wire.RankOrder{Kind: wire.RankOrderKind_RANK_ORDER_KIND_HOLD, Step: r.report.Held})...)
 		fencing = true
 	}
 	return out, fencing
 }
 
 // fencedHold reports whether a fenced rank holds the group.
-func (s *Switcher) held() bool {
+func (s *Switcher) fencedHold() bool {
 	for i := range s.ranks {
 		if s.ranks[i].report.Held != 0 && s.ranks[i].fenced {
 			return true
@@ -247,11 +247,11 @@
 	for i := range s.ranks {
 		switch {
 		case s.ranks[i].report.Armed != 0:
-			out = append(out, s.order(now, i, &wire.RankOrder{
+			out = append(out, s.makeOrder(now, i, &wire.RankOrder{
 				Kind: wire.RankOrderKind_RANK_ORDER_KIND_DISARM, Version: s.ranks[i].report.Armed,
 			})...)
 		case !s.isClean(i):
-			out = append(out, s.settle(now, i)...)
+			out = append(out, s.voidArmOrders(now, i)...)
 		}
 	}
 	return out
@@ -259,7 +259,7 @@
 
 // allClean reports whether no rank is armed or can still be armed by an order of this or an
 // earlier leader.
-func (s *Switcher) cleaned() bool {
+func (s *Switcher) allClean() bool {
 	for i := range s.ranks {
 		if !s.isClean(i) {
 			return false
@@ -271,19 +271,19 @@
 // isClean reports whether a rank is not armed and can't be armed by an outstanding order.
 func (s *Switcher) isClean(i int) bool {
 	r := &s.ranks[i]
-	noArmOrder := r.armDoubt == 0 || r.report.Prepared != r.armDoubt || s.cfg.off.settle
+	noArmOrder := r.mayArm == 0 || r.report.Prepared != r.mayArm || s.cfg.disabled.voidArmOrders
 	return r.report.Armed == 0 && noArmOrder && r.pending == nil && r.fenced
 }
 
 // voidArmOrders has a rank prepare the current map under a new version, which changes nothing
 // but makes earlier arm orders void.
-func (s *Switcher) settle(now time.Time, i int) []Order {
-	if !s.mayOrder(now, i) {
+func (s *Switcher) voidArmOrders(now time.Time, i int) []Order {
+	if !s.canSend(now, i) {
 		return nil
 	}
-	s.used++
-	return s.order(now, i, &wire.RankOrder{
-		Kind: wire.RankOrderKind_RANK_ORDER_KIND_PREPARE, Version: s.used, Map: s.current.encode(),
+	s.lastVersion++
+	return s.makeOrder(now, i, &wire.RankOrder{
+		Kind: wire.RankOrderKind_RANK_ORDER_KIND_PREPARE, Version: s.lastVersion, Map: s.current.encode(),
 	})
 }
 
@@ -294,7 +294,7 @@
 // TakeoverGrace; a live leader releases the group within a few passes. Armed ranks in a group
 // that isn't held are left alone: the leader that armed them has released the group, so all
 // ranks are armed.
-func (s *Switcher) idle(now time.Time) []Order {
+func (s *Switcher) checkStaleHold(now time.Time) []Order {
 	held, fenced, armed := false, true, 0
 	for i := range s.ranks {
 		held = held || s.ranks[i].report.Held != 0
@@ -312,7 +312,7 @@
 	}
 	if fenced && armed == 0 {
 		// A delayed hold order of this leader.
-		out, _ := s.letGo(now)
+		out, _ := s.releaseHolds(now)
 		return out
 	}
 	if now.Sub(s.heldSince) < s.cfg.TakeoverGrace {
