--- a/lockstep/choicespack_test.go
+++ b/lockstep/choicespack_test.go
@@ -26,7 +26,7 @@
 	f.Add([]byte{4, 255})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if got, err := UnpackChoices(data); err == nil && len(got) > maxChoices {
-			t.Fatalf("unpacked %d choices, want at most %d", len(got), maxChoices)
+			t.Fatal("more than maxChoices numbers were unpacked")
 		}
 	})
 }
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -82,7 +82,7 @@
 	}
 	improveSets(sets)
 	for _, st := range sets {
-		p.Copies += st.copies
+		p.Copies += st.setCopies
 		st.restoreOrder()
 		p.Map[st.set] = st.held
 	}
@@ -126,10 +126,10 @@
 	power float64
 	// maxLoad is the load of the busiest rank as of the last change that was made.
 	maxLoad float64
-	// copies counts the copies in this set.
-	copies int
-	set    int
-	steps  int
+	// setCopies counts the copies in this set.
+	setCopies int
+	set       int
+	steps     int
 	// rankCopies counts the copies of each rank, shared by all sets.
 	rankCopies []int
 }
@@ -192,7 +192,7 @@
 	st.apply(c)
 	// Rounding errors of tried changes must not accumulate.
 	st.recompute()
-	st.copies += c.copies
+	st.setCopies += c.copies
 }
 
 // bestChange returns the change that lowers the peak most per copy. ok is false if none gains
@@ -200,15 +200,15 @@
 func (st *setState) bestChange() (best change, ok bool) {
 	busy := st.busiest()
 	// Undoing a tried change may reorder the lists, so iterate over a copy.
-	held := slices.Clone(st.held[busy])
+	onBusy := slices.Clone(st.held[busy])
 	slow := st.pace.of(busy) > 1
-	for _, e := range held {
+	for _, e := range onBusy {
 		if slow && len(st.holders[e]) > 1 {
 			st.tryChange(change{rank: noRank, busy: busy, in: e, leaves: true}, &best)
 		}
 	}
 	for _, r := range st.leastLoaded(busy) {
-		for _, e := range held {
+		for _, e := range onBusy {
 			if !slices.Contains(st.held[r], e) {
 				st.tryVariants(change{rank: r, busy: busy, in: e}, &best)
 				if slow {
--- a/lockstep/relaysim_test.go
+++ b/lockstep/relaysim_test.go
@@ -128,11 +128,11 @@
 			r.unresponsiveUntil = min(r.unresponsiveUntil, s.now+4*time.Second)
 		}
 		s.run(s.now + 25*time.Second)
-		finished, step := s.finished, s.step
+		finishedBefore, step := s.finished, s.step
 		s.run(s.now + 5*time.Second)
 		assert.Equal(t, s.violation, "", "seed %d", seed)
 		assert.Assert(t, s.step > step+30, "seed %d: no passes are run\n%s", seed, s.state())
-		assert.Assert(t, s.finished > finished, "seed %d: no switch succeeds\n%s", seed, strings.Join(s.log, "\n"))
+		assert.Assert(t, s.finished > finishedBefore, "seed %d: no switch succeeds\n%s", seed, strings.Join(s.log, "\n"))
 	}
 }
 
--- a/lockstep/switcher_test.go
+++ b/lockstep/switcher_test.go
@@ -44,11 +44,11 @@
 		}
 		// Delayed orders are carried out within 12 s.
 		s.run(s.now + 20*time.Second)
-		finished, step := s.finished, s.step
+		finishedBefore, step := s.finished, s.step
 		s.run(s.now + 5*time.Second)
 		assert.Equal(t, s.violation, "", "seed %d", seed)
 		assert.Assert(t, s.step > step+30, "seed %d: no passes are run\n%s\n%s", seed, strings.Join(s.log, "\n"), s.state())
-		assert.Assert(t, s.finished > finished, "seed %d: no switch succeeds\n%s", seed, strings.Join(s.log, "\n"))
+		assert.Assert(t, s.finished > finishedBefore, "seed %d: no switch succeeds\n%s", seed, strings.Join(s.log, "\n"))
 	}
 }
 
--- a/placement/search.go
+++ b/placement/search.go
@@ -289,8 +289,8 @@
 			continue
 		}
 		for i, c := range st.rankSlots(r) {
-			if load := st.load[r] - st.replicaLoad(c)*st.slowdown[r]; st.hasSpare(c) && load < least {
-				rank, slot, least = r, i, load
+			if remaining := st.load[r] - st.replicaLoad(c)*st.slowdown[r]; st.hasSpare(c) && remaining < least {
+				rank, slot, least = r, i, remaining
 			}
 		}
 	}
