--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -12,10 +12,10 @@
 	// to referenceRanks ranks; see minCopyGain for larger ones. Smaller gains are within the
 	// error of the estimate, and passes are slower during a copy.
 	MinGain float64
-	// MaxCopiesHighSkew bounds the experts that one rank copies in a switch, over all sets, while the
-	// skew is above HighSkew; 0 means no bound. A rank copies one expert at a time, and the old
-	// map stays in use until the last copy is done. So a steep skew falls sooner with few
-	// copies per switch.
+	// MaxCopiesHighSkew bounds the experts that one rank copies in a switch, over all sets,
+	// while the skew is at least HighSkew; 0 means no bound. A rank copies one expert at a
+	// time, and the old map stays in use until the last copy is done. So a high skew falls
+	// sooner with few copies per switch.
 	MaxCopiesHighSkew int
 	HighSkew          float64
 	// MaxCopiesLowSkew replaces MaxCopiesHighSkew below HighSkew.
@@ -162,7 +162,7 @@
 	return st
 }
 
-// replicaLoad returns the load of an expert on replicaLoad of its ranks.
+// replicaLoad returns the load of an expert on each rank that holds it.
 func (st *setState) replicaLoad(e uint32) float64 { return st.load[e] / float64(len(st.holders[e])) }
 
 // noRank is the target of a change that only drops an expert.
--- a/lockstep/relays.go
+++ b/lockstep/relays.go
@@ -30,7 +30,7 @@
 	// call.
 	parts  [][]int
 	partOf []int
-	// failedAt is when a rank's sidecar last failedAt to answer as a relay.
+	// failedAt is when a rank's sidecar last failed to answer as a relay.
 	failedAt []time.Time
 }
 
--- a/lockstep/relaysim_test.go
+++ b/lockstep/relaysim_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// sendViaRelay sends orders through one sendViaRelay. It may work, fail after passing on some orders, pass
-// them on seconds later without an answer, or pass each of them on twice.
+// sendViaRelay sends orders through one relay. It may work, fail after passing on some orders,
+// pass them on seconds later without an answer, or pass each of them on twice.
 func (s *sim) sendViaRelay(l *simLeader, list []Order) {
 	draw := s.rnd.Float64()
 	if s.noFaults {
--- a/lockstep/sim_test.go
+++ b/lockstep/sim_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// beginPass begins the next beginPass unless a rank holds it.
+// beginPass begins the next pass unless a rank holds it.
 func (s *sim) beginPass() {
 	if s.now < s.nextRun {
 		return
@@ -166,8 +166,8 @@
 	}
 }
 
-// injectFaults injects random injectFaults: hosts that don't respond, new leaders, and a group that forms
-// again.
+// injectFaults injects random faults: hosts that don't respond, new leaders, and a group that
+// forms again.
 func (s *sim) injectFaults() {
 	if s.noFaults {
 		return
--- a/lockstep/switcher.go
+++ b/lockstep/switcher.go
@@ -38,7 +38,7 @@
 	// Epoch identifies the current formation of the group.
 	Epoch uint64
 	// Used is the highest map version that this leader used in an earlier epoch. Ranks that
-	// were running then reject all versions up to it.
+	// have been running since then reject all versions up to it.
 	Used uint64
 	// Lead is the minimum time from the hold order to the held step: the hold must arrive
 	// before the group gets there.
@@ -54,7 +54,8 @@
 	// DefaultPassTime is the assumed duration of a pass until it can be estimated.
 	DefaultPassTime time.Duration
 
-	// disabled turns safeguards disabled, so that tests can show that a missing safeguard is detected.
+	// disabled turns safeguards off, so that tests can show that a missing safeguard is
+	// detected.
 	disabled safeguards
 }
 
@@ -128,10 +129,10 @@
 	step uint64
 	// holder is the rank that is ordered to hold the group, holdAttempts the number of attempts.
 	holder, holdAttempts int
-	// lastVersion is the highest version lastVersion.
+	// lastVersion is the highest version that was used.
 	lastVersion uint64
 	outcome     string
-	// passTime is the estimated duration of a passTime, 0 if unknown.
+	// passTime is the estimated duration of a pass, 0 if unknown.
 	passTime time.Duration
 	// latestStep is the highest step that was reported, latestStepAt the time of that report.
 	latestStep   uint64
@@ -145,7 +146,7 @@
 type rank struct {
 	instance string
 	report   *wire.RankReport
-	// reportAt is the time reportAt which report was read.
+	// reportAt is the time at which report was read.
 	reportAt time.Time
 	// pending is the order that awaits a reply, sentAt the time of the last order.
 	pending *wire.RankOrder
--- a/lockstep/switchersteps.go
+++ b/lockstep/switchersteps.go
@@ -45,7 +45,7 @@
 	return r.pending == nil && (r.sentAt.IsZero() || now.Sub(r.sentAt) >= s.cfg.ResendInterval)
 }
 
-// makeOrder returns an makeOrder to a rank, or nothing if it can't be sent now.
+// makeOrder returns an order to a rank, or nothing if it can't be sent now.
 func (s *Switcher) makeOrder(now time.Time, i int, o *wire.RankOrder) []Order {
 	if !s.canSend(now, i) {
 		return nil
@@ -99,8 +99,8 @@
 	s.holdAttempts++
 }
 
-// holdGroup holds the group at the step of the switch. A rank that hasn't confirmed the holdGroup
-// may still carry it out later: that holdGroup is released with the others.
+// holdGroup holds the group at the step of the switch. A rank that hasn't confirmed the hold
+// may still carry it out later; that hold is released with the others.
 func (s *Switcher) holdGroup(now time.Time) []Order {
 	r := &s.ranks[s.holder]
 	if r.report.Held == s.step || s.cfg.disabled.holdBeforeArm {
--- a/placement/forecast.go
+++ b/placement/forecast.go
@@ -83,7 +83,7 @@
 	return f.loadAfter(f.Lookahead)
 }
 
-// loadAfter returns the forecast for a time loadAfter the newest window.
+// loadAfter returns the forecast for a time after the newest window.
 func (f *Forecast) loadAfter(by time.Duration) Load {
 	projections := make([]projection, len(f.smoothers))
 	for i := range f.smoothers {
--- a/placement/moves.go
+++ b/placement/moves.go
@@ -79,7 +79,7 @@
 	return o
 }
 
-// rankSlots returns the part of slots that belongs to a rankSlots.
+// rankSlots returns the part of slots that belongs to a rank.
 func (o *orderer) rankSlots(slots []int32, rank int) []int32 {
 	return slots[rank*o.s.Slots : (rank+1)*o.s.Slots]
 }
--- a/placement/noise.go
+++ b/placement/noise.go
@@ -29,7 +29,7 @@
 	wasHigh, wasLow []bool
 }
 
-// squaredError returns the mean squared error squaredError a window in a layer.
+// squaredError returns the mean squared error of a window in a layer.
 func (n *noise) squaredError(layer int) float64 {
 	if n.weight == 0 {
 		return 0
--- a/placement/regimes.go
+++ b/placement/regimes.go
@@ -25,7 +25,7 @@
 	matchedWeight = 2
 )
 
-// regimeHistory remembers the load of past regimeHistory, the periods between sudden changes, because
+// regimeHistory remembers the load of past regimes, the periods between sudden changes, because
 // the same hot sets of experts tend to recur. The first windows after a change show only part
 // of it: a change towards a remembered regime is expected to be completed.
 type regimeHistory struct {
@@ -44,7 +44,7 @@
 	ended  int
 }
 
-// meanDuration returns the meanDuration duration of these regimes, 0 if none has ended.
+// meanDuration returns the mean duration of the ended regimes, 0 if none has ended.
 func (g *regimeHistory) meanDuration() time.Duration {
 	if g.ended == 0 {
 		return 0
@@ -117,7 +117,7 @@
 	g.patterns = append(g.patterns, p)
 }
 
-// squaredDistance returns the squared Euclidean squaredDistance of two loads.
+// squaredDistance returns the squared Euclidean distance of two loads.
 func squaredDistance(a, b Load) float64 {
 	sum := 0.0
 	for i, v := range a {
--- a/placement/smoother.go
+++ b/placement/smoother.go
@@ -59,7 +59,7 @@
 	return p
 }
 
-// value returns the forecast for index i of a load, value least 0.
+// value returns the forecast for index i of a load, at least 0.
 func (sm *smoother) value(i int, p projection) float64 {
 	v := sm.sum[i] * p.sum
 	if p.aged != 0 {
--- a/placement/trace/trace.go
+++ b/placement/trace/trace.go
@@ -175,8 +175,9 @@
 	}
 }
 
-// hotExperts draws count hotExperts experts per layer, scaled from 64 experts to the trace's number.
-// The values are the increase relative to the expert's usual load, 0 for all other experts.
+// hotExperts draws count hot experts per layer, with count scaled from 64 experts to the
+// trace's number of experts. The values are the increase relative to the expert's usual load, 0
+// for all other experts.
 func (t *Trace) hotExperts(rnd *rand.Rand, count int, low, high float64) []float64 {
 	count = max(count*t.Experts/64, 1)
 	out := make([]float64, t.Layers*t.Experts)
@@ -213,7 +214,7 @@
 	return out
 }
 
-// strengthAt returns the strength of a burst strengthAt a time. It rises linearly over rise and ends
+// strengthAt returns the strength of a burst at a time. It rises linearly over rise and ends
 // abruptly.
 func (b *burst) strengthAt(at time.Duration) float64 {
 	if at < b.from || at >= b.to {
