--- a/lockstep/bench_test.go
+++ b/lockstep/bench_test.go
@@ -9,10 +9,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// large is a large group as led from small hosts.
 var large = Shape{Ranks: 72, Sets: 12, Experts: 144, Places: 3, Spare: 2}
 
-// huge is a group of the largest supported size.
 var huge = Shape{Ranks: 192, Sets: 10, Experts: 384, Places: 3, Spare: 2}
 
 func BenchmarkPlanHuge(b *testing.B) {
--- a/lockstep/switcher.go
+++ b/lockstep/switcher.go
@@ -329,6 +329,6 @@
 	}
 }
 
-// Fenced reports whether a rank has rejected this leader's fencing token as too low. It then
-// gives no more orders.
+// Fenced reports whether a rank has rejected this leader's fencing token as too low. Tick then
+// returns no more orders.
 func (s *Switcher) Fenced() bool { return s.outcome == "another leader has a higher fencing token" }
--- a/lockstep/switchersteps.go
+++ b/lockstep/switchersteps.go
@@ -140,8 +140,8 @@
 			continue
 		}
 		done = false
-		// This holds even after a reply: a relay may have sent the order twice, and a second copy
-		// that arrives after the rank was disarmed would arm this rank only.
+		// An order that was replied to may still be carried out again: a relay may have sent it
+		// twice. A second copy that arrives after the rank was disarmed would arm this rank only.
 		s.ranks[i].mayArm = s.version
 		out = append(out, s.makeOrder(now, i, &wire.RankOrder{
 			Kind: wire.RankOrderKind_RANK_ORDER_KIND_ARM, Version: s.version, Step: s.step,
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -76,7 +76,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawShape(t)
 		p := NewIncremental()
-		// The price of one move, above the gain of spreading the load of one rank evenly.
+		// maxGain is the gain of spreading the load of a single rank over all ranks. One move costs
+		// slightly more.
 		maxGain := p.HorizonFactor * p.HalfLifeSeconds * halfLifeFactor * halfLifeFactor * float64(s.Ranks)
 		c := testCost(1, 0)
 		c.MoveWeight = maxGain / c.LoadTime().Seconds()
