--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -12,8 +12,9 @@
 
 var small = Shape{Ranks: 16, Sets: 4, Experts: 64, Places: 5, Spare: 2}
 
-// inTurn is the map that a group starts with: experts in turn, spare places empty.
-func inTurn(s Shape) Map {
+// initialMap is the first map of a group: experts are assigned to the ranks in turn, and spare
+// places are empty.
+func initialMap(s Shape) Map {
 	m := make(Map, s.Sets)
 	for set := range m {
 		m[set] = make([][]uint32, s.Ranks)
@@ -25,7 +26,7 @@
 	return m
 }
 
-// zipf is a demand in which few experts get most: their order is turned by shift.
+// zipf is a Zipf-distributed load. shift rotates the order of the experts.
 func zipf(s Shape, skew float64, shift int) [][]float64 {
 	load := zeros(s)
 	for set := range load {
@@ -36,8 +37,8 @@
 	return load
 }
 
-// copied counts what each rank must copy for a map, by set and over all.
-func copied(from, to Map) (perSet, perRank int) {
+// maxCopies returns the most experts that any rank must copy, in one set and over all sets.
+func maxCopies(from, to Map) (perSet, perRank int) {
 	ranks := make([]int, len(from[0]))
 	for set := range from {
 		for r := range from[set] {
@@ -54,12 +55,10 @@
 	return perSet, slices.Max(ranks)
 }
 
-// The load: a group has just formed, or other experts are suddenly in demand, so that
-// the busiest rank has three times the mean and passes take twice as long. Switches of
-// one copy a rank each, which are in force within a fifth of a second, bring it below
-// one and a half times the mean, and then nothing more is worth a copy.
-func TestSteepSkewFallsByQuickSwitches(t *testing.T) {
-	current := inTurn(small)
+// At a high skew, switches of one copy per rank must lower it below 1.5 within a few switches,
+// after which no switch is worth its copies.
+func TestHighSkewIsReducedByFewCopiesPerSwitch(t *testing.T) {
+	current := initialMap(small)
 	load := zipf(small, 1.1, 3)
 	assert.Assert(t, current.Skew(load, nil) > 2.5, "skew %f", current.Skew(load, nil))
 	switches := 0
@@ -69,9 +68,9 @@
 			break
 		}
 		assert.NilError(t, p.Map.Check(small))
-		perSet, perRank := copied(current, p.Map)
+		perSet, perRank := maxCopies(current, p.Map)
 		assert.Assert(t, perSet <= small.Spare)
-		if p.Before >= DefaultPlanSettings().Steep {
+		if p.Before >= DefaultPlanSettings().HighSkew {
 			assert.Assert(t, perRank <= 1, "%d copies at one rank while the skew is %f", perRank, p.Before)
 		}
 		assert.Assert(t, p.After < p.Before)
@@ -81,45 +80,44 @@
 	assert.Assert(t, switches < 8, "%d switches", switches)
 }
 
-// What callers saw: streams late by passes at a skew of 1.6 to 1.8, for the second after the first copies.
-// What happens: the last switch after a shift of demand copied up to eight experts at a rank, one after the other, and until the
-// last was there all ranks ran with the old map; the next shift came as it was in force.
-// Each switch brings a rank two experts at most, in time for the skew to fall with each, and together they bring it as low.
-func TestSkewFallsByShortSwitches(t *testing.T) {
+// The old map stays in use until the last copy of a switch is done. So each switch must bring a
+// rank two experts at most, lower the skew noticeably, and all switches together must balance
+// the group.
+func TestCopiesPerRankAreBounded(t *testing.T) {
 	s := Shape{Ranks: 24, Sets: 16, Experts: 96, Places: 5, Spare: 2}
-	current := inTurn(s)
+	current := initialMap(s)
 	load := zipf(s, 1, 5)
-	most := current.Skew(load, nil)
+	initial := current.Skew(load, nil)
 	for n := range 12 {
 		p, ok := Plan(s, DefaultPlanSettings(), current, load, nil)
 		if !ok {
 			break
 		}
-		_, perRank := copied(current, p.Map)
+		_, perRank := maxCopies(current, p.Map)
 		assert.Assert(t, perRank <= 2, "%d copies at a rank in switch %d", perRank, n)
 		if n >= 1 && p.Before > 1.4 {
 			assert.Assert(t, p.Before-p.After > 0.1, "switch %d: %f to %f", n, p.Before, p.After)
 		}
 		current = p.Map
 	}
-	assert.Assert(t, current.Skew(load, nil) < 1.35, "%f of %f", current.Skew(load, nil), most)
+	assert.Assert(t, current.Skew(load, nil) < 1.35, "skew %f, initially %f", current.Skew(load, nil), initial)
 }
 
-// The load: demand that moves a little. No copy is worth it.
-func TestEvenGroupIsLeftAlone(t *testing.T) {
+// Small differences of the load are not worth a copy.
+func TestNoPlanForBalancedGroup(t *testing.T) {
 	load := zeros(small)
 	for set := range load {
 		for e := range load[set] {
 			load[set][e] = 1 + 0.05*float64(e%3)
 		}
 	}
-	_, ok := Plan(small, DefaultPlanSettings(), inTurn(small), load, nil)
+	_, ok := Plan(small, DefaultPlanSettings(), initialMap(small), load, nil)
 	assert.Assert(t, !ok)
 }
 
-// Whatever the demand, a plan is a map that fits the group, within what one switch may
-// bring, and never worse; what was given to it stays as it was.
-func TestPlansFitTheGroup(t *testing.T) {
+// For any load, a plan is a valid map within the limits of one switch and is never worse; the
+// current map is not modified.
+func TestPlansAreValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Shape{
 			Ranks: rapid.IntRange(1, 8).Draw(t, "ranks"), Sets: rapid.IntRange(1, 3).Draw(t, "sets"),
@@ -132,7 +130,7 @@
 				load[set][e] = rapid.Float64Range(0, 100).Draw(t, "load")
 			}
 		}
-		current := inTurn(s)
+		current := initialMap(s)
 		before := current.Clone()
 		var pace Pace
 		if rapid.Bool().Draw(t, "some slow") {
@@ -140,7 +138,7 @@
 				pace = append(pace, rapid.SampledFrom([]float64{1, 1, 1.5, 5}).Draw(t, "pace"))
 			}
 		}
-		settings := PlanSettings{MinGain: rapid.Float64Range(0, 0.1).Draw(t, "gain"), MaxPerRank: rapid.IntRange(0, 2).Draw(t, "per rank"), Steep: 1.2}
+		settings := PlanSettings{MinGain: rapid.Float64Range(0, 0.1).Draw(t, "gain"), MaxCopiesHighSkew: rapid.IntRange(0, 2).Draw(t, "per rank"), HighSkew: 1.2}
 		p, ok := Plan(s, settings, current, load, pace)
 		assert.DeepEqual(t, current, before)
 		if !ok {
@@ -149,7 +147,7 @@
 		if err := p.Map.Check(s); err != nil {
 			t.Fatal(err)
 		}
-		if perSet, _ := copied(current, p.Map); perSet > s.Spare {
+		if perSet, _ := maxCopies(current, p.Map); perSet > s.Spare {
 			t.Fatalf("%d copies in one set of a rank", perSet)
 		}
 		if p.After > p.Before+1e-9 {
@@ -158,8 +156,8 @@
 	})
 }
 
-// count adds choices to the counters of each rank.
-func count(counts [][]uint64, load [][]float64, n float64) {
+// addCounts adds about n choices per set to the counters of each rank.
+func addCounts(counts [][]uint64, load [][]float64, n float64) {
 	for r := range counts {
 		for set := range load {
 			total := 0.0
@@ -173,10 +171,9 @@
 	}
 }
 
-// The load: demand shifts to other experts at once. The window in which it falls is read
-// before most ranks have counted it; after two more the estimate is that of the new
-// demand alone. A rank that starts again, and so counts from nothing, is no shift.
-func TestShiftIsSeenInTwoWindows(t *testing.T) {
+// The first window after a sudden shift may hold choices from before; after two more the
+// estimate must follow the new demand only. A rank restart is not a shift.
+func TestShiftIsDetectedWithinTwoWindows(t *testing.T) {
 	settings := DefaultDemandSettings()
 	d := NewDemand(settings, small)
 	counts := make([][]uint64, small.Ranks)
@@ -188,7 +185,7 @@
 	now := time.Unix(1000, 0)
 	window := func(load [][]float64) {
 		now = now.Add(settings.Window)
-		count(counts, load, 10_000)
+		addCounts(counts, load, 10_000)
 		for r := range counts {
 			d.Observe(now, choices[r].Since(1, incarnations[r], slices.Clone(counts[r])))
 		}
@@ -218,16 +215,14 @@
 	assert.Equal(t, d.Shifts(), shifts)
 }
 
-// The load: one rank's host takes five times as long for the same work, so that all
-// ranks wait for it in each pass. Its experts are copied to others within a few
-// switches, and it is left with none that counts; once it is well again, it gets work
-// as others do.
+// The experts of a slow rank must move to other ranks within a few switches, without
+// overloading these.
 func TestSlowRankIsRelieved(t *testing.T) {
 	for name, shape := range map[string]Shape{"small": small, "large": large} {
 		t.Run(name, func(t *testing.T) {
 			const slow = 3
 			load := zipf(shape, 0.5, 0)
-			current := inTurn(shape)
+			current := initialMap(shape)
 			pace := slices.Repeat(Pace{1}, shape.Ranks)
 			pace[slow] = 5
 			assert.Assert(t, current.Skew(load, pace) > 4, "%f", current.Skew(load, pace))
@@ -238,7 +233,7 @@
 					break
 				}
 				assert.NilError(t, p.Map.Check(shape))
-				perSet, _ := copied(current, p.Map)
+				perSet, _ := maxCopies(current, p.Map)
 				assert.Assert(t, perSet <= shape.Spare)
 				current = p.Map
 			}
@@ -249,9 +244,9 @@
 	}
 }
 
-// Orders carry any map that fits a group, also one that leaves a rank without experts;
-// what is cut or makes no sense is refused rather than taken for another map.
-func TestOrdersCarryMapsWhole(t *testing.T) {
+// Any map must survive encoding, also one that leaves a rank without experts; truncated or
+// malformed data must not decode to another map.
+func TestMapEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets, ranks := rapid.IntRange(1, 4).Draw(t, "sets"), rapid.IntRange(1, 8).Draw(t, "ranks")
 		m := make(Map, sets)
@@ -268,12 +263,12 @@
 		for set := range m {
 			for r := range m[set] {
 				if !slices.Equal(m[set][r], back[set][r]) {
-					t.Fatalf("%v, not %v", back, m)
+					t.Fatalf("got %v, want %v", back, m)
 				}
 			}
 		}
 		if cut, err := DecodeMap(data[:rapid.IntRange(0, len(data)-1).Draw(t, "cut")], nil); err == nil && len(cut) == len(m) && len(m) > 0 && !slices.EqualFunc(cut[0], m[0], slices.Equal[[]uint32]) {
-			t.Fatalf("a cut map was read as %v, not %v", cut, m)
+			t.Fatalf("truncated map decodes to %v, want an error or %v", cut, m)
 		}
 	})
 	none, err := DecodeMap(nil, nil)
@@ -283,11 +278,9 @@
 	assert.ErrorIs(t, err, ErrMap)
 }
 
-// The load: a group of 192 ranks, of which each holds two experts of a set and has room for one
-// more, and a few experts that get most. Each copy gains little, as many ranks are near the top;
-// all of them together must be made all the same, or every pass takes a third longer.
-func TestManyRanksAreMadeEven(t *testing.T) {
-	m, load := inTurn(huge), zipf(huge, 0.6, 0)
+// In a large group each single copy gains little, but together they must balance the group.
+func TestLargeGroupIsBalanced(t *testing.T) {
+	m, load := initialMap(huge), zipf(huge, 0.6, 0)
 	switches := 0
 	for {
 		p, ok := Plan(huge, DefaultPlanSettings(), m, load, nil)
--- a/lockstep/sim_test.go
+++ b/lockstep/sim_test.go
@@ -9,10 +9,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// simRank carries out orders as the ranks of a group in lock-step do.
+// simRank carries out orders like a rank of a group.
 type simRank struct {
 	instance  string
-	inUse     uint64
+	current   uint64
 	prepared  uint64
 	copying   uint64
 	copiedAt  time.Duration
@@ -21,40 +21,42 @@
 	held      uint64
 	highest   uint64
 	token     uint64
-	// away is until when the rank's host answers nothing.
-	away time.Duration
+	// unresponsiveUntil is the time until which the rank's host doesn't respond.
+	unresponsiveUntil time.Duration
 }
 
-// event happens at a time of the simulation.
+// event is a callback at a time of the simulation.
 type event struct {
 	at time.Duration
 	do func()
 }
 
-// sim is a group, its leaders and the network between them.
+// sim simulates a group, its leaders and the network between them.
 type sim struct {
-	rnd     *rand.Rand
-	now     time.Duration
-	events  []event
-	ranks   []*simRank
-	step    uint64
-	nextRun time.Duration
-	epoch   uint64
-	leaders []*simLeader
-	token   uint64
-	shape   Shape
-	maps    map[uint64]Map
-	off     safeguards
-	// calm says that no more faults happen.
-	calm bool
-	// late is the share of orders without an answer that are carried out seconds later.
+	rnd      *rand.Rand
+	now      time.Duration
+	events   []event
+	ranks    []*simRank
+	step     uint64
+	nextRun  time.Duration
+	epoch    uint64
+	leaders  []*simLeader
+	token    uint64
+	shape    Shape
+	maps     map[uint64]Map
+	disabled safeguards
+	// noFaults turns faults off.
+	noFaults bool
+	// late is the share of orders without a reply that are carried out seconds later, lost the
+	// share of lost orders and of lost replies.
 	late, lost float64
-	// relays says that orders go through relays, unageing that these don't tell how long an
-	// answer has waited.
-	relays, unageing bool
-	broken           string
-	finished         int
-	log              []string
+	// relays sends orders through relays. omitAge makes the relays omit the age of the reports
+	// that they return.
+	relays, omitAge bool
+	// violation describes a violation of the invariant, finished counts the successful switches.
+	violation string
+	finished  int
+	log       []string
 }
 
 // simLeader drives a Switcher as a control replica does.
@@ -66,23 +68,23 @@
 	planned  time.Duration
 }
 
-func newSim(seed uint64, off safeguards) *sim {
+func newSim(seed uint64, disabled safeguards) *sim {
 	s := &sim{
 		rnd: rand.New(rand.NewPCG(seed, 1)), shape: Shape{Ranks: 4, Sets: 1, Experts: 4, Places: 2, Spare: 2},
-		maps: map[uint64]Map{}, off: off, epoch: 1,
+		maps: map[uint64]Map{}, disabled: disabled, epoch: 1,
 	}
 	s.late, s.lost = 0.5*s.rnd.Float64(), 0.1*s.rnd.Float64()
 	for i := range s.shape.Ranks {
 		s.ranks = append(s.ranks, &simRank{instance: fmt.Sprint("r", i)})
 	}
 	s.maps[0] = Map{{{0, 1}, {1, 2}, {2, 3}, {3, 0}}}
-	s.elect()
+	s.startLeader()
 	return s
 }
 
 func (s *sim) time() time.Time { return time.Unix(0, 0).Add(s.now) }
 
-func (s *sim) note(format string, args ...any) {
+func (s *sim) logf(format string, args ...any) {
 	s.log = append(s.log, fmt.Sprintf("%8v ", s.now)+fmt.Sprintf(format, args...))
 }
 
@@ -101,9 +103,9 @@
 	return time.Duration(from+s.rnd.IntN(to-from+1)) * time.Millisecond
 }
 
-// elect brings up a leader with a new token. An earlier one may go on for a while
-// without knowing that it is replaced.
-func (s *sim) elect() {
+// startLeader starts a leader with a new token. Earlier leaders may continue for a while without
+// noticing.
+func (s *sim) startLeader() {
 	for _, l := range s.leaders {
 		l.until = min(l.until, s.now+s.ms(0, 250))
 	}
@@ -113,14 +115,14 @@
 
 func (s *sim) newLeader() *simLeader {
 	cfg := DefaultConfig(s.shape.Ranks, s.token, s.epoch)
-	cfg.off = s.off
+	cfg.disabled = s.disabled
 	return &simLeader{switcher: New(cfg), epoch: s.epoch, until: time.Hour, reading: make([]bool, s.shape.Ranks)}
 }
 
-// run plays until a time.
+// run simulates until the given time.
 func (s *sim) run(until time.Duration) {
 	const tick = 25 * time.Millisecond
-	for s.now < until && s.broken == "" {
+	for s.now < until && s.violation == "" {
 		next := s.now + tick
 		for len(s.events) > 0 && s.events[0].at <= next {
 			e := s.events[0]
@@ -129,19 +131,19 @@
 			e.do()
 		}
 		s.now = next
-		s.pass()
-		s.faults()
+		s.beginPass()
+		s.injectFaults()
 		for _, l := range s.leaders {
 			if s.now < l.until {
-				s.lead(l)
+				s.tickLeader(l)
 			}
 		}
 		s.leaders = slices.DeleteFunc(s.leaders, func(l *simLeader) bool { return s.now >= l.until })
 	}
 }
 
-// pass begins the next pass unless a rank holds it.
-func (s *sim) pass() {
+// beginPass begins the next pass unless a rank holds it.
+func (s *sim) beginPass() {
 	if s.now < s.nextRun {
 		return
 	}
@@ -154,43 +156,44 @@
 	s.step++
 	for _, r := range s.ranks {
 		if r.armed != 0 && r.armedStep == s.step {
-			r.inUse, r.armed, r.prepared = r.armed, 0, 0
+			r.current, r.armed, r.prepared = r.armed, 0, 0
 		}
 	}
 	for _, r := range s.ranks[1:] {
-		if r.inUse != s.ranks[0].inUse {
-			s.broken = fmt.Sprintf("step %d begins with maps %d and %d", s.step, s.ranks[0].inUse, r.inUse)
+		if r.current != s.ranks[0].current {
+			s.violation = fmt.Sprintf("step %d begins with maps %d and %d", s.step, s.ranks[0].current, r.current)
 		}
 	}
 }
 
-// faults strike at random: hosts that answer nothing, new leaders, a group that forms
-// again.
-func (s *sim) faults() {
-	if s.calm {
+// injectFaults injects random faults: hosts that don't respond, new leaders, and a group that
+// forms again.
+func (s *sim) injectFaults() {
+	if s.noFaults {
 		return
 	}
 	if s.rnd.Float64() < 0.01 {
 		r := s.ranks[s.rnd.IntN(len(s.ranks))]
-		r.away = s.now + s.ms(200, 4000)
-		s.note("%s answers nothing until %v", r.instance, r.away)
+		r.unresponsiveUntil = s.now + s.ms(200, 4000)
+		s.logf("%s doesn't respond until %v", r.instance, r.unresponsiveUntil)
 	}
 	if s.rnd.Float64() < 0.006 {
-		s.elect()
-		s.note("leader with token %d", s.token)
+		s.startLeader()
+		s.logf("leader with token %d", s.token)
 	}
 	if s.rnd.Float64() < 0.002 {
-		s.formAgain()
+		s.reformGroup()
 	}
 }
 
-func (s *sim) formAgain() {
+// reformGroup forms the group again under a new epoch, with one rank replaced by a new instance.
+func (s *sim) reformGroup() {
 	s.epoch++
-	s.note("epoch %d", s.epoch)
+	s.logf("epoch %d", s.epoch)
 	for i, r := range s.ranks {
-		*r = simRank{instance: r.instance, away: r.away, highest: r.highest, token: r.token}
+		*r = simRank{instance: r.instance, unresponsiveUntil: r.unresponsiveUntil, highest: r.highest, token: r.token}
 		if i == 0 {
-			*r = simRank{instance: fmt.Sprint("r0-", s.epoch), away: r.away}
+			*r = simRank{instance: fmt.Sprint("r0-", s.epoch), unresponsiveUntil: r.unresponsiveUntil}
 		}
 	}
 	epoch := s.epoch
@@ -200,17 +203,17 @@
 		}
 		l := s.leaders[len(s.leaders)-1]
 		if l.epoch == epoch {
-			// It was elected since, and knows.
+			// This leader was elected after the group had formed again.
 			return
 		}
 		used := l.switcher.Used()
 		*l = *s.newLeader()
-		l.switcher.used = max(l.switcher.used, used)
+		l.switcher.lastVersion = max(l.switcher.lastVersion, used)
 	})
 }
 
-// lead is one look of a leader.
-func (s *sim) lead(l *simLeader) {
+// tickLeader runs one tick of a leader.
+func (s *sim) tickLeader(l *simLeader) {
 	period := 14
 	if l.switcher.Phase() != Idle {
 		period = 2
@@ -221,7 +224,7 @@
 		}
 	}
 	if l.switcher.Current() == nil {
-		s.learn(l)
+		s.learnCurrent(l)
 	}
 	if l.switcher.Ready(s.time()) && s.now-l.planned > 300*time.Millisecond {
 		l.planned = s.now
@@ -241,14 +244,14 @@
 		}
 	}
 	if after := l.switcher.Phase(); after != before {
-		s.note("token %d: %v, version %d, %s", l.switcher.cfg.Token, after, l.switcher.Version(), l.switcher.Outcome())
+		s.logf("token %d: %v, version %d, %s", l.switcher.cfg.Token, after, l.switcher.Version(), l.switcher.Outcome())
 		if after == Idle && l.switcher.Outcome() == "in force" {
 			s.finished++
 		}
 	}
 }
 
-// state shows what a leader knows of the ranks, for a test that fails.
+// state describes the ranks and what the leaders know of them, for failure messages.
 func (s *sim) state() string {
 	text := ""
 	for i, r := range s.ranks {
@@ -262,14 +265,14 @@
 	return text
 }
 
-// learn reads the map in force from the ranks.
-func (s *sim) learn(l *simLeader) {
+// learnCurrent sets a leader's current map once all ranks respond and use the same one.
+func (s *sim) learnCurrent(l *simLeader) {
 	for _, r := range s.ranks {
-		if r.inUse != s.ranks[0].inUse || s.now < r.away {
+		if r.current != s.ranks[0].current || s.now < r.unresponsiveUntil {
 			return
 		}
 	}
-	if m := s.maps[s.ranks[0].inUse]; m != nil && l.epoch == s.epoch {
+	if m := s.maps[s.ranks[0].current]; m != nil && l.epoch == s.epoch {
 		l.switcher.SetCurrent(m)
 	}
 }
@@ -279,11 +282,12 @@
 	if r.copying != 0 && s.now >= r.copiedAt {
 		r.prepared, r.copying = r.copying, 0
 	}
-	return r.instance, &wire.RankReport{Step: s.step, Map: r.inUse, Prepared: r.prepared, Armed: r.armed, ArmedStep: r.armedStep, Held: r.held}
+	return r.instance, &wire.RankReport{Step: s.step, Map: r.current, Prepared: r.prepared, Armed: r.armed, ArmedStep: r.armedStep, Held: r.held}
 }
 
+// read reads a rank's state for a leader, unless the rank doesn't respond.
 func (s *sim) read(l *simLeader, i int) {
-	if s.now < s.ranks[i].away || l.epoch != s.epoch {
+	if s.now < s.ranks[i].unresponsiveUntil || l.epoch != s.epoch {
 		return
 	}
 	at := s.time()
@@ -291,15 +295,15 @@
 	s.after(s.ms(1, 20), func() { l.switcher.Heard(at, i, instance, rep) })
 }
 
-// send gives an order and tells the leader the answer, or that none came.
+// send sends an order and passes the reply to the leader, or nil after a timeout.
 func (s *sim) send(l *simLeader, o Order) {
-	answer := s.once(func(reply *wire.RankOrderReply) { l.switcher.Replied(s.time(), o.Rank, o.RankOrder, reply) })
+	answer := s.firstOnly(func(reply *wire.RankOrderReply) { l.switcher.Replied(s.time(), o.Rank, o.RankOrder, reply) })
 	s.after(250*time.Millisecond, func() { answer(nil) })
 	s.deliver(o, func(reply *wire.RankOrderReply) { s.after(s.ms(1, 8), func() { answer(reply) }) })
 }
 
-// once lets the first answer through.
-func (s *sim) once(f func(*wire.RankOrderReply)) func(*wire.RankOrderReply) {
+// firstOnly passes on the first call only.
+func (s *sim) firstOnly(f func(*wire.RankOrderReply)) func(*wire.RankOrderReply) {
 	answered := false
 	return func(reply *wire.RankOrderReply) {
 		if !answered {
@@ -309,28 +313,28 @@
 	}
 }
 
-// deliver carries an order to its rank, or loses it, or carries it out much later. answer is
-// called with what the rank says, if it says something.
+// deliver carries an order to its rank, loses it, or has it carried out much later. answer is
+// called with the rank's reply, if there is one.
 func (s *sim) deliver(o Order, answer func(*wire.RankOrderReply)) {
 	draw := s.rnd.Float64()
 	late, lost := s.late, s.lost
-	if s.calm {
+	if s.noFaults {
 		late, lost = 0, 0
 	}
-	if s.now < s.ranks[o.Rank].away {
-		// It arrives when the host answers again, or never.
+	if s.now < s.ranks[o.Rank].unresponsiveUntil {
+		// It arrives when the host responds again, or never.
 		if s.rnd.IntN(2) == 0 {
-			s.after(s.ranks[o.Rank].away-s.now+s.ms(0, 50), func() { s.carryOut(o) })
+			s.after(s.ranks[o.Rank].unresponsiveUntil-s.now+s.ms(0, 50), func() { s.execute(o) })
 		}
 		return
 	}
 	switch {
 	case draw < lost:
 	case draw < lost+late:
-		s.after(s.ms(2000, 12000), func() { s.carryOut(o) })
+		s.after(s.ms(2000, 12000), func() { s.execute(o) })
 	default:
 		s.after(s.ms(1, 8), func() {
-			status := s.carryOut(o)
+			status := s.execute(o)
 			_, rep := s.report(o.Rank)
 			if s.rnd.Float64() < lost {
 				return
@@ -340,8 +344,8 @@
 	}
 }
 
-// carryOut is what the platform's pages say of each order.
-func (s *sim) carryOut(o Order) wire.RankOrderStatus {
+// execute executes an order as the platform's documentation specifies.
+func (s *sim) execute(o Order) wire.RankOrderStatus {
 	const conflict = wire.RankOrderStatus_RANK_ORDER_STATUS_CONFLICT
 	const done = wire.RankOrderStatus_RANK_ORDER_STATUS_DONE
 	r := s.ranks[o.Rank]
@@ -369,7 +373,7 @@
 		}
 		r.armed, r.armedStep = o.Version, o.Step
 	case wire.RankOrderKind_RANK_ORDER_KIND_DISARM:
-		if o.Version == r.inUse {
+		if o.Version == r.current {
 			return conflict
 		}
 		if r.armed == o.Version {
--- a/placement/noise.go
+++ b/placement/noise.go
@@ -6,48 +6,50 @@
 )
 
 const (
-	// jumpFactor is by how much the squared error of a window must exceed the usual one,
-	// in the middle layer, to end a regime.
-	jumpFactor = 4
-	// clipAt is the number of standard errors at which a single counter is clipped.
-	clipAt = 3
-	// minNoise is the least relative error that counters are taken to have, so that
-	// exact ones don't make each small drift a jump.
-	minNoise = 0.02
-	// learnWindows is the number of windows that teach the noise before it is used.
-	learnWindows = 4
+	// regimeErrorRatio is the ratio of a window's squared error to the usual one, in the median
+	// layer, above which a new regime starts.
+	regimeErrorRatio = 4
+	// clipSigmas is the number of standard errors beyond which a single counter is clipped.
+	clipSigmas = 3
+	// minRelativeError is the least relative error that is assumed of counters, so that with
+	// exact counters a small drift doesn't start a new regime.
+	minRelativeError = 0.02
+	// minNoiseWindows is the number of windows observed before the estimate is used.
+	minNoiseWindows = 4
 )
 
-// noise is by how much counters of single windows lately erred about the forecast.
+// noise estimates how far the counters of a single window are from the forecast.
 type noise struct {
-	// squares sums the squared errors of each layer, weights their number; expected the
-	// squared forecast.
-	squares, expected []float64
-	weight            float64
-	windows           int
-	// high and low say which counters were clipped in the window before.
-	high, low []bool
+	// squaredErrors and squaredForecast are decayed sums over the windows, per layer: of the squared errors,
+	// and of the squared forecast. weight is the decayed number of windows.
+	squaredErrors, squaredForecast []float64
+	weight                         float64
+	windows                        int
+	// wasHigh and wasLow tell which counters were out of bounds in the window before.
+	wasHigh, wasLow []bool
 }
 
-// of is the squared error of a window in a layer.
-func (n *noise) of(layer int) float64 {
+// squaredError returns the mean squared error of a window in a layer.
+func (n *noise) squaredError(layer int) float64 {
 	if n.weight == 0 {
 		return 0
 	}
-	return max(n.squares[layer], minNoise*minNoise*n.expected[layer]) / n.weight
+	return max(n.squaredErrors[layer], minRelativeError*minRelativeError*n.squaredForecast[layer]) / n.weight
 }
 
-func (n *noise) total() float64 {
+// totalSquaredError returns the mean squared error of a window over all layers.
+func (n *noise) totalSquaredError() float64 {
 	sum := 0.0
-	for layer := range n.squares {
-		sum += n.of(layer)
+	for layer := range n.squaredErrors {
+		sum += n.squaredError(layer)
 	}
 	return sum
 }
 
-func (n *noise) learn(s Shape, load, expected Load, by float64) {
-	if n.squares == nil {
-		n.squares, n.expected = make([]float64, s.Layers), make([]float64, s.Layers)
+// observe updates the estimate with a window. Earlier windows are multiplied by decay.
+func (n *noise) observe(s Shape, load, expected Load, decay float64) {
+	if n.squaredErrors == nil {
+		n.squaredErrors, n.squaredForecast = make([]float64, s.Layers), make([]float64, s.Layers)
 	}
 	for layer := range s.Layers {
 		sum, all := 0.0, 0.0
@@ -56,56 +58,56 @@
 			sum += d * d
 			all += expected[i] * expected[i]
 		}
-		n.squares[layer] = n.squares[layer]*by + sum
-		n.expected[layer] = n.expected[layer]*by + all
+		n.squaredErrors[layer] = n.squaredErrors[layer]*decay + sum
+		n.squaredForecast[layer] = n.squaredForecast[layer]*decay + all
 	}
-	n.weight = n.weight*by + 1
+	n.weight = n.weight*decay + 1
 	n.windows++
 }
 
-// jump says whether a window errs far more than usual in at least half of the layers.
-// One wrong counter, or one rank's, can't do that.
-func (n *noise) jump(s Shape, raw, expected Load) bool {
-	if n.windows < learnWindows {
+// suddenChange reports whether the error of a window is far above the usual one in at least
+// half of the layers. A wrong counter of one expert, or those of one rank, can't cause that.
+func (n *noise) suddenChange(s Shape, raw, expected Load) bool {
+	if n.windows < minNoiseWindows {
 		return false
 	}
-	over := make([]float64, s.Layers)
-	for layer := range over {
+	ratios := make([]float64, s.Layers)
+	for layer := range ratios {
 		sum := 0.0
 		for i := layer * s.Experts; i < (layer+1)*s.Experts; i++ {
 			d := raw[i] - expected[i]
 			sum += d * d
 		}
-		over[layer] = sum / n.of(layer)
+		ratios[layer] = sum / n.squaredError(layer)
 	}
-	return median(over) > jumpFactor
+	return median(ratios) > regimeErrorRatio
 }
 
-// clip bounds each counter to what noise explains. A counter that exceeds it on the
-// same side in the next window, too, is let through: it isn't a single wrong one.
+// clip bounds each counter to the range that noise explains. A counter beyond the same bound in
+// two consecutive windows is kept the second time, as it is not a single wrong value.
 func (n *noise) clip(raw, expected Load) Load {
-	if n.windows < learnWindows {
+	if n.windows < minNoiseWindows {
 		return raw
 	}
-	if n.high == nil {
-		n.high, n.low = make([]bool, len(raw)), make([]bool, len(raw))
+	if n.wasHigh == nil {
+		n.wasHigh, n.wasLow = make([]bool, len(raw)), make([]bool, len(raw))
 	}
-	experts := len(raw) / len(n.squares)
+	experts := len(raw) / len(n.squaredErrors)
 	out := slices.Clone(raw)
-	for layer := range n.squares {
-		by := 0.0
-		if n.expected[layer] > 0 {
-			by = clipAt * math.Sqrt(n.of(layer)*n.weight/n.expected[layer])
+	for layer := range n.squaredErrors {
+		bound := 0.0
+		if n.squaredForecast[layer] > 0 {
+			bound = clipSigmas * math.Sqrt(n.squaredError(layer)*n.weight/n.squaredForecast[layer])
 		}
 		for i := layer * experts; i < (layer+1)*experts; i++ {
-			high, low := raw[i] > expected[i]*(1+by), raw[i] < expected[i]*(1-by)
-			if high && !n.high[i] {
-				out[i] = expected[i] * (1 + by)
+			high, low := raw[i] > expected[i]*(1+bound), raw[i] < expected[i]*(1-bound)
+			if high && !n.wasHigh[i] {
+				out[i] = expected[i] * (1 + bound)
 			}
-			if low && !n.low[i] {
-				out[i] = expected[i] * (1 - by)
+			if low && !n.wasLow[i] {
+				out[i] = expected[i] * (1 - bound)
 			}
-			n.high[i], n.low[i] = high, low
+			n.wasHigh[i], n.wasLow[i] = high, low
 		}
 	}
 	return out
