--- a/claim/store.go
+++ b/claim/store.go
@@ -82,9 +82,9 @@
 		return l, nil, err, nil
 	case err != nil:
 		return nil, nil, nil, merry.Prepend(ErrStore, err.Error())
-	case l.Number() == 0:
+	case l.LastFile() == 0:
 		return l, nil, nil, nil
-	case st.head == nil || l.First() > st.oldest:
+	case st.head == nil || l.FirstFile() > st.oldest:
 		return l, nil, merry.Prepend(wal.ErrCorrupt, "the first file is missing"), nil
 	}
 	return l, st, nil, nil
@@ -97,7 +97,7 @@
 		log: l, now: now, ttl: ttl, started: now(), closed: map[uint64]time.Time{},
 		wake: make(chan struct{}, 1), ended: make(chan struct{}),
 	}
-	first := l.Number() + 1
+	first := l.LastFile() + 1
 	var msgs []proto.Message
 	for _, rec := range recs {
 		if h := rec.GetHead(); h != nil {
@@ -106,7 +106,7 @@
 		}
 		msgs = append(msgs, rec)
 	}
-	if err := l.Start(msgs...); err != nil {
+	if err := l.StartFile(msgs...); err != nil {
 		return s, err
 	}
 	return s, l.DropBefore(first)
@@ -214,8 +214,8 @@
 // lives for at most a time to live after it was written.
 func (s *store) rotate() error {
 	now := s.now()
-	s.closed[s.log.Number()] = now
-	oldest := s.log.Number() + 1
+	s.closed[s.log.LastFile()] = now
+	oldest := s.log.LastFile() + 1
 	for n, at := range s.closed {
 		if now.Sub(at) < s.ttl {
 			oldest = min(oldest, n)
@@ -229,7 +229,7 @@
 	head.GetHead().Oldest = oldest
 	head.GetHead().Forgot = false
 	s.started = now
-	if err := s.log.Start(head); err != nil {
+	if err := s.log.StartFile(head); err != nil {
 		return err
 	}
 	return s.log.DropBefore(oldest)
--- a/wal/frame.go
+++ b/wal/frame.go
@@ -10,18 +10,18 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A record on disk is a header of 12 bytes (payload length, CRC32C of the
-// length, CRC32C of the payload; little endian), then the payload.
+// A frame is a record on disk: a header of 12 bytes (payload length, CRC32C of the
+// length, CRC32C of the payload; little endian), followed by the payload.
 //
-// The length has a checksum of its own. A flipped bit in it would otherwise look
-// like a record that runs past the end of the file, that is, like a torn write,
-// and records that were acknowledged would be cut off without a word.
+// The length has its own checksum. Otherwise a flipped bit in the length would look like
+// a torn write, a record that extends past the end of the file, and acknowledged
+// records would be cut off silently.
 const (
 	headerLen = 12
-	// maxPayload bounds what a header may claim.
+	// maxPayload is the largest payload length that is accepted in a header.
 	maxPayload = 1 << 30
-	// sector is the unit that a disk writes whole.
-	sector = 512
+	// sectorBytes is the unit that a disk writes atomically.
+	sectorBytes = 512
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -41,9 +41,9 @@
 	return buf, nil
 }
 
-// readFrames decodes a journal's records until the end of the data.
-func readFrames(data []byte, last bool, visit func(*wire.JournalRecord) error) (good int, err error) {
-	return readPayloads(data, last, func(payload []byte) error {
+// readFrames decodes the records of a Journal's file; see readPayloads.
+func readFrames(data []byte, lastFile bool, visit func(*wire.JournalRecord) error) (good int, err error) {
+	return readPayloads(data, lastFile, func(payload []byte) error {
 		rec := &wire.JournalRecord{}
 		if err := proto.Unmarshal(payload, rec); err != nil {
 			return merry.Prepend(ErrCorrupt, err.Error())
@@ -52,14 +52,14 @@
 	})
 }
 
-// readPayloads visits records until the end of the data. good is where the last
-// whole record ends. A tail that a torn write explains ends the reading; any
-// other damage is ErrCorrupt.
-func readPayloads(data []byte, last bool, visit func(payload []byte) error) (good int, err error) {
+// readPayloads calls visit for each record. good is the offset after the last valid
+// record. In the last file, data at the end that looks like a torn write is ignored;
+// any other damage is ErrCorrupt.
+func readPayloads(data []byte, lastFile bool, visit func(payload []byte) error) (good int, err error) {
 	for good < len(data) {
 		n, err := checkFrame(data[good:])
 		if err != nil {
-			if last && torn(data[good:], n) {
+			if lastFile && isTornWrite(data[good:], n) {
 				return good, nil
 			}
 			return good, merry.Prependf(err, "at byte %d", good)
@@ -72,45 +72,46 @@
 	return good, nil
 }
 
-// checkFrame returns the length of the first frame; with an error, the length
-// that its header claims, or 0 if the header can't be trusted.
+// checkFrame validates the first frame and returns its length. With an error it returns
+// the length according to the header, or 0 if the header isn't valid.
 func checkFrame(data []byte) (int, error) {
 	if len(data) < headerLen {
 		return 0, merry.Prepend(ErrCorrupt, "short header")
 	}
 	length := binary.LittleEndian.Uint32(data)
 	if binary.LittleEndian.Uint32(data[4:]) != crc32.Checksum(data[:4], castagnoli) || length > maxPayload {
-		return 0, merry.Prepend(ErrCorrupt, "header checksum differs")
+		return 0, merry.Prepend(ErrCorrupt, "invalid header length or checksum")
 	}
 	n := headerLen + int(length)
 	if n > len(data) {
-		return n, merry.Prepend(ErrCorrupt, "record runs past the end")
+		return n, merry.Prepend(ErrCorrupt, "record extends past the end of the file")
 	}
 	if binary.LittleEndian.Uint32(data[8:]) != crc32.Checksum(data[headerLen:n], castagnoli) {
-		return n, merry.Prepend(ErrCorrupt, "payload checksum differs")
+		return n, merry.Prepend(ErrCorrupt, "payload checksum mismatch")
 	}
 	return n, nil
 }
 
-// torn says whether the rest of a file is what a write leaves that power loss
-// interrupted: it ends early, or from some sector on it holds only zeros. A
-// record that is all there and has other bytes is damage, even at the end.
-func torn(rest []byte, claimed int) bool {
-	if len(rest) < headerLen || claimed > len(rest) {
+// isTornWrite reports whether the rest of a file looks like a write that was interrupted
+// by a power loss: it ends early, or ends in zeros. frameLen is the length that
+// checkFrame returned. A complete record with a wrong checksum is damage, even at the
+// end.
+func isTornWrite(rest []byte, frameLen int) bool {
+	if len(rest) < headerLen || frameLen > len(rest) {
 		return true
 	}
-	if claimed != 0 && claimed < len(rest) {
+	if frameLen != 0 && frameLen < len(rest) {
 		return false
 	}
-	return zeroTail(rest)
+	return hasZeroTail(rest)
 }
 
-// zeroTail says whether the data ends in at least one sector of zeros, or is
-// all zeros.
-func zeroTail(data []byte) bool {
+// hasZeroTail reports whether the data ends in at least one sector of zeros, or is all
+// zeros.
+func hasZeroTail(data []byte) bool {
 	tail := data
-	if len(tail) > sector {
-		tail = tail[len(tail)-sector:]
+	if len(tail) > sectorBytes {
+		tail = tail[len(tail)-sectorBytes:]
 	}
 	for _, b := range tail {
 		if b != 0 {
--- a/wal/fs.go
+++ b/wal/fs.go
@@ -10,37 +10,38 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// File is one file of a data folder.
+// File is an open file of a data folder.
 type File interface {
 	io.Writer
 	io.Closer
-	// Sync returns once all that was written is durable.
+	// Sync returns once all data written so far is durable.
 	Sync() error
 }
 
-// FS is one data folder. Names have no separators. A name that was created,
-// renamed or removed is durable only after SyncDir.
+// FS is a data folder. File names have no separators. Creating, renaming or removing a
+// file is durable only after SyncDir.
 type FS interface {
 	Create(name string) (File, error)
 	ReadFile(name string) ([]byte, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Truncate cuts a file and makes the cut durable.
+	// Truncate sets the size of a file and makes the change durable.
 	Truncate(name string, size int64) error
-	// Append opens a file to write at its end.
+	// Append opens a file for writing at its end.
 	Append(name string) (File, error)
 	List() ([]string, error)
 	SyncDir() error
-	// Lock takes the folder for this process; a second holder is refused.
+	// Lock locks the folder for this process. It returns ErrLocked if another process
+	// has locked it.
 	Lock() (unlock func(), err error)
 }
 
 const lockName = "LOCK"
 
-// osFS is a folder of the operating system.
+// osFS is a directory of the operating system.
 type osFS struct{ dir string }
 
-// OpenFolder makes a data folder if it isn't there.
+// OpenFolder returns the data folder in a directory, which it creates if needed.
 func OpenFolder(dir string) (FS, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, merry.Prepend(ErrFolder, err.Error())
@@ -104,8 +105,8 @@
 	return d.Sync()
 }
 
-// Lock holds an advisory lock on a file. The kernel drops it with the process,
-// so a crash leaves nothing to clean up.
+// Lock takes an advisory lock on a file. The kernel releases it when the process ends,
+// so a crash leaves no stale lock.
 func (f *osFS) Lock() (func(), error) {
 	file, err := os.OpenFile(f.path(lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/wal/fuzz_test.go
+++ b/wal/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// A file holds any bytes. Reading ends with a clear error, or at the end of the
-// last whole record; records before the damage are read as they were written.
+// The file has arbitrary bytes after valid records. Reading returns the valid records, and
+// either an error or the offset after the last one that it read.
 func FuzzReadFrames(f *testing.F) {
 	whole, err := appendFrame(nil, &wire.JournalRecord{})
 	if err != nil {
@@ -18,7 +18,7 @@
 	f.Add([]byte{}, uint8(0))
 	f.Add(whole, uint8(1))
 	f.Add(whole[:len(whole)-1], uint8(2))
-	f.Add(make([]byte, 2*sector), uint8(1))
+	f.Add(make([]byte, 2*sectorBytes), uint8(1))
 	f.Add([]byte("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff"), uint8(3))
 	f.Fuzz(func(t *testing.T, tail []byte, before uint8) {
 		var data []byte
--- a/wal/log.go
+++ b/wal/log.go
@@ -10,38 +10,38 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Log is a data folder of record files without an identity or snapshots: records
-// are appended to the last file, and files that are no longer needed are dropped
-// from the first on. It is not safe for use by several goroutines.
+// Log is a data folder with a sequence of record files, without an identity or
+// snapshots. Records are appended to the last file, and files that are no longer needed
+// are removed from the start. It is not safe for concurrent use.
 //
-// Its records have the journal's format and its rules: a torn end of the last
-// file is cut, other damage is ErrCorrupt, and nothing is written after a write
-// or a sync that failed.
+// Its files have the frames of a Journal and the same rules: a torn write at the end of
+// the last file is cut off, other damage is ErrCorrupt, and nothing is written after a
+// failed write or sync.
 type Log struct {
-	fs     FS
-	unlock func()
-	file   File
-	first  uint64
-	number uint64
-	// bytes holds the size of each file, and torn that of the last one's whole
-	// records if its end is torn.
-	bytes  map[uint64]int64
-	torn   int64
-	buf    []byte
-	failed error
+	fs        FS
+	unlock    func()
+	file      File
+	firstFile uint64
+	lastFile  uint64
+	// fileBytes holds the size of the valid records of each file, by its number.
+	fileBytes map[uint64]int64
+	// truncateTo is the size to which the last file must be truncated, or -1.
+	truncateTo int64
+	buf        []byte
+	failure    error
 }
 
 const logFilePrefix = "records-"
 
-// OpenLog locks a folder and visits its records in their order. After ErrCorrupt
-// the log is returned too: Start begins anew after the damaged files. Records can
-// be appended after Start.
+// OpenLog locks a folder and calls visit for each record in order. With ErrCorrupt it
+// also returns the log: StartFile then starts a new file after the damaged ones.
+// Records can be appended after StartFile.
 func OpenLog(fs FS, visit func(payload []byte) error) (*Log, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{fs: fs, unlock: unlock, bytes: map[uint64]int64{}, torn: -1}
+	l := &Log{fs: fs, unlock: unlock, fileBytes: map[uint64]int64{}, truncateTo: -1}
 	if err := l.read(visit); err != nil {
 		if errors.Is(err, ErrCorrupt) {
 			return l, err
@@ -64,7 +64,7 @@
 		n, err := strconv.ParseUint(strings.TrimPrefix(name, logFilePrefix), 10, 64)
 		switch {
 		case strings.HasSuffix(name, tempSuffix):
-			// A file that was never renamed was never relied on.
+			// A file that wasn't renamed holds no acknowledged records.
 			_ = l.fs.Remove(name)
 		case err == nil:
 			numbers = append(numbers, n)
@@ -73,8 +73,8 @@
 	if len(numbers) == 0 {
 		return nil
 	}
-	l.first, l.number = numbers[0], numbers[len(numbers)-1]
-	if l.number-l.first+1 != uint64(len(numbers)) {
+	l.firstFile, l.lastFile = numbers[0], numbers[len(numbers)-1]
+	if l.lastFile-l.firstFile+1 != uint64(len(numbers)) {
 		return merry.Prepend(ErrCorrupt, "a file is missing")
 	}
 	for _, n := range numbers {
@@ -90,51 +90,51 @@
 	if err != nil {
 		return merry.Prepend(ErrFolder, err.Error())
 	}
-	good, err := readPayloads(data, n == l.number, visit)
+	good, err := readPayloads(data, n == l.lastFile, visit)
 	if err != nil {
 		return merry.Prepend(err, logFileName(n))
 	}
 	if good < len(data) {
-		l.torn = int64(good)
+		l.truncateTo = int64(good)
 	}
-	l.bytes[n] = int64(good)
+	l.fileBytes[n] = int64(good)
 	return nil
 }
 
-// First and Number are those of the first file and of the last one.
-func (l *Log) First() uint64 { return l.first }
+// FirstFile returns the number of the first file, or 0 if there is none.
+func (l *Log) FirstFile() uint64 { return l.firstFile }
 
-// Number returns the number of the last file, 0 if there is none.
-func (l *Log) Number() uint64 { return l.number }
+// LastFile returns the number of the last file, or 0 if there is none.
+func (l *Log) LastFile() uint64 { return l.lastFile }
 
-// Bytes returns the size of all files.
+// Bytes returns the total size of the files.
 func (l *Log) Bytes() int64 {
 	sum := int64(0)
-	for _, n := range l.bytes {
+	for _, n := range l.fileBytes {
 		sum += n
 	}
 	return sum
 }
 
-// Start makes a new last file durable that holds these records.
-func (l *Log) Start(recs ...proto.Message) error {
-	if l.failed != nil {
-		return merry.Prepend(ErrFailed, l.failed.Error())
+// StartFile makes a new last file with these records durable.
+func (l *Log) StartFile(recs ...proto.Message) error {
+	if l.failure != nil {
+		return merry.Prepend(ErrFailed, l.failure.Error())
 	}
-	return l.poison(l.start(recs))
+	return l.recordFailure(l.startFile(recs))
 }
 
-func (l *Log) start(recs []proto.Message) error {
+func (l *Log) startFile(recs []proto.Message) error {
 	if err := l.encode(recs); err != nil {
 		return err
 	}
-	// The file that is left must be whole: its torn end would be damage in the
-	// middle once another file follows.
-	if err := l.cutTorn(); err != nil {
+	// The previous file must be truncated first: a torn write is accepted only at
+	// the end of the last file.
+	if err := l.truncateTornTail(); err != nil {
 		return err
 	}
-	name := logFileName(l.number + 1)
-	if err := writeWholeFile(l.fs, name, l.buf); err != nil {
+	name := logFileName(l.lastFile + 1)
+	if err := writeFileAtomic(l.fs, name, l.buf); err != nil {
 		return err
 	}
 	file, err := l.fs.Append(name)
@@ -145,21 +145,21 @@
 		_ = l.file.Close()
 	}
 	l.file = file
-	l.number++
-	if l.first == 0 {
-		l.first = l.number
+	l.lastFile++
+	if l.firstFile == 0 {
+		l.firstFile = l.lastFile
 	}
-	l.bytes[l.number] = int64(len(l.buf))
+	l.fileBytes[l.lastFile] = int64(len(l.buf))
 	return nil
 }
 
-// cutTorn cuts the torn end of the last file, when the log has just been opened.
-func (l *Log) cutTorn() error {
-	if l.torn < 0 {
+// truncateTornTail cuts off the torn write that OpenLog found in the last file, if any.
+func (l *Log) truncateTornTail() error {
+	if l.truncateTo < 0 {
 		return nil
 	}
-	err := l.fs.Truncate(logFileName(l.number), l.torn)
-	l.torn = -1
+	err := l.fs.Truncate(logFileName(l.lastFile), l.truncateTo)
+	l.truncateTo = -1
 	return err
 }
 
@@ -175,31 +175,32 @@
 	return nil
 }
 
-// Append makes records durable before it returns.
+// Append makes records durable before it returns. StartFile must have been called since
+// OpenLog.
 func (l *Log) Append(recs ...proto.Message) error {
-	if l.failed != nil {
-		return merry.Prepend(ErrFailed, l.failed.Error())
+	if l.failure != nil {
+		return merry.Prepend(ErrFailed, l.failure.Error())
 	}
 	if err := l.encode(recs); err != nil {
-		return l.poison(err)
+		return l.recordFailure(err)
 	}
 	if _, err := l.file.Write(l.buf); err != nil {
-		return l.poison(err)
+		return l.recordFailure(err)
 	}
-	l.bytes[l.number] += int64(len(l.buf))
-	return l.poison(l.file.Sync())
+	l.fileBytes[l.lastFile] += int64(len(l.buf))
+	return l.recordFailure(l.file.Sync())
 }
 
-// DropBefore removes the files before this one.
+// DropBefore removes the files with a number below n.
 func (l *Log) DropBefore(n uint64) error {
-	if l.failed != nil {
-		return merry.Prepend(ErrFailed, l.failed.Error())
+	if l.failure != nil {
+		return merry.Prepend(ErrFailed, l.failure.Error())
 	}
-	return l.poison(l.dropBefore(n))
+	return l.recordFailure(l.dropBefore(n))
 }
 
 func (l *Log) dropBefore(n uint64) error {
-	if l.first >= n {
+	if l.firstFile >= n {
 		return nil
 	}
 	names, err := l.fs.List()
@@ -214,23 +215,24 @@
 			return err
 		}
 	}
-	for ; l.first < n; l.first++ {
-		delete(l.bytes, l.first)
+	for ; l.firstFile < n; l.firstFile++ {
+		delete(l.fileBytes, l.firstFile)
 	}
 	return l.fs.SyncDir()
 }
 
-func (l *Log) poison(err error) error {
+// recordFailure keeps the first error, after which nothing more is written.
+func (l *Log) recordFailure(err error) error {
 	if err == nil {
 		return nil
 	}
-	if l.failed == nil {
-		l.failed = err
+	if l.failure == nil {
+		l.failure = err
 	}
 	return merry.Prepend(ErrWrite, err.Error())
 }
 
-// Close releases the folder.
+// Close closes the last file and unlocks the folder.
 func (l *Log) Close() {
 	if l.file != nil {
 		_ = l.file.Close()
--- a/wal/log_test.go
+++ b/wal/log_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-func named(name string) proto.Message { return &wire.Identity{Name: name} }
+func namedRecord(name string) proto.Message { return &wire.Identity{Name: name} }
 
 // readLog opens a log and returns the names of its records.
 func readLog(t *testing.T, fs wal.FS) (*wal.Log, []string, error) {
@@ -28,41 +28,41 @@
 	return l, list, err
 }
 
-func fillLog(t *testing.T, fs wal.FS) *wal.Log {
+func newFilledLog(t *testing.T, fs wal.FS) *wal.Log {
 	l, list, err := readLog(t, fs)
 	assert.NilError(t, err)
 	assert.Equal(t, len(list), 0)
 	for file := range 3 {
-		assert.NilError(t, l.Start(named(fmt.Sprint(file, "-0"))))
-		assert.NilError(t, l.Append(named(fmt.Sprint(file, "-1")), named(fmt.Sprint(file, "-2"))))
+		assert.NilError(t, l.StartFile(namedRecord(fmt.Sprint(file, "-0"))))
+		assert.NilError(t, l.Append(namedRecord(fmt.Sprint(file, "-1")), namedRecord(fmt.Sprint(file, "-2"))))
 	}
 	return l
 }
 
-func TestLogKeepsItsOrderAndDropsOldFiles(t *testing.T) {
+func TestLogKeepsOrderAndDropsOldFiles(t *testing.T) {
 	d := fake.NewDisk()
-	l := fillLog(t, d)
+	l := newFilledLog(t, d)
 	assert.NilError(t, l.DropBefore(2))
 	d.Crash(0)
 	l, list, err := readLog(t, d)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, list, []string{"1-0", "1-1", "1-2", "2-0", "2-1", "2-2"})
-	assert.Assert(t, l.First() == 2 && l.Number() == 3)
+	assert.Assert(t, l.FirstFile() == 2 && l.LastFile() == 3)
 }
 
-// Power is lost in a write, and the log goes on in a new file. The torn end must
-// be gone by then: in the middle of the log it would be damage.
-func TestLogCutsATornEndOnce(t *testing.T) {
+// A write is torn by a power loss, and the log continues in a new file. The torn write
+// must be cut off before that: in any file but the last one it counts as damage.
+func TestLogTruncatesTornTail(t *testing.T) {
 	for keep := range 30 {
 		d := fake.NewDisk()
-		l := fillLog(t, d)
+		l := newFilledLog(t, d)
 		d.FailSync = true
-		assert.ErrorIs(t, l.Append(named("lost")), wal.ErrWrite)
+		assert.ErrorIs(t, l.Append(namedRecord("lost")), wal.ErrWrite)
 		d.Crash(keep)
 		l, before, err := readLog(t, d)
 		assert.NilError(t, err)
 		assert.Assert(t, len(before) >= 9)
-		assert.NilError(t, l.Start(named("new")))
+		assert.NilError(t, l.StartFile(namedRecord("new")))
 		d.Crash(0)
 		_, after, err := readLog(t, d)
 		assert.NilError(t, err)
@@ -70,11 +70,11 @@
 	}
 }
 
-// A bit flips, or a file in the middle is gone: the log says so, and can begin
-// anew without the damaged files.
-func TestDamagedLogSaysSo(t *testing.T) {
+// A flipped bit or a missing file is reported as ErrCorrupt, and the log can be started
+// again without the damaged files.
+func TestDamagedLogIsReportedAndCanRestart(t *testing.T) {
 	whole := fake.NewDisk()
-	fillLog(t, whole).Close()
+	newFilledLog(t, whole).Close()
 	names, _ := whole.List()
 	damaged := map[string]*fake.Disk{}
 	for _, name := range names {
@@ -90,8 +90,8 @@
 	for what, d := range damaged {
 		l, _, err := readLog(t, d)
 		assert.ErrorIs(t, err, wal.ErrCorrupt, what)
-		assert.NilError(t, l.Start(named("new")))
-		assert.NilError(t, l.DropBefore(l.Number()))
+		assert.NilError(t, l.StartFile(namedRecord("new")))
+		assert.NilError(t, l.DropBefore(l.LastFile()))
 		d.Crash(0)
 		_, list, err := readLog(t, d)
 		assert.NilError(t, err)
@@ -99,13 +99,13 @@
 	}
 }
 
-// A sync fails once and the next would succeed: the log takes nothing more.
-func TestFailedLogTakesNothingMore(t *testing.T) {
+// A log rejects all writes after one failed sync, even if the next sync would succeed.
+func TestFailedLogRejectsWrites(t *testing.T) {
 	d := fake.NewDisk()
-	l := fillLog(t, d)
+	l := newFilledLog(t, d)
 	d.FailSync = true
-	assert.ErrorIs(t, l.Append(named("lost")), wal.ErrWrite)
-	for _, err := range []error{l.Append(named("x")), l.Start(named("x")), l.DropBefore(2)} {
+	assert.ErrorIs(t, l.Append(namedRecord("lost")), wal.ErrWrite)
+	for _, err := range []error{l.Append(namedRecord("x")), l.StartFile(namedRecord("x")), l.DropBefore(2)} {
 		assert.Assert(t, errors.Is(err, wal.ErrFailed))
 	}
 }
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -9,7 +9,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// recover reads the folder: identity, the newest snapshot, then every segment.
+// recover reads the folder: the identity, the newest snapshot, then all segments.
 func (j *Journal) recover() (*State, error) {
 	names, err := j.fs.List()
 	if err != nil {
@@ -20,7 +20,7 @@
 	for _, n := range names {
 		switch {
 		case strings.HasSuffix(n, tempSuffix):
-			// A file that was never renamed was never relied on.
+			// A file that wasn't renamed holds no acknowledged records.
 			_ = j.fs.Remove(n)
 		case n == identityName:
 			err = j.readIdentity(st)
@@ -33,7 +33,7 @@
 			return nil, err
 		}
 	}
-	if err := j.checkShape(st, logs, snapshots); err != nil {
+	if err := j.checkFiles(st, logs, snapshots); err != nil {
 		return nil, err
 	}
 	if len(snapshots) > 0 {
@@ -49,29 +49,29 @@
 	return st, j.checkState(st)
 }
 
-// checkShape refuses a folder that lacks a file. Records without an identity
-// are those of nobody knows whom.
-func (j *Journal) checkShape(st *State, logs, snapshots []string) error {
+// checkFiles returns ErrCorrupt if a segment is missing, or the identity while there
+// are snapshots. It sets j.segment to the number of the last segment.
+func (j *Journal) checkFiles(st *State, logs, snapshots []string) error {
 	if st.Identity == nil && len(snapshots) > 0 {
 		return merry.Prepend(ErrCorrupt, "identity is missing")
 	}
 	for i := 1; i < len(logs); i++ {
-		if number(logs[i]) != number(logs[i-1])+1 {
+		if segmentNumber(logs[i]) != segmentNumber(logs[i-1])+1 {
 			return merry.Prependf(ErrCorrupt, "a segment is missing before %s", logs[i])
 		}
 	}
 	if len(logs) > 0 {
-		j.number = number(logs[len(logs)-1])
+		j.segment = segmentNumber(logs[len(logs)-1])
 	}
 	return nil
 }
 
-func number(name string) uint64 {
+func segmentNumber(name string) uint64 {
 	n, _ := strconv.ParseUint(strings.TrimPrefix(name, logPrefix), 10, 64)
 	return n
 }
 
-func (j *Journal) readOne(name string) (*wire.JournalRecord, error) {
+func (j *Journal) readSingleRecord(name string) (*wire.JournalRecord, error) {
 	data, err := j.fs.ReadFile(name)
 	if err != nil {
 		return nil, merry.Prepend(ErrFolder, err.Error())
@@ -91,23 +91,23 @@
 }
 
 func (j *Journal) readIdentity(st *State) error {
-	rec, err := j.readOne(identityName)
+	rec, err := j.readSingleRecord(identityName)
 	if err != nil {
 		return err
 	}
 	if st.Identity = rec.GetIdentity(); st.Identity == nil {
-		return merry.Prependf(ErrCorrupt, "%s: holds another record", identityName)
+		return merry.Prependf(ErrCorrupt, "%s: unexpected record type", identityName)
 	}
 	return nil
 }
 
 func (j *Journal) readSnapshot(st *State, name string) error {
-	rec, err := j.readOne(name)
+	rec, err := j.readSingleRecord(name)
 	if err != nil {
 		return err
 	}
 	if st.Snapshot = rec.GetSnapshot(); st.Snapshot == nil {
-		return merry.Prependf(ErrCorrupt, "%s: holds another record", name)
+		return merry.Prependf(ErrCorrupt, "%s: unexpected record type", name)
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 	if err != nil {
 		return merry.Prepend(ErrFolder, err.Error())
 	}
-	good, err := readFrames(data, last, st.add)
+	good, err := readFrames(data, last, st.apply)
 	if err != nil {
 		return merry.Prepend(err, name)
 	}
@@ -130,8 +130,9 @@
 	return nil
 }
 
-// add takes one record of a segment.
-func (st *State) add(rec *wire.JournalRecord) error {
+// apply applies one record of a segment. An entry replaces those from its index on;
+// a snapshot's position discards all.
+func (st *State) apply(rec *wire.JournalRecord) error {
 	if h := rec.GetHardState(); h != nil {
 		st.Hard = h
 		return nil
@@ -142,7 +143,7 @@
 	}
 	e := rec.GetEntry()
 	if e == nil {
-		return merry.Prepend(ErrCorrupt, "segment holds another kind of record")
+		return merry.Prepend(ErrCorrupt, "unexpected record type in segment")
 	}
 	if st.Snapshot != nil && e.Index <= st.Snapshot.Index {
 		return nil
@@ -173,9 +174,9 @@
 	return nil
 }
 
-// startSegment opens the segment that new records go to.
-func (j *Journal) startSegment(st *State) error {
-	if j.number == 0 {
+// openSegment opens the last segment for writing, or starts the first one.
+func (j *Journal) openSegment(st *State) error {
+	if j.segment == 0 {
 		if err := j.rotate(nil, nil); err != nil {
 			return merry.Prepend(ErrFolder, err.Error())
 		}
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -1,15 +1,17 @@
-// Package wal keeps a replica's records and snapshots durably under one
-// data folder: an identity, segments of records, and snapshots.
+// Package wal stores records durably in a data folder. Journal is the write-ahead
+// log of a consensus replica, with its identity and its snapshots; Log is a sequence
+// of record files.
 //
-// Files: "identity" (one record), "snapshot-INDEX" (one record), "log-NUMBER"
-// (records). New files are written under a temporary name, synced, renamed, and
-// the folder is synced, so a file under its final name is whole.
+// Files of a Journal: "identity" (one record), "snapshot-INDEX" (one record),
+// "log-NUMBER" (a segment of records). A new file is written under a temporary name,
+// synced and renamed, and the folder is synced, so a file with its final name is
+// complete.
 //
-// What can't be trusted is never skipped: opening such a folder fails with
-// ErrCorrupt, and the replica rejoins as new. A sync that failed poisons the
-// journal: the kernel may have dropped the dirty pages and answer a second sync
-// with success, so trying again would acknowledge what is not there (Rebello et
-// al.: Can Applications Recover from fsync Failures?, 2020).
+// Corrupt data is never skipped: opening such a folder fails with ErrCorrupt, and the
+// replica must rejoin as a new one. After a failed sync nothing more is written: the
+// kernel may have dropped the dirty pages and report success for a second sync, so
+// that a retry would acknowledge records that aren't on disk (Rebello et al.: Can
+// Applications Recover from fsync Failures?, 2020).
 package wal
 
 import (
@@ -21,7 +23,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
+// Errors of this package.
 var (
 	ErrFolder  = merry.Sentinel("data folder can't be used")
 	ErrLocked  = merry.Sentinel("data folder is in use by another process")
@@ -36,34 +38,35 @@
 	logPrefix      = "log-"
 	snapshotPrefix = "snapshot-"
 	tempSuffix     = ".tmp"
-	// segmentBytes is when a new segment starts.
-	segmentBytes = 16 << 20
+	// maxSegmentBytes is the size at which SegmentFull reports true.
+	maxSegmentBytes = 16 << 20
 )
 
-// State is what a folder held.
+// State is the contents of a Journal's folder.
 type State struct {
-	// Identity is nil in a new folder.
+	// Identity is nil if the folder has none yet.
 	Identity *wire.Identity
 	Hard     *wire.HardState
 	Snapshot *wire.LogSnapshot
 	Entries  []*wire.LogEntry
-	// TornBytes were cut from the end of the last segment.
+	// TornBytes is the size of a torn write that was cut from the last segment.
 	TornBytes int
 }
 
-// Journal is an open data folder. It is not safe for use by several goroutines.
+// Journal is the write-ahead log of a replica in an open data folder. It is not safe
+// for concurrent use.
 type Journal struct {
-	fs     FS
-	unlock func()
-	file   File
-	number uint64
-	size   int64
-	hard   *wire.HardState
-	buf    []byte
-	failed error
+	fs          FS
+	unlock      func()
+	file        File
+	segment     uint64
+	segmentSize int64
+	hard        *wire.HardState
+	buf         []byte
+	failure     error
 }
 
-// Open locks a folder and reads it.
+// Open locks a folder, reads its state, and opens the last segment for writing.
 func Open(fs FS) (*Journal, *State, error) {
 	unlock, err := fs.Lock()
 	if err != nil {
@@ -72,7 +75,7 @@
 	j := &Journal{fs: fs, unlock: unlock}
 	st, err := j.recover()
 	if err == nil {
-		err = j.startSegment(st)
+		err = j.openSegment(st)
 	}
 	if err != nil {
 		unlock()
@@ -81,7 +84,7 @@
 	return j, st, nil
 }
 
-// Close releases the folder.
+// Close closes the segment and unlocks the folder.
 func (j *Journal) Close() {
 	if j.file != nil {
 		_ = j.file.Close()
@@ -89,36 +92,37 @@
 	j.unlock()
 }
 
-// WriteIdentity makes a replica's identity durable, once, in a new folder.
+// WriteIdentity makes the replica's identity durable. It is called once, for a new
+// folder.
 func (j *Journal) WriteIdentity(id *wire.Identity) error {
 	rec := &wire.JournalRecord{Record: &wire.JournalRecord_Identity{Identity: id}}
-	return j.poison(j.writeWhole(identityName, []*wire.JournalRecord{rec}))
+	return j.recordFailure(j.writeRecordFile(identityName, []*wire.JournalRecord{rec}))
 }
 
-// Append makes records durable before it returns: a snapshot first, then the
-// hard state, then entries, which replace all from their first index on.
+// Append makes the hard state, if not nil, and the entries durable before it returns.
+// Entries replace all earlier ones from their first index on.
 func (j *Journal) Append(hard *wire.HardState, entries []*wire.LogEntry) error {
-	if j.failed != nil {
-		return merry.Prepend(ErrFailed, j.failed.Error())
+	if j.failure != nil {
+		return merry.Prepend(ErrFailed, j.failure.Error())
 	}
 	j.buf = j.buf[:0]
 	if hard != nil {
 		j.hard = hard
-		j.add(&wire.JournalRecord{Record: &wire.JournalRecord_HardState{HardState: hard}})
+		j.encodeRecord(&wire.JournalRecord{Record: &wire.JournalRecord_HardState{HardState: hard}})
 	}
 	for _, e := range entries {
-		j.add(&wire.JournalRecord{Record: &wire.JournalRecord_Entry{Entry: e}})
+		j.encodeRecord(&wire.JournalRecord{Record: &wire.JournalRecord_Entry{Entry: e}})
 	}
-	if j.failed != nil {
-		return j.failed
+	if j.failure != nil {
+		return j.failure
 	}
-	return j.poison(j.flush())
+	return j.recordFailure(j.flush())
 }
 
-func (j *Journal) add(rec *wire.JournalRecord) {
+func (j *Journal) encodeRecord(rec *wire.JournalRecord) {
 	buf, err := appendFrame(j.buf, rec)
 	if err != nil {
-		j.failed = err
+		j.failure = err
 		return
 	}
 	j.buf = buf
@@ -128,40 +132,41 @@
 	if _, err := j.file.Write(j.buf); err != nil {
 		return err
 	}
-	j.size += int64(len(j.buf))
+	j.segmentSize += int64(len(j.buf))
 	return j.file.Sync()
 }
 
-// poison remembers the first failure; nothing is written after it.
-func (j *Journal) poison(err error) error {
+// recordFailure keeps the first error, after which nothing more is written. It returns
+// ErrWrite with the cause, or nil.
+func (j *Journal) recordFailure(err error) error {
 	if err == nil {
 		return nil
 	}
-	if j.failed == nil {
-		j.failed = err
+	if j.failure == nil {
+		j.failure = err
 	}
 	return merry.Prepend(ErrWrite, err.Error())
 }
 
-// Err returns why the journal takes no more records, or nil.
-func (j *Journal) Err() error { return j.failed }
+// Err returns the error after which the journal rejects writes, or nil.
+func (j *Journal) Err() error { return j.failure }
 
-// Large says whether the open segment has reached its size.
-func (j *Journal) Large() bool { return j.size >= segmentBytes }
+// SegmentFull reports whether the open segment has reached maxSegmentBytes.
+func (j *Journal) SegmentFull() bool { return j.segmentSize >= maxSegmentBytes }
 
-// Compact makes a snapshot durable and drops what it covers. entries are those
-// after the snapshot that must stay.
+// Compact makes a snapshot durable and removes the files that it replaces. entries are
+// the entries after the snapshot to keep.
 func (j *Journal) Compact(s *wire.LogSnapshot, hard *wire.HardState, entries []*wire.LogEntry) error {
-	if j.failed != nil {
-		return merry.Prepend(ErrFailed, j.failed.Error())
+	if j.failure != nil {
+		return merry.Prepend(ErrFailed, j.failure.Error())
 	}
-	return j.poison(j.compact(s, hard, entries))
+	return j.recordFailure(j.compact(s, hard, entries))
 }
 
 func (j *Journal) compact(s *wire.LogSnapshot, hard *wire.HardState, entries []*wire.LogEntry) error {
 	name := fmt.Sprintf("%s%020d", snapshotPrefix, s.Index)
 	rec := &wire.JournalRecord{Record: &wire.JournalRecord_Snapshot{Snapshot: s}}
-	if err := j.writeWhole(name, []*wire.JournalRecord{rec}); err != nil {
+	if err := j.writeRecordFile(name, []*wire.JournalRecord{rec}); err != nil {
 		return err
 	}
 	if hard != nil {
@@ -170,18 +175,18 @@
 	if err := j.rotate(s, entries); err != nil {
 		return err
 	}
-	return j.dropOld(name)
+	return j.removeObsolete(name)
 }
 
-// rotate starts a segment that holds all that is needed after a snapshot. Its
-// first record is the snapshot's position: on reading it, entries of older
-// segments are forgotten. Without it, a crash before those are removed would
-// bring back entries that an installed snapshot has replaced.
+// rotate starts a segment with all records needed after a snapshot. The first record is
+// the snapshot's position, at which recovery discards the entries of older segments.
+// Without it, a crash before those are removed would restore entries that an installed
+// snapshot has replaced.
 func (j *Journal) rotate(s *wire.LogSnapshot, entries []*wire.LogEntry) error {
 	if j.file != nil {
 		_ = j.file.Close()
 	}
-	j.number++
+	j.segment++
 	var recs []*wire.JournalRecord
 	if s != nil {
 		at := &wire.LogSnapshot{Index: s.Index, Term: s.Term}
@@ -194,7 +199,7 @@
 		recs = append(recs, &wire.JournalRecord{Record: &wire.JournalRecord_Entry{Entry: e}})
 	}
 	name := j.segmentName()
-	if err := j.writeWhole(name, recs); err != nil {
+	if err := j.writeRecordFile(name, recs); err != nil {
 		return err
 	}
 	file, err := j.fs.Append(name)
@@ -202,15 +207,15 @@
 		return err
 	}
 	j.file = file
-	j.size = 0
+	j.segmentSize = 0
 	return nil
 }
 
-func (j *Journal) segmentName() string { return fmt.Sprintf("%s%020d", logPrefix, j.number) }
+func (j *Journal) segmentName() string { return fmt.Sprintf("%s%020d", logPrefix, j.segment) }
 
-// dropOld removes what a durable snapshot and segment have replaced. A crash in
-// between leaves old files, which recovery reads past or removes.
-func (j *Journal) dropOld(snapshot string) error {
+// removeObsolete removes the segments and snapshots that the current ones replace. If
+// a crash leaves some of them, recovery discards their contents.
+func (j *Journal) removeObsolete(snapshot string) error {
 	names, err := j.fs.List()
 	if err != nil {
 		return err
@@ -228,8 +233,8 @@
 	return j.fs.SyncDir()
 }
 
-// writeWhole writes a file that is either whole or not there.
-func (j *Journal) writeWhole(name string, recs []*wire.JournalRecord) error {
+// writeRecordFile writes records to a new file, as writeFileAtomic does.
+func (j *Journal) writeRecordFile(name string, recs []*wire.JournalRecord) error {
 	var buf []byte
 	var err error
 	for _, r := range recs {
@@ -237,11 +242,12 @@
 			return err
 		}
 	}
-	return writeWholeFile(j.fs, name, buf)
+	return writeFileAtomic(j.fs, name, buf)
 }
 
-// writeWholeFile writes a file that is either whole or not there.
-func writeWholeFile(fs FS, name string, data []byte) error {
+// writeFileAtomic writes a file durably. After a crash, the file either has all of the
+// data or doesn't exist.
+func writeFileAtomic(fs FS, name string, data []byte) error {
 	f, err := fs.Create(name + tempSuffix)
 	if err != nil {
 		return err
