--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -11,141 +11,138 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-var epoch = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-func ringOf(n int) *wire.Ring {
+func newRing(n int) *wire.Ring {
 	ring := &wire.Ring{Epoch: 1}
 	for i := range n {
-		ring.Members = append(ring.Members, &wire.RingMember{Id: id(i), FailureDomain: fmt.Sprintf("hall-%d", i), Incarnation: 1})
+		ring.Members = append(ring.Members, &wire.RingMember{Id: entryID(i), FailureDomain: fmt.Sprintf("hall-%d", i), Incarnation: 1})
 	}
 	return ring
 }
 
-func newRegister(n int, life uint64, ring *wire.Ring) *Register {
-	r := NewRegister(DefaultRegisterSettings(), &wire.Incarnation{Id: id(n), Number: life}, epoch)
+func newRegister(n int, incarnation uint64, ring *wire.Ring) *Register {
+	r := NewRegister(DefaultRegisterSettings(), &wire.Incarnation{Id: entryID(n), Number: incarnation}, startTime)
 	r.SetRing(ring)
 	return r
 }
 
-func claimBy(holder string) *wire.ClaimRequest {
+func claimRequest(holder string) *wire.ClaimRequest {
 	return &wire.ClaimRequest{Key: &wire.ClaimKey{Key: "bid"}, RequestId: holder, RingEpoch: 1, Digest: []byte("d")}
 }
 
-// A register grants a bid, restarts, copies from its peers before the bid's
-// claim reached them, and grants the resent bid. Then the first claim reaches a
-// peer: together with the forgotten grant that is a majority, and the bid would
-// run beside its resend.
-func TestGrantOfAnEarlierLifeCountsForNothing(t *testing.T) {
-	ring := ringOf(3)
+// A register grants a key, restarts, copies from its peers before the first request's
+// claim reaches them, and grants the key to a resend. The first request's claim then
+// reaches a peer: with the grant from before the restart it would have a majority too.
+func TestGrantOfEarlierIncarnationIsNotCounted(t *testing.T) {
+	ring := newRing(3)
 	r0, r1, r2 := newRegister(0, 1, ring), newRegister(1, 1, ring), newRegister(2, 1, ring)
-	first := NewClaimant(ring, claimBy("first").Key, false)
-	first.Take(id(0), r0.Grant(epoch, claimBy("first")))
+	first := NewRound(ring, claimRequest("first").Key, false)
+	first.AddReply(entryID(0), r0.Grant(startTime, claimRequest("first")))
 
 	r0 = newRegister(0, 2, ring)
-	assert.Assert(t, r0.Grant(epoch, claimBy("resent")).Forgetful)
-	from := &wire.ClaimCopyRequest{From: &wire.Incarnation{Id: id(0), Number: 2}, RingEpoch: 1}
-	r0.TakeCopy(epoch, id(1), r1.Copy(epoch, from))
-	r0.TakeCopy(epoch, id(2), r2.Copy(epoch, from))
-	resent := NewClaimant(ring, claimBy("resent").Key, false)
-	resent.Take(id(0), r0.Grant(epoch, claimBy("resent")))
-	resent.Take(id(2), r2.Grant(epoch, claimBy("resent")))
+	assert.Assert(t, r0.Grant(startTime, claimRequest("resent")).Forgetful)
+	from := &wire.ClaimCopyRequest{From: &wire.Incarnation{Id: entryID(0), Number: 2}, RingEpoch: 1}
+	r0.ApplyCopy(startTime, entryID(1), r1.CopyRecords(startTime, from))
+	r0.ApplyCopy(startTime, entryID(2), r2.CopyRecords(startTime, from))
+	resent := NewRound(ring, claimRequest("resent").Key, false)
+	resent.AddReply(entryID(0), r0.Grant(startTime, claimRequest("resent")))
+	resent.AddReply(entryID(2), r2.Grant(startTime, claimRequest("resent")))
 	v, _ := resent.Verdict()
 	assert.Equal(t, v, Won)
 
-	first.Take(id(1), r1.Grant(epoch, claimBy("first")))
-	first.Fail(id(2))
+	first.AddReply(entryID(1), r1.Grant(startTime, claimRequest("first")))
+	first.MarkFailed(entryID(2))
 	v, _ = first.Verdict()
-	assert.Equal(t, v, Lost)
-	first.off.lives = true
+	assert.Equal(t, v, NoMajority)
+	first.disabled.incarnationCheck = true
 	v, _ = first.Verdict()
 	assert.Equal(t, v, Won, "without the safeguard both would run")
 }
 
-// The same bid as above, but the clock of the register's host is set back before
-// its restart, so that the new life has the lower number. Its peers know the
-// earlier life, from the ring or from its last copy: they let it copy only under a
-// number above that, and the forgotten grant counts for nothing again.
-func TestClockSetBackBeforeARestart(t *testing.T) {
-	ring := ringOf(3)
+// As above, but the host's clock is set back, so that the new incarnation has a lower
+// number. The peers let it copy only under a number above that of the earlier
+// incarnation, which they know from the ring or from its last copy.
+func TestRestartWithClockSetBackNeedsHigherIncarnation(t *testing.T) {
+	ring := newRing(3)
 	ring.Members[0].Incarnation = 7
 	r0, r1, r2 := newRegister(0, 7, ring), newRegister(1, 1, ring), newRegister(2, 1, ring)
-	first := NewClaimant(ring, claimBy("first").Key, false)
-	first.Take(id(0), r0.Grant(epoch, claimBy("first")))
+	first := NewRound(ring, claimRequest("first").Key, false)
+	first.AddReply(entryID(0), r0.Grant(startTime, claimRequest("first")))
 
 	r0 = newRegister(0, 3, ring)
 	for _, peer := range []struct {
 		id  string
 		reg *Register
-	}{{id(1), r1}, {id(2), r2}} {
-		c := peer.reg.Copy(epoch, &wire.ClaimCopyRequest{From: r0.self, RingEpoch: 1})
+	}{{entryID(1), r1}, {entryID(2), r2}} {
+		c := peer.reg.CopyRecords(startTime, &wire.ClaimCopyRequest{From: r0.self, RingEpoch: 1})
 		assert.Equal(t, c.SupersededBy, uint64(7))
-		r0.TakeCopy(epoch, peer.id, c)
+		r0.ApplyCopy(startTime, peer.id, c)
 	}
-	assert.Equal(t, len(r0.Missing(epoch)), 2, "nothing was copied under the lower number")
-	assert.Assert(t, r0.Grant(epoch, claimBy("resent")).Forgetful)
-
-	r0.Renumber(8)
-	r0.TakeCopy(epoch, id(1), r1.Copy(epoch, &wire.ClaimCopyRequest{From: r0.self, RingEpoch: 1}))
-	r0.TakeCopy(epoch, id(2), r2.Copy(epoch, &wire.ClaimCopyRequest{From: r0.self, RingEpoch: 1}))
-	resent := NewClaimant(ring, claimBy("resent").Key, false)
-	resent.Take(id(0), r0.Grant(epoch, claimBy("resent")))
-	resent.Take(id(2), r2.Grant(epoch, claimBy("resent")))
+	assert.Equal(t, len(r0.PeersToCopy(startTime)), 2, "nothing was copied under the lower number")
+	assert.Assert(t, r0.Grant(startTime, claimRequest("resent")).Forgetful)
+
+	r0.RaiseIncarnation(8)
+	r0.ApplyCopy(startTime, entryID(1), r1.CopyRecords(startTime, &wire.ClaimCopyRequest{From: r0.self, RingEpoch: 1}))
+	r0.ApplyCopy(startTime, entryID(2), r2.CopyRecords(startTime, &wire.ClaimCopyRequest{From: r0.self, RingEpoch: 1}))
+	resent := NewRound(ring, claimRequest("resent").Key, false)
+	resent.AddReply(entryID(0), r0.Grant(startTime, claimRequest("resent")))
+	resent.AddReply(entryID(2), r2.Grant(startTime, claimRequest("resent")))
 	v, _ := resent.Verdict()
 	assert.Equal(t, v, Won)
 
-	first.Take(id(1), r1.Grant(epoch, claimBy("first")))
-	first.Fail(id(2))
+	first.AddReply(entryID(1), r1.Grant(startTime, claimRequest("first")))
+	first.MarkFailed(entryID(2))
 	v, _ = first.Verdict()
-	assert.Equal(t, v, Lost)
+	assert.Equal(t, v, NoMajority)
 }
 
-// A register is at its bound. It says so and grants nothing; keys that it holds
-// are still answered, and an expired key makes room.
-func TestFullRegisterRefusesClearly(t *testing.T) {
-	ring := ringOf(3)
-	set := DefaultRegisterSettings()
-	set.MaxRecords = 2
-	r := NewRegister(set, &wire.Incarnation{Id: id(0), Number: 1}, epoch)
+// A register with MaxRecords keys refuses new ones with Full, until a record expires.
+func TestFullRegisterRefusesNewKeys(t *testing.T) {
+	ring := newRing(3)
+	settings := DefaultRegisterSettings()
+	settings.MaxRecords = 2
+	r := NewRegister(settings, &wire.Incarnation{Id: entryID(0), Number: 1}, startTime)
 	r.SetRing(ring)
 	for _, k := range []string{"a", "b"} {
-		q := claimBy(k)
+		q := claimRequest(k)
 		q.Key = &wire.ClaimKey{Key: k}
-		assert.Assert(t, r.Grant(epoch, q).Granted)
+		assert.Assert(t, r.Grant(startTime, q).Granted)
 	}
-	reply := r.Grant(epoch, claimBy("c"))
+	reply := r.Grant(startTime, claimRequest("c"))
 	assert.Assert(t, reply.Full && !reply.Granted)
-	later := epoch.Add(set.MaxTTL)
-	assert.Assert(t, r.Grant(later, claimBy("c")).Granted)
+	later := startTime.Add(settings.MaxTTL)
+	assert.Assert(t, r.Grant(later, claimRequest("c")).Granted)
 	assert.Equal(t, r.Len(), 1)
 }
 
-// Answers beyond the bound are dropped, never the memory that the request ran.
-func TestDroppedAnswerStillStopsASecondRun(t *testing.T) {
-	ring := ringOf(3)
-	set := DefaultRegisterSettings()
-	set.MaxAnswerBytes = 4
-	r := NewRegister(set, &wire.Incarnation{Id: id(0), Number: 1}, epoch)
+// An answer above MaxAnswerBytes is stored without its body, and the key stays settled.
+func TestDroppedAnswerStillPreventsSecondRun(t *testing.T) {
+	ring := newRing(3)
+	settings := DefaultRegisterSettings()
+	settings.MaxAnswerBytes = 4
+	r := NewRegister(settings, &wire.Incarnation{Id: entryID(0), Number: 1}, startTime)
 	r.SetRing(ring)
-	r.Grant(epoch, claimBy("a"))
-	r.Settle(epoch, &wire.ClaimSettle{
-		Key: claimBy("a").Key, RequestId: "a", State: wire.ClaimState_CLAIM_STATE_ANSWERED,
+	r.Grant(startTime, claimRequest("a"))
+	r.Settle(startTime, &wire.ClaimSettle{
+		Key: claimRequest("a").Key, RequestId: "a", State: wire.ClaimState_CLAIM_STATE_ANSWERED,
 		Answer: &wire.StoredAnswer{Status: 200, Body: []byte("a long answer")},
 	})
-	reply := r.Grant(epoch, claimBy("b"))
+	reply := r.Grant(startTime, claimRequest("b"))
 	assert.Assert(t, !reply.Granted)
 	assert.Assert(t, reply.Record.Answer.Dropped)
 }
 
-func TestRegistersStandInDistinctFailureDomains(t *testing.T) {
+func TestRegistersAreInDistinctFailureDomains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 12).Draw(t, "members")
 		domains := rapid.IntRange(1, 4).Draw(t, "domains")
 		ring := &wire.Ring{Epoch: 1}
 		for i := range n {
-			ring.Members = append(ring.Members, &wire.RingMember{Id: id(i), FailureDomain: fmt.Sprint(i % domains)})
+			ring.Members = append(ring.Members, &wire.RingMember{Id: entryID(i), FailureDomain: fmt.Sprint(i % domains)})
 		}
 		key := &wire.ClaimKey{Team: rapid.String().Draw(t, "team"), Key: rapid.String().Draw(t, "key")}
-		chosen := Registers(ring.Members, key)
+		chosen := SelectRegisters(ring.Members, key)
 		seen := map[string]bool{}
 		ids := map[string]bool{}
 		for _, m := range chosen {
@@ -158,36 +155,35 @@
 	})
 }
 
-// Two of a key's registers are lost. The caller is told "unknown" after a few
-// rounds, long before its deadline, so that it can come back; while another
-// request holds the key it is worth waiting for that one's answer.
-func TestLostRegistersAreToldAtOnce(t *testing.T) {
-	ring := ringOf(3)
-	req := Request{Key: claimBy("q").Key, ID: "q", Digest: []byte("d"), TTL: time.Minute, Deadline: epoch.Add(time.Hour)}
-	alive := func(*wire.Incarnation) bool { return false }
-	half := func(d time.Duration) time.Duration { return d / 2 }
-	play := func(reply func(id string) *wire.ClaimReply) (Choice, time.Duration) {
-		f := NewFlow(req, alive, half)
-		now := epoch
-		for now.Before(epoch.Add(time.Minute)) {
+// Without a majority of reachable registers, the outcome is Unknown after a few rounds,
+// long before the deadline. While another request holds the key, the acquisition waits.
+func TestLostRegistersEndAcquisitionEarly(t *testing.T) {
+	ring := newRing(3)
+	req := Request{Key: claimRequest("q").Key, ID: "q", Digest: []byte("d"), TTL: time.Minute, Deadline: startTime.Add(time.Hour)}
+	neverGone := func(*wire.Incarnation) bool { return false }
+	halfJitter := func(d time.Duration) time.Duration { return d / 2 }
+	runUntilDecision := func(reply func(id string) *wire.ClaimReply) (Decision, time.Duration) {
+		f := NewAcquisition(req, neverGone, halfJitter)
+		now := startTime
+		for now.Before(startTime.Add(time.Minute)) {
 			a := f.Step(now, RingState{Ring: ring, Confirmed: true})
-			if a.Choice != Wait {
-				return a.Choice, now.Sub(epoch)
+			if a.Decision != Wait {
+				return a.Decision, now.Sub(startTime)
 			}
 			if a.Claim != nil {
 				for _, m := range a.Targets {
-					f.Reply(f.Holder(), m.Id, reply(m.Id))
+					f.AddReply(f.Holder(), m.Id, reply(m.Id))
 				}
 				continue
 			}
-			now = a.Wake
+			now = a.WakeAt
 		}
-		return Wait, now.Sub(epoch)
+		return Wait, now.Sub(startTime)
 	}
-	choice, took := play(func(string) *wire.ClaimReply { return nil })
+	choice, took := runUntilDecision(func(string) *wire.ClaimReply { return nil })
 	assert.Equal(t, choice, Unknown)
 	assert.Assert(t, took < time.Second, "%v", took)
 	held := &wire.ClaimRecord{Holder: "other", State: wire.ClaimState_CLAIM_STATE_HELD, Digest: []byte("d")}
-	choice, _ = play(func(string) *wire.ClaimReply { return &wire.ClaimReply{RingEpoch: 1, Record: held} })
+	choice, _ = runUntilDecision(func(string) *wire.ClaimReply { return &wire.ClaimReply{RingEpoch: 1, Record: held} })
 	assert.Equal(t, choice, Wait)
 }
--- a/claim/client.go
+++ b/claim/client.go
@@ -8,11 +8,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// settleTries is how often a settlement is sent to a register that doesn't
-// answer. A lost one costs a resend its answer, never a second run.
-const settleTries = 3
+// maxSettleAttempts is how often a settlement is sent to a register that doesn't
+// reply. If all attempts fail, a resend may get no answer, but it doesn't run.
+const maxSettleAttempts = 3
 
-// Hold is a key that a request holds. It must be settled.
+// Hold is an acquired key. Settle must be called once.
 type Hold struct {
 	node    *Node
 	key     *wire.ClaimKey
@@ -20,111 +20,114 @@
 	targets []*wire.RingMember
 }
 
-// Outcome is what a claim came to; Hold is set when Choice is Run.
+// Outcome is the result of Claim. Hold is set if Choice is Run.
 type Outcome struct {
-	Choice Choice
+	Choice Decision
 	Record *wire.ClaimRecord
 	Hold   *Hold
 }
 
-type reply struct {
+// roundReply is a register's reply to the claim of one holder; reply is nil if it failed.
+type roundReply struct {
 	holder, from string
 	reply        *wire.ClaimReply
 }
 
-// Claim carries a request through its flow. gone says whether an entry's life
-// has ended.
+// Claim acquires a request's key. It blocks until there is a decision or the context
+// ends. gone reports whether an entry's incarnation has ended.
 func (n *Node) Claim(ctx context.Context, q Request, gone func(*wire.Incarnation) bool) Outcome {
-	flow := NewFlow(q, gone, func(d time.Duration) time.Duration { return rand.N(d + 1) })
-	replies := make(chan reply, 8*Copies)
+	acq := NewAcquisition(q, gone, func(d time.Duration) time.Duration { return rand.N(d + 1) })
+	replies := make(chan roundReply, 8*Copies)
 	for {
-		a := flow.Step(n.now(), n.Ring())
+		a := acq.Step(n.now(), n.Ring())
 		if a.Release != nil {
-			n.settle(a.Release, a.ReleaseTargets)
+			n.sendSettlement(a.Release, a.ReleaseTargets)
 		}
-		switch a.Choice {
+		switch a.Decision {
 		case Wait:
 		case Run:
-			return Outcome{Choice: Run, Hold: &Hold{node: n, key: q.Key, holder: flow.Holder(), targets: a.Targets}}
+			return Outcome{Choice: Run, Hold: &Hold{node: n, key: q.Key, holder: acq.Holder(), targets: a.Targets}}
 		default:
-			return Outcome{Choice: a.Choice, Record: a.Record}
+			return Outcome{Choice: a.Decision, Record: a.Record}
 		}
 		if a.Claim != nil {
-			n.ask(ctx, a, flow.Holder(), replies)
+			n.sendClaims(ctx, a, acq.Holder(), replies)
 		}
-		timer := time.NewTimer(a.Wake.Sub(n.now()))
+		timer := time.NewTimer(a.WakeAt.Sub(n.now()))
 		select {
 		case r := <-replies:
-			flow.Reply(r.holder, r.from, r.reply)
+			acq.AddReply(r.holder, r.from, r.reply)
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			// The caller has left. What was granted is given back; whether an
-			// earlier sending ran is not known here.
-			r := flow.abandon()
-			n.settle(r.Release, r.ReleaseTargets)
+			// The caller has gone away. Grants are released; whether an earlier sending
+			// ran isn't known here.
+			r := acq.cancel()
+			n.sendSettlement(r.Release, r.ReleaseTargets)
 			return Outcome{Choice: Unknown}
 		}
 		timer.Stop()
 	}
 }
 
-// abandon ends a flow before it has decided.
-func (f *Flow) abandon() Actions {
-	if f.claimant == nil {
+// cancel ends an Acquisition without a decision. The release in its result is nil
+// if no round is in progress.
+func (acq *Acquisition) cancel() Actions {
+	if acq.round == nil {
 		return Actions{}
 	}
-	return f.release()
+	return acq.releaseRound()
 }
 
-func (n *Node) ask(ctx context.Context, a Actions, holder string, replies chan<- reply) {
+func (n *Node) sendClaims(ctx context.Context, a Actions, holder string, replies chan<- roundReply) {
 	for _, m := range a.Targets {
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, a.Wake.Sub(n.now()))
+			ctx, cancel := context.WithTimeout(ctx, a.WakeAt.Sub(n.now()))
 			defer cancel()
-			r, err := n.call(ctx, m, a.Claim)
+			r, err := n.requestGrant(ctx, m, a.Claim)
 			if err != nil {
 				r = nil
 			}
 			select {
-			case replies <- reply{holder, m.Id, r}:
+			case replies <- roundReply{holder, m.Id, r}:
 			default:
 			}
 		}()
 	}
 }
 
-func (n *Node) call(ctx context.Context, m *wire.RingMember, q *wire.ClaimRequest) (*wire.ClaimReply, error) {
+func (n *Node) requestGrant(ctx context.Context, m *wire.RingMember, q *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	if m.Id == n.id {
 		return n.Grant(ctx, q)
 	}
 	r, err := wire.NewDRPCClaimClient(n.dial(ctx, m.Address)).Grant(ctx, q)
 	if err == nil {
-		// Before the grant can count: the register may come back on an older copy
-		// of its folder, and must hear of it.
+		// The grant is noted before it can be counted: if the register restarts with an
+		// older copy of its folder, this entry must report the grant to it.
 		n.mu.Lock()
-		n.seen.Note(r)
+		n.seenGrants.Record(r)
 		n.mu.Unlock()
 	}
 	return r, err
 }
 
-// settle sends a settlement in the background.
-func (n *Node) settle(s *wire.ClaimSettle, targets []*wire.RingMember) {
+// sendSettlement sends a settlement to the targets without waiting for replies. It
+// does nothing if s is nil.
+func (n *Node) sendSettlement(s *wire.ClaimSettle, targets []*wire.RingMember) {
 	if s == nil {
 		return
 	}
 	for _, m := range targets {
 		if m.Id == n.id {
-			n.settleHere(s)
+			n.settleLocally(s)
 			continue
 		}
-		go n.settleOne(m, s)
+		go n.sendSettlementTo(m, s)
 	}
 }
 
-func (n *Node) settleOne(m *wire.RingMember, s *wire.ClaimSettle) {
-	for range settleTries {
+func (n *Node) sendSettlementTo(m *wire.RingMember, s *wire.ClaimSettle) {
+	for range maxSettleAttempts {
 		ctx, cancel := context.WithTimeout(context.Background(), RoundTimeout)
 		_, err := wire.NewDRPCClaimClient(n.dial(ctx, m.Address)).Settle(ctx, s)
 		cancel()
@@ -134,8 +137,9 @@
 	}
 }
 
-// Settle ends the claim: answered, unknown, or released as not run. It must be
-// called once. A resend that comes before it has arrived waits for it.
+// Settle ends the claim with the state answered, unknown, or released (not run). It
+// must be called once. Until the settlement arrives, the key's registers report it
+// as held.
 func (h *Hold) Settle(state wire.ClaimState, answer *wire.StoredAnswer) {
-	h.node.settle(&wire.ClaimSettle{Key: h.key, RequestId: h.holder, State: state, Answer: answer}, h.targets)
+	h.node.sendSettlement(&wire.ClaimSettle{Key: h.key, RequestId: h.holder, State: state, Answer: answer}, h.targets)
 }
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,31 +1,34 @@
 // Package claim makes a request with an idempotency key run at most once,
-// whichever entries it is sent to and whatever dies.
+// whichever entries it is sent to and whichever entries fail.
 //
-// A key has three registers, on entry hosts in different failure domains where
-// there are that many. A request may run only while a majority of them is held
-// by it. Register (one host's records) and Claimant (one request's way through
-// them) are pure: time and messages in, messages and decisions out.
+// Each key has Copies registers, one on each of several entry hosts, in
+// different failure domains if there are enough of them. A request may run only
+// while it holds a majority of the key's registers. Register (the records of one
+// host), Round and Acquisition (one request's attempts to acquire its key) do no
+// I/O: they take the time and messages, and return messages and decisions.
 //
-// Why at most one request runs: two majorities share a register, and a register
-// passes from one request to another only when the first was settled as not
-// run, or when the register's memory of it has ended (its time to live, which is
-// over twice the longest time that a request may run).
+// At most one request runs because any two majorities share a register, and a
+// register passes from one request to another only after the first was settled as
+// not run, or after the register's record of it has expired. The time to live of a
+// record is more than twice the longest time that a request may run.
 //
-// A register that restarted has forgotten. It grants nothing until it has copied
-// the records of both its peers, or a time to live has passed. A request that
-// counted its grant from before the restart, with a grant that a peer gave after
-// the copy, would have a majority that the copy doesn't know of; so a peer names
-// the lives it has copied to, and a grant of an earlier life counts for nothing.
+// A register without a data folder loses its records in a restart. It grants
+// nothing until it has copied the records of the key's other registers, or until
+// the longest time to live has passed. A request may still combine a grant from
+// before the restart with a grant that a peer gave after it was copied from; that
+// majority would be unknown to the restarted register. A peer therefore names in
+// its replies the incarnations that have copied from it, and a grant of an earlier
+// incarnation isn't counted.
 //
 // A register with a data folder syncs each record before the grant leaves (Node,
-// store), so that a restart is for it no more than a pause: its life goes on, with
-// its records, the peers that it copied from and the lives that copied from it.
-// Before it grants, its peers say how far they have seen it grant: a folder that
-// holds less is an older copy. That one, an empty one and a damaged one begin a
-// new life, which has forgotten.
+// store). After a restart it keeps its incarnation, its records, the set of peers
+// that it copied from and the incarnations that copied from it. Before it grants,
+// its peers report the latest grant that they have seen from it; a folder that
+// lacks such a grant is an older copy. With an older copy, an empty folder or a
+// damaged one, the register starts a new incarnation without records.
 //
-// "Not run" may be said of a key only by a request that holds a majority and
-// will not run, because nobody else can be running then. Everything less is
-// "unknown": registers that are silent or held may belong to an earlier sending
-// of the same request that ran.
+// A request may be reported as "not run" only by a request that holds a majority
+// of the key's registers and won't run, because no other request can be running
+// then. Otherwise the outcome is "unknown": a register that is held or doesn't
+// reply may hold the claim of an earlier sending of the same request that ran.
 package claim
--- a/claim/durable.go
+++ b/claim/durable.go
@@ -9,111 +9,115 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// CheckPeriod is how long a register that came up from a data folder waits for
-// all its peers to say how far they have seen it grant. After it one peer in
-// another failure domain is enough: the others may be lost.
-const CheckPeriod = time.Second
+// RollbackCheckPeriod is how long a register that restarted with its data folder
+// waits for all its peers to report the grants that they have seen. After it a
+// report from one peer in another failure domain is enough, as the other peers may
+// be lost.
+const RollbackCheckPeriod = time.Second
 
-// durable is what a register with a data folder holds besides the keys' records.
-type durable struct {
-	on bool
-	// sequence counts the grants of this life.
+// durableState is the state of a register with a data folder, apart from the records.
+type durableState struct {
+	// persistent is true if the register has a data folder.
+	persistent bool
+	// sequence counts the grants of this incarnation.
 	sequence uint64
-	// whole says that nothing an earlier life granted can still count.
-	whole bool
-	// resumed says that this life began in an earlier process.
+	// complete is true if no grant of an earlier incarnation can still count.
+	complete bool
+	// resumed is true if this incarnation began in an earlier process.
 	resumed bool
-	// heard names the peers that have said how far they have seen this life grant.
-	heard map[string]bool
-	// full says that the folder is at its bound.
-	full bool
-	// failed says that a record couldn't be made durable.
-	failed bool
-	writes []*wire.ClaimStored
+	// checkedPeers holds the IDs of the peers that have reported the grants that they
+	// have seen of this incarnation.
+	checkedPeers map[string]bool
+	// folderFull is true if the folder has reached MaxFolderBytes.
+	folderFull bool
+	// writeFailed is true if a record couldn't be made durable.
+	writeFailed   bool
+	pendingWrites []*wire.ClaimStored
 }
 
-// Stored is what a data folder held.
-type Stored struct {
+// StoredState is the state that was read from a data folder.
+type StoredState struct {
 	head     *wire.ClaimStoredHead
 	sequence uint64
-	// oldest is the first file that the last one needs.
-	oldest uint64
-	claims map[string]*wire.ClaimRecord
+	// oldestFile is the number of the first file that the last one depends on.
+	oldestFile uint64
+	claims     map[string]*wire.ClaimRecord
 }
 
-// Add takes the next record of the folder.
-func (s *Stored) Add(rec *wire.ClaimStored) {
+// AddRecord applies the next record of the folder.
+func (s *StoredState) AddRecord(rec *wire.ClaimStored) {
 	s.sequence = max(s.sequence, rec.Sequence)
 	if h := rec.GetHead(); h != nil {
 		if h.Forgot {
 			s.claims, s.sequence = nil, rec.Sequence
 		}
 		s.head = h
-		s.oldest = max(s.oldest, h.Oldest)
+		s.oldestFile = max(s.oldestFile, h.Oldest)
 		return
 	}
 	if s.claims == nil {
 		s.claims = map[string]*wire.ClaimRecord{}
 	}
 	c := rec.GetClaim()
-	s.claims[keyText(c.GetKey())] = c
+	s.claims[encodeKey(c.GetKey())] = c
 }
 
-func sameLife(a, b *wire.Incarnation) bool {
+func sameIncarnation(a, b *wire.Incarnation) bool {
 	return a.GetId() == b.GetId() && a.GetNumber() == b.GetNumber()
 }
 
-// NewDurableRegister makes the register of a process with a data folder. What
-// the folder held is nil if that is nothing, or nothing that can be trusted: the
-// register then begins a life with the process's number, and has forgotten.
+// NewDurableRegister returns the register of a process with a data folder. st is
+// what was read from it, or nil if the folder is empty or can't be trusted; the
+// register then starts a new incarnation with the process's number and no records.
 //
-// Else it goes on as if it had only been slow. A record's remaining time is that
-// of its last write, and the time in between counts as none: no clock that runs
-// on while the process is down can be trusted, and a record that expired early
-// would let a request run again. One that is remembered for longer only costs
-// memory.
-func NewDurableRegister(s RegisterSettings, process *wire.Incarnation, st *Stored, now time.Time) *Register {
+// It does the same if the folder belongs to another entry. Otherwise the register
+// continues as after a pause. The time for which the process
+// was down isn't subtracted from a record's time to live, because no clock is
+// trusted across a restart: a record that expired early would let a request run
+// twice, while one that is kept for too long only takes memory.
+func NewDurableRegister(s RegisterSettings, process *wire.Incarnation, st *StoredState, now time.Time) *Register {
 	r := NewRegister(s, process, now)
-	r.on = true
-	r.heard = map[string]bool{}
+	r.persistent = true
+	r.checkedPeers = map[string]bool{}
 	if st == nil || st.head.GetSelf().GetId() != process.GetId() {
-		r.writeHead(true)
+		r.queueHead(true)
 		return r
 	}
 	r.self, r.sequence = st.head.Self, st.sequence
-	r.whole, r.resumed = st.head.Whole, true
+	r.complete, r.resumed = st.head.Whole, true
 	for _, id := range st.head.Copied {
-		r.copied[id] = true
+		r.copiedFrom[id] = true
 	}
 	for _, l := range st.head.Lives {
-		r.lives[l.Id] = l.Number
+		r.copierIncarnations[l.Id] = l.Number
 	}
-	r.writeHead(false)
-	for text, c := range st.claims {
-		r.put(now, text, c, now.Add(r.ttl(c.TtlLeftMs)))
+	r.queueHead(false)
+	for encKey, c := range st.claims {
+		r.putRecord(now, encKey, c, now.Add(r.boundedTTL(c.TtlLeftMs)))
 	}
 	return r
 }
 
-// TakeWrites returns the records that must be durable before a reply that was
-// made after them leaves, in their order.
+// TakeWrites returns and clears the pending writes, in order. They must be durable
+// before a reply that was made after them is sent.
 func (r *Register) TakeWrites() []*wire.ClaimStored {
-	w := r.writes
-	r.writes = nil
+	w := r.pendingWrites
+	r.pendingWrites = nil
 	return w
 }
 
-// Fail ends the granting: a record couldn't be made durable. Whether the disk
-// holds it is not known, so nothing is tried again.
-func (r *Register) Fail() {
-	r.failed = true
-	r.writes = nil
+// MarkWriteFailed stops all granting, since a record couldn't be made durable. The
+// write isn't retried, because it is unknown whether the disk holds it.
+func (r *Register) MarkWriteFailed() {
+	r.writeFailed = true
+	r.pendingWrites = nil
 }
 
-// write notes a key's record for the folder. The answer's body and headers stay
-// in memory: a resend after a restart hears that the request ran.
-func (r *Register) write(now time.Time, rec *record) {
-	if !r.on || r.failed {
+// queueRecord queues a key's record for the data folder. The body and headers of
+// its answer are kept only in memory; after a restart, a resend is told that the
+// request ran.
+func (r *Register) queueRecord(now time.Time, rec *record) {
+	if !r.persistent || r.writeFailed {
 		return
 	}
 	c := &wire.ClaimRecord{
@@ -123,66 +127,68 @@
 	if rec.Answer != nil {
 		c.Answer = &wire.StoredAnswer{Status: rec.Answer.Status, Dropped: true}
 	}
-	r.writes = append(r.writes, &wire.ClaimStored{Record: &wire.ClaimStored_Claim{Claim: c}, Sequence: r.sequence})
+	r.pendingWrites = append(r.pendingWrites, &wire.ClaimStored{Record: &wire.ClaimStored_Claim{Claim: c}, Sequence: r.sequence})
 }
 
-func (r *Register) writeHead(forgot bool) {
-	if !r.on || r.failed {
+// queueHead queues the state besides the keys' records for the data folder. With
+// discardEarlier, records stored before it are discarded when the folder is read.
+func (r *Register) queueHead(discardEarlier bool) {
+	if !r.persistent || r.writeFailed {
 		return
 	}
-	h := &wire.ClaimStoredHead{Self: r.self, Whole: r.whole, Forgot: forgot}
-	for id := range r.copied {
+	h := &wire.ClaimStoredHead{Self: r.self, Whole: r.complete, Forgot: discardEarlier}
+	for id := range r.copiedFrom {
 		h.Copied = append(h.Copied, id)
 	}
 	sort.Strings(h.Copied)
-	for id, n := range r.lives {
+	for id, n := range r.copierIncarnations {
 		h.Lives = append(h.Lives, &wire.Incarnation{Id: id, Number: n})
 	}
 	sort.Slice(h.Lives, func(i, j int) bool { return h.Lives[i].Id < h.Lives[j].Id })
-	r.writes = append(r.writes, &wire.ClaimStored{Record: &wire.ClaimStored_Head{Head: h}, Sequence: r.sequence})
+	r.pendingWrites = append(r.pendingWrites, &wire.ClaimStored{Record: &wire.ClaimStored_Head{Head: h}, Sequence: r.sequence})
 }
 
-// advance notes durably that what was forgotten can't count any more: a restart
-// begins to count the time anew.
-func (r *Register) advance(now time.Time) {
-	if r.on && !r.whole && now.Sub(r.started) >= r.settings.MaxTTL {
-		r.whole = true
-		r.writeHead(false)
+// updateComplete records durably that MaxTTL has passed since the start, as the
+// period begins again with every restart.
+func (r *Register) updateComplete(now time.Time) {
+	if r.persistent && !r.complete && now.Sub(r.started) >= r.settings.MaxTTL {
+		r.complete = true
+		r.queueHead(false)
 	}
 }
 
-// Unheard lists the peers that have not said how far they have seen a register
-// that came up from its folder.
-func (r *Register) Unheard(now time.Time) []*wire.RingMember {
+// UncheckedPeers lists the peers that haven't yet reported the grants that they
+// have seen, if this register restarted with its folder.
+func (r *Register) UncheckedPeers(now time.Time) []*wire.RingMember {
 	if !r.resumed || now.Sub(r.started) >= r.settings.MaxTTL {
 		return nil
 	}
 	var list []*wire.RingMember
 	for _, m := range r.peers() {
-		if !r.heard[m.Id] {
+		if !r.checkedPeers[m.Id] {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// unchecked says whether the folder may be an older copy: grants that it lacks
-// would be given a second time. A peer that has seen them says so.
-func (r *Register) unchecked(now time.Time) bool {
-	if r.settings.off.rollback {
+// mayBeRolledBack reports whether the folder may still turn out to be an older
+// copy, in which case the register would grant a key for a second time.
+func (r *Register) mayBeRolledBack(now time.Time) bool {
+	if r.settings.disabled.rollbackCheck {
 		return false
 	}
 	if r.resumed && r.ring.Epoch == 0 {
 		return true
 	}
-	if len(r.Unheard(now)) == 0 {
+	if len(r.UncheckedPeers(now)) == 0 {
 		return false
 	}
-	return now.Sub(r.started) < CheckPeriod || !r.heardElsewhere()
+	return now.Sub(r.started) < RollbackCheckPeriod || !r.checkedOtherDomain()
 }
 
-// heardElsewhere says whether a peer in another failure domain has been heard.
-func (r *Register) heardElsewhere() bool {
+// checkedOtherDomain reports whether a peer in another failure domain has reported.
+func (r *Register) checkedOtherDomain() bool {
 	domain := ""
 	for _, m := range r.members() {
 		if m.Id == r.self.Id {
@@ -190,75 +196,78 @@
 		}
 	}
 	for _, m := range r.peers() {
-		if r.heard[m.Id] && m.FailureDomain != domain {
+		if r.checkedPeers[m.Id] && m.FailureDomain != domain {
 			return true
 		}
 	}
 	return false
 }
 
-// TakeSeen takes what a peer has seen of this register. If that is more than the
-// folder held, the folder is an older copy: the register then begins a new life
-// and has forgotten all. It says whether that is so.
-func (r *Register) TakeSeen(now time.Time, peer string, seen *wire.ClaimSeen, process uint64) (older bool) {
-	if !r.resumed || r.settings.off.rollback {
+// ApplySeen takes a peer's report of the grants that it has seen of this register.
+// If the folder lacks one of them, it is an older copy: the register starts a new
+// incarnation without records, and ApplySeen returns true. process is the number of
+// the process's incarnation.
+func (r *Register) ApplySeen(now time.Time, peer string, seen *wire.ClaimSeen, process uint64) (older bool) {
+	if !r.resumed || r.settings.disabled.rollbackCheck {
 		return false
 	}
-	life := seen.GetLife().GetNumber()
-	if life > r.self.Number || life == r.self.Number && seen.Sequence > r.sequence {
-		r.forget(now, max(process, r.self.Number+1, life+1))
+	incarnation := seen.GetLife().GetNumber()
+	if incarnation > r.self.Number || incarnation == r.self.Number && seen.Sequence > r.sequence {
+		r.reset(now, max(process, r.self.Number+1, incarnation+1))
 		return true
 	}
-	r.heard[peer] = true
+	r.checkedPeers[peer] = true
 	return false
 }
 
-// SeenOf returns what an entry knows of another one's register: what it has seen
-// it grant, or a later life, which its own register was told of. A folder that was
-// put aside while the register ran in memory is older than that life.
-func (r *Register) SeenOf(id string, seen Seen) *wire.ClaimSeen {
-	s := seen.Of(id)
-	if later := r.laterLife(&wire.Incarnation{Id: id, Number: s.GetLife().GetNumber()}); later != 0 {
+// SeenOfEntry returns what this entry knows of another entry's register: the latest
+// grant seen, or a later incarnation that this register knows of. The latter covers
+// a folder that was set aside while the register ran in memory.
+func (r *Register) SeenOfEntry(id string, seen SeenGrants) *wire.ClaimSeen {
+	s := seen.For(id)
+	if later := r.laterIncarnation(&wire.Incarnation{Id: id, Number: s.GetLife().GetNumber()}); later != 0 {
 		return &wire.ClaimSeen{Life: &wire.Incarnation{Id: id, Number: later}}
 	}
 	return s
 }
 
-// forget begins a life that knows nothing, as on an empty folder.
-func (r *Register) forget(now time.Time, number uint64) {
+// reset starts a new incarnation without records, as with an empty folder.
+func (r *Register) reset(now time.Time, number uint64) {
 	r.self = &wire.Incarnation{Id: r.self.Id, Number: number}
 	r.started, r.sequence = now, 0
-	r.whole, r.resumed = false, false
-	r.records, r.expiry, r.held = map[string]*record{}, nil, 0
-	clear(r.copied)
-	clear(r.lives)
-	r.writeHead(true)
+	r.complete, r.resumed = false, false
+	r.records, r.expiry, r.answerBytes = map[string]*record{}, nil, 0
+	clear(r.copiedFrom)
+	clear(r.copierIncarnations)
+	r.queueHead(true)
 }
 
-// Life returns the register's life as others must know it.
-func (r *Register) Life() *wire.ClaimRegister {
-	return &wire.ClaimRegister{Life: r.self.Number, Durable: r.on && !r.failed}
+// Status returns the incarnation number to announce, and whether records are durable.
+func (r *Register) Status() *wire.ClaimRegister {
+	return &wire.ClaimRegister{Life: r.self.Number, Durable: r.persistent && !r.writeFailed}
 }
 
-// Seen is how far an entry has seen other entries' registers grant.
-type Seen map[string]*wire.ClaimSeen
+// SeenGrants holds, by entry ID, the latest grant that this entry has seen of other
+// entries' registers.
+type SeenGrants map[string]*wire.ClaimSeen
 
-// Note takes a register's reply.
-func (s Seen) Note(reply *wire.ClaimReply) {
+// Record notes the grant in a register's reply, if it has a sequence number.
+func (s SeenGrants) Record(reply *wire.ClaimReply) {
 	if reply.GetSequence() == 0 {
 		return
 	}
 	id := reply.Self.GetId()
 	old := s[id]
 	newer := reply.Self.Number > old.GetLife().GetNumber() ||
-		sameLife(reply.Self, old.GetLife()) && reply.Sequence > old.GetSequence()
+		sameIncarnation(reply.Self, old.GetLife()) && reply.Sequence > old.GetSequence()
 	if newer {
 		s[id] = &wire.ClaimSeen{Life: reply.Self, Sequence: reply.Sequence}
 	}
 }
 
-// Of returns what was seen of an entry's register.
-func (s Seen) Of(id string) *wire.ClaimSeen {
+// For returns the latest grant seen of an entry's register; an empty message if
+// there is none.
+func (s SeenGrants) For(id string) *wire.ClaimSeen {
 	if seen := s[id]; seen != nil {
 		return proto.Clone(seen).(*wire.ClaimSeen)
 	}
--- a/claim/example_test.go
+++ b/claim/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Three registers in one process: the first request wins the key, and a second
+// With three registers in one process, the first request wins the key, and a second
 // sending learns that it is held.
 func Example() {
 	now := time.Unix(0, 0)
@@ -24,9 +24,9 @@
 	}
 	key := &wire.ClaimKey{Team: "growers", Service: "clock-core", Key: "bid-17"}
 	for _, request := range []string{"first", "resent"} {
-		c := claim.NewClaimant(ring, key, false)
+		c := claim.NewRound(ring, key, false)
 		for _, m := range c.Targets() {
-			c.Take(m.Id, registers[m.Id].Grant(now, &wire.ClaimRequest{Key: key, RequestId: request, RingEpoch: 1}))
+			c.AddReply(m.Id, registers[m.Id].Grant(now, &wire.ClaimRequest{Key: key, RequestId: request, RingEpoch: 1}))
 		}
 		verdict, _ := c.Verdict()
 		fmt.Println(request, verdict == claim.Won, verdict == claim.Held)
--- a/claim/node.go
+++ b/claim/node.go
@@ -12,72 +12,74 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrMalformed is returned for a message that lacks what it must have.
+// ErrMalformed is returned for a message that lacks a required field.
 var ErrMalformed = merry.Sentinel("claim message is malformed")
 
-// Intervals and bounds of a Node.
 const (
 	copyInterval = 100 * time.Millisecond
 	copyTimeout  = 2 * time.Second
-	// copyBatch is how many records one message of a copy holds.
+	// copyBatch is the maximum number of records per message of a copy.
 	copyBatch = 500
 )
 
-// Life numbers the process's run; Supersede gives it a number above that of a
-// later life, and says whether it did.
-type Life interface {
+// IncarnationSource provides the incarnation of the process. Supersede raises its
+// number above that of a known later incarnation, and reports whether it did.
+type IncarnationSource interface {
 	Wire() *wire.Incarnation
 	Supersede(known uint64) bool
 }
 
-// Node drives a register for goroutines: it answers other entries, and copies
-// from the register's peers after a restart.
+// Node runs a Register: it serves the claims of other entries, acquires keys for
+// this entry, and copies from the register's peers after a restart. It is safe for
+// concurrent use.
 type Node struct {
-	dial func(ctx context.Context, address string) drpc.Conn
-	now  func() time.Time
-	life Life
-	// changes is sent to when there may be something to copy again.
-	changes chan struct{}
+	dial        func(ctx context.Context, address string) drpc.Conn
+	now         func() time.Time
+	incarnation IncarnationSource
+	// copyNeeded wakes Run when there may be records to copy.
+	copyNeeded chan struct{}
 
 	id string
-	// events reports what becomes of the data folder.
+	// events is notified of failures of the data folder.
 	events Events
 
 	mu   sync.Mutex
 	reg  *Register
 	ring *wire.Ring
-	// store keeps the register's records; nil if they are in memory only.
+	// store keeps the register's records on disk; nil if they are in memory only.
 	store *store
-	// folder is the size of the data folder.
-	folder int64
-	seen   Seen
-	// changedBy is the latest time at which the ring may have changed.
-	changed   time.Time
-	confirmed time.Time
+	// folderBytes is the size of the data folder.
+	folderBytes int64
+	seenGrants  SeenGrants
+	// ringChanged is the latest time at which the ring can have changed.
+	ringChanged time.Time
+	// ringConfirmed is the latest time at which the ring was known to be current.
+	ringConfirmed time.Time
 }
 
-// Events are called when something becomes of a register's data folder.
+// Events holds callbacks for failures of a register's data folder. All must be set.
 type Events struct {
-	// Forgot: the folder held nothing that can be trusted, for this cause.
+	// Forgot is called if the contents of the folder can't be trusted and the
+	// register starts without records.
 	Forgot func(cause error)
-	// Failed: a record couldn't be made durable, and the register grants nothing
-	// more.
+	// Failed is called if a record couldn't be made durable. The register then grants
+	// nothing more.
 	Failed func(cause error)
 }
 
-// ErrOlder is the cause when a folder is an older copy.
-var ErrOlder = merry.Sentinel("data folder of claims is older than what other entries have seen")
+// ErrRolledBack is the cause given to Forgot if the folder is an older copy.
+var ErrRolledBack = merry.Sentinel("claim data folder is older than the grants that other entries have seen")
 
-// NewNode makes the node of a process that has just started.
-func NewNode(s RegisterSettings, life Life, dial func(context.Context, string) drpc.Conn, now func() time.Time) *Node {
+// NewNode returns the node of a process that has just started.
+func NewNode(s RegisterSettings, source IncarnationSource, dial func(context.Context, string) drpc.Conn, now func() time.Time) *Node {
 	return &Node{
-		dial: dial, now: now, life: life, changes: make(chan struct{}, 1),
-		id: life.Wire().Id, reg: NewRegister(s, life.Wire(), now()), ring: &wire.Ring{}, seen: Seen{},
+		dial: dial, now: now, incarnation: source, copyNeeded: make(chan struct{}, 1),
+		id: source.Wire().Id, reg: NewRegister(s, source.Wire(), now()), ring: &wire.Ring{}, seenGrants: SeenGrants{},
 	}
 }
 
-// Open keeps the register's records in a data folder from here on, and takes what
-// it holds. It comes before any other call.
+// Open loads the register's records from a data folder, and keeps them there from
+// then on. It must be called before any other method.
 func (n *Node) Open(fs wal.FS, ev Events) error {
 	log, st, damaged, err := openStore(fs)
 	if err != nil {
@@ -88,91 +90,92 @@
 		ev.Forgot(damaged)
 	}
 	settings := n.reg.settings
-	n.reg = NewDurableRegister(settings, n.life.Wire(), st, n.now())
+	n.reg = NewDurableRegister(settings, n.incarnation.Wire(), st, n.now())
 	n.store, err = newStore(log, n.reg.TakeWrites(), settings.MaxTTL, n.now)
-	n.store.synced = n.synced
+	n.store.onSynced = n.onSynced
 	if err != nil {
-		n.synced(err, 0)
+		n.onSynced(err, 0)
 	}
 	go n.store.run()
 	return nil
 }
 
-// Close releases the data folder.
+// Close writes the pending records and releases the data folder.
 func (n *Node) Close() {
 	if n.store != nil {
 		n.store.close()
 	}
 }
 
-// synced takes the result of one sync.
-func (n *Node) synced(err error, bytes int64) {
+// onSynced handles the result of a sync; bytes is the size of the folder.
+func (n *Node) onSynced(err error, bytes int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.folder = bytes
-	n.reg.full = bytes >= MaxFolderBytes
-	if err != nil && !n.reg.failed {
-		n.reg.Fail()
+	n.folderBytes = bytes
+	n.reg.folderFull = bytes >= MaxFolderBytes
+	if err != nil && !n.reg.writeFailed {
+		n.reg.MarkWriteFailed()
 		n.events.Failed(err)
 	}
 }
 
-// collect hands the register's records to the store, and returns what a reply
-// must wait for; nil is nothing. urgent says that a reply does wait. The caller holds
-// the lock, so the records keep their order.
-func (n *Node) collect(urgent bool) *batch {
+// queueWrites passes the register's pending writes to the store, and returns the
+// batch that a reply must wait for, or nil. With urgent, the batch is written at
+// once. The caller must hold n.mu, so that writes keep their order.
+func (n *Node) queueWrites(urgent bool) *batch {
 	if n.store == nil {
 		return nil
 	}
-	return n.store.add(n.reg.TakeWrites(), urgent)
+	return n.store.enqueue(n.reg.TakeWrites(), urgent)
 }
 
-// Register returns what others must know of the register.
+// Register returns the status of the register to announce.
 func (n *Node) Register() *wire.ClaimRegister {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.reg.Life()
+	return n.reg.Status()
 }
 
-// Granting says whether the register may grant any key: it has forgotten nothing
-// that can still count, and its records can be kept.
+// Granting reports whether the register may grant every key: it has a ring, can't
+// lack an earlier grant, and its records can be written.
 func (n *Node) Granting() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
-	known := n.reg.Epoch() > 0 && len(n.reg.Missing(now)) == 0
-	return known && !n.reg.failed && !n.reg.unchecked(now)
+	known := n.reg.Epoch() > 0 && len(n.reg.PeersToCopy(now)) == 0
+	return known && !n.reg.writeFailed && !n.reg.mayBeRolledBack(now)
 }
 
-// Failed says whether a record couldn't be made durable.
+// Failed reports whether a record couldn't be made durable.
 func (n *Node) Failed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.reg.failed
+	return n.reg.writeFailed
 }
 
-// Renumber takes up the number of the process's life after it has been raised,
-// unless the register's life is older than the process.
+// Renumber gives the register the process's incarnation number after that was raised,
+// unless the register's incarnation began in an earlier process.
 func (n *Node) Renumber() {
 	n.mu.Lock()
 	if !n.reg.resumed {
-		n.reg.Renumber(n.life.Wire().Number)
-		n.collect(true)
+		n.reg.RaiseIncarnation(n.incarnation.Wire().Number)
+		n.queueWrites(true)
 	}
 	n.mu.Unlock()
-	n.rouse()
+	n.wakeRun()
 }
 
-// rouse lets Run look again for what is to be copied.
-func (n *Node) rouse() {
+// wakeRun wakes Run to look for peers to copy from.
+func (n *Node) wakeRun() {
 	select {
-	case n.changes <- struct{}{}:
+	case n.copyNeeded <- struct{}{}:
 	default:
 	}
 }
 
-// SetRing takes the ring that a control replica names: changed at most age ago,
-// and known to be in force at confirmed.
+// SetRing sets the ring that a control replica reports. age is a lower bound of the
+// time since the ring changed; confirmed is a time at which the ring was known to be
+// current. A ring of an older epoch is ignored.
 func (n *Node) SetRing(ring *wire.Ring, age time.Duration, confirmed time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,23 +184,22 @@
 	}
 	if ring.Epoch > n.ring.Epoch {
 		n.ring = ring
-		n.changed = n.now().Add(-age)
+		n.ringChanged = n.now().Add(-age)
 		n.reg.SetRing(ring)
-		// A register that has forgotten may lack the copy of a new peer. It would
-		// refuse the keys that it shares with that one until a time to live after
-		// its restart.
-		n.rouse()
+		// A restarted register must also copy from new peers. Until it has, it
+		// grants no keys that it shares with them.
+		n.wakeRun()
 	}
 	// Another replica may have known the ring for longer.
-	if at := n.now().Add(-age); at.Before(n.changed) {
-		n.changed = at
+	if at := n.now().Add(-age); at.Before(n.ringChanged) {
+		n.ringChanged = at
 	}
-	if confirmed.After(n.confirmed) {
-		n.confirmed = confirmed
+	if confirmed.After(n.ringConfirmed) {
+		n.ringConfirmed = confirmed
 	}
 }
 
-// Ring returns what the entry knows of the ring.
+// Ring returns what this entry knows of the ring.
 func (n *Node) Ring() RingState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -205,17 +207,18 @@
 	ttl := n.reg.settings.MaxTTL
 	return RingState{
 		Ring:      n.ring,
-		Joint:     now.Sub(n.changed) < JointPeriod(ttl),
-		Confirmed: now.Sub(n.confirmed) < ConfirmPeriod(ttl),
+		Joint:     now.Sub(n.ringChanged) < JointPeriod(ttl),
+		Confirmed: now.Sub(n.ringConfirmed) < ConfirmPeriod(ttl),
 	}
 }
 
-// Grant implements the Claim service. A grant leaves when its record is durable:
-// after a crash the register would otherwise give the key to another request.
+// Grant implements the Claim service. It returns a grant only when its record is
+// durable: otherwise the register would grant the key to another request after a
+// crash.
 func (n *Node) Grant(_ context.Context, q *wire.ClaimRequest) (*wire.ClaimReply, error) {
 	n.mu.Lock()
 	reply := n.reg.Grant(n.now(), q)
-	b := n.collect(reply.Granted)
+	b := n.queueWrites(reply.Granted)
 	n.mu.Unlock()
 	if reply.Granted && b.wait() != nil {
 		return &wire.ClaimReply{RingEpoch: reply.RingEpoch, Self: reply.Self, Full: true, Forgetful: true}, nil
@@ -225,46 +228,47 @@
 
 // Settle implements the Claim service.
 func (n *Node) Settle(_ context.Context, s *wire.ClaimSettle) (*wire.ClaimReply, error) {
-	reply, b := n.settleHere(s)
+	reply, b := n.settleLocally(s)
 	if b.wait() != nil {
 		reply.Granted = false
 	}
 	return reply, nil
 }
 
-// settleHere settles without waiting for the sync.
-func (n *Node) settleHere(s *wire.ClaimSettle) (*wire.ClaimReply, *batch) {
+// settleLocally settles a claim in this entry's register, and returns the batch that
+// makes it durable.
+func (n *Node) settleLocally(s *wire.ClaimSettle) (*wire.ClaimReply, *batch) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	reply := n.reg.Settle(n.now(), s)
-	return reply, n.collect(false)
+	return reply, n.queueWrites(false)
 }
 
 // Seen implements the Claim service.
 func (n *Node) Seen(_ context.Context, q *wire.ClaimSeenRequest) (*wire.ClaimSeen, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.reg.SeenOf(q.Id, n.seen), nil
+	return n.reg.SeenOfEntry(q.Id, n.seenGrants), nil
 }
 
-// Copy implements the Claim service. It waits for the sync too: a restart must
-// not forget which life has copied.
+// Copy implements the Claim service. It waits until the copying incarnation is
+// recorded durably, so that this register still names it after a restart.
 func (n *Node) Copy(q *wire.ClaimCopyRequest, stream wire.DRPCClaim_CopyStream) error {
 	if q.From == nil {
-		return merry.Prepend(ErrMalformed, "copy for nobody")
+		return merry.Prepend(ErrMalformed, "copy request has no sender")
 	}
 	n.mu.Lock()
-	whole := n.reg.Copy(n.now(), q)
-	b := n.collect(true)
+	all := n.reg.CopyRecords(n.now(), q)
+	b := n.queueWrites(true)
 	n.mu.Unlock()
 	if b.wait() != nil {
-		whole.Forgetful = true
+		all.Forgetful = true
 	}
 	for {
-		k := min(len(whole.Records), copyBatch)
-		part := &wire.ClaimCopy{Records: whole.Records[:k], Forgetful: whole.Forgetful}
-		whole.Records = whole.Records[k:]
-		part.Last = len(whole.Records) == 0
+		k := min(len(all.Records), copyBatch)
+		part := &wire.ClaimCopy{Records: all.Records[:k], Forgetful: all.Forgetful}
+		all.Records = all.Records[k:]
+		part.Last = len(all.Records) == 0
 		if err := stream.Send(part); err != nil {
 			return err
 		}
@@ -274,18 +278,20 @@
 	}
 }
 
-// Run copies what a restart has lost, until the context is done.
+// Run copies from the register's peers after restarts and ring changes, until the
+// context is done.
 func (n *Node) Run(ctx context.Context) {
 	for n.catchUp(ctx) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.changes:
+		case <-n.copyNeeded:
 		}
 	}
 }
 
-// catchUp copies until nothing is missing; it returns false if the context ended.
+// catchUp copies and checks until no peer is left to copy from or to hear from; it
+// returns false if the context ended.
 func (n *Node) catchUp(ctx context.Context) bool {
 	tick := time.NewTicker(copyInterval)
 	defer tick.Stop()
@@ -297,47 +303,47 @@
 		}
 		n.mu.Lock()
 		epoch := n.reg.Epoch()
-		missing := n.reg.Missing(n.now())
-		unheard := n.reg.Unheard(n.now())
+		toCopy := n.reg.PeersToCopy(n.now())
+		unchecked := n.reg.UncheckedPeers(n.now())
 		n.mu.Unlock()
-		if epoch > 0 && len(missing)+len(unheard) == 0 {
+		if epoch > 0 && len(toCopy)+len(unchecked) == 0 {
 			return true
 		}
-		askAll(unheard, func(m *wire.RingMember) { n.askSeen(ctx, m) })
-		askAll(missing, func(m *wire.RingMember) { n.copyOne(ctx, epoch, m) })
+		callAll(unchecked, func(m *wire.RingMember) { n.requestSeen(ctx, m) })
+		callAll(toCopy, func(m *wire.RingMember) { n.copyFrom(ctx, epoch, m) })
 	}
 }
 
-// askAll asks members side by side and returns when all are done.
-func askAll(members []*wire.RingMember, ask func(*wire.RingMember)) {
+// callAll calls call for all members concurrently, and returns when all calls have.
+func callAll(members []*wire.RingMember, call func(*wire.RingMember)) {
 	var wg sync.WaitGroup
 	for _, m := range members {
-		wg.Go(func() { ask(m) })
+		wg.Go(func() { call(m) })
 	}
 	wg.Wait()
 }
 
-// askSeen asks a peer how far it has seen this register grant.
-func (n *Node) askSeen(ctx context.Context, m *wire.RingMember) {
+// requestSeen asks a peer for the latest grant that it has seen of this register.
+func (n *Node) requestSeen(ctx context.Context, m *wire.RingMember) {
 	ctx, cancel := context.WithTimeout(ctx, RoundTimeout)
 	defer cancel()
 	seen, err := wire.NewDRPCClaimClient(n.dial(ctx, m.Address)).Seen(ctx, &wire.ClaimSeenRequest{Id: n.id})
 	if err == nil {
-		n.takeSeen(m.Id, seen)
+		n.applySeen(m.Id, seen)
 	}
 }
 
-func (n *Node) takeSeen(peer string, seen *wire.ClaimSeen) {
+func (n *Node) applySeen(peer string, seen *wire.ClaimSeen) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.reg.TakeSeen(n.now(), peer, seen, n.life.Wire().Number) {
+	if !n.reg.ApplySeen(n.now(), peer, seen, n.incarnation.Wire().Number) {
 		return
 	}
-	n.collect(true)
-	n.events.Forgot(ErrOlder)
+	n.queueWrites(true)
+	n.events.Forgot(ErrRolledBack)
 }
 
-func (n *Node) copyOne(ctx context.Context, epoch uint64, m *wire.RingMember) {
+func (n *Node) copyFrom(ctx context.Context, epoch uint64, m *wire.RingMember) {
 	ctx, cancel := context.WithTimeout(ctx, copyTimeout)
 	defer cancel()
 	n.mu.Lock()
@@ -353,41 +359,43 @@
 		if err != nil {
 			return
 		}
-		if n.take(q, m.Id, part); part.Last {
+		if n.applyCopyPart(q, m.Id, part); part.Last {
 			return
 		}
 	}
 }
 
-// take hands a part of a copy to the register, unless the register has taken a
-// higher number since it asked: the peer knows it by the lower one.
-func (n *Node) take(q *wire.ClaimCopyRequest, peer string, part *wire.ClaimCopy) {
+// applyCopyPart passes one message of a copy to the register, unless the register's
+// incarnation number has changed since the request: the peer then names the earlier
+// number in its replies. If the peer knows a later incarnation, the register takes a
+// higher number or starts anew.
+func (n *Node) applyCopyPart(q *wire.ClaimCopyRequest, peer string, part *wire.ClaimCopy) {
 	n.mu.Lock()
 	resumed := n.reg.resumed
 	n.mu.Unlock()
 	switch {
 	case part.SupersededBy != 0 && resumed:
-		n.takeSeen(peer, &wire.ClaimSeen{Life: &wire.Incarnation{Id: n.id, Number: part.SupersededBy}})
+		n.applySeen(peer, &wire.ClaimSeen{Life: &wire.Incarnation{Id: n.id, Number: part.SupersededBy}})
 		return
-	case part.SupersededBy != 0 && n.life.Supersede(part.SupersededBy):
+	case part.SupersededBy != 0 && n.incarnation.Supersede(part.SupersededBy):
 		n.Renumber()
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.reg.self.Number == q.From.Number {
-		n.reg.TakeCopy(n.now(), peer, part)
-		n.collect(true)
+		n.reg.ApplyCopy(n.now(), peer, part)
+		n.queueWrites(true)
 	}
 }
 
-// Dump returns the register's state for a dump.
+// Dump returns the state of the node for diagnostics, to be encoded as JSON.
 func (n *Node) Dump() any {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var missing []string
-	for _, m := range n.reg.Missing(n.now()) {
-		missing = append(missing, m.Id)
+	var toCopy []string
+	for _, m := range n.reg.PeersToCopy(n.now()) {
+		toCopy = append(toCopy, m.Id)
 	}
 	return struct {
 		Epoch     uint64   `json:"ring_epoch"`
@@ -402,7 +410,7 @@
 		Sequence  uint64   `json:"grants"`
 		Unchecked bool     `json:"folder_unchecked"`
 	}{
-		n.ring.Epoch, len(n.ring.Members), n.reg.Len(), n.reg.held, missing,
-		n.reg.self.Number, n.reg.on, n.reg.failed, n.folder, n.reg.sequence, n.reg.unchecked(n.now()),
+		n.ring.Epoch, len(n.ring.Members), n.reg.Len(), n.reg.answerBytes, toCopy,
+		n.reg.self.Number, n.reg.persistent, n.reg.writeFailed, n.folderBytes, n.reg.sequence, n.reg.mayBeRolledBack(n.now()),
 	}
 }
--- a/claim/register_copy.go
+++ b/claim/register_copy.go
@@ -9,27 +9,28 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Missing lists the peers that this register must still copy from; none if it
-// has forgotten nothing, or once what it forgot can't matter any more.
-func (r *Register) Missing(now time.Time) []*wire.RingMember {
-	if r.clean(now) {
+// PeersToCopy lists the peers whose records this register must still copy. It is
+// empty if no grant of an earlier incarnation can still count.
+func (r *Register) PeersToCopy(now time.Time) []*wire.RingMember {
+	if r.hasCompleteRecords(now) {
 		return nil
 	}
 	var list []*wire.RingMember
 	for _, m := range r.peers() {
-		if !r.copied[m.Id] {
+		if !r.copiedFrom[m.Id] {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// members lists those of the ring and of the one before it.
+// members lists the members of the ring and of its predecessor.
 func (r *Register) members() []*wire.RingMember {
 	return append(r.ring.Members[:len(r.ring.Members):len(r.ring.Members)], r.ring.Previous...)
 }
 
-// peers lists the other members of the ring and of the one before it, once each.
+// peers lists the other members of the ring and of its predecessor, without
+// duplicates.
 func (r *Register) peers() []*wire.RingMember {
 	var list []*wire.RingMember
 	for _, m := range r.members() {
@@ -40,10 +41,11 @@
 	return list
 }
 
-// clean says whether no grant of an earlier life can still count: this life was
-// there when the ring took the host in, or the longest time to live has passed.
-func (r *Register) clean(now time.Time) bool {
-	if r.whole || now.Sub(r.started) >= r.settings.MaxTTL {
+// hasCompleteRecords reports whether no grant of an earlier incarnation can still
+// count: this incarnation is the one that the ring admitted, or MaxTTL has passed
+// since its start.
+func (r *Register) hasCompleteRecords(now time.Time) bool {
+	if r.complete || now.Sub(r.started) >= r.settings.MaxTTL {
 		return true
 	}
 	in := false
@@ -59,22 +61,23 @@
 	return in
 }
 
-// forgetful says whether a grant for a key from before the restart may be
-// unknown to this register. A peer's copy holds only what that peer granted, so
-// the copies of all the key's other registers are needed.
-func (r *Register) forgetful(now time.Time, key *wire.ClaimKey) bool {
-	if r.failed || r.unchecked(now) {
+// mayMissGrants reports whether this register may lack a grant for a key: one from
+// before its restart, one that its data folder lacks, or one that couldn't be
+// written. A peer's copy has only the grants of that peer, so after a restart copies
+// of all the key's other registers are needed.
+func (r *Register) mayMissGrants(now time.Time, key *wire.ClaimKey) bool {
+	if r.writeFailed || r.mayBeRolledBack(now) {
 		return true
 	}
-	if r.settings.off.forget || r.clean(now) {
+	if r.settings.disabled.waitForCopies || r.hasCompleteRecords(now) {
 		return false
 	}
-	for _, set := range sets(r.ring, key) {
+	for _, set := range registerSets(r.ring, key) {
 		if !Contains(set, r.self.Id) {
 			continue
 		}
 		for _, m := range set {
-			if m.Id != r.self.Id && !r.copied[m.Id] {
+			if m.Id != r.self.Id && !r.copiedFrom[m.Id] {
 				return true
 			}
 		}
@@ -82,14 +85,14 @@
 	return false
 }
 
-// laterLife returns the number of a life of a peer that counts as later than the
-// one that asks, or 0.
+// laterIncarnation returns the number of a peer's incarnation that is higher than
+// that of the asking one, or 0 if there is none.
 //
-// The asking life runs now and the other one doesn't: its host's clock was set
-// back in between. If it copied under that number, requests would not be told of it: a grant
-// that its earlier life gave, and that it has forgotten, would still count.
-func (r *Register) laterLife(from *wire.Incarnation) uint64 {
-	later := r.lives[from.Id]
+// A running incarnation has a lower number than an earlier one if the clock of its
+// host was set back. If the peer copied under the lower number, requests would go on
+// counting the grants of the earlier incarnation, which the peer has no record of.
+func (r *Register) laterIncarnation(from *wire.Incarnation) uint64 {
+	later := r.copierIncarnations[from.Id]
 	for _, members := range [][]*wire.RingMember{r.ring.Members, r.ring.Previous} {
 		for _, m := range members {
 			if m.Id == from.Id {
@@ -103,45 +106,45 @@
 	return 0
 }
 
-// Renumber gives the register's life a higher number. What it copied under the
-// lower one is copied again, so that its peers know the life by the new number.
-func (r *Register) Renumber(number uint64) {
+// RaiseIncarnation gives the register a higher incarnation number; a number that isn't
+// higher is ignored. The register must copy from all peers again, so that they know the
+// incarnation by the new number.
+func (r *Register) RaiseIncarnation(number uint64) {
 	if number <= r.self.Number {
 		return
 	}
 	r.self = &wire.Incarnation{Id: r.self.Id, Number: number}
-	clear(r.copied)
-	r.writeHead(false)
+	clear(r.copiedFrom)
+	r.queueHead(false)
 }
 
-// Copy returns the records that a peer shares with this register, for a life of
-// the peer that has just begun. From here on this register tells every request
-// of that life.
-func (r *Register) Copy(now time.Time, q *wire.ClaimCopyRequest) *wire.ClaimCopy {
-	r.expire(now)
+// CopyRecords returns the records that a restarted peer shares with this register.
+// Replies to grants name the peer's incarnation from then on.
+func (r *Register) CopyRecords(now time.Time, q *wire.ClaimCopyRequest) *wire.ClaimCopy {
+	r.removeExpired(now)
 	from := q.From
-	if later := r.laterLife(from); later != 0 {
+	if later := r.laterIncarnation(from); later != 0 {
 		return &wire.ClaimCopy{Last: true, Forgetful: true, SupersededBy: later}
 	}
-	if r.lives[from.Id] != from.Number {
-		r.lives[from.Id] = from.Number
-		r.writeHead(false)
+	if r.copierIncarnations[from.Id] != from.Number {
+		r.copierIncarnations[from.Id] = from.Number
+		r.queueHead(false)
 	}
 	reply := &wire.ClaimCopy{Last: true, Forgetful: q.RingEpoch != r.ring.Epoch}
-	// Of what this register has itself forgotten it can't tell.
-	if r.failed || r.unchecked(now) || len(r.Missing(now)) > 0 {
+	// This register may itself lack records that the peer needs.
+	if r.writeFailed || r.mayBeRolledBack(now) || len(r.PeersToCopy(now)) > 0 {
 		reply.Forgetful = true
 	}
-	var texts []string
-	for text := range r.records {
-		texts = append(texts, text)
+	var encKeys []string
+	for encKey := range r.records {
+		encKeys = append(encKeys, encKey)
 	}
-	sort.Strings(texts)
-	for _, text := range texts {
-		rec := r.records[text]
-		for _, set := range sets(r.ring, rec.Key) {
+	sort.Strings(encKeys)
+	for _, encKey := range encKeys {
+		rec := r.records[encKey]
+		for _, set := range registerSets(r.ring, rec.Key) {
 			if Contains(set, from.Id) {
-				reply.Records = append(reply.Records, r.view(now, rec))
+				reply.Records = append(reply.Records, r.recordWithTTL(now, rec))
 				break
 			}
 		}
@@ -149,39 +152,38 @@
 	return reply
 }
 
-// TakeCopy takes a peer's records. A copy from a peer that had itself not caught
-// up is taken, but doesn't count.
-func (r *Register) TakeCopy(now time.Time, peer string, c *wire.ClaimCopy) {
+// ApplyCopy merges a peer's records. The peer counts as copied from only if its
+// own records were complete.
+func (r *Register) ApplyCopy(now time.Time, peer string, c *wire.ClaimCopy) {
 	for _, rec := range c.Records {
-		text := keyText(rec.Key)
-		if old := r.records[text]; old != nil {
-			rec = merge(old.ClaimRecord, rec)
+		encKey := encodeKey(rec.Key)
+		if old := r.records[encKey]; old != nil {
+			rec = mergeRecords(old.ClaimRecord, rec)
 		}
-		r.put(now, text, rec, now.Add(r.ttl(rec.TtlLeftMs)))
+		r.putRecord(now, encKey, rec, now.Add(r.boundedTTL(rec.TtlLeftMs)))
 	}
-	if c.Last && !c.Forgetful && !r.copied[peer] {
-		r.copied[peer] = true
-		r.writeHead(false)
+	if c.Last && !c.Forgetful && !r.copiedFrom[peer] {
+		r.copiedFrom[peer] = true
+		r.queueHead(false)
 	}
 }
 
-// standing orders what records say: a request that has run, or may have, stands
-// above one that holds the key, and that above one that gave it back.
-var standing = map[wire.ClaimState]int{
+// statePrecedence orders states for merging: a request that has run, or may have,
+// takes precedence over one that holds the key, and that over a released one.
+var statePrecedence = map[wire.ClaimState]int{
 	wire.ClaimState_CLAIM_STATE_RELEASED: 1,
 	wire.ClaimState_CLAIM_STATE_HELD:     2,
 	wire.ClaimState_CLAIM_STATE_UNKNOWN:  3,
 	wire.ClaimState_CLAIM_STATE_ANSWERED: 3,
 }
 
-// merge joins what two peers say of one key.
+// mergeRecords merges the records of two peers for one key.
 //
-// When each names another holder, this register's forgotten grant may have made
-// either one's majority. It is then held by nobody that could come back for it:
-// granting it again to the one that it happens to hear of first would let that
-// one run beside the other.
-func merge(a, b *wire.ClaimRecord) *wire.ClaimRecord {
-	if standing[b.State] > standing[a.State] {
+// If they name different holders, a grant that this register has lost may have
+// given either one its majority. The merged record then has no holder, so that the
+// register is granted to neither: both could run otherwise.
+func mergeRecords(a, b *wire.ClaimRecord) *wire.ClaimRecord {
+	if statePrecedence[b.State] > statePrecedence[a.State] {
 		a, b = b, a
 	}
 	if a.State == wire.ClaimState_CLAIM_STATE_HELD && b.State == a.State && a.Holder != b.Holder {
--- a/claim/ring.go
+++ b/claim/ring.go
@@ -8,14 +8,15 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Copies is how many registers a key has.
+// Copies is the number of registers per key.
 const Copies = 3
 
-// Majority of a key's registers.
+// Majority is the number of a key's registers that a request must hold to run.
 const Majority = Copies/2 + 1
 
-// keyText is a key as text that no other key shares: its parts have lengths.
-func keyText(k *wire.ClaimKey) string {
+// encodeKey returns a key as a string that is unique among keys: the lengths of
+// the team and of the service precede them.
+func encodeKey(k *wire.ClaimKey) string {
 	b := make([]byte, 0, 64)
 	b = strconv.AppendInt(b, int64(len(k.GetTeam())), 10)
 	b = append(append(b, ':'), k.GetTeam()...)
@@ -24,18 +25,18 @@
 	return string(append(b, k.GetKey()...))
 }
 
-// Registers returns the members that hold a key's registers: the highest by
-// rendezvous hash (Thaler and Ravishankar, 1998), each in another failure domain
-// while there are enough of them.
-func Registers(members []*wire.RingMember, key *wire.ClaimKey) []*wire.RingMember {
-	text := keyText(key)
+// SelectRegisters returns the members that hold a key's registers: those with the
+// highest rendezvous hashes (Thaler and Ravishankar, 1998), each in a different
+// failure domain as long as there are enough domains.
+func SelectRegisters(members []*wire.RingMember, key *wire.ClaimKey) []*wire.RingMember {
+	encKey := encodeKey(key)
 	scores := make([]uint64, len(members))
 	var d xxhash.Digest
 	for i, m := range members {
 		d.Reset()
 		_, _ = d.WriteString(m.Id)
 		_, _ = d.WriteString("\x00")
-		_, _ = d.WriteString(text)
+		_, _ = d.WriteString(encKey)
 		scores[i] = d.Sum64()
 	}
 	chosen := make([]*wire.RingMember, 0, Copies)
@@ -43,7 +44,7 @@
 		for len(chosen) < Copies {
 			best := -1
 			for i, m := range members {
-				if Contains(chosen, m.Id) || distinct && hasDomain(chosen, m.FailureDomain) {
+				if Contains(chosen, m.Id) || distinct && hasFailureDomain(chosen, m.FailureDomain) {
 					continue
 				}
 				if best < 0 || scores[i] > scores[best] {
@@ -59,7 +60,7 @@
 	return chosen
 }
 
-func hasDomain(list []*wire.RingMember, domain string) bool {
+func hasFailureDomain(list []*wire.RingMember, domain string) bool {
 	for _, m := range list {
 		if m.FailureDomain == domain {
 			return true
@@ -68,16 +69,17 @@
 	return false
 }
 
-// sets returns a key's registers by the ring and by the one before it.
-func sets(ring *wire.Ring, key *wire.ClaimKey) [][]*wire.RingMember {
-	list := [][]*wire.RingMember{Registers(ring.GetMembers(), key)}
+// registerSets returns the members that hold a key's registers in the ring and, if
+// the ring has a predecessor, in that one.
+func registerSets(ring *wire.Ring, key *wire.ClaimKey) [][]*wire.RingMember {
+	list := [][]*wire.RingMember{SelectRegisters(ring.GetMembers(), key)}
 	if len(ring.GetPrevious()) > 0 {
-		list = append(list, Registers(ring.GetPrevious(), key))
+		list = append(list, SelectRegisters(ring.GetPrevious(), key))
 	}
 	return list
 }
 
-// Contains says whether a list of members has one with this ID.
+// Contains reports whether a list of members has one with this ID.
 func Contains(list []*wire.RingMember, id string) bool {
 	for _, m := range list {
 		if m.Id == id {
--- a/claim/seed_test.go
+++ b/claim/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// A fixed seed gives the same verdict on every run; -rapid.seed tries others.
+// The fixed seed makes runs reproducible; -rapid.seed sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/claim/sim_disk_test.go
+++ b/claim/sim_disk_test.go
@@ -12,182 +12,181 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// simDisk is a data folder: what was synced, and copies of it that were made at
-// some time and may be restored.
+// simDisk is a data folder: its synced records, and backups that may be restored.
 type simDisk struct {
-	synced []*wire.ClaimStored
-	copies [][]*wire.ClaimStored
-	// busy is when the last sync ends that has begun.
-	busy time.Time
+	synced  []*wire.ClaimStored
+	backups [][]*wire.ClaimStored
+	// syncedBy is when the last sync that has started ends.
+	syncedBy time.Time
 }
 
-// giveDisk gives most entries a disk.
-func (s *sim) giveDisk() *simDisk {
+// newDisk returns a disk for most entries, and nil for the others.
+func (s *sim) newDisk() *simDisk {
 	if s.disks == nil || s.disks.IntN(4) == 0 {
 		return nil
 	}
 	return &simDisk{}
 }
 
-// synced calls f once all that a register has written so far is on its disk;
-// never, if the process ends first.
-func (s *sim) synced(e *simEntry, f func()) {
+// afterSync calls f once all records that a register has written so far are synced. It
+// doesn't if the process ends first.
+func (s *sim) afterSync(e *simEntry, f func()) {
 	if e.disk == nil {
 		f()
 		return
 	}
-	life := e.life
-	same := func() bool { return e.up && e.life == life }
+	starts := e.starts
+	sameProcess := func() bool { return e.up && e.starts == starts }
 	if recs := e.reg.TakeWrites(); len(recs) > 0 {
-		end := s.now.Add(s.syncTime())
-		if end.After(e.disk.busy) {
-			e.disk.busy = end
+		end := s.now.Add(s.randomSyncTime())
+		if end.After(e.disk.syncedBy) {
+			e.disk.syncedBy = end
 		}
-		s.after(e.disk.busy.Sub(s.now), func() {
-			if same() {
+		s.schedule(e.disk.syncedBy.Sub(s.now), func() {
+			if sameProcess() {
 				e.disk.synced = append(e.disk.synced, recs...)
 			}
 		})
 	}
-	if s.off.early || !e.disk.busy.After(s.now) {
+	if s.disabled.syncBeforeReply || !e.disk.syncedBy.After(s.now) {
 		f()
 		return
 	}
-	s.after(e.disk.busy.Sub(s.now), func() {
-		if same() {
+	s.schedule(e.disk.syncedBy.Sub(s.now), func() {
+		if sameProcess() {
 			f()
 		}
 	})
 }
 
-// syncTime is that of a disk that is slow now and then.
-func (s *sim) syncTime() time.Duration {
-	most := 20 * time.Millisecond
+// randomSyncTime returns the duration of a sync, which is long at times.
+func (s *sim) randomSyncTime() time.Duration {
+	longest := 20 * time.Millisecond
 	if s.disks.IntN(4) == 0 {
-		most = 500 * time.Millisecond
+		longest = 500 * time.Millisecond
 	}
-	return time.Duration(s.disks.Int64N(int64(most)))
+	return time.Duration(s.disks.Int64N(int64(longest)))
 }
 
-func (s *sim) copyDisks() {
+func (s *sim) backUpDisks() {
 	for _, e := range s.entries {
 		if e.disk != nil && s.disks.IntN(3) == 0 {
-			e.disk.copies = append(e.disk.copies, e.disk.synced)
+			e.disk.backups = append(e.disk.backups, e.disk.synced)
 		}
 	}
 }
 
-func stored(recs []*wire.ClaimStored) *Stored {
+func storedState(recs []*wire.ClaimStored) *StoredState {
 	if len(recs) == 0 {
 		return nil
 	}
-	st := &Stored{}
+	st := &StoredState{}
 	for _, rec := range recs {
-		st.Add(rec)
+		st.AddRecord(rec)
 	}
 	return st
 }
 
-// bootFromDisk starts a register from its folder, which may have been lost or
-// replaced by an older copy. A copy is restored only where an entry that is up
-// has seen more of the register, and its word arrives: no other can be recognised.
-func (s *sim) bootFromDisk(e *simEntry, set RegisterSettings, process *wire.Incarnation) {
+// startFromDisk starts a register from its folder, which may have been lost or replaced
+// by a backup. A backup is restored only if a running entry has seen a later grant of the
+// register, and that entry's report arrives: other rollbacks can't be detected.
+func (s *sim) startFromDisk(e *simEntry, settings RegisterSettings, process *wire.Incarnation) {
 	d := e.disk
-	d.busy = s.now
-	var knows *simEntry
+	d.syncedBy = s.now
+	var witness *simEntry
 	switch s.disks.IntN(6) {
 	case 0:
-		if e.life == 1 {
+		if e.starts == 1 {
 			break
 		}
-		s.note("%s has lost its disk", id(e.n))
+		s.tracef("%s has lost its disk", entryID(e.index))
 		d.synced = nil
 	case 1, 2:
-		if len(d.copies) == 0 {
+		if len(d.backups) == 0 {
 			break
 		}
-		old := d.copies[s.disks.IntN(len(d.copies))]
-		if knows = s.whoKnows(e, stored(old)); knows != nil {
-			s.note("%s has an older copy of its disk, %s knows", id(e.n), id(knows.n))
+		old := d.backups[s.disks.IntN(len(d.backups))]
+		if witness = s.entryThatSawMore(e, storedState(old)); witness != nil {
+			s.tracef("%s is restored from a backup, %s has seen later grants", entryID(e.index), entryID(witness.index))
 			d.synced = old
 		}
 	}
-	e.reg = NewDurableRegister(set, process, stored(d.synced), s.now)
+	e.reg = NewDurableRegister(settings, process, storedState(d.synced), s.now)
 	d.synced = e.reg.TakeWrites()
-	if knows != nil {
-		s.older(e, id(knows.n), knows.seen.Of(id(e.n)))
+	if witness != nil {
+		s.applySeen(e, entryID(witness.index), witness.seenGrants.For(entryID(e.index)))
 	}
 }
 
-// whoKnows returns an entry that has seen a register grant more than a copy of
-// its folder holds.
-func (s *sim) whoKnows(e *simEntry, st *Stored) *simEntry {
+// entryThatSawMore returns an entry that has seen a later grant of a register than a
+// backup of its folder holds, or nil.
+func (s *sim) entryThatSawMore(e *simEntry, st *StoredState) *simEntry {
 	if st == nil {
 		return nil
 	}
 	for _, p := range s.entries {
-		seen := p.seen.Of(id(e.n))
-		life := seen.GetLife().GetNumber()
-		if p != e && p.up && (life > st.head.Self.Number || life == st.head.Self.Number && seen.Sequence > st.sequence) {
+		seen := p.seenGrants.For(entryID(e.index))
+		seenNumber := seen.GetLife().GetNumber()
+		if p != e && p.up && (seenNumber > st.head.Self.Number || seenNumber == st.head.Self.Number && seen.Sequence > st.sequence) {
 			return p
 		}
 	}
 	return nil
 }
 
-// older takes what a peer has seen.
-func (s *sim) older(e *simEntry, peer string, seen *wire.ClaimSeen) bool {
-	if !e.reg.TakeSeen(s.now, peer, seen, e.number) {
+// applySeen passes a peer's report of the grants that it has seen to a register, and
+// returns whether the register's disk turned out to be an older copy.
+func (s *sim) applySeen(e *simEntry, peer string, seen *wire.ClaimSeen) bool {
+	if !e.reg.ApplySeen(s.now, peer, seen, e.incarnation) {
 		return false
 	}
-	s.note("%s begins life %d: its disk is an older copy", id(e.n), e.reg.self.Number)
-	s.synced(e, func() {})
+	s.tracef("%s starts incarnation %d: its disk is an older copy", entryID(e.index), e.reg.self.Number)
+	s.afterSync(e, func() {})
 	return true
 }
 
-func (s *sim) askSeen(e *simEntry, life uint64, peers []*wire.RingMember) {
+func (s *sim) requestSeen(e *simEntry, starts uint64, peers []*wire.RingMember) {
 	for _, m := range peers {
-		n := number(m.Id)
-		s.deliver(e.n, n, func() {
+		n := entryIndex(m.Id)
+		s.deliver(e.index, n, func() {
 			if !s.entries[n].up {
 				return
 			}
-			seen := s.entries[n].reg.SeenOf(id(e.n), s.entries[n].seen)
-			s.deliver(n, e.n, func() {
-				if e.up && e.life == life {
-					s.older(e, m.Id, seen)
+			seen := s.entries[n].reg.SeenOfEntry(entryID(e.index), s.entries[n].seenGrants)
+			s.deliver(n, e.index, func() {
+				if e.up && e.starts == starts {
+					s.applySeen(e, m.Id, seen)
 				}
 			})
 		})
 	}
 }
 
-func searchDiskSchedules(off safeguards) (uint64, string) {
-	return schedule.Search(schedules, func(seed uint64) string {
-		return runSchedule(seed, off, rand.New(rand.NewPCG(seed, 11)))
+func searchDiskSchedules(disabled disabledSafeguards) (uint64, string) {
+	return schedule.Search(scheduleCount, func(seed uint64) string {
+		return runSchedule(seed, disabled, rand.New(rand.NewPCG(seed, 11)))
 	})
 }
 
-// The same schedules, and most entries have a disk: a crash loses what was not
-// synced, a disk is lost, an older copy is restored. Restarts with the folder as
-// it was forget nothing.
+// The same schedules with disks for most entries: a crash loses what wasn't synced, disks
+// are lost, and backups are restored. No safety rule is violated.
 func TestDiskSchedulesRunEachKeyAtMostOnce(t *testing.T) {
-	seed, text := searchDiskSchedules(safeguards{})
+	seed, text := searchDiskSchedules(disabledSafeguards{})
 	assert.Equal(t, text, "", "seed %d", seed)
 }
 
-// With a safeguard off, the schedules with disks must find a violation.
-func TestDiskSchedulesCatchAMissingSafeguard(t *testing.T) {
+// The schedules with disks find a violation if a safeguard is disabled.
+func TestDiskSchedulesDetectDisabledSafeguards(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		off  safeguards
+		name     string
+		disabled disabledSafeguards
 	}{
-		{"a grant leaves only when its record is synced", safeguards{early: true}},
-		{"an older copy of a folder is recognised", safeguards{rollback: true}},
+		{"a grant leaves only when its record is synced", disabledSafeguards{syncBeforeReply: true}},
+		{"an older copy of a folder is detected", disabledSafeguards{rollbackCheck: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			seed, text := searchDiskSchedules(c.off)
-			assert.Assert(t, strings.Contains(text, ranTwice) || strings.Contains(text, falseNotRun) || strings.Contains(text, twoAnswers), text)
+			seed, text := searchDiskSchedules(c.disabled)
+			assert.Assert(t, strings.Contains(text, ranTwice) || strings.Contains(text, notRunAfterRun) || strings.Contains(text, differentAnswers), text)
 			t.Logf("found by schedule %d: %.80s", seed, text)
 		})
 	}
--- a/claim/sim_test.go
+++ b/claim/sim_test.go
@@ -16,62 +16,62 @@
 )
 
 const (
-	schedules   = 10_000
-	simTTL      = 4 * time.Second
-	simDeadline = time.Second
+	scheduleCount = 10_000
+	simTTL        = 4 * time.Second
+	simDeadline   = time.Second
 )
 
 // sim runs entries with registers, and callers that resend, in virtual time.
 type sim struct {
 	rnd *rand.Rand
-	// clocks draws apart from rnd, so that clocks set back leave the rest of a
-	// schedule as it is.
+	// clocks is separate from rnd, so that clocks that are set back don't change the rest
+	// of a schedule.
 	clocks *rand.Rand
-	// disks draws what happens to data folders; nil if no entry has one.
-	disks   *rand.Rand
-	now     time.Time
-	queue   simQueue
-	seq     int
-	entries []*simEntry
-	ring    *wire.Ring
-	changed time.Time
-	cut     map[[2]int]bool
-	off     safeguards
+	// disks drives faults of data folders; nil if no entry has one.
+	disks       *rand.Rand
+	now         time.Time
+	queue       simQueue
+	seq         int
+	entries     []*simEntry
+	ring        *wire.Ring
+	ringChanged time.Time
+	cutLinks    map[[2]int]bool
+	disabled    disabledSafeguards
 
 	keys  map[string]*simKey
 	trace []string
 }
 
 type simEntry struct {
-	n    int
-	up   bool
-	life uint64
-	// number is the incarnation number of the life: lower than that of an earlier
+	index  int
+	up     bool
+	starts uint64
+	// incarnation is the incarnation number of the process. It is lower than an earlier
 	// one if the host's clock was set back in between.
-	number uint64
-	reg    *Register
-	ring   *wire.Ring
-	heard  time.Time
-	disk   *simDisk
-	seen   Seen
+	incarnation   uint64
+	reg           *Register
+	ring          *wire.Ring
+	ringConfirmed time.Time
+	disk          *simDisk
+	seenGrants    SeenGrants
 }
 
-// lifeSpan is what an incarnation number grows by between two lives, if the
-// host's clock isn't set back.
-const lifeSpan = 1000
+// incarnationStep is the increase of the incarnation number from one start to the next if
+// the host's clock isn't set back.
+const incarnationStep = 1000
 
-// simKey is one caller's request with its resends.
+// simKey is a key with the request and the resends of one caller.
 type simKey struct {
-	key     *wire.ClaimKey
-	first   time.Time
-	runs    int
-	answers map[string]bool
+	key       *wire.ClaimKey
+	firstSent time.Time
+	runs      int
+	answers   map[string]bool
 }
 
 type simEvent struct {
 	at  time.Time
 	seq int
-	do  func()
+	run func()
 }
 
 type simQueue []simEvent
@@ -89,96 +89,96 @@
 	return e
 }
 
-type violation struct{ text string }
+type safetyViolation struct{ text string }
 
-// What a violation breaks.
+// Descriptions of violated rules, as they appear in failures.
 const (
-	ranTwice     = "ran twice"
-	falseNotRun  = "not run was said of a request that ran"
-	twoAnswers   = "two different answers"
-	neverGranted = "no request was ever run"
+	ranTwice         = "ran twice"
+	notRunAfterRun   = "reported as not run after a run"
+	differentAnswers = "two different answers"
+	tooFewRuns       = "too few requests ran"
 )
 
-func (s *sim) fail(format string, args ...any) {
-	panic(violation{fmt.Sprintf(format, args...) + "\n" + strings.Join(s.trace, "\n")})
+func (s *sim) failf(format string, args ...any) {
+	panic(safetyViolation{fmt.Sprintf(format, args...) + "\n" + strings.Join(s.trace, "\n")})
 }
 
-func (s *sim) note(format string, args ...any) {
+func (s *sim) tracef(format string, args ...any) {
 	s.trace = append(s.trace, s.now.Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-func (s *sim) after(d time.Duration, f func()) {
+func (s *sim) schedule(d time.Duration, f func()) {
 	s.seq++
 	heap.Push(&s.queue, simEvent{s.now.Add(d), s.seq, f})
 }
 
-func (s *sim) between(lo, hi time.Duration) time.Duration {
+func (s *sim) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(s.rnd.Int64N(int64(hi-lo)))
 }
 
-func newSim(seed uint64, n int, off safeguards, disks *rand.Rand) *sim {
+func newSim(seed uint64, n int, disabled disabledSafeguards, disks *rand.Rand) *sim {
 	s := &sim{
 		rnd: rand.New(rand.NewPCG(seed, 9)), clocks: rand.New(rand.NewPCG(seed, 10)), now: time.Unix(1000, 0),
-		disks: disks, cut: map[[2]int]bool{}, off: off, keys: map[string]*simKey{}, ring: &wire.Ring{Epoch: 1},
+		disks: disks, cutLinks: map[[2]int]bool{}, disabled: disabled, keys: map[string]*simKey{}, ring: &wire.Ring{Epoch: 1},
 	}
 	for i := range n {
-		e := &simEntry{n: i, disk: s.giveDisk()}
+		e := &simEntry{index: i, disk: s.newDisk()}
 		s.entries = append(s.entries, e)
-		s.boot(e)
+		s.startEntry(e)
 		if i < 4 {
 			s.ring.Members = append(s.ring.Members, s.member(e))
 		}
 	}
 	for _, e := range s.entries {
-		s.tell(e)
+		s.sendRing(e)
 	}
 	return s
 }
 
-func id(n int) string { return "e" + strconv.Itoa(n) }
+func entryID(n int) string { return "e" + strconv.Itoa(n) }
 
-func number(id string) int { return int(id[1] - '0') }
+func entryIndex(id string) int { return int(id[1] - '0') }
 
 func (s *sim) member(e *simEntry) *wire.RingMember {
-	return &wire.RingMember{Id: id(e.n), FailureDomain: fmt.Sprintf("hall-%d", e.n%3), Incarnation: e.reg.Life().Life}
+	return &wire.RingMember{Id: entryID(e.index), FailureDomain: fmt.Sprintf("hall-%d", e.index%3), Incarnation: e.reg.Status().Life}
 }
 
-func (s *sim) boot(e *simEntry) {
-	set := DefaultRegisterSettings()
-	set.MaxTTL = simTTL
-	set.off = s.off
+func (s *sim) startEntry(e *simEntry) {
+	settings := DefaultRegisterSettings()
+	settings.MaxTTL = simTTL
+	settings.disabled = s.disabled
 	e.up = true
-	e.life++
-	e.number = (e.life + 3) * lifeSpan
-	if e.life > 1 && s.clocks.IntN(4) == 0 {
-		// Never the number of another life.
-		e.number -= uint64(s.clocks.IntN(3)*lifeSpan+lifeSpan/2) + 10*e.life
-		s.note("%s starts with its clock set back", id(e.n))
-	}
-	process := &wire.Incarnation{Id: id(e.n), Number: e.number}
-	e.seen = Seen{}
+	e.starts++
+	e.incarnation = (e.starts + 3) * incarnationStep
+	if e.starts > 1 && s.clocks.IntN(4) == 0 {
+		// Different from the numbers of all other starts.
+		e.incarnation -= uint64(s.clocks.IntN(3)*incarnationStep+incarnationStep/2) + 10*e.starts
+		s.tracef("%s starts with its clock set back", entryID(e.index))
+	}
+	process := &wire.Incarnation{Id: entryID(e.index), Number: e.incarnation}
+	e.seenGrants = SeenGrants{}
 	e.ring = &wire.Ring{}
 	if e.disk == nil {
-		e.reg = NewRegister(set, process, s.now)
+		e.reg = NewRegister(settings, process, s.now)
 	} else {
-		s.bootFromDisk(e, set, process)
+		s.startFromDisk(e, settings, process)
 	}
-	s.copyLoop(e, e.life, 0)
+	s.copyLoop(e, e.starts, 0)
 }
 
-// tell gives an entry the ring in force.
-func (s *sim) tell(e *simEntry) {
+// sendRing gives an entry the current ring.
+func (s *sim) sendRing(e *simEntry) {
 	if e.up {
 		e.ring = s.ring
-		e.heard = s.now
+		e.ringConfirmed = s.now
 		e.reg.SetRing(s.ring)
 	}
 }
 
-// deliver carries a message between two entries, or loses it.
+// deliver delivers a message between two entries, perhaps late or twice, or loses it.
 func (s *sim) deliver(from, to int, f func()) {
 	if from == to {
-		s.after(0, f)
+		s.schedule(0, f)
 		return
 	}
 	copies := 1
@@ -188,74 +188,74 @@
 	case 1:
 		copies = 2
 	}
-	if s.cut[[2]int{from, to}] {
+	if s.cutLinks[[2]int{from, to}] {
 		return
 	}
 	for range copies {
-		d := s.between(time.Millisecond, 5*time.Millisecond)
+		d := s.randomDuration(time.Millisecond, 5*time.Millisecond)
 		if s.rnd.IntN(8) == 0 {
-			d += s.between(0, 250*time.Millisecond)
+			d += s.randomDuration(0, 250*time.Millisecond)
 		}
 		if s.rnd.IntN(30) == 0 {
-			d += s.between(0, 2*time.Second)
+			d += s.randomDuration(0, 2*time.Second)
 		}
-		s.after(d, f)
+		s.schedule(d, f)
 	}
 }
 
-// copyLoop lets a register that restarted copy from its peers.
-func (s *sim) copyLoop(e *simEntry, life uint64, try int) {
+// copyLoop makes a restarted register copy from its peers, and check its folder with them.
+func (s *sim) copyLoop(e *simEntry, starts uint64, try int) {
 	wait := 15 * time.Millisecond
 	if try > 6 {
 		wait = 250 * time.Millisecond
 	}
-	s.after(wait, func() {
-		if !e.up || e.life != life {
+	s.schedule(wait, func() {
+		if !e.up || e.starts != starts {
 			return
 		}
-		missing, unheard := e.reg.Missing(s.now), e.reg.Unheard(s.now)
-		if len(missing)+len(unheard) == 0 && e.reg.Epoch() > 0 {
+		toCopy, unchecked := e.reg.PeersToCopy(s.now), e.reg.UncheckedPeers(s.now)
+		if len(toCopy)+len(unchecked) == 0 && e.reg.Epoch() > 0 {
 			return
 		}
-		s.askSeen(e, life, unheard)
-		for _, m := range missing {
-			n := number(m.Id)
+		s.requestSeen(e, starts, unchecked)
+		for _, m := range toCopy {
+			n := entryIndex(m.Id)
 			peer := s.entries[n]
 			q := &wire.ClaimCopyRequest{From: e.reg.self, RingEpoch: e.reg.Epoch()}
-			s.deliver(e.n, n, func() {
+			s.deliver(e.index, n, func() {
 				if !peer.up {
 					return
 				}
-				c := peer.reg.Copy(s.now, q)
-				s.synced(peer, func() {
-					s.deliver(n, e.n, func() {
-						if !e.up || e.life != life || e.reg.self != q.From {
+				c := peer.reg.CopyRecords(s.now, q)
+				s.afterSync(peer, func() {
+					s.deliver(n, e.index, func() {
+						if !e.up || e.starts != starts || e.reg.self != q.From {
 							return
 						}
-						if c.SupersededBy != 0 && !s.older(e, m.Id, &wire.ClaimSeen{Life: &wire.Incarnation{Number: c.SupersededBy}}) {
-							e.reg.Renumber(c.SupersededBy + 1)
+						if c.SupersededBy != 0 && !s.applySeen(e, m.Id, &wire.ClaimSeen{Life: &wire.Incarnation{Number: c.SupersededBy}}) {
+							e.reg.RaiseIncarnation(c.SupersededBy + 1)
 						}
 						if e.reg.self == q.From {
-							e.reg.TakeCopy(s.now, m.Id, c)
+							e.reg.ApplyCopy(s.now, m.Id, c)
 						}
-						s.synced(e, func() {})
+						s.afterSync(e, func() {})
 					})
 				})
 			})
 		}
-		s.copyLoop(e, life, try+1)
+		s.copyLoop(e, starts, try+1)
 	})
 }
 
-// request is one sending of a key's request through one entry.
+// simRequest is one sending of a key's request through one entry.
 type simRequest struct {
-	s    *sim
-	e    *simEntry
-	life uint64
-	k    *simKey
-	flow *Flow
-	over bool
-	end  time.Time
+	sim         *sim
+	entry       *simEntry
+	entryStarts uint64
+	key         *simKey
+	acquisition *Acquisition
+	done        bool
+	deadline    time.Time
 }
 
 func (s *sim) send(k *simKey, n int) {
@@ -265,84 +265,84 @@
 	}
 	s.seq++
 	end := s.now.Add(simDeadline)
-	r := &simRequest{s: s, e: e, life: e.life, k: k, end: end}
-	r.flow = NewFlow(Request{
-		Key: k.key, ID: fmt.Sprintf("q%d", s.seq), Entry: &wire.Incarnation{Id: id(n), Number: e.life},
+	r := &simRequest{sim: s, entry: e, entryStarts: e.starts, key: k, deadline: end}
+	r.acquisition = NewAcquisition(Request{
+		Key: k.key, ID: fmt.Sprintf("q%d", s.seq), Entry: &wire.Incarnation{Id: entryID(n), Number: e.starts},
 		Digest: []byte("d"), TTL: simTTL, Deadline: end,
-	}, s.gone, func(d time.Duration) time.Duration { return time.Duration(s.rnd.Int64N(int64(d) + 1)) })
-	r.flow.off = s.off
+	}, s.entryGone, func(d time.Duration) time.Duration { return time.Duration(s.rnd.Int64N(int64(d) + 1)) })
+	r.acquisition.disabled = s.disabled
 	r.step()
 }
 
-func (s *sim) gone(i *wire.Incarnation) bool {
-	n := number(i.GetId())
-	return s.entries[n].life != i.GetNumber() || !s.entries[n].up
+func (s *sim) entryGone(i *wire.Incarnation) bool {
+	n := entryIndex(i.GetId())
+	return s.entries[n].starts != i.GetNumber() || !s.entries[n].up
 }
 
-func (r *simRequest) alive() bool { return !r.over && r.e.up && r.e.life == r.life }
+func (r *simRequest) alive() bool { return !r.done && r.entry.up && r.entry.starts == r.entryStarts }
 
 func (r *simRequest) step() {
 	if !r.alive() {
 		return
 	}
-	s := r.s
-	confirmed := s.now.Sub(r.e.heard) < ConfirmPeriod(simTTL)
-	a := r.flow.Step(s.now, RingState{Ring: r.e.ring, Joint: s.now.Sub(s.changed) < JointPeriod(simTTL), Confirmed: confirmed})
+	s := r.sim
+	confirmed := s.now.Sub(r.entry.ringConfirmed) < ConfirmPeriod(simTTL)
+	a := r.acquisition.Step(s.now, RingState{Ring: r.entry.ring, Joint: s.now.Sub(s.ringChanged) < JointPeriod(simTTL), Confirmed: confirmed})
 	if a.Release != nil {
-		r.settle(a.Release, a.ReleaseTargets)
+		r.sendSettlement(a.Release, a.ReleaseTargets)
 	}
 	if a.Claim != nil {
-		r.claim(a)
+		r.sendClaims(a)
 	}
-	switch a.Choice {
+	switch a.Decision {
 	case Run:
-		r.over = true
-		s.note("%s wins %s through %s, granted by %v", r.flow.Holder(), r.k.key.Key, id(r.e.n), r.flow.grantors())
-		r.run(a.Targets)
+		r.done = true
+		s.tracef("%s wins %s through %s, granted by %v", r.acquisition.Holder(), r.key.key.Key, entryID(r.entry.index), r.acquisition.countedGrants())
+		r.runOnAgent(a.Targets)
 		return
 	case Replay:
-		r.over = true
-		r.tell(string(a.Record.Answer.Body))
+		r.done = true
+		r.answerCaller(string(a.Record.Answer.Body))
 		return
 	case Unknown:
-		r.over = true
-		r.tell("unknown")
+		r.done = true
+		r.answerCaller("unknown")
 		return
 	}
-	if !a.Wake.IsZero() {
-		s.after(max(a.Wake.Sub(s.now), time.Millisecond), r.step)
+	if !a.WakeAt.IsZero() {
+		s.schedule(max(a.WakeAt.Sub(s.now), time.Millisecond), r.step)
 	}
 }
 
-// grantors lists the registers whose grants were counted.
-func (f *Flow) grantors() []string {
+// countedGrants lists the registers whose grants were counted.
+func (acq *Acquisition) countedGrants() []string {
 	var list []string
-	for _, m := range f.claimant.Targets() {
-		if f.claimant.granted(m.Id) {
-			list = append(list, fmt.Sprint(m.Id, "@", f.claimant.replies[m.Id].Self.Number))
+	for _, m := range acq.round.Targets() {
+		if acq.round.grantCounts(m.Id) {
+			list = append(list, fmt.Sprint(m.Id, "@", acq.round.replies[m.Id].Self.Number))
 		}
 	}
 	return list
 }
 
-func (r *simRequest) claim(a Actions) {
-	s := r.s
-	holder := r.flow.Holder()
+func (r *simRequest) sendClaims(a Actions) {
+	s := r.sim
+	holder := r.acquisition.Holder()
 	for _, m := range a.Targets {
-		n := number(m.Id)
+		n := entryIndex(m.Id)
 		peer := s.entries[n]
-		s.deliver(r.e.n, n, func() {
+		s.deliver(r.entry.index, n, func() {
 			if !peer.up {
 				return
 			}
 			reply := peer.reg.Grant(s.now, a.Claim)
-			s.synced(peer, func() {
-				s.deliver(n, r.e.n, func() {
-					if r.e.up && r.e.life == r.life {
-						r.e.seen.Note(reply)
+			s.afterSync(peer, func() {
+				s.deliver(n, r.entry.index, func() {
+					if r.entry.up && r.entry.starts == r.entryStarts {
+						r.entry.seenGrants.Record(reply)
 					}
 					if r.alive() {
-						r.flow.Reply(holder, m.Id, reply)
+						r.acquisition.AddReply(holder, m.Id, reply)
 						r.step()
 					}
 				})
@@ -351,107 +351,108 @@
 	}
 }
 
-func (r *simRequest) settle(c *wire.ClaimSettle, targets []*wire.RingMember) {
+func (r *simRequest) sendSettlement(c *wire.ClaimSettle, targets []*wire.RingMember) {
 	for _, m := range targets {
-		n := number(m.Id)
-		peer := r.s.entries[n]
-		r.s.deliver(r.e.n, n, func() {
+		n := entryIndex(m.Id)
+		peer := r.sim.entries[n]
+		r.sim.deliver(r.entry.index, n, func() {
 			if peer.up {
-				peer.reg.Settle(r.s.now, c)
-				r.s.synced(peer, func() {})
+				peer.reg.Settle(r.sim.now, c)
+				r.sim.afterSync(peer, func() {})
 			}
 		})
 	}
 }
 
-// run hands the request to an agent. The agent may run it at any time before
-// the deadline; it may die; it may certify that it was not run.
-func (r *simRequest) run(targets []*wire.RingMember) {
-	s := r.s
-	holder := r.flow.Holder()
-	fate := s.rnd.IntN(6)
-	delay := s.between(time.Millisecond, max(2*time.Millisecond, r.end.Sub(s.now)))
-	s.after(delay, func() {
-		state, told := wire.ClaimState_CLAIM_STATE_ANSWERED, "answer of "+holder
-		switch fate {
+// runOnAgent hands the request to an agent, which runs it or certifies that it wasn't run,
+// at any time before the deadline. The entry may be gone by then.
+func (r *simRequest) runOnAgent(targets []*wire.RingMember) {
+	s := r.sim
+	holder := r.acquisition.Holder()
+	outcome := s.rnd.IntN(6)
+	delay := s.randomDuration(time.Millisecond, max(2*time.Millisecond, r.deadline.Sub(s.now)))
+	s.schedule(delay, func() {
+		state, answer := wire.ClaimState_CLAIM_STATE_ANSWERED, "answer of "+holder
+		switch outcome {
 		case 0:
-			state, told = wire.ClaimState_CLAIM_STATE_RELEASED, "not-run"
+			state, answer = wire.ClaimState_CLAIM_STATE_RELEASED, "not-run"
 		case 1:
-			state, told = wire.ClaimState_CLAIM_STATE_UNKNOWN, "unknown"
+			state, answer = wire.ClaimState_CLAIM_STATE_UNKNOWN, "unknown"
 		}
-		if fate != 0 {
-			r.k.runs++
-			s.note("%s runs", holder)
-			if r.k.runs > 1 {
-				s.fail(ranTwice+": %s", r.k.key.Key)
+		if outcome != 0 {
+			r.key.runs++
+			s.tracef("%s runs", holder)
+			if r.key.runs > 1 {
+				s.failf(ranTwice+": %s", r.key.key.Key)
 			}
 		}
-		if !r.e.up || r.e.life != r.life {
+		if !r.entry.up || r.entry.starts != r.entryStarts {
 			return
 		}
-		r.settle(&wire.ClaimSettle{Key: r.k.key, RequestId: holder, State: state, Answer: &wire.StoredAnswer{Body: []byte(told)}}, targets)
-		r.tell(told)
+		r.sendSettlement(&wire.ClaimSettle{Key: r.key.key, RequestId: holder, State: state, Answer: &wire.StoredAnswer{Body: []byte(answer)}}, targets)
+		r.answerCaller(answer)
 	})
 }
 
-// tell answers the caller, who sends again unless the answer is final.
-func (r *simRequest) tell(told string) {
-	s := r.s
-	s.note("caller of %s is told %q through %s", r.k.key.Key, told, id(r.e.n))
-	if told == "not-run" && r.k.runs > 0 {
-		s.fail(falseNotRun+": %s", r.k.key.Key)
+// answerCaller returns the outcome to the caller, and checks it against the runs and the
+// earlier answers.
+func (r *simRequest) answerCaller(answer string) {
+	s := r.sim
+	s.tracef("caller of %s is told %q through %s", r.key.key.Key, answer, entryID(r.entry.index))
+	if answer == "not-run" && r.key.runs > 0 {
+		s.failf(notRunAfterRun+": %s", r.key.key.Key)
 	}
-	if strings.HasPrefix(told, "answer") {
-		r.k.answers[told] = true
-		if len(r.k.answers) > 1 {
-			s.fail(twoAnswers+": %s", r.k.key.Key)
+	if strings.HasPrefix(answer, "answer") {
+		r.key.answers[answer] = true
+		if len(r.key.answers) > 1 {
+			s.failf(differentAnswers+": %s", r.key.key.Key)
 		}
 	}
 }
 
-// start lets a caller send a key's request several times, through any entries,
-// for as long as the registers must remember it.
-func (s *sim) start(n int) {
+// startCaller makes a caller send a key's request several times through random entries,
+// while the registers must remember it.
+func (s *sim) startCaller(n int) {
 	k := &simKey{
-		key:   &wire.ClaimKey{Team: "t", Service: "clock-core", Key: fmt.Sprintf("bid-%d", n)},
-		first: s.now, answers: map[string]bool{},
+		key:       &wire.ClaimKey{Team: "t", Service: "clock-core", Key: fmt.Sprintf("bid-%d", n)},
+		firstSent: s.now, answers: map[string]bool{},
 	}
 	s.keys[k.key.Key] = k
 	for range 1 + s.rnd.IntN(4) {
-		s.after(s.between(0, simTTL-simDeadline), func() { s.send(k, s.rnd.IntN(len(s.entries))) })
+		s.schedule(s.randomDuration(0, simTTL-simDeadline), func() { s.send(k, s.rnd.IntN(len(s.entries))) })
 	}
 	s.send(k, s.rnd.IntN(len(s.entries)))
 }
 
-func (s *sim) fault() {
-	s.copyDisks()
+func (s *sim) injectFault() {
+	s.backUpDisks()
 	e := s.entries[s.rnd.IntN(len(s.entries))]
 	switch s.rnd.IntN(8) {
 	case 0, 1, 2:
 		if e.up {
-			s.note("%s restarts", id(e.n))
+			s.tracef("%s restarts", entryID(e.index))
 			e.up = false
-			s.after(s.between(time.Millisecond, 60*time.Millisecond), func() { s.boot(e); s.tell(e) })
+			s.schedule(s.randomDuration(time.Millisecond, 60*time.Millisecond), func() { s.startEntry(e); s.sendRing(e) })
 		}
 	case 3, 4:
-		s.note("%s is cut off", id(e.n))
+		s.tracef("%s is cut off", entryID(e.index))
 		for n := range s.entries {
-			s.cut[[2]int{e.n, n}] = true
+			s.cutLinks[[2]int{e.index, n}] = true
 			if s.rnd.IntN(2) == 0 {
-				s.cut[[2]int{n, e.n}] = true
+				s.cutLinks[[2]int{n, e.index}] = true
 			}
 		}
 	case 5, 6:
-		clear(s.cut)
+		clear(s.cutLinks)
 	case 7:
 		s.changeRing()
 	}
 }
 
-// changeRing replaces one member, at most once in a time to live; the entries
-// hear of it at different times.
+// changeRing replaces one member, at most once per JointPeriod. The entries learn of it at
+// different times.
 func (s *sim) changeRing() {
-	if s.now.Sub(s.changed) < JointPeriod(simTTL) {
+	if s.now.Sub(s.ringChanged) < JointPeriod(simTTL) {
 		return
 	}
 	next := &wire.Ring{Epoch: s.ring.Epoch + 1, Previous: s.ring.Members}
@@ -459,102 +460,101 @@
 	next.Members = append(next.Members, s.ring.Members[:out]...)
 	next.Members = append(next.Members, s.ring.Members[out+1:]...)
 	for _, e := range s.entries {
-		if e.up && !Contains(s.ring.Members, id(e.n)) {
+		if e.up && !Contains(s.ring.Members, entryID(e.index)) {
 			next.Members = append(next.Members, s.member(e))
 			break
 		}
 	}
-	s.note("ring %d: %v leaves", next.Epoch, s.ring.Members[out].Id)
-	s.ring, s.changed = next, s.now
+	s.tracef("ring %d: %v leaves", next.Epoch, s.ring.Members[out].Id)
+	s.ring, s.ringChanged = next, s.now
 	for _, e := range s.entries {
-		life := e.life
-		s.after(s.between(time.Millisecond, ConfirmPeriod(simTTL)), func() {
-			if e.life == life && s.ring == next {
-				s.tell(e)
+		starts := e.starts
+		s.schedule(s.randomDuration(time.Millisecond, ConfirmPeriod(simTTL)), func() {
+			if e.starts == starts && s.ring == next {
+				s.sendRing(e)
 			}
 		})
 	}
 }
 
-// confirm tells every entry that has the ring in force that it still is.
-func (s *sim) confirm() {
+// confirmRing periodically confirms the ring to every entry that has the current one.
+func (s *sim) confirmRing() {
 	for _, e := range s.entries {
 		if e.ring == s.ring {
-			e.heard = s.now
+			e.ringConfirmed = s.now
 		}
 	}
-	s.after(100*time.Millisecond, s.confirm)
+	s.schedule(100*time.Millisecond, s.confirmRing)
 }
 
-func runSchedule(seed uint64, off safeguards, disks *rand.Rand) (found string) {
+func runSchedule(seed uint64, disabled disabledSafeguards, disks *rand.Rand) (found string) {
 	defer func() {
-		if v, ok := recover().(violation); ok {
+		if v, ok := recover().(safetyViolation); ok {
 			found = v.text
 		}
 	}()
-	s := newSim(seed, 5, off, disks)
-	s.confirm()
+	s := newSim(seed, 5, disabled, disks)
+	s.confirmRing()
 	end := s.now.Add(12 * time.Second)
 	for n := range 8 {
-		s.after(s.between(0, 8*time.Second), func() { s.start(n) })
+		s.schedule(s.randomDuration(0, 8*time.Second), func() { s.startCaller(n) })
 	}
 	for range 12 + 12*(seed%2) {
-		s.after(s.between(0, 10*time.Second), s.fault)
+		s.schedule(s.randomDuration(0, 10*time.Second), s.injectFault)
 	}
 	for len(s.queue) > 0 && s.now.Before(end) {
 		e := heap.Pop(&s.queue).(simEvent)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	return ""
 }
 
-func searchSchedules(off safeguards) (uint64, string) {
-	return schedule.Search(schedules, func(seed uint64) string { return runSchedule(seed, off, nil) })
+func searchSchedules(disabled disabledSafeguards) (uint64, string) {
+	return schedule.Search(scheduleCount, func(seed uint64) string { return runSchedule(seed, disabled, nil) })
 }
 
-// Callers send one request several times through any entries, while entries
-// restart and forget, links are cut, messages are late or doubled, and the ring
-// changes. No key runs twice, "not run" is said only of what never ran, and no
-// caller gets two different answers.
+// Callers resend requests through any entry while entries restart, links are cut, messages
+// are delayed or duplicated, and the ring changes. No key runs twice, "not run" is reported
+// only for requests that never ran, and no caller gets two different answers.
 func TestSchedulesRunEachKeyAtMostOnce(t *testing.T) {
-	seed, text := searchSchedules(safeguards{})
+	seed, text := searchSchedules(disabledSafeguards{})
 	assert.Equal(t, text, "", "seed %d", seed)
 }
 
-// With a safeguard off, the same schedules must find a violation.
-func TestSchedulesCatchAMissingSafeguard(t *testing.T) {
+// The same schedules find a violation if a safeguard is disabled.
+func TestSchedulesDetectDisabledSafeguards(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		off  safeguards
+		name     string
+		disabled disabledSafeguards
 	}{
-		{"a restarted register waits for its peers' copies", safeguards{forget: true}},
-		{"grants of an earlier life count for nothing", safeguards{lives: true}},
+		{"a restarted register waits for its peers' copies", disabledSafeguards{waitForCopies: true}},
+		{"grants of an earlier incarnation aren't counted", disabledSafeguards{incarnationCheck: true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			seed, text := searchSchedules(c.off)
-			assert.Assert(t, strings.Contains(text, ranTwice) || strings.Contains(text, falseNotRun) || strings.Contains(text, twoAnswers), text)
+			seed, text := searchSchedules(c.disabled)
+			assert.Assert(t, strings.Contains(text, ranTwice) || strings.Contains(text, notRunAfterRun) || strings.Contains(text, differentAnswers), text)
 			t.Logf("found by schedule %d: %.80s", seed, text)
 		})
 	}
 }
 
-// Without faults a first sending always gets its key, and resends get its answer.
+// Without faults, most keys run.
 func TestFaultFreeClaimsAreGranted(t *testing.T) {
-	s := newSim(1, 5, safeguards{}, nil)
-	s.confirm()
+	s := newSim(1, 5, disabledSafeguards{}, nil)
+	s.confirmRing()
 	for n := range 50 {
-		s.start(n)
+		s.startCaller(n)
 	}
 	end := s.now.Add(simTTL)
 	for len(s.queue) > 0 && s.now.Before(end) {
 		e := heap.Pop(&s.queue).(simEvent)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 	ran := 0
 	for _, k := range s.keys {
 		ran += k.runs
 	}
-	assert.Assert(t, ran >= 40, "%s: %d of 50", neverGranted, ran)
+	assert.Assert(t, ran >= 40, "%s: %d of 50", tooFewRuns, ran)
 }
--- a/claim/store.go
+++ b/claim/store.go
@@ -12,27 +12,28 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrStore is returned when a register's data folder can't be used.
-var ErrStore = merry.Sentinel("data folder of claims can't be used")
+// ErrStore is returned if the register's data folder can't be used.
+var ErrStore = merry.Sentinel("claim data folder can't be used")
 
 const (
-	// filesPerTTL is how many files the records of one time to live go to. A file
-	// is dropped when a time to live has passed since its last record.
+	// filesPerTTL is the number of files that are started per time to live. A file is
+	// removed when a time to live has passed since it was closed.
 	filesPerTTL = 4
-	// maxSyncDelay is how long a settlement may wait for a grant to share its sync.
+	// maxSyncDelay is how long a write that no reply waits for may be delayed, to share
+	// the sync of a grant.
 	maxSyncDelay = 5 * time.Millisecond
-	// MaxFolderBytes bounds a register's folder: beyond it, it grants nothing.
+	// MaxFolderBytes is the size of a data folder from which on its register grants no new keys.
 	MaxFolderBytes = 512 << 20
 )
 
-// batch is a set of records that one sync makes durable.
+// batch is a set of records that are made durable by one sync.
 type batch struct {
 	recs []proto.Message
 	done chan struct{}
 	err  error
 }
 
-// wait returns once the records are durable, or can't be.
+// wait returns nil once the records are durable, or the error that prevented it.
 func (b *batch) wait() error {
 	if b == nil {
 		return nil
@@ -41,40 +42,41 @@
 	return b.err
 }
 
-// store writes a register's records to its folder: all that come while one sync
-// runs share the next one.
+// store writes a register's records to its data folder. Records that arrive during a
+// sync are combined into one batch for the next sync.
 type store struct {
 	log *wal.Log
 	now func() time.Time
 	ttl time.Duration
-	// synced is told after each batch, with the size of the folder.
-	synced func(err error, bytes int64)
+	// onSynced receives the result of each write or rotation, and the size of the
+	// folder.
+	onSynced func(err error, bytes int64)
 
-	// head is the last one written. Only the writing goroutine uses it, the files'
-	// times and the log.
-	head    *wire.ClaimStored
-	started time.Time
-	// closed holds when each file but the last had its last record.
-	closed map[uint64]time.Time
+	// head is the last head that was written. It, fileStarted, closedAt and log are
+	// used by the writing goroutine only.
+	head        *wire.ClaimStored
+	fileStarted time.Time
+	// closedAt holds when each file but the last was closed, by file number.
+	closedAt map[uint64]time.Time
 
 	mu      sync.Mutex
-	next    *batch
+	queued  *batch
 	syncing *batch
 	stopped bool
 	wake    chan struct{}
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// openStore reads a folder. damaged is what was wrong with it, or nil; the
-// records can't be trusted then, and st is nil as for an empty folder.
-func openStore(fs wal.FS) (l *wal.Log, st *Stored, damaged error, err error) {
-	st = &Stored{}
+// openStore reads a data folder. If its records can't be trusted, damaged is the
+// reason; st is then nil, as for an empty folder.
+func openStore(fs wal.FS) (l *wal.Log, st *StoredState, damaged error, err error) {
+	st = &StoredState{}
 	l, err = wal.OpenLog(fs, func(payload []byte) error {
 		rec := &wire.ClaimStored{}
 		if err := proto.Unmarshal(payload, rec); err != nil {
 			return merry.Prepend(wal.ErrCorrupt, err.Error())
 		}
-		st.Add(rec)
+		st.AddRecord(rec)
 		return nil
 	})
 	switch {
@@ -84,18 +86,18 @@
 		return nil, nil, nil, merry.Prepend(ErrStore, err.Error())
 	case l.LastFile() == 0:
 		return l, nil, nil, nil
-	case st.head == nil || l.FirstFile() > st.oldest:
+	case st.head == nil || l.FirstFile() > st.oldestFile:
 		return l, nil, merry.Prepend(wal.ErrCorrupt, "the first file is missing"), nil
 	}
 	return l, st, nil, nil
 }
 
-// newStore begins a new file with all that a register holds, in place of the
-// folder's earlier ones.
+// newStore starts a new file with all records of the register, and removes the
+// earlier files.
 func newStore(l *wal.Log, recs []*wire.ClaimStored, ttl time.Duration, now func() time.Time) (*store, error) {
 	s := &store{
-		log: l, now: now, ttl: ttl, started: now(), closed: map[uint64]time.Time{},
-		wake: make(chan struct{}, 1), ended: make(chan struct{}),
+		log: l, now: now, ttl: ttl, fileStarted: now(), closedAt: map[uint64]time.Time{},
+		wake: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	first := l.LastFile() + 1
 	var msgs []proto.Message
@@ -112,68 +114,68 @@
 	return s, l.DropBefore(first)
 }
 
-// stoppedBatch is what a call gets that came while the process stopped.
+// stoppedBatch returns a batch that has failed because the store is closed.
 func stoppedBatch() *batch {
-	b := &batch{done: make(chan struct{}), err: merry.Prepend(ErrStore, "the process stops")}
+	b := &batch{done: make(chan struct{}), err: merry.Prepend(ErrStore, "the process is stopping")}
 	close(b.done)
 	return b
 }
 
-// add takes records for the next sync. It returns the batch after which all
-// records so far are durable; nil if they are. Records that nobody waits for are
-// not urgent: they are left for the next grant's sync, for a short while.
-func (s *store) add(recs []*wire.ClaimStored, urgent bool) *batch {
+// enqueue adds records to the next batch. It returns the batch after which all records
+// so far are durable, or nil if they are. With urgent, the batch is written at once;
+// otherwise within maxSyncDelay, or with the next urgent one.
+func (s *store) enqueue(recs []*wire.ClaimStored, urgent bool) *batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped {
 		return stoppedBatch()
 	}
-	if len(recs) > 0 && s.next == nil {
-		s.next = &batch{done: make(chan struct{})}
+	if len(recs) > 0 && s.queued == nil {
+		s.queued = &batch{done: make(chan struct{})}
 		if !urgent {
-			time.AfterFunc(maxSyncDelay, s.rouse)
+			time.AfterFunc(maxSyncDelay, s.signal)
 		}
 	}
 	for _, rec := range recs {
-		s.next.recs = append(s.next.recs, rec)
+		s.queued.recs = append(s.queued.recs, rec)
 	}
-	if s.next == nil {
+	if s.queued == nil {
 		return s.syncing
 	}
 	if urgent {
-		s.rouse()
+		s.signal()
 	}
-	return s.next
+	return s.queued
 }
 
-// rouse lets the store write what it has.
-func (s *store) rouse() {
+// signal wakes run.
+func (s *store) signal() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run writes batches until the store is closed. The ticks drop old files where
-// no records come: a folder at its bound would otherwise stay there.
+// run writes batches until the store is closed. The ticker rotates files also while
+// no records are written: a folder at MaxFolderBytes would otherwise stay full.
 func (s *store) run() {
-	defer close(s.ended)
+	defer close(s.done)
 	tick := time.NewTicker(s.ttl / filesPerTTL)
 	defer tick.Stop()
 	for {
 		select {
 		case <-s.wake:
 		case <-tick.C:
-			s.synced(s.rotateIfDue(), s.log.Bytes())
+			s.onSynced(s.rotateIfDue(), s.log.Bytes())
 		}
-		// Looked at before the last batch is taken: what was added before the stop
-		// is still written, and nothing is added after it.
+		// stopped is read before the last batch is taken: records added before the stop are
+		// still written, and none are added after it.
 		s.mu.Lock()
 		stopped := s.stopped
 		s.mu.Unlock()
-		for b := s.begin(); b != nil; b = s.begin() {
-			b.err = s.write(b.recs)
-			s.synced(b.err, s.log.Bytes())
+		for b := s.takeBatch(); b != nil; b = s.takeBatch() {
+			b.err = s.writeBatch(b.recs)
+			s.onSynced(b.err, s.log.Bytes())
 			close(b.done)
 		}
 		if stopped {
@@ -182,14 +184,14 @@
 	}
 }
 
-func (s *store) begin() *batch {
+func (s *store) takeBatch() *batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.syncing, s.next = s.next, nil
+	s.syncing, s.queued = s.queued, nil
 	return s.syncing
 }
 
-func (s *store) write(recs []proto.Message) error {
+func (s *store) writeBatch(recs []proto.Message) error {
 	if err := s.log.Append(recs...); err != nil {
 		return err
 	}
@@ -204,38 +206,38 @@
 }
 
 func (s *store) rotateIfDue() error {
-	if s.now().Sub(s.started) < s.ttl/filesPerTTL {
+	if s.now().Sub(s.fileStarted) < s.ttl/filesPerTTL {
 		return nil
 	}
 	return s.rotate()
 }
 
-// rotate begins a file and drops those whose records have all expired. A record
-// lives for at most a time to live after it was written.
+// rotate starts a new file and removes files whose records have all expired. A record
+// expires at most one time to live after it was written.
 func (s *store) rotate() error {
 	now := s.now()
-	s.closed[s.log.LastFile()] = now
+	s.closedAt[s.log.LastFile()] = now
 	oldest := s.log.LastFile() + 1
-	for n, at := range s.closed {
+	for n, at := range s.closedAt {
 		if now.Sub(at) < s.ttl {
 			oldest = min(oldest, n)
 			continue
 		}
-		delete(s.closed, n)
+		delete(s.closedAt, n)
 	}
-	// The head is that of the records written so far: one made now might speak of
-	// records that are still to be written.
+	// This is the head that was written last. The register's current state may depend
+	// on records that aren't written yet.
 	head := proto.Clone(s.head).(*wire.ClaimStored)
 	head.GetHead().Oldest = oldest
 	head.GetHead().Forgot = false
-	s.started = now
+	s.fileStarted = now
 	if err := s.log.StartFile(head); err != nil {
 		return err
 	}
 	return s.log.DropBefore(oldest)
 }
 
-// close ends the writing after what has been taken, and releases the folder.
+// close writes the queued records, stops the writing goroutine and closes the folder.
 func (s *store) close() {
 	s.mu.Lock()
 	already := s.stopped
@@ -244,7 +246,7 @@
 	if already {
 		return
 	}
-	s.rouse()
-	<-s.ended
+	s.signal()
+	<-s.done
 	s.log.Close()
 }
