--- a/claim/register_copy.go
+++ b/claim/register_copy.go
@@ -43,7 +43,7 @@
 
 // hasCompleteRecords reports whether no grant of an earlier incarnation can still
 // count: this incarnation is the one that the ring admitted, or MaxTTL has passed
-// since its start.
+// since the register started.
 func (r *Register) hasCompleteRecords(now time.Time) bool {
 	if r.complete || now.Sub(r.started) >= r.settings.MaxTTL {
 		return true
--- a/claim/store_test.go
+++ b/claim/store_test.go
@@ -270,7 +270,7 @@
 }
 
 // A peer copied from this register, which then restarts. Its replies must still name the
-// peer's incarnation, so that a claimant doesn't count a grant of an earlier one.
+// peer's incarnation, so that a round doesn't count a grant of an earlier one.
 func TestRestartKeepsIncarnationsThatCopied(t *testing.T) {
 	h := newTestHost(t, fake.NewDisk())
 	assert.Assert(t, h.grant("bid-1", "a").Granted)
