--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -1,8 +1,8 @@
-// Package dialect is the boundary between the product's own types and the names
-// and formats that callers, upstreams and operators of a site speak over HTTP.
+// Package dialect translates between the internal types and the names and formats that
+// the callers, upstreams and operators of a site use over HTTP.
 //
-// A Dialect is a plug-in of the namespace "dialect". It translates and decides
-// nothing; a site with other names brings another one.
+// A Dialect is a plug-in of the namespace "dialect". It only translates and makes no
+// decisions; a site with other names or formats provides its own.
 package dialect
 
 import (
@@ -15,76 +15,76 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
+// Errors returned by dialects.
 var (
-	// ErrUnreadable is returned for a message that can't be decoded. The message
-	// names what is wrong.
+	// ErrUnreadable is returned for a message that can't be decoded. Its text states the
+	// reason.
 	ErrUnreadable = merry.Sentinel("message can't be read")
-	// ErrUnknown is returned for a name that no dialect has.
+	// ErrUnknown is returned by Named if the plug-in is not a Dialect.
 	ErrUnknown = merry.Sentinel("no such dialect")
 )
 
-// Request is what a caller's request says beside its method, path and body.
+// Request holds what the header of a caller's request says.
 type Request struct {
-	// ID names this attempt of the caller; it is passed on unchanged.
+	// ID identifies this attempt of the caller; it is passed on unchanged.
 	ID string
-	// Deadline is how long the caller waits from now on; 0 if it doesn't say.
+	// Deadline is how long the caller will wait from now on; 0 if unknown.
 	Deadline time.Duration
-	// Key is what the caller shows for its team; empty if it shows none.
+	// Key is the credential that identifies the caller's team; empty if there is none.
 	Key string
-	// LastEventID is the last event of a stream that the caller has; empty for a
-	// stream from its beginning.
+	// LastEventID is the last event of a stream that the caller has received; empty to
+	// start from the beginning.
 	LastEventID string
-	// PromptTokens and MaxTokens are the sizes of a generation; 0 if not known.
+	// PromptTokens and MaxTokens are the sizes of a generation; 0 if unknown.
 	PromptTokens, MaxTokens int
-	// ExpectedTokens is the caller's estimate of the answer's tokens; 0 if it has
-	// none.
+	// ExpectedTokens is the caller's estimate of the number of tokens in the response; 0 if
+	// there is none.
 	ExpectedTokens int
 }
 
-// Send is what an upstream is told with a request.
+// Send holds what the header of a request tells the upstream.
 type Send struct {
-	// Left is the time that the caller will still wait.
+	// Left is how long the caller will still wait.
 	Left time.Duration
-	// Instance is the upstream that is meant; another one must not run the request.
+	// Instance is the upstream instance meant; another one must not run the request.
 	Instance string
-	// Team holds the caller's key; empty if no key was asked for.
+	// Team is the caller's key; empty if none was required.
 	Team string
-	// LastEventID is where a stream goes on; empty for its beginning.
+	// LastEventID is the event after which a stream resumes; empty to start from the beginning.
 	LastEventID string
-	// Urgent says that the upstream should take the request before others.
+	// Urgent asks the upstream to run the request before others.
 	Urgent bool
 }
 
-// Answer is what the head of an upstream's response says.
+// Answer holds what the header of an upstream's response says.
 type Answer struct {
 	// ID is the attempt that the response belongs to.
 	ID string
-	// Signed says that the response is one of the upstream's program, and not of
-	// something before it.
+	// Signed reports that the response comes from the upstream itself, and not from an
+	// intermediary such as a proxy.
 	Signed bool
-	// NotRun certifies that the request has not run and will not.
+	// NotRun guarantees that the request has not run and will not.
 	NotRun bool
-	// GroupDown says that the upstream refused because its group runs nothing now.
+	// GroupDown reports that the upstream refused because its group currently runs nothing.
 	GroupDown bool
-	// Instance is the upstream that answered, where it says so.
+	// Instance is the upstream instance that answered; empty if unknown.
 	Instance string
-	// Load is the upstream's at the time of the answer; nil if it doesn't say.
+	// Load is the load of the upstream at the time of the response; nil if unknown.
 	Load *Load
 }
 
-// Load is how busy an upstream says that it is, in requests.
+// Load is the load that an upstream reports, in requests.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Call is a method and a path as gorilla/mux takes it.
+// Call is a method and a path template for gorilla/mux.
 type Call struct {
 	Method, Path string
 }
 
-// Calls are those that the product answers. InstanceID is the name of the path
-// variable in Register and Deregister.
+// Calls are the calls that the load balancer serves. InstanceID is the name of the path variable
+// in Register and Deregister.
 type Calls struct {
 	Ready, Resolve         Call
 	Register, Deregister   Call
@@ -92,55 +92,57 @@
 	InstanceID             string
 }
 
-// Callers translates what callers and upstreams say of requests.
+// Callers translates the headers of requests and responses.
 type Callers interface {
-	// ReadRequest reads a caller's header.
+	// ReadRequest reads the header of a caller's request.
 	ReadRequest(h http.Header) (Request, error)
-	// SetSend sets what an upstream is told and removes what it must not see.
+	// SetSend sets the fields that the upstream needs, and removes those it must not
+	// receive.
 	SetSend(h http.Header, s Send)
-	// ReadAnswer reads the head of an upstream's response.
+	// ReadAnswer reads the status and header of an upstream's response.
 	ReadAnswer(status int, h http.Header) Answer
 }
 
-// Operators translates what operators and upstreams tell the control replicas.
+// Operators translates the messages of operators and upstreams to the control replicas.
 type Operators interface {
-	// DecodeRouting reads a whole configuration and keeps it as its source.
+	// DecodeRouting decodes a whole configuration and stores body as its source text.
 	DecodeRouting(body []byte) (*wire.RoutingConfig, error)
-	// DecodeRegistration reads an upstream's registration. The lease is the caller's
-	// to set, and the incarnation where it is 0: the upstream tells none.
+	// DecodeRegistration decodes the registration of an upstream. The caller must set the
+	// lease, and the incarnation if it is 0 because the upstream didn't send one.
 	DecodeRegistration(id string, body []byte) (*wire.Announcement, error)
-	// EncodeRegistered is the answer to a registration.
+	// EncodeRegistered encodes the response to a registration.
 	EncodeRegistered() []byte
-	// EncodeEntries is the answer to a caller that asks where to connect.
+	// EncodeEntries encodes the addresses that a caller may connect to, and how long it may
+	// cache them.
 	EncodeEntries(addresses []string, keep time.Duration) []byte
-	// EncodeError is the body of a refusal.
+	// EncodeError encodes the body of an error response.
 	EncodeError(detail string) []byte
 }
 
-// Ranks translates what ranks of groups are asked and told by HTTP.
+// Ranks translates the HTTP calls to ranks of groups and their responses.
 type Ranks interface {
-	// RankCalls are the paths of the calls below.
+	// RankCalls returns the methods and paths of the calls to ranks.
 	RankCalls() RankCalls
-	// SetInstance says in a call's header which instance is meant.
+	// SetInstance sets the header field that names the instance meant.
 	SetInstance(h http.Header, instance string)
 	DecodeReport(body []byte) (*wire.RankReport, error)
-	// DecodeCounts reads how often experts were chosen, and the group's epoch.
+	// DecodeCounts decodes how often each expert was chosen, and the epoch of the group.
 	DecodeCounts(body []byte) (epoch uint64, counts []uint64, err error)
-	// DecodeHeld reads the experts that a rank holds, set by set.
+	// DecodeHeld decodes the experts that a rank holds, by set.
 	DecodeHeld(body []byte) ([]*wire.ExpertList, error)
-	// EncodeOrder makes the body of an order; experts is the map that it carries, by set
-	// and rank, or nil.
+	// EncodeOrder encodes the body of an order. experts is the map that it carries, indexed
+	// by set and rank, or nil.
 	EncodeOrder(o *wire.RankOrder, experts [][][]uint32) []byte
-	// OrderStatus says what a status code means for an order.
+	// OrderStatus translates the status code of the response to an order.
 	OrderStatus(status int) wire.RankOrderStatus
 }
 
-// RankCalls are the calls that ranks answer.
+// RankCalls are the calls that ranks serve.
 type RankCalls struct {
 	Report, Counts, Held, Order Call
 }
 
-// Dialect is one site's manner of speaking.
+// Dialect is the set of names and formats that one site uses.
 type Dialect interface {
 	Calls() Calls
 	Callers
@@ -148,10 +150,10 @@
 	Ranks
 }
 
-// Namespace is that of dialects among plug-ins.
+// Namespace is the plug-in namespace of dialects.
 const Namespace = "dialect"
 
-// Named returns a dialect by its name.
+// Named returns the dialect with the name. It fails if there is none.
 func Named(name string) (Dialect, error) {
 	v, err := kernel.Load(Namespace+"."+name, nil)
 	if err != nil {
--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -14,75 +14,77 @@
 )
 
 const (
-	// announceTo is how many replicas an announcement goes to: one may die or be
-	// cut off, and nobody takes the instance for gone.
-	announceTo = 2
-	// announceTries bounds the replicas that one announcement is offered to when
-	// the first ones don't answer. With announceTimeout it keeps the news that an
-	// upstream leaves under two seconds while three replicas are silent.
-	announceTries   = 4
-	announceTimeout = 500 * time.Millisecond
+	// replicasPerAnnouncement is how many replicas receive each announcement, so that
+	// the loss or isolation of one doesn't let the instance's lease expire.
+	replicasPerAnnouncement = 2
+	// maxReplicasTried limits how many replicas one announcement is sent to when some
+	// don't answer. With announceTimeout it bounds the time until an upstream that is
+	// leaving is known as such to under two seconds with three unresponsive replicas.
+	maxReplicasTried = 4
+	announceTimeout  = 500 * time.Millisecond
 )
 
 // Dial returns a connection to an address.
 type Dial func(ctx context.Context, address string) drpc.Conn
 
-// Announcer sends one process's announcements to some of the control replicas.
+// Announcer sends the announcements of one process to some of the control replicas.
 type Announcer struct {
 	dial    Dial
 	now     func() time.Time
 	targets *Targets
-	// asked is the interval that the replicas asked for last.
-	asked atomic.Int64
+	// requestedInterval is the longest announcement interval, in nanoseconds, that the
+	// replicas asked for in their latest replies.
+	requestedInterval atomic.Int64
 }
 
-// NewAnnouncer makes an announcer over the replicas in targets.
+// NewAnnouncer returns an announcer that chooses replicas from targets.
 func NewAnnouncer(targets *Targets, dial Dial, now func() time.Time) *Announcer {
 	return &Announcer{dial: dial, now: now, targets: targets}
 }
 
-// Announce sends an announcement and returns the answers by address. Where a
-// replica doesn't answer the next one is taken at once.
+// Announce sends msg to replicasPerAnnouncement replicas and returns their replies
+// by address. A replica that fails is replaced by the next one at once, up to
+// maxReplicasTried replicas in all.
 func (a *Announcer) Announce(ctx context.Context, msg *wire.Announcement) map[string]*wire.AnnounceReply {
 	replies := map[string]*wire.AnnounceReply{}
 	tried := []string{}
-	for len(tried) < announceTries && ctx.Err() == nil {
-		next := a.pick(tried, announceTo-len(replies))
+	for len(tried) < maxReplicasTried && ctx.Err() == nil {
+		next := a.pick(tried, replicasPerAnnouncement-len(replies))
 		if len(next) == 0 {
 			break
 		}
 		tried = append(tried, next...)
-		a.send(ctx, next, msg, replies)
+		a.sendAll(ctx, next, msg, replies)
 	}
-	a.note(replies)
+	a.storeRequestedInterval(replies)
 	return replies
 }
 
-func (a *Announcer) note(replies map[string]*wire.AnnounceReply) {
-	var asked time.Duration
+func (a *Announcer) storeRequestedInterval(replies map[string]*wire.AnnounceReply) {
+	var longest time.Duration
 	for _, r := range replies {
-		asked = max(asked, time.Duration(r.IntervalMs)*time.Millisecond)
+		longest = max(longest, time.Duration(r.IntervalMs)*time.Millisecond)
 	}
 	if len(replies) > 0 {
-		a.asked.Store(int64(asked))
+		a.requestedInterval.Store(int64(longest))
 	}
 }
 
-// Interval is how long to wait between two announcements that bring nothing new,
-// for a process whose settings name an interval and a lease. What is new, that it
-// leaves above all, is announced at once.
-func (a *Announcer) Interval(own, lease time.Duration) time.Duration {
-	return pace(own, lease, time.Duration(a.asked.Load()))
+// Interval returns how long to wait between two announcements that only renew the
+// lease, given the configured interval and the lease. Changes, above all a shutdown,
+// are announced without waiting.
+func (a *Announcer) Interval(configured, lease time.Duration) time.Duration {
+	return announceInterval(configured, lease, time.Duration(a.requestedInterval.Load()))
 }
 
-// pick returns up to n replicas that this announcement was not offered to.
+// pick returns up to n replicas that are not in tried.
 func (a *Announcer) pick(tried []string, n int) []string {
 	list := a.targets.Pick(a.now(), len(tried)+n)
 	list = slices.DeleteFunc(list, func(addr string) bool { return slices.Contains(tried, addr) })
 	return list[:min(n, len(list))]
 }
 
-func (a *Announcer) send(ctx context.Context, addresses []string, msg *wire.Announcement, replies map[string]*wire.AnnounceReply) {
+func (a *Announcer) sendAll(ctx context.Context, addresses []string, msg *wire.Announcement, replies map[string]*wire.AnnounceReply) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for _, addr := range addresses {
@@ -104,7 +106,7 @@
 func (a *Announcer) sendOne(ctx context.Context, addr string, msg *wire.Announcement) *wire.AnnounceReply {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	if a.targets.wants() {
+	if a.targets.needsReplicaList() {
 		msg = proto.Clone(msg).(*wire.Announcement)
 		msg.AskReplicas = true
 	}
--- a/directory/changes.go
+++ b/directory/changes.go
@@ -7,11 +7,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// changeLog orders the instances by their last change, so that a watcher is
-// sent what changed since its last update without a look at all of them.
+// changeLog orders the instances by their last change, so that the changes since a
+// watcher's last update are found without scanning all instances.
 type changeLog struct {
 	version uint64
-	last    map[string]uint64
+	latest  map[string]uint64
 	items   []changeItem
 }
 
@@ -20,78 +20,81 @@
 	id      string
 }
 
-func newChangeLog() changeLog { return changeLog{last: map[string]uint64{}} }
+func newChangeLog() changeLog { return changeLog{latest: map[string]uint64{}} }
 
-// compactSlack is how many outdated items are kept before they are dropped.
+// compactSlack is how many outdated items are kept before the log is compacted.
 const compactSlack = 1024
 
-func (l *changeLog) touch(id string) {
+func (l *changeLog) record(id string) {
 	l.version++
-	l.last[id] = l.version
+	l.latest[id] = l.version
 	l.items = append(l.items, changeItem{l.version, id})
-	if len(l.items) > 2*len(l.last)+compactSlack {
+	if len(l.items) > 2*len(l.latest)+compactSlack {
 		l.compact()
 	}
 }
 
-func (l *changeLog) forget(id string) { delete(l.last, id) }
+func (l *changeLog) remove(id string) { delete(l.latest, id) }
 
 func (l *changeLog) compact() {
-	kept := make([]changeItem, 0, len(l.last))
+	kept := make([]changeItem, 0, len(l.latest))
 	for _, it := range l.items {
-		if l.last[it.id] == it.version {
+		if l.latest[it.id] == it.version {
 			kept = append(kept, it)
 		}
 	}
 	l.items = kept
 }
 
-// since calls f for each instance that changed after a version.
+// since calls f for each instance that changed after version.
 func (l *changeLog) since(version uint64, f func(id string)) {
 	first := sort.Search(len(l.items), func(i int) bool { return l.items[i].version > version })
 	for _, it := range l.items[first:] {
-		if l.last[it.id] == it.version {
+		if l.latest[it.id] == it.version {
 			f(it.id)
 		}
 	}
 }
 
-// View is what one watcher has been sent.
+// View is the state of one watcher: which part of the directory it has been sent.
 type View struct {
-	// LocalOnly leaves out what did not announce to this process itself.
+	// LocalOnly restricts the view to instances that announce to this process directly.
 	LocalOnly bool
-	// Known are the hashes of what the watcher knew before, if it said so.
+	// Known is the digest of what the watcher knew before it connected; empty if it
+	// sent none.
 	Known   []uint64
 	version uint64
-	// kept are the parts that it knew alike at the version keptAt.
-	kept   parts
-	keptAt uint64
-	synced bool
-	sum    revisionSummary
+	// unchanged is the set of buckets that were equal on both sides at version
+	// unchangedAt.
+	unchanged   bucketSet
+	unchangedAt uint64
+	synced      bool
+	summary     revisionSummary
 }
 
-// maxEntries bounds the entries of one update.
-const maxEntries = 1000
+// maxUpdateEntries limits the entries of one update.
+const maxUpdateEntries = 1000
 
-// Synced says whether the watcher has been sent the whole directory once.
+// Synced reports whether the watcher has been sent the whole directory once.
 func (v *View) Synced() bool { return v.synced }
 
-// Update returns what a watcher lacks. A directory that is larger than one
-// message comes in several; more says that the next one should follow at once.
+// Update returns the changes that the watcher has not been sent yet. A directory that
+// doesn't fit into one message is split into several; more reports that the next
+// one should follow immediately.
 func (s *State) Update(now time.Time, v *View) (u *wire.DirectoryUpdate, more bool) {
 	u = &wire.DirectoryUpdate{Settling: !s.Settled(now)}
 	from := v.version
-	if from == 0 && !v.synced && v.kept == nil {
-		s.compare(v)
-		u.Kept = v.kept
+	if from == 0 && !v.synced && v.unchanged == nil {
+		s.compareDigest(v)
+		u.Kept = v.unchanged
 	}
 	s.changes.since(from, func(id string) {
-		if len(u.Entries)+len(u.Withdrawn) >= maxEntries {
+		if len(u.Entries)+len(u.Withdrawn) >= maxUpdateEntries {
 			more = true
 			return
 		}
-		version := s.changes.last[id]
-		if !v.keeps(s.instances[id], version) {
+		version := s.changes.latest[id]
+		if !v.isUnchanged(s.instances[id], version) {
 			s.addChange(u, s.instances[id], now, v.LocalOnly, from == 0)
 		}
 		v.version = version
@@ -106,8 +109,8 @@
 }
 
 func (s *State) addChange(u *wire.DirectoryUpdate, i *Instance, now time.Time, localOnly, first bool) {
-	own := i.Phase == wire.Phase_PHASE_GONE && !i.expired()
-	if s.vouchesFor(i, now, localOnly) || own && (!localOnly || !i.localUntil.IsZero()) {
+	announcedGone := i.Phase == wire.Phase_PHASE_GONE && !i.expired()
+	if s.reportsAlive(i, now, localOnly) || announcedGone && (!localOnly || !i.localExpires.IsZero()) {
 		age := uint32(max(now.Sub(i.Heard), 0).Milliseconds())
 		u.Entries = append(u.Entries, &wire.DirectoryEntry{Announcement: i.Announcement, AgeMs: age})
 		return
@@ -117,23 +120,24 @@
 	}
 }
 
-// vouchesFor says whether this directory may vouch for an instance to a watcher.
-// Another directory is told only of what was heard here: two that repeated each
-// other's word would keep an instance up that nobody hears.
-func (s *State) vouchesFor(i *Instance, now time.Time, localOnly bool) bool {
+// reportsAlive reports whether updates to a watcher may list the instance as alive.
+// Another replica (localOnly) is only told of instances that announce here: two
+// replicas that repeated each other's information would keep an instance up that
+// no longer announces to anyone.
+func (s *State) reportsAlive(i *Instance, now time.Time, localOnly bool) bool {
 	if i.Phase == wire.Phase_PHASE_GONE {
 		return false
 	}
-	return !localOnly || !i.localUntil.IsZero() && !now.After(i.localUntil)
+	return !localOnly || !i.localExpires.IsZero() && !now.After(i.localExpires)
 }
 
 func (s *State) addRevisions(u *wire.DirectoryUpdate, v *View, now time.Time) {
-	if v.sum.counted == s.revisions && !u.Synced {
+	if v.summary.version == s.revisionVersion && !u.Synced {
 		return
 	}
 	sum := s.summary(now, v.LocalOnly)
-	if !sum.same(&v.sum) || len(u.Entries) > 0 {
+	if !sum.equal(&v.summary) || len(u.Entries) > 0 {
 		u.Revision, u.Behind = sum.revision, sum.behind
 	}
-	v.sum = sum
+	v.summary = sum
 }
--- a/directory/digest.go
+++ b/directory/digest.go
@@ -9,31 +9,31 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// digestParts is how many parts of a directory are compared by one hash each. A
-// watcher that changes its replica says what it knows in 2 KB, and one changed
-// instance costs the copy of its part: 29 instances of 7,500.
-const digestParts = 256
+// digestBuckets is the number of buckets that instances are hashed into; the digest
+// has one hash for each. A watcher that connects to another replica sends 2 KB of
+// hashes, and a changed instance costs the transfer of its bucket only.
+const digestBuckets = 256
 
-// digest is the hash of each part: the exclusive or of its instances' hashes.
-type digest [digestParts]uint64
+// digest holds for each bucket the XOR of the hashes of its instances.
+type digest [digestBuckets]uint64
 
-func partOf(id string) int { return int(xxhash.Sum64String(id) % digestParts) }
+func bucketOf(id string) int { return int(xxhash.Sum64String(id) % digestBuckets) }
 
-// digest sums up the instances that are not gone, as watchers are told of them.
+// digest returns the digest of all instances that are not gone.
 func (s *State) digest() digest {
 	var d digest
 	for id, i := range s.instances {
 		if i.Phase != wire.Phase_PHASE_GONE {
-			d[partOf(id)] ^= hashOf(i.Announcement)
+			d[bucketOf(id)] ^= hashAnnouncement(i.Announcement)
 		}
 	}
 	return d
 }
 
-// hashOf is equal for announcements that are sameButForLoad, and for no others. It
-// writes the fields out by itself: to encode messages would cost more processor
-// time than the copy that it saves.
-func hashOf(a *wire.Announcement) uint64 {
+// hashAnnouncement hashes the fields that equalForWatchers compares. It encodes them
+// itself, because marshaling the message would cost more CPU time than the transfer
+// that the digest saves.
+func hashAnnouncement(a *wire.Announcement) uint64 {
 	b := make([]byte, 0, 256)
 	texts := []string{a.Id, a.FailureDomain, a.Address, a.CallerAddress, a.Kind, a.Group}
 	for _, t := range append(texts, a.Pools...) {
@@ -58,60 +58,61 @@
 	return 0
 }
 
-// Remember prepares a new source of the whole directory: it returns the hashes of
-// what is known now, and keeps what they stand for until the source is synced.
+// Remember prepares src to resume from what is known now. It returns the digest to
+// send, and keeps the announcements of each bucket until the source is synced.
 func (s *State) Remember(src *Source) []uint64 {
 	d := s.digest()
-	src.known = map[int][]*wire.Announcement{}
+	src.resumeBuckets = map[int][]*wire.Announcement{}
 	for id, i := range s.instances {
 		if i.Phase != wire.Phase_PHASE_GONE {
-			src.known[partOf(id)] = append(src.known[partOf(id)], i.Announcement)
+			src.resumeBuckets[bucketOf(id)] = append(src.resumeBuckets[bucketOf(id)], i.Announcement)
 		}
 	}
 	return d[:]
 }
 
-// keepParts lets a source vouch for the parts that it knows alike. An instance
-// whose lease ran out since they were remembered is brought back, as if the source
-// had sent it.
-func (s *State) keepParts(now time.Time, src *Source, kept parts) bool {
+// renewUnchanged adds src as a source of the instances in the buckets that it
+// reported as unchanged. An instance whose lease has expired since Remember is
+// restored, as if the source had sent it.
+func (s *State) renewUnchanged(now time.Time, src *Source, unchanged bucketSet) bool {
 	changed := false
-	for part, lives := range src.known {
-		if !kept.has(part) {
+	for bucket, announcements := range src.resumeBuckets {
+		if !unchanged.has(bucket) {
 			continue
 		}
-		for _, a := range lives {
+		for _, a := range announcements {
 			if old := s.instances[a.Id]; old != nil && old.Incarnation == a.Incarnation {
-				changed = s.hold(now, old, a, src) || changed
+				changed = s.renewFromSource(now, old, a, src) || changed
 			}
 		}
 	}
 	return changed
 }
 
-// parts is a set of parts, one bit each.
-type parts []byte
+// bucketSet is a bitmap of buckets.
+type bucketSet []byte
 
-func (p parts) has(part int) bool { return part/8 < len(p) && p[part/8]&(1<<(part%8)) != 0 }
+func (b bucketSet) has(bucket int) bool { return bucket/8 < len(b) && b[bucket/8]&(1<<(bucket%8)) != 0 }
 
-func (p parts) add(part int) { p[part/8] |= 1 << (part % 8) }
+func (b bucketSet) add(bucket int) { b[bucket/8] |= 1 << (bucket % 8) }
 
-// compare finds the parts of which a watcher knows the same. What changes later
-// is sent, whatever its part.
-func (s *State) compare(v *View) {
-	if v.LocalOnly || len(v.Known) != digestParts {
+// compareDigest determines the buckets that the watcher knows already. Instances that
+// change afterwards are sent whatever their bucket.
+func (s *State) compareDigest(v *View) {
+	if v.LocalOnly || len(v.Known) != digestBuckets {
 		return
 	}
 	d := s.digest()
-	v.kept, v.keptAt = make(parts, digestParts/8), s.changes.version
-	for part, hash := range d {
-		if hash == v.Known[part] {
-			v.kept.add(part)
+	v.unchanged, v.unchangedAt = make(bucketSet, digestBuckets/8), s.changes.version
+	for bucket, hash := range d {
+		if hash == v.Known[bucket] {
+			v.unchanged.add(bucket)
 		}
 	}
 }
 
-// keeps says whether a watcher has an instance as it is here.
-func (v *View) keeps(i *Instance, version uint64) bool {
-	return version <= v.keptAt && i.Phase != wire.Phase_PHASE_GONE && v.kept.has(partOf(i.Id))
+// isUnchanged reports whether the watcher already has the instance in this version,
+// because its bucket was unchanged.
+func (v *View) isUnchanged(i *Instance, version uint64) bool {
+	return version <= v.unchangedAt && i.Phase != wire.Phase_PHASE_GONE && v.unchanged.has(bucketOf(i.Id))
 }
--- a/directory/digest_test.go
+++ b/directory/digest_test.go
@@ -12,8 +12,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// copyAll carries what a watcher lacks of a replica, and returns its bytes.
-func copyAll(now time.Time, from, to *State, v *View, src *Source) (bytes int) {
+// syncWatcher sends a watcher all pending updates of a replica, and returns their size.
+func syncWatcher(now time.Time, from, to *State, v *View, src *Source) (bytes int) {
 	for more := true; more; {
 		var u *wire.DirectoryUpdate
 		u, more = from.Update(now, v)
@@ -23,15 +23,13 @@
 	return bytes
 }
 
-// An entry loses its replica and follows another, which knows much the same: some
-// upstreams have left, died, started again or moved meanwhile, some of their leases
-// ran out at the entry, and some change while the copy is on its way. If a part of
-// the directory were taken for known that isn't, the entry would send work to who
-// is gone, or none to who is up. The oracle is an entry that copies everything.
-func TestResumedCopyIsTheWholeCopy(t *testing.T) {
+// An entry that resumes its copy from another replica by digest ends up with the same
+// instances as one that copies everything, while instances leave, restart, move or expire.
+// Otherwise it would use upstreams that are gone, or none that are up.
+func TestResumedCopyEqualsFullCopy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := epoch
-		first, second := New(unsettled(), now, 0), New(unsettled(), now, 0)
+		now := testStart
+		first, second := New(noSettling(), now, 0), New(noSettling(), now, 0)
 		const count = 40
 		lives := [count]*wire.Announcement{}
 		announce := func(to ...*State) {
@@ -54,22 +52,22 @@
 			}
 		}
 		for i := range lives {
-			lives[i] = up(fmt.Sprint("u", i), 1, 1)
-			// Some never end, so that the entry's own time can't decide all.
+			lives[i] = upAnnouncement(fmt.Sprint("u", i), 1, 1)
+			// Long leases keep some instances from expiring at the entry by themselves.
 			lives[i].LeaseMs = rapid.SampledFrom([]uint32{1000, 30_000}).Draw(t, "lease")
 			first.Announce(now, lives[i], 0, true)
 			if rapid.IntRange(0, 9).Draw(t, "heard") > 0 {
 				second.Announce(now, lives[i], 0, true)
 			}
 		}
-		hasty := unsettled()
-		hasty.SilentHold = 0
-		watchers := []*State{New(hasty, now, 0), New(hasty, now, 0)}
+		noGrace := noSettling()
+		noGrace.SilentHold = 0
+		watchers := []*State{New(noGrace, now, 0), New(noGrace, now, 0)}
 		views := []*View{{}, {}}
 		var sources []*Source
 		for _, w := range watchers {
 			src := &Source{Whole: true}
-			copyAll(now, first, w, &View{}, src)
+			syncWatcher(now, first, w, &View{}, src)
 			sources = append(sources, &Source{Whole: true, Replaces: src})
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -99,7 +97,7 @@
 		}
 		for range 6 {
 			for i, w := range watchers {
-				copyAll(now, second, w, views[i], sources[i])
+				syncWatcher(now, second, w, views[i], sources[i])
 				w.Tick(now)
 			}
 			for i := range lives {
@@ -116,32 +114,32 @@
 	})
 }
 
-// An entry of the target size changes its replica after some upstreams have
-// changed: it copies a few parts, not the directory.
-func TestResumedCopyIsShort(t *testing.T) {
-	first, second, entry := New(unsettled(), epoch, 0), New(unsettled(), epoch, 0), New(unsettled(), epoch, 0)
+// Resuming from another replica transfers only the changed buckets of a directory of
+// 7,500 instances.
+func TestResumedCopyTransfersFewBuckets(t *testing.T) {
+	first, second, entry := New(noSettling(), testStart, 0), New(noSettling(), testStart, 0), New(noSettling(), testStart, 0)
 	for i := range 7500 {
-		a := up(fmt.Sprint("upstream-", i), 1, 1)
-		first.Announce(epoch, a, 0, true)
-		second.Announce(epoch, a, 0, true)
+		a := upAnnouncement(fmt.Sprint("upstream-", i), 1, 1)
+		first.Announce(testStart, a, 0, true)
+		second.Announce(testStart, a, 0, true)
 	}
 	src := &Source{Whole: true}
-	whole := copyAll(epoch, first, entry, &View{}, src)
+	fullSize := syncWatcher(testStart, first, entry, &View{}, src)
 	for i := range 3 {
-		second.Announce(epoch, leaving(fmt.Sprint("upstream-", i), 1, 2), 0, true)
+		second.Announce(testStart, leavingAnnouncement(fmt.Sprint("upstream-", i), 1, 2), 0, true)
 	}
 	next := &Source{Whole: true, Replaces: src}
-	short := copyAll(epoch, second, entry, &View{Known: entry.Remember(next)}, next)
-	assert.Assert(t, short < whole/50, "%d bytes of %d", short, whole)
-	now := epoch.Add(entry.settings.VouchLease)
+	resumed := syncWatcher(testStart, second, entry, &View{Known: entry.Remember(next)}, next)
+	assert.Assert(t, resumed < fullSize/50, "%d bytes of %d", resumed, fullSize)
+	now := testStart.Add(entry.settings.VouchLease)
 	entry.Tick(now)
 	assert.Equal(t, len(entry.Instances(wire.Role_ROLE_UPSTREAM)), 7500)
 	assert.Equal(t, entry.Get("upstream-1").Phase, wire.Phase_PHASE_LEAVING)
 }
 
-// A field that watchers are told of and the hash leaves out would stay old at every
-// entry that changes its replica.
-func TestHashHasAllThatWatchersAreTold(t *testing.T) {
+// A field that is compared but not hashed would stay outdated at every entry that
+// connects to another replica.
+func TestHashCoversFieldsSentToWatchers(t *testing.T) {
 	full := &wire.Announcement{
 		Id: "u", Incarnation: 1, Role: wire.Role_ROLE_UPSTREAM, Phase: wire.Phase_PHASE_UP, FailureDomain: "hall-a",
 		Address: "a", CallerAddress: "c", Pools: []string{"p", "q"}, Kind: "engine", Group: "g", Rank: 1, LeaseMs: 1, Listed: true,
@@ -152,9 +150,9 @@
 	for i := range fields.Len() {
 		other := proto.Clone(full).(*wire.Announcement)
 		other.ProtoReflect().Clear(fields.Get(i))
-		assert.Equal(t, hashOf(full) == hashOf(other), sameButForLoad(full, other), "%s", fields.Get(i).Name())
+		assert.Equal(t, hashAnnouncement(full) == hashAnnouncement(other), equalForWatchers(full, other), "%s", fields.Get(i).Name())
 	}
 	pools := proto.Clone(full).(*wire.Announcement)
 	pools.Pools = []string{"pq"}
-	assert.Assert(t, hashOf(pools) != hashOf(full))
+	assert.Assert(t, hashAnnouncement(pools) != hashAnnouncement(full))
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory holds the soft state of who is up, leaving or gone:
-// upstreams and entries. It is rebuilt from announcements after a start and
-// never written to the log.
+// Package directory tracks which upstreams and entries are up, leaving or gone. This
+// is soft state: it is rebuilt from announcements after a start and is never
+// written to the log.
 //
-// State is pure: time and announcements go in, changes come out. Daemons
-// drive it.
+// State has no goroutines, clock or I/O of its own: callers pass in the time and the
+// announcements. Node drives it for a daemon.
 package directory
 
 import (
@@ -16,35 +16,35 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Settings of a State.
+// Settings configures a State.
 type Settings struct {
-	// DefaultLease stands in when an announcement asks for none.
+	// DefaultLease is the lease of an announcement that asks for none.
 	DefaultLease time.Duration
-	// MaxLease bounds what an announcement may ask for.
+	// MaxLease is the longest lease that an announcement may ask for.
 	MaxLease time.Duration
-	// Tombstone is how long a gone instance's incarnation is remembered, so
-	// that a late message of its life can't bring it back.
+	// Tombstone is how long the incarnation of a gone instance is remembered, so that
+	// a delayed message of that incarnation can't bring it back.
 	Tombstone time.Duration
-	// SettleTime is the longest time after a start in which nothing is
-	// declared gone; 0 turns the settling rule off.
+	// SettleTime is the longest time after a start in which instances that did not
+	// announce to this process are not marked as gone; 0 disables settling.
 	SettleTime time.Duration
-	// SettleShare is the share of formerly known instances that ends settling
-	// early once they have announced themselves.
+	// SettleShare is the fraction of the previously known instances that ends
+	// settling early once they are known again.
 	SettleShare float64
-	// VouchLease is how long the word of a source that fell silent holds for the
-	// instances that it vouched for.
+	// VouchLease is the lease of a source: how long the instances that it reported
+	// stay alive after its last update.
 	VouchLease time.Duration
-	// SilentHold is how long a directory that follows one replica, and hears none
-	// at all, declares nothing gone after the last one's word has ended. All
-	// replicas may be starting again, while the upstreams are up.
+	// SilentHold is how long a directory that follows replicas keeps the instances
+	// known only from them after the leases of all sources have expired. All replicas
+	// may be restarting while the upstreams are up. Control replicas don't use it.
 	SilentHold time.Duration
-	// AskTime is how long an instance that this process itself has heard stays up
-	// when nothing speaks for it any more, while it is asked. Where this process
-	// hears no other directory any more it asks cutOffAsks times.
+	// AskTime is the timeout of a probe. An instance that this process heard from
+	// directly is probed before it is marked as gone: once, or isolatedProbes times
+	// by a process whose sources have all fallen silent.
 	AskTime time.Duration
 }
 
-// DefaultSettings are those of a daemon with no [directory] section.
+// DefaultSettings returns the settings of a daemon without a [directory] section.
 func DefaultSettings() Settings {
 	return Settings{
 		DefaultLease: 3 * time.Second,
@@ -59,153 +59,158 @@
 }
 
 // Instance is one upstream or entry as this process knows it. Instances are
-// immutable: a change makes a new one.
+// immutable: a change replaces the instance with a modified copy.
 type Instance struct {
 	*wire.Announcement
-	// Heard is when the announcement reached its origin, by this process's clock.
+	// Heard is when the announcement first reached a directory, by the local clock.
 	Heard time.Time
-	// Expires is when the lease of the announcement itself ends. The instance
-	// lives on while a source vouches for it.
+	// Expires is when the lease of the announcement itself ends. The instance stays
+	// alive after that while one of its sources has a valid lease.
 	Expires time.Time
-	// localUntil is when the lease of what it announced to this process itself
-	// ends; zero if it never did.
-	localUntil time.Time
-	// holders are the sources that vouch for this life.
-	holders []*Source
-	// before is the announcement of an instance whose lease ran out here. It may
-	// have been heard elsewhere all the time, behind a watch that stalled.
-	before *wire.Announcement
+	// localExpires is when the lease of its announcements made directly to this
+	// process ends; zero if there were none, or once Tick has expired that lease.
+	localExpires time.Time
+	// sources are the sources that report this incarnation as alive.
+	sources []*Source
+	// beforeExpiry is the announcement of an instance before its lease expired here;
+	// otherwise nil. It is used to restore the instance if a source reports it again.
+	beforeExpiry *wire.Announcement
 }
 
-// Up says whether the instance takes new work.
+// Up reports whether the instance takes new work.
 func (i *Instance) Up() bool { return i.Phase == wire.Phase_PHASE_UP }
 
-// contradicts says whether an announcement names this incarnation of an upstream that is
-// called directly with another address or other pools. Neither changes while it runs: the
-// announcement was made by another writer, and would take the upstream from its pools.
-func (i *Instance) contradicts(a *wire.Announcement) bool {
+// conflictsWith reports whether an announcement names the current incarnation of a
+// directly called upstream but a different address or other pools. These don't
+// change while a process runs, so the announcement has another author, and
+// accepting it would remove the upstream from its pools.
+func (i *Instance) conflictsWith(a *wire.Announcement) bool {
 	return i.Incarnation == a.Incarnation && i.Direct != nil && i.Phase != wire.Phase_PHASE_GONE && a.Phase != wire.Phase_PHASE_GONE &&
 		(i.Address != a.Address || !slices.Equal(i.Pools, a.Pools))
 }
 
-// alive says whether anything speaks for the instance now.
+// alive reports whether the lease of the announcement or that of one of the
+// instance's sources is valid.
 func (i *Instance) alive(now time.Time) bool {
 	if !now.After(i.Expires) {
 		return true
 	}
-	return slices.ContainsFunc(i.holders, func(s *Source) bool { return s.valid(now) })
+	return slices.ContainsFunc(i.sources, func(s *Source) bool { return s.valid(now) })
 }
 
-// expired says whether the instance is gone because nothing spoke for it, and
-// not by its own word.
-func (i *Instance) expired() bool { return i.before != nil }
+// expired reports whether the instance is gone because its leases expired, rather
+// than because it announced its own end.
+func (i *Instance) expired() bool { return i.beforeExpiry != nil }
 
-// State is a directory. It is not safe for use by several goroutines.
+// State is a directory. It is not safe for concurrent use.
 type State struct {
 	settings  Settings
 	instances map[string]*Instance
 	started   time.Time
 	settled   bool
-	// known is how many instances were known before the start.
-	known   int
-	sources []*Source
-	// followed says that there ever was a source.
-	followed bool
-	changes  changeLog
-	// due is the earliest time at which a lease can end. A look at thousands of
-	// instances at each tick would take more than one percent of a core.
-	due time.Time
-	// revisions counts changes of the entries' table revisions, and sums holds
-	// their summaries for both kinds of view.
-	revisions uint64
-	sums      map[bool]revisionSummary
-	// direct is until when an instance counts as up for having been heard from
-	// directly. It stands apart from the instances, so that it isn't passed on.
-	direct map[string]contact
-	// asks are the instances to ask, until TakeAsks.
-	asks []*Instance
+	// knownBefore is the number of instances that were known before the start.
+	knownBefore int
+	sources     []*Source
+	// hadSource reports whether there ever was a source.
+	hadSource bool
+	changes   changeLog
+	// nextCheck is the earliest time at which a lease can end. Until then Tick skips
+	// the scan of all instances, which is expensive with thousands of them.
+	nextCheck time.Time
+	// revisionVersion counts changes that affect the revision summaries, and summaries
+	// caches those by View.LocalOnly.
+	revisionVersion uint64
+	summaries       map[bool]revisionSummary
+	// contacts holds the leases of instances that this process heard from directly, by
+	// ID. They are kept apart from the instances because they are not passed on to
+	// watchers.
+	contacts map[string]contact
+	// probes are the instances to probe, until TakeAsks returns them.
+	probes []*Instance
 }
 
-// contact is a life of an instance, and until when its lease is renewed.
+// contact is the lease of one incarnation that was renewed by direct communication.
 type contact struct {
 	incarnation uint64
 	expires     time.Time
-	// asked is when it was first asked for a sign of life since, and asks how often.
-	asked time.Time
-	asks  int
+	// firstProbe is when the first probe since the last renewal was requested, and
+	// probes counts them.
+	firstProbe time.Time
+	probes     int
 }
 
-// New makes a directory at a process's start. known is the number of instances
-// that it, or a peer, knew before; 0 if that is not known.
+// New returns a directory for a process that starts at now. known is the number of
+// instances that the process, or a peer, knew before; 0 if it is unknown.
 func New(settings Settings, now time.Time, known int) *State {
 	return &State{
-		settings:  settings,
-		instances: map[string]*Instance{},
-		direct:    map[string]contact{},
-		started:   now,
-		settled:   settings.SettleTime == 0,
-		known:     known,
-		changes:   newChangeLog(),
-		sums:      map[bool]revisionSummary{},
+		settings:    settings,
+		instances:   map[string]*Instance{},
+		contacts:    map[string]contact{},
+		started:     now,
+		settled:     settings.SettleTime == 0,
+		knownBefore: known,
+		changes:     newChangeLog(),
+		summaries:   map[bool]revisionSummary{},
 	}
 }
 
-// Announce takes an announcement heard age ago. It returns whether it changed
-// the instance (beyond renewing its lease) and whether a later incarnation has
-// superseded the sender. local says that it was made to this process itself.
+// Announce handles an announcement that was received age ago; local reports that it
+// was made directly to this process. It returns whether the instance changed, apart
+// from its lease, and whether a later incarnation supersedes the sender.
 func (s *State) Announce(now time.Time, a *wire.Announcement, age time.Duration, local bool) (changed, superseded bool) {
-	return s.take(now, a, age, local, nil)
+	return s.applyAnnouncement(now, a, age, local, nil)
 }
 
-func (s *State) take(now time.Time, a *wire.Announcement, age time.Duration, local bool, src *Source) (changed, superseded bool) {
+func (s *State) applyAnnouncement(now time.Time, a *wire.Announcement, age time.Duration, local bool, src *Source) (changed, superseded bool) {
 	old := s.instances[a.Id]
 	if old != nil && old.Incarnation > a.Incarnation {
 		return false, true
 	}
-	sameLife := old != nil && old.Incarnation == a.Incarnation
-	// A late or doubled message of the same life would undo a later one, for
-	// example bring a leaving upstream back up; the sequence number stops it.
-	if sameLife && old.Seq >= a.Seq {
-		return s.hold(now, old, a, src), false
+	sameIncarnation := old != nil && old.Incarnation == a.Incarnation
+	// A delayed or duplicated message must not undo a later one of the same
+	// incarnation, such as bring an upstream back up that is leaving.
+	if sameIncarnation && old.Seq >= a.Seq {
+		return s.renewFromSource(now, old, a, src), false
 	}
-	if sameLife && old.contradicts(a) {
+	if sameIncarnation && old.conflictsWith(a) {
 		return false, false
 	}
 	heard := now.Add(-age)
 	inst := &Instance{Announcement: a, Heard: heard, Expires: heard.Add(s.lease(a))}
 	if local {
-		inst.localUntil = inst.Expires
+		inst.localExpires = inst.Expires
 	}
-	if sameLife {
-		s.keep(inst, old)
+	if sameIncarnation {
+		s.carryOver(inst, old)
 	}
 	if src != nil && a.Phase != wire.Phase_PHASE_GONE {
-		inst.addHolder(src)
+		inst.addSource(src)
 	}
 	if old == nil || old.Revision != inst.Revision {
-		s.revisions++
+		s.revisionVersion++
 	}
 	s.instances[a.Id] = inst
-	s.lookBy(s.deadline(inst))
-	changed = old == nil || !sameButForLoad(old.Announcement, a)
-	becameLocal := old != nil && old.localUntil.IsZero() && local
+	s.checkBy(s.nextDeadline(inst))
+	changed = old == nil || !equalForWatchers(old.Announcement, a)
+	becameLocal := old != nil && old.localExpires.IsZero() && local
 	if changed || becameLocal {
-		s.changes.touch(a.Id)
+		s.changes.record(a.Id)
 	}
 	return changed, false
 }
 
-// keep carries over what a later announcement of the same life doesn't replace.
-func (s *State) keep(inst, old *Instance) {
-	inst.holders = old.holders
-	if inst.localUntil.IsZero() {
-		inst.localUntil = old.localUntil
+// carryOver copies the state of old that a later announcement of the same incarnation
+// doesn't replace.
+func (s *State) carryOver(inst, old *Instance) {
+	inst.sources = old.sources
+	if inst.localExpires.IsZero() {
+		inst.localExpires = old.localExpires
 	}
 	if old.Expires.After(inst.Expires) {
 		inst.Expires = old.Expires
 	}
-	// Revisions only grow within a life; the announcement of a source that lags
-	// must not lower the one that is known.
+	// Revisions only grow within an incarnation: a lagging source must not lower the
+	// known one.
 	if old.Revision > inst.Revision {
 		inst.Announcement = withRevision(inst.Announcement, old.Revision)
 	}
@@ -217,65 +222,66 @@
 	return c
 }
 
-// Heard renews the lease of an instance that was heard from directly, in the
-// life that is known here. It brings nothing back and changes no phase.
+// Heard renews the lease of an instance that this process heard from directly, if the
+// incarnation is the known one. It doesn't restore gone instances or change phases.
 //
-// A process that is cut off from every control replica gets no renewals. Without
-// this it would take all upstreams for gone, a lease later, and refuse requests
-// that it could serve: it still talks to each of them.
+// It keeps upstreams up that are still reachable while this process is partitioned
+// from all control replicas and receives no renewals.
 func (s *State) Heard(now time.Time, id string, incarnation uint64) {
 	old := s.instances[id]
 	if old == nil || old.Incarnation != incarnation || old.Phase == wire.Phase_PHASE_GONE {
 		return
 	}
-	s.direct[id] = contact{incarnation: incarnation, expires: now.Add(s.lease(old.Announcement))}
+	s.contacts[id] = contact{incarnation: incarnation, expires: now.Add(s.lease(old.Announcement))}
 }
 
-// mayAnswer says whether an instance for which nothing speaks any more may be up
-// all the same. Upstreams report seldom while little changes, so the word of a
-// lost replica may end between two reports: one that was heard before is asked,
-// and taken for gone only if it doesn't answer.
-func (s *State) mayAnswer(now time.Time, inst *Instance) bool {
-	c := s.direct[inst.Id]
+// awaitsProbe reports whether an instance whose leases have expired stays up while it
+// is probed, and requests the probes. Only instances that were heard from directly are
+// probed: upstreams report seldom while their load changes little, so that the lease of
+// a lost replica may expire between two reports.
+func (s *State) awaitsProbe(now time.Time, inst *Instance) bool {
+	c := s.contacts[inst.Id]
 	if c.incarnation != inst.Incarnation {
 		return false
 	}
-	if c.asks == 0 {
-		c.asked = now
+	if c.probes == 0 {
+		c.firstProbe = now
 	}
-	asks := 1
-	if s.cutOff(now) {
-		asks = cutOffAsks
+	maxProbes := 1
+	if s.isIsolated(now) {
+		maxProbes = isolatedProbes
 	}
-	waited := now.Sub(c.asked)
-	if c.asks < asks && waited >= time.Duration(c.asks)*s.settings.AskTime {
-		c.asks++
-		s.asks = append(s.asks, inst)
+	waited := now.Sub(c.firstProbe)
+	if c.probes < maxProbes && waited >= time.Duration(c.probes)*s.settings.AskTime {
+		c.probes++
+		s.probes = append(s.probes, inst)
 	}
-	s.direct[inst.Id] = c
-	return waited <= time.Duration(asks)*s.settings.AskTime
+	s.contacts[inst.Id] = c
+	return waited <= time.Duration(maxProbes)*s.settings.AskTime
 }
 
-// cutOffAsks is how often an instance is asked by a process that hears no other
-// directory: there is nobody else to bring it back if one answer comes late. With
-// the lease it still is gone within five seconds.
-const cutOffAsks = 3
+// isolatedProbes is how many probes an isolated process sends before it marks an
+// instance as gone: no other directory could restore the instance if one reply came
+// late. With the default settings an instance is still gone within five seconds.
+const isolatedProbes = 3
 
-// cutOff says whether this directory followed others and hears none of them.
-func (s *State) cutOff(now time.Time) bool {
-	return s.followed && !slices.ContainsFunc(s.sources, func(src *Source) bool { return src.valid(now) })
+// isIsolated reports whether this directory has followed others and no source has a
+// valid lease.
+func (s *State) isIsolated(now time.Time) bool {
+	return s.hadSource && !slices.ContainsFunc(s.sources, func(src *Source) bool { return src.valid(now) })
 }
 
-// TakeAsks returns the instances to ask for a sign of life. Heard takes it.
+// TakeAsks returns the instances to probe and clears the list. A reply is reported
+// with Heard.
 func (s *State) TakeAsks() []*Instance {
-	asks := s.asks
-	s.asks = nil
-	return asks
+	probes := s.probes
+	s.probes = nil
+	return probes
 }
 
-// inContact says whether an instance was heard from directly, lately.
-func (s *State) inContact(now time.Time, inst *Instance) bool {
-	c := s.direct[inst.Id]
+// hasDirectLease reports whether the lease from direct communication is valid.
+func (s *State) hasDirectLease(now time.Time, inst *Instance) bool {
+	c := s.contacts[inst.Id]
 	return c.incarnation == inst.Incarnation && !now.After(c.expires)
 }
 
@@ -287,9 +293,9 @@
 	return min(d, s.settings.MaxLease)
 }
 
-// sameButForLoad compares what watchers are told of. It is called for every
-// renewal, so it compares field by field.
-func sameButForLoad(a, b *wire.Announcement) bool {
+// equalForWatchers compares the fields whose changes are sent to watchers. It runs for
+// every renewal, so it compares field by field.
+func equalForWatchers(a, b *wire.Announcement) bool {
 	return a.Id == b.Id && a.Incarnation == b.Incarnation && a.Role == b.Role && a.Phase == b.Phase &&
 		a.FailureDomain == b.FailureDomain && a.Address == b.Address && a.CallerAddress == b.CallerAddress &&
 		slices.Equal(a.Pools, b.Pools) && a.Kind == b.Kind && a.Group == b.Group && a.Rank == b.Rank &&
@@ -302,122 +308,124 @@
 		a.GetGroupBroken() == b.GetGroupBroken() && a.GetGroupSize() == b.GetGroupSize()
 }
 
-// Settled says whether the directory may declare instances gone.
+// Settled reports whether the directory has settled, and may mark instances as gone
+// that did not announce to it directly.
 //
-// A process that just started knows only who has announced to it so far. If it
-// declared the others gone it would shrink pools that are whole; it waits until
-// a share of those formerly known is back, or a set time has passed. Those that
-// follow it are told that what it doesn't vouch for may be up.
+// A process that just started only knows instances that have announced to it since.
+// It settles when a fraction of the previously known instances is known again or
+// SettleTime has passed. Until then its followers are told that it is settling, and
+// that instances missing from it may be up.
 func (s *State) Settled(now time.Time) bool {
 	if s.settled {
 		return true
 	}
-	enough := s.known > 0 && float64(len(s.instances)) >= s.settings.SettleShare*float64(s.known)
+	enough := s.knownBefore > 0 && float64(len(s.instances)) >= s.settings.SettleShare*float64(s.knownBefore)
 	s.settled = enough || now.Sub(s.started) >= s.settings.SettleTime
 	return s.settled
 }
 
-// deadline is when the next thing about an instance ends, if nobody speaks of it
-// until then.
-func (s *State) deadline(i *Instance) time.Time {
+// nextDeadline returns the time at which the instance next has to be checked, if it is
+// not renewed until then.
+func (s *State) nextDeadline(i *Instance) time.Time {
 	if i.Phase == wire.Phase_PHASE_GONE {
 		return i.Heard.Add(s.settings.Tombstone)
 	}
 	end := i.Expires
-	for _, src := range i.holders {
-		if src.until.After(end) {
-			end = src.until
+	for _, src := range i.sources {
+		if src.expires.After(end) {
+			end = src.expires
 		}
 	}
-	if c := s.direct[i.Id]; c.incarnation == i.Incarnation && c.expires.After(end) {
+	if c := s.contacts[i.Id]; c.incarnation == i.Incarnation && c.expires.After(end) {
 		end = c.expires
 	}
-	if !i.localUntil.IsZero() && i.localUntil.Before(end) {
-		end = i.localUntil
+	if !i.localExpires.IsZero() && i.localExpires.Before(end) {
+		end = i.localExpires
 	}
 	return end
 }
 
-// lookBy makes sure that the instances are looked at after a time.
-func (s *State) lookBy(t time.Time) {
-	if t.Before(s.due) {
-		s.due = t
+// checkBy makes Tick scan the instances once t has passed.
+func (s *State) checkBy(t time.Time) {
+	if t.Before(s.nextCheck) {
+		s.nextCheck = t
 	}
 }
 
-// Tick ends leases that have run out and returns the instances that changed.
+// Tick expires leases and returns the instances that are gone as a result.
 func (s *State) Tick(now time.Time) []*Instance {
-	s.dropSources(now)
-	settled := s.Settled(now) && !s.onlyUnsettledSources(now) && !s.holds(now)
-	if !now.After(s.due) {
+	s.removeStaleSources(now)
+	settled := s.Settled(now) && !s.onlySettlingSources(now) && !s.inSourceLossGrace(now)
+	if !now.After(s.nextCheck) {
 		return nil
 	}
-	changed := s.endLeases(now, settled)
-	s.due = now.Add(s.settings.MaxLease)
+	changed := s.expireLeases(now, settled)
+	s.nextCheck = now.Add(s.settings.MaxLease)
 	for _, inst := range s.instances {
-		s.lookBy(s.deadline(inst))
+		s.checkBy(s.nextDeadline(inst))
 	}
 	return changed
 }
 
-func (s *State) endLeases(now time.Time, settled bool) []*Instance {
+func (s *State) expireLeases(now time.Time, settled bool) []*Instance {
 	var changed []*Instance
 	for id, inst := range s.instances {
 		if inst.Phase == wire.Phase_PHASE_GONE {
 			if now.Sub(inst.Heard) > s.settings.Tombstone {
 				delete(s.instances, id)
-				delete(s.direct, id)
-				s.changes.forget(id)
+				delete(s.contacts, id)
+				s.changes.remove(id)
 			}
 			continue
 		}
-		if !inst.alive(now) && !s.inContact(now, inst) {
-			// An instance that announced here and stopped has gone, also before
-			// this process has settled. Of one that others spoke for, a process
-			// that has not settled can't say so: it may only not hear them yet.
-			if !settled && inst.localUntil.IsZero() {
+		if !inst.alive(now) && !s.hasDirectLease(now, inst) {
+			// An instance that announced here and stopped is gone even before this
+			// process has settled. One known only from other directories may be up
+			// without this process having heard of it.
+			if !settled && inst.localExpires.IsZero() {
 				continue
 			}
-			if s.mayAnswer(now, inst) {
+			if s.awaitsProbe(now, inst) {
 				continue
 			}
-			gone := s.gone(inst, now)
+			gone := s.newGone(inst, now)
 			s.instances[id] = gone
-			s.changes.touch(id)
-			s.revisions++
+			s.changes.record(id)
+			s.revisionVersion++
 			changed = append(changed, gone)
 			continue
 		}
-		s.endLocal(id, inst, now)
+		s.expireLocal(id, inst, now)
 	}
 	return changed
 }
 
-// endLocal notes that an instance which others still vouch for no longer
-// announces to this process.
-func (s *State) endLocal(id string, inst *Instance, now time.Time) {
-	if inst.localUntil.IsZero() || !now.After(inst.localUntil) {
+// expireLocal records that an instance which is still alive has stopped announcing
+// directly to this process.
+func (s *State) expireLocal(id string, inst *Instance, now time.Time) {
+	if inst.localExpires.IsZero() || !now.After(inst.localExpires) {
 		return
 	}
 	next := *inst
-	next.localUntil = time.Time{}
+	next.localExpires = time.Time{}
 	s.instances[id] = &next
-	s.changes.touch(id)
-	s.revisions++
+	s.changes.record(id)
+	s.revisionVersion++
 }
 
-func (s *State) gone(inst *Instance, now time.Time) *Instance {
+// newGone returns a copy of the instance that is gone because its leases expired.
+func (s *State) newGone(inst *Instance, now time.Time) *Instance {
 	a := proto.Clone(inst.Announcement).(*wire.Announcement)
 	a.Phase = wire.Phase_PHASE_GONE
 	return &Instance{
-		Announcement: a, Heard: now, Expires: now, holders: inst.holders, before: inst.Announcement,
+		Announcement: a, Heard: now, Expires: now, sources: inst.sources, beforeExpiry: inst.Announcement,
 	}
 }
 
-// Get returns an instance, or nil.
+// Get returns the instance with the ID, or nil.
 func (s *State) Get(id string) *Instance { return s.instances[id] }
 
-// Instances returns those of a role that are not gone, sorted by ID.
+// Instances returns the instances of a role that are not gone, sorted by ID.
 func (s *State) Instances(role wire.Role) []*Instance {
 	var list []*Instance
 	for _, inst := range s.instances {
@@ -429,10 +437,10 @@
 	return list
 }
 
-// Len returns how many instances are known, gone ones too.
+// Len returns the number of known instances, including gone ones.
 func (s *State) Len() int { return len(s.instances) }
 
-// All returns every instance, gone ones too, sorted by ID.
+// All returns all instances, including gone ones, sorted by ID.
 func (s *State) All() []*Instance {
 	list := make([]*Instance, 0, len(s.instances))
 	for _, inst := range s.instances {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -9,59 +9,58 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-var epoch = time.Unix(1000, 0)
+var testStart = time.Unix(1000, 0)
 
-func unsettled() Settings {
+func noSettling() Settings {
 	s := DefaultSettings()
 	s.SettleTime = 0
 	return s
 }
 
-func up(id string, incarnation, seq uint64) *wire.Announcement {
+func upAnnouncement(id string, incarnation, seq uint64) *wire.Announcement {
 	return &wire.Announcement{Id: id, Incarnation: incarnation, Seq: seq, Role: wire.Role_ROLE_UPSTREAM, Phase: wire.Phase_PHASE_UP}
 }
 
-func leaving(id string, incarnation, seq uint64) *wire.Announcement {
-	a := up(id, incarnation, seq)
+func leavingAnnouncement(id string, incarnation, seq uint64) *wire.Announcement {
+	a := upAnnouncement(id, incarnation, seq)
 	a.Phase = wire.Phase_PHASE_LEAVING
 	return a
 }
 
-// An upstream leaves and starts again. Messages of its earlier life, and earlier
-// messages of the same life, arrive late: they change nothing.
-func TestLateMessagesChangeNothing(t *testing.T) {
-	s := New(unsettled(), epoch, 0)
-	s.Announce(epoch, up("u", 1, 1), 0, true)
-	s.Announce(epoch, leaving("u", 1, 3), 0, true)
-	changed, _ := s.Announce(epoch, up("u", 1, 2), 0, true)
+// Delayed messages of an earlier incarnation, or earlier messages of the same one, must
+// not change an upstream that has left or restarted.
+func TestDelayedMessagesAreIgnored(t *testing.T) {
+	s := New(noSettling(), testStart, 0)
+	s.Announce(testStart, upAnnouncement("u", 1, 1), 0, true)
+	s.Announce(testStart, leavingAnnouncement("u", 1, 3), 0, true)
+	changed, _ := s.Announce(testStart, upAnnouncement("u", 1, 2), 0, true)
 	assert.Assert(t, !changed)
 	assert.Equal(t, s.Get("u").Phase, wire.Phase_PHASE_LEAVING)
-	s.Announce(epoch, up("u", 2, 1), 0, true)
+	s.Announce(testStart, upAnnouncement("u", 2, 1), 0, true)
 	assert.Assert(t, s.Get("u").Up())
-	_, superseded := s.Announce(epoch, leaving("u", 1, 9), 0, true)
+	_, superseded := s.Announce(testStart, leavingAnnouncement("u", 1, 9), 0, true)
 	assert.Assert(t, superseded)
 	assert.Assert(t, s.Get("u").Up())
 	src := &Source{}
-	s.Apply(epoch, src, &wire.DirectoryUpdate{
-		Entries:   []*wire.DirectoryEntry{{Announcement: leaving("u", 1, 99)}},
+	s.Apply(testStart, src, &wire.DirectoryUpdate{
+		Entries:   []*wire.DirectoryEntry{{Announcement: leavingAnnouncement("u", 1, 99)}},
 		Withdrawn: []*wire.Withdrawal{{Id: "u", Incarnation: 1}},
 	})
 	assert.Assert(t, s.Get("u").Up())
-	assert.Equal(t, len(s.Get("u").holders), 0, "an earlier life is vouched for by nobody")
+	assert.Equal(t, len(s.Get("u").sources), 0, "no source may report an earlier incarnation")
 }
 
-// A watch stalls for longer than the source's word holds and goes on. The
-// upstreams that were heard elsewhere all the time are up again with its first
-// message; one that it withdraws in that message stays gone.
-func TestStalledWatchBringsInstancesBack(t *testing.T) {
-	s := New(unsettled(), epoch, 0)
+// After a stall longer than the lease of its source, the next update of a watch restores
+// the instances that expired, except those withdrawn in it.
+func TestStalledWatchRestoresInstances(t *testing.T) {
+	s := New(noSettling(), testStart, 0)
 	src := &Source{}
-	s.Apply(epoch, src, entries(up("u", 1, 1), up("v", 1, 1)))
-	later := epoch.Add(10 * time.Second)
+	s.Apply(testStart, src, updateWith(upAnnouncement("u", 1, 1), upAnnouncement("v", 1, 1)))
+	later := testStart.Add(10 * time.Second)
 	assert.Equal(t, len(s.Tick(later)), 2)
 	assert.Equal(t, len(s.Instances(wire.Role_ROLE_UPSTREAM)), 0)
-	_, _ = s.Announce(later, up("u", 1, 1), 0, false)
-	assert.Assert(t, !s.Get("u").Up(), "nothing new was heard")
+	_, _ = s.Announce(later, upAnnouncement("u", 1, 1), 0, false)
+	assert.Assert(t, !s.Get("u").Up(), "a repeated announcement must not restore an instance")
 	changed := s.Apply(later, src, &wire.DirectoryUpdate{Withdrawn: []*wire.Withdrawal{{Id: "v", Incarnation: 1}}})
 	assert.Assert(t, changed)
 	assert.Assert(t, s.Get("u").Up())
@@ -69,7 +68,7 @@
 	assert.Equal(t, len(s.Tick(later.Add(time.Second))), 0)
 }
 
-func entries(list ...*wire.Announcement) *wire.DirectoryUpdate {
+func updateWith(list ...*wire.Announcement) *wire.DirectoryUpdate {
 	u := &wire.DirectoryUpdate{}
 	for _, a := range list {
 		u.Entries = append(u.Entries, &wire.DirectoryEntry{Announcement: a})
@@ -77,43 +76,42 @@
 	return u
 }
 
-// A process starts while all upstreams are up but have not announced to it yet.
-// It declares none gone before enough are back, or the settling time has passed.
-func TestSettlingDeclaresNothingGone(t *testing.T) {
+// A process that just started marks no instance as gone until enough of the previously
+// known ones are back or the settle time has passed.
+func TestSettlingKeepsInstances(t *testing.T) {
 	set := DefaultSettings()
-	s := New(set, epoch, 10)
-	s.Announce(epoch, up("a", 1, 1), 0, false)
-	assert.Equal(t, len(s.Tick(epoch.Add(set.SettleTime-1))), 0)
-	assert.Equal(t, len(s.Tick(epoch.Add(set.SettleTime))), 1)
-	s = New(set, epoch, 10)
+	s := New(set, testStart, 10)
+	s.Announce(testStart, upAnnouncement("a", 1, 1), 0, false)
+	assert.Equal(t, len(s.Tick(testStart.Add(set.SettleTime-1))), 0)
+	assert.Equal(t, len(s.Tick(testStart.Add(set.SettleTime))), 1)
+	s = New(set, testStart, 10)
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-		s.Announce(epoch, up(id, 1, 1), 0, false)
+		s.Announce(testStart, upAnnouncement(id, 1, 1), 0, false)
 	}
-	assert.Assert(t, s.Settled(epoch), "nine of ten are back")
+	assert.Assert(t, s.Settled(testStart), "nine of ten instances are known again")
 }
 
-func TestTombstonesAreForgottenInTime(t *testing.T) {
-	set := unsettled()
-	s := New(set, epoch, 0)
-	s.Announce(epoch, up("u", 5, 1), 0, true)
-	s.Tick(epoch.Add(time.Minute))
-	_, superseded := s.Announce(epoch.Add(2*time.Minute), up("u", 4, 1), 0, true)
+func TestTombstonesExpire(t *testing.T) {
+	set := noSettling()
+	s := New(set, testStart, 0)
+	s.Announce(testStart, upAnnouncement("u", 5, 1), 0, true)
+	s.Tick(testStart.Add(time.Minute))
+	_, superseded := s.Announce(testStart.Add(2*time.Minute), upAnnouncement("u", 4, 1), 0, true)
 	assert.Assert(t, superseded)
-	s.Tick(epoch.Add(time.Minute + set.Tombstone + time.Second))
+	s.Tick(testStart.Add(time.Minute + set.Tombstone + time.Second))
 	assert.Assert(t, s.Get("u") == nil)
 }
 
-// A process is cut off from every control replica and hears nothing of renewed
-// leases, but an upstream itself goes on reporting to it. That upstream stays up,
-// as it is; one that says nothing, or whose reports are of an earlier life, is
-// gone when its lease has run out.
-func TestDirectContactKeepsAnUpstreamUp(t *testing.T) {
-	s := New(unsettled(), epoch, 0)
-	s.Announce(epoch, up("heard", 2, 1), 0, false)
-	s.Announce(epoch, up("silent", 2, 1), 0, false)
-	s.Announce(epoch, up("earlier", 2, 1), 0, false)
-	s.Announce(epoch, leaving("leaving", 2, 1), 0, false)
-	now := epoch
+// An upstream that this process hears from directly stays up without renewals from
+// control replicas, in its phase. One that sends nothing, or reports of an earlier
+// incarnation, is gone when its lease expires.
+func TestDirectContactRenewsLease(t *testing.T) {
+	s := New(noSettling(), testStart, 0)
+	s.Announce(testStart, upAnnouncement("heard", 2, 1), 0, false)
+	s.Announce(testStart, upAnnouncement("silent", 2, 1), 0, false)
+	s.Announce(testStart, upAnnouncement("earlier", 2, 1), 0, false)
+	s.Announce(testStart, leavingAnnouncement("leaving", 2, 1), 0, false)
+	now := testStart
 	for range 20 {
 		now = now.Add(time.Second)
 		s.Heard(now, "heard", 2)
@@ -128,57 +126,55 @@
 	assert.Equal(t, s.Get("leaving").Phase, wire.Phase_PHASE_LEAVING)
 	s.Heard(now, "silent", 2)
 	s.Tick(now)
-	assert.Equal(t, s.Get("silent").Phase, wire.Phase_PHASE_GONE, "a late report brings nothing back")
+	assert.Equal(t, s.Get("silent").Phase, wire.Phase_PHASE_GONE, "a late report must not restore an instance")
 	assert.Assert(t, s.Get("unknown") == nil)
 }
 
-// A process that hears nothing of an upstream from the control replicas any more
-// had a report of it long ago: while little changes there are few. The upstream is
-// asked before it is taken for gone. One that answers is up, and is asked again a
-// lease later; one that is dead is gone a second after the replicas' word ended.
-func TestQuietUpstreamIsAskedBeforeItIsGone(t *testing.T) {
-	s := New(unsettled(), epoch, 0)
-	s.Announce(epoch, up("lives", 1, 1), 0, false)
-	s.Announce(epoch, up("dead", 1, 1), 0, false)
-	s.Heard(epoch, "lives", 1)
-	s.Heard(epoch, "dead", 1)
-	lease, asked := DefaultSettings().DefaultLease, map[string]int{}
-	for now := epoch; now.Before(epoch.Add(20 * time.Second)); now = now.Add(100 * time.Millisecond) {
+// An upstream with an old report is probed when its lease expires. It stays up if it
+// replies, and is probed again a lease later; otherwise it is gone after the timeout.
+func TestUpstreamIsProbedBeforeItIsGone(t *testing.T) {
+	s := New(noSettling(), testStart, 0)
+	s.Announce(testStart, upAnnouncement("lives", 1, 1), 0, false)
+	s.Announce(testStart, upAnnouncement("dead", 1, 1), 0, false)
+	s.Heard(testStart, "lives", 1)
+	s.Heard(testStart, "dead", 1)
+	lease, probed := DefaultSettings().DefaultLease, map[string]int{}
+	for now := testStart; now.Before(testStart.Add(20 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		s.Tick(now)
 		for _, i := range s.TakeAsks() {
-			asked[i.Id]++
+			probed[i.Id]++
 			if i.Id == "lives" {
 				s.Heard(now, i.Id, i.Incarnation)
 			}
 		}
 		assert.Assert(t, s.Get("lives").Up())
-		gone := now.Sub(epoch) > lease+s.settings.AskTime+100*time.Millisecond
-		assert.Equal(t, s.Get("dead").Phase == wire.Phase_PHASE_GONE, gone, "%v", now.Sub(epoch))
+		gone := now.Sub(testStart) > lease+s.settings.AskTime+100*time.Millisecond
+		assert.Equal(t, s.Get("dead").Phase == wire.Phase_PHASE_GONE, gone, "%v", now.Sub(testStart))
 	}
-	assert.DeepEqual(t, asked, map[string]int{"lives": 6, "dead": 1})
+	assert.DeepEqual(t, probed, map[string]int{"lives": 6, "dead": 1})
 }
 
-// The same, at a process that followed a replica and hears none any more. Nobody
-// else could bring an upstream back whose answer came late, so it is asked three
-// times; one that is dead is gone within five seconds of its last word all the same.
-func TestCutOffProcessAsksMoreThanOnce(t *testing.T) {
-	set := unsettled()
+// A process without any valid source probes an upstream three times, as no other
+// directory could restore it after a late reply. A dead one is still gone within five
+// seconds of its last message.
+func TestIsolatedProcessProbesRepeatedly(t *testing.T) {
+	set := noSettling()
 	set.SilentHold = 0
-	s := New(set, epoch, 0)
-	s.Apply(epoch, &Source{Whole: true}, entries(up("slow", 1, 1), up("dead", 1, 1)))
-	s.Heard(epoch, "slow", 1)
-	s.Heard(epoch, "dead", 1)
-	asks := map[string]int{}
-	now := epoch
+	s := New(set, testStart, 0)
+	s.Apply(testStart, &Source{Whole: true}, updateWith(upAnnouncement("slow", 1, 1), upAnnouncement("dead", 1, 1)))
+	s.Heard(testStart, "slow", 1)
+	s.Heard(testStart, "dead", 1)
+	probed := map[string]int{}
+	now := testStart
 	for ; s.Get("dead").Up(); now = now.Add(100 * time.Millisecond) {
 		s.Tick(now)
 		for _, i := range s.TakeAsks() {
-			if asks[i.Id]++; i.Id == "slow" && asks[i.Id] == 3 {
+			if probed[i.Id]++; i.Id == "slow" && probed[i.Id] == 3 {
 				s.Heard(now, i.Id, 1)
 			}
 		}
 	}
-	assert.Assert(t, now.Sub(epoch) <= 5*time.Second, "%v", now.Sub(epoch))
+	assert.Assert(t, now.Sub(testStart) <= 5*time.Second, "%v", now.Sub(testStart))
 	assert.Assert(t, s.Get("slow").Up())
-	assert.DeepEqual(t, asks, map[string]int{"slow": 3, "dead": 3})
+	assert.DeepEqual(t, probed, map[string]int{"slow": 3, "dead": 3})
 }
--- a/directory/silent.go
+++ b/directory/expired.go
@@ -2,14 +2,15 @@
 
 import "github.com/snipereach/snipereach/wire"
 
-// Silent returns the instances of a role whose lease ran out without a word that
-// they are gone. One may live on behind a partition, with what it knew last.
+// Silent returns the instances of a role whose lease expired without an announcement of
+// their end. Such an instance may still run behind a network partition, with outdated
+// configuration.
 func (n *Node) Silent(role wire.Role) []*Instance {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var list []*Instance
 	for _, i := range n.state.All() {
-		if i.Role == role && i.Phase == wire.Phase_PHASE_GONE && i.before != nil {
+		if i.Role == role && i.Phase == wire.Phase_PHASE_GONE && i.beforeExpiry != nil {
 			list = append(list, i)
 		}
 	}
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -12,26 +12,27 @@
 
 const (
 	redialDelay = 100 * time.Millisecond
-	// silentParts is how many of the intervals at which its sender speaks a watch may say
-	// nothing. Behind a silent cut the connection doesn't break, and without a limit the
-	// watcher would wait until all leases have run out.
-	silentParts = 3
-	// silentWatch is that limit until the sender has told its interval.
-	silentWatch = silentParts * vouchInterval
+	// maxMissedKeepalives is how many keepalive intervals may pass without a message
+	// before a watch is closed. A partition that drops packets doesn't break the
+	// connection, and without this limit the watcher would wait until all leases expire.
+	maxMissedKeepalives = 3
+	// initialWatchTimeout applies until the sender has announced its keepalive interval.
+	initialWatchTimeout = maxMissedKeepalives * minKeepaliveInterval
 )
 
-// silenceAfter is how long a sender may say nothing that said when it speaks again.
-func silenceAfter(nextMS uint32) time.Duration {
-	next := min(time.Duration(nextMS)*time.Millisecond, longestSpeak)
-	return silentParts * max(next, vouchInterval)
+// watchTimeout returns how long to wait for the next message of a sender that announced
+// it within nextMS milliseconds.
+func watchTimeout(nextMS uint32) time.Duration {
+	next := min(time.Duration(nextMS)*time.Millisecond, maxKeepaliveInterval)
+	return maxMissedKeepalives * max(next, minKeepaliveInterval)
 }
 
-// Follow copies what announces to another node until the context is done. Nodes
-// of control replicas follow each other so.
+// Follow copies the directory of another node until the context is done, and
+// reconnects when the watch ends.
 func (n *Node) Follow(ctx context.Context, conn func(context.Context) drpc.Conn, req *wire.DirectoryWatchRequest) {
 	var last *Source
 	for ctx.Err() == nil {
-		last = n.followOnce(ctx, conn(ctx), req, last, nil)
+		last = n.followWatch(ctx, conn(ctx), req, last, nil)
 		select {
 		case <-ctx.Done():
 		case <-time.After(redialDelay):
@@ -39,8 +40,8 @@
 	}
 }
 
-// FollowPeers follows the other control replicas, in the background. Each is
-// asked only for what announced to it itself.
+// FollowPeers follows the other control replicas in the background. Each is asked only
+// for the instances that announce to it directly.
 func (n *Node) FollowPeers(ctx context.Context, replicas []string, own string, dial Dial, watcher string) {
 	for _, addr := range replicas {
 		if addr == own {
@@ -51,42 +52,43 @@
 	}
 }
 
-// peersInterval is how often a follower of each replica looks whether there are
-// others.
-const peersInterval = 500 * time.Millisecond
+// listPollInterval is how often FollowList polls its list of addresses.
+const listPollInterval = 500 * time.Millisecond
 
-// FollowEach follows each of the replicas that peers lists, in the background,
-// and goes along with changes of the list.
+// FollowEach follows all replicas that peers lists, in the background, and follows
+// changes of the list.
 //
-// Replicas follow each other's own instances only (LocalOnly), or two would keep up
-// for each other what nobody hears. A process that isn't one copies the whole of each:
-// upstreams announce to one replica after the other, and when a cut silences all of
-// them some tenths of a second apart, what only the first ones vouched for would
-// count as gone while the last one still speaks.
+// Replicas only copy each other's directly announced instances (LocalOnly), as they
+// would otherwise keep stale instances alive for each other. A process that is not a
+// replica copies the whole directory of each: an upstream announces to a few replicas
+// at a time, and if a partition silences the replicas at slightly different times,
+// instances known only to the first ones would otherwise count as gone while the
+// last one still sends updates.
 func (n *Node) FollowEach(ctx context.Context, peers func() []string, dial Dial, req *wire.DirectoryWatchRequest) {
 	go FollowList(ctx, peers, func(ctx context.Context, addr string) {
 		n.Follow(ctx, func(ctx context.Context) drpc.Conn { return dial(ctx, addr) }, req)
 	})
 }
 
-// FollowList keeps one follower for each address of a list, and goes along with its
-// changes, until the context is done. follow returns when its own context is.
+// FollowList runs one follower for each address of a list, and starts and stops
+// followers as the list changes, until the context is done. follow must return when
+// its context is done.
 func FollowList(ctx context.Context, list func() []string, follow func(context.Context, string)) {
 	cancels := map[string]context.CancelFunc{}
-	tick := time.NewTicker(peersInterval)
+	tick := time.NewTicker(listPollInterval)
 	defer tick.Stop()
 	for {
-		now := list()
-		for _, addr := range now {
+		current := list()
+		for _, addr := range current {
 			if cancels[addr] != nil {
 				continue
 			}
-			var one context.Context
-			one, cancels[addr] = context.WithCancel(ctx)
-			go follow(one, addr)
+			var followCtx context.Context
+			followCtx, cancels[addr] = context.WithCancel(ctx)
+			go follow(followCtx, addr)
 		}
 		for addr, cancel := range cancels {
-			if !slices.Contains(now, addr) {
+			if !slices.Contains(current, addr) {
 				cancel()
 				delete(cancels, addr)
 			}
@@ -102,15 +104,16 @@
 	}
 }
 
-// FollowOne copies the whole directory of one of the replicas until the context
-// is done, and goes to another one when that falls silent or has just started.
-// What the earlier one vouched for is held meanwhile, for Settings.VouchLease.
+// FollowOne copies the whole directory of one replica until the context is done, and
+// switches to another when that replica stops sending updates or has just started.
+// Instances reported by the previous replica stay alive in the meantime, for
+// Settings.VouchLease.
 func (n *Node) FollowOne(ctx context.Context, targets *Targets, dial Dial, watcher string) {
 	req := &wire.DirectoryWatchRequest{Watcher: watcher}
 	var last *Source
 	for ctx.Err() == nil {
 		addr := targets.Pick(n.now(), 1)[0]
-		last = n.followOnce(ctx, dial(ctx, addr), req, last, func(u *wire.DirectoryUpdate) bool {
+		last = n.followWatch(ctx, dial(ctx, addr), req, last, func(u *wire.DirectoryUpdate) bool {
 			return u.Settling && targets.Others(addr, n.now())
 		})
 		targets.Failed(addr, n.now())
@@ -121,15 +124,15 @@
 	}
 }
 
-// followOnce follows one watch until it ends or leave says so. It returns the
-// watch that spoke last.
-func (n *Node) followOnce(ctx context.Context, conn drpc.Conn, req *wire.DirectoryWatchRequest, last *Source, leave func(*wire.DirectoryUpdate) bool) *Source {
+// followWatch runs one watch until it ends or shouldLeave, if not nil, returns true. It
+// returns the source that sent the latest update.
+func (n *Node) followWatch(ctx context.Context, conn drpc.Conn, req *wire.DirectoryWatchRequest, last *Source, shouldLeave func(*wire.DirectoryUpdate) bool) *Source {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silentWatch, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(initialWatchTimeout, cancel)
+	defer idleTimer.Stop()
 	src := &Source{Replaces: last, Whole: !req.LocalOnly}
-	stream, err := wire.NewDRPCDirectoryClient(conn).Watch(ctx, n.resume(src, req))
+	stream, err := wire.NewDRPCDirectoryClient(conn).Watch(ctx, n.resumeRequest(src, req))
 	if err != nil {
 		return last
 	}
@@ -140,23 +143,23 @@
 			return last
 		}
 		last = src
-		silence.Reset(silenceAfter(u.NextMs))
+		idleTimer.Reset(watchTimeout(u.NextMs))
 		if n.apply(src, u) {
 			n.onChange()
 		}
-		if leave != nil && leave(u) {
+		if shouldLeave != nil && shouldLeave(u) {
 			return last
 		}
 	}
 }
 
-// resume says in a request what is known already, where that is shorter than a
-// copy of the directory. Without it each change of the replica, and each lost
-// connection, would bring the whole directory again.
-func (n *Node) resume(src *Source, req *wire.DirectoryWatchRequest) *wire.DirectoryWatchRequest {
+// resumeRequest returns the request of a watch. For a copy of the whole directory it
+// includes the digest of what is already known, unless that is too little for the
+// digest to be shorter than a copy. This saves a full transfer on each reconnect.
+func (n *Node) resumeRequest(src *Source, req *wire.DirectoryWatchRequest) *wire.DirectoryWatchRequest {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !src.Whole || n.state.Len() < digestParts {
+	if !src.Whole || n.state.Len() < digestBuckets {
 		return req
 	}
 	return &wire.DirectoryWatchRequest{Watcher: req.Watcher, Known: n.state.Remember(src)}
--- a/directory/groupepoch.go
+++ b/directory/groupepoch.go
@@ -2,14 +2,14 @@
 
 import "github.com/snipereach/snipereach/wire"
 
-// GroupEpoch is what the ranks of a group say of its latest forming: it holds against
-// what is left of earlier ones, and one rank that calls it broken is enough.
+// GroupEpoch is the latest epoch that the ranks of a group report, and whether any rank
+// reports the group as broken in it. Reports of earlier epochs are ignored.
 type GroupEpoch struct {
 	Epoch  uint64
 	Broken bool
 }
 
-// Take takes what one rank says.
+// Take merges the report of one rank.
 func (g *GroupEpoch) Take(d *wire.DirectUpstream) {
 	if d.GroupEpoch > g.Epoch {
 		g.Epoch, g.Broken = d.GroupEpoch, false
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -1,81 +1,48 @@
 package directory
 
 import (
-	"fmt"
+	"context"
 	"testing"
 	"time"
 
 	"gotest.tools/v3/assert"
-	"pgregory.net/rapid"
 
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Upstreams start again under their IDs, and their sequence begins anew. What they
-// announce reaches two directories late, doubled, in any order or not at all, and the
-// two tell each other. Both come to hold the latest announcement of the latest run, and
-// nothing that came late made either of them go back.
-func TestDirectoriesAgreeOnTheLatestRun(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		now := epoch
-		states := []*State{New(unsettled(), now, 0), New(unsettled(), now, 0)}
-		sources := []*Source{{}, {}}
-		latest := map[string]*wire.Announcement{}
-		var sent []*wire.Announcement
-		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			if rapid.Bool().Draw(t, "new") || len(sent) == 0 {
-				a := nextAnnouncement(t, latest)
-				latest[a.Id] = a
-				sent = append(sent, a)
-			}
-			// Any earlier one may arrive now.
-			a := rapid.SampledFrom(sent).Draw(t, "arrives")
-			at := rapid.IntRange(0, 1).Draw(t, "at")
-			before := states[at].Get(a.Id)
-			states[at].Announce(now, a, 0, true)
-			assert.Assert(t, !olderThan(states[at].Get(a.Id).Announcement, before), "an announcement went back")
-			now = now.Add(time.Millisecond)
-		}
-		for _, a := range latest {
-			states[rapid.IntRange(0, 1).Draw(t, "last")].Announce(now, a, 0, true)
-		}
-		for i, s := range states {
-			s.Apply(now, sources[i], whole(states[1-i]))
-		}
-		for id, a := range latest {
-			for _, s := range states {
-				got := s.Get(id)
-				assert.Equal(t, fmt.Sprint(got.Incarnation, got.Seq, got.Phase), fmt.Sprint(a.Incarnation, a.Seq, a.Phase), id)
-			}
-		}
-	})
-}
-
-// nextAnnouncement is what one of two upstreams says next: in its run, or in a new one.
-func nextAnnouncement(t *rapid.T, latest map[string]*wire.Announcement) *wire.Announcement {
-	id := rapid.SampledFrom([]string{"u", "v"}).Draw(t, "id")
-	old := latest[id]
-	if old == nil {
-		return up(id, 1, 1)
-	}
-	if old.Phase != wire.Phase_PHASE_UP || rapid.Bool().Draw(t, "restart") {
-		return up(id, old.Incarnation+uint64(rapid.IntRange(1, 5000).Draw(t, "born")), 1)
+// An upstream that restarts with its clock set back by ten minutes gets a lower
+// incarnation number, and its announcements are ignored. The first reply names the
+// earlier incarnation, and the next announcement uses a number above it.
+func TestRestartWithClockSetBack(t *testing.T) {
+	n := NewNode(noSettling(), func() time.Time { return testStart }, nil)
+	before := NewLife("u", testStart)
+	announce := func(l *Life, seq uint64) *wire.AnnounceReply {
+		reply, err := n.Announce(context.Background(), upAnnouncement("u", l.Number(), seq))
+		assert.NilError(t, err)
+		return reply
 	}
-	if rapid.Bool().Draw(t, "leave") {
-		return leaving(id, old.Incarnation, old.Seq+1)
-	}
-	return up(id, old.Incarnation, old.Seq+1)
-}
+	assert.Assert(t, !announce(before, 9).Superseded)
 
-func olderThan(a *wire.Announcement, b *Instance) bool {
-	return b != nil && (a.Incarnation < b.Incarnation || a.Incarnation == b.Incarnation && a.Seq < b.Seq)
+	after := NewLife("u", testStart.Add(-10*time.Minute))
+	reply := announce(after, 1)
+	assert.Assert(t, reply.Superseded)
+	assert.Equal(t, reply.KnownIncarnation, before.Number())
+	assert.Assert(t, after.Supersede(reply.KnownIncarnation))
+	assert.Assert(t, !announce(after, 2).Superseded)
+	assert.Equal(t, n.Instances(wire.Role_ROLE_UPSTREAM)[0].Incarnation, after.Number())
+	assert.Assert(t, announce(before, 10).Superseded, "delayed message of the earlier incarnation")
 }
 
-// whole is all that a directory knows, as it tells another one.
-func whole(s *State) *wire.DirectoryUpdate {
-	u := &wire.DirectoryUpdate{}
-	for _, i := range s.All() {
-		u.Entries = append(u.Entries, &wire.DirectoryEntry{Announcement: i.Announcement})
+// Two processes with the same ID stop raising their incarnation numbers after one change
+// each.
+func TestTwoProcessesWithSameIDRaiseOnce(t *testing.T) {
+	a, b := NewLife("u", testStart), NewLife("u", testStart.Add(time.Second))
+	rounds := 0
+	for a.Supersede(b.Number()) || b.Supersede(a.Number()) {
+		rounds++
+		assert.Assert(t, rounds < 10)
 	}
-	return u
+	assert.Equal(t, rounds, 2)
+	assert.Assert(t, a.Number() != b.Number())
+	assert.Assert(t, !b.Supersede(b.Number()), "its own number is not a later incarnation")
 }
--- /dev/null
+++ b/directory/intervals.go
@@ -0,0 +1,39 @@
+package directory
+
+import "time"
+
+const (
+	// intervalPerInstance is the announcement interval that a replica requests, per
+	// known instance. Together the instances announce at most 5,000 times a second to
+	// each replica that they use.
+	intervalPerInstance = 200 * time.Microsecond
+	// announcementsPerLease is the minimum number of announcements per lease: two may be
+	// lost in a row before the instance's lease expires.
+	announcementsPerLease = 3
+	// intervalPerWatcher is the share of each watcher in the keepalive interval: a
+	// replica sends at most 200 keepalives a second until the interval reaches
+	// maxKeepaliveInterval.
+	intervalPerWatcher = 5 * time.Millisecond
+	// maxKeepaliveInterval allows two messages to be lost or late before the lease of the
+	// source expires (Settings.VouchLease).
+	maxKeepaliveInterval = time.Second
+)
+
+// SpeakInterval returns the longest time between two messages to each of the given number
+// of watchers. It is at least usual.
+func SpeakInterval(usual time.Duration, watchers int) time.Duration {
+	return max(usual, min(time.Duration(watchers)*intervalPerWatcher, maxKeepaliveInterval))
+}
+
+// requestedInterval returns the announcement interval that a replica with so many known
+// instances requests.
+func requestedInterval(instances int) time.Duration {
+	return time.Duration(instances) * intervalPerInstance
+}
+
+// announceInterval combines the configured interval with the one that a replica requested.
+// A replica can only lengthen it, and at most to the lease divided by
+// announcementsPerLease.
+func announceInterval(configured, lease, requested time.Duration) time.Duration {
+	return max(configured, min(requested, lease/announcementsPerLease))
+}
--- /dev/null
+++ b/directory/intervals_test.go
@@ -0,0 +1,32 @@
+package directory
+
+import (
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// A replica may lengthen the announcement interval up to a third of the lease, whatever it
+// requests, and never shorten a longer configured interval.
+func TestAnnounceIntervalIsLimitedByLease(t *testing.T) {
+	const own, lease = 500 * time.Millisecond, 3 * time.Second
+	assert.Equal(t, announceInterval(own, lease, 0), own, "earlier versions request no interval")
+	assert.Equal(t, announceInterval(own, lease, requestedInterval(30)), own)
+	assert.Equal(t, announceInterval(own, lease, requestedInterval(4000)), 800*time.Millisecond)
+	assert.Equal(t, announceInterval(own, lease, requestedInterval(7500)), time.Second)
+	assert.Equal(t, announceInterval(own, lease, time.Hour), time.Second)
+	assert.Equal(t, announceInterval(2*time.Second, lease, requestedInterval(7500)), 2*time.Second)
+}
+
+// The total rate of keepalives to all watchers is limited, few watchers get them at the
+// usual interval, and the interval stays below half the lease of the source.
+func TestKeepaliveRateIsLimited(t *testing.T) {
+	assert.Equal(t, SpeakInterval(minKeepaliveInterval, 1), minKeepaliveInterval)
+	assert.Equal(t, SpeakInterval(minKeepaliveInterval, 45), minKeepaliveInterval)
+	for _, n := range []int{100, 147, 200} {
+		each := SpeakInterval(minKeepaliveInterval, n)
+		assert.Assert(t, float64(n)/each.Seconds() <= 201, "%d watchers each %s", n, each)
+	}
+	assert.Assert(t, 2*SpeakInterval(minKeepaliveInterval, 100_000) < DefaultSettings().VouchLease)
+}
--- a/directory/node.go
+++ b/directory/node.go
@@ -9,39 +9,39 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Intervals of a Node.
 const (
 	tickInterval = 100 * time.Millisecond
-	// watchInterval is the least time between two updates of a watcher, so that changes
-	// which come together go together.
-	watchInterval = 200 * time.Millisecond
-	// vouchInterval is the longest time between two updates, where watchers are few.
-	vouchInterval = 400 * time.Millisecond
+	// minUpdateInterval is the minimum time between two updates of a watcher, which
+	// batches changes that occur together.
+	minUpdateInterval = 200 * time.Millisecond
+	// minKeepaliveInterval is the longest time between two updates of a watcher while
+	// there are few watchers.
+	minKeepaliveInterval = 400 * time.Millisecond
 )
 
-// Node drives a State for goroutines: it serves announcements and watches, and
-// follows other nodes.
+// Node is a State for concurrent use: it serves announcements and watches, and follows
+// other nodes.
 type Node struct {
 	mu       sync.Mutex
 	state    *State
 	now      func() time.Time
 	onChange func()
-	// replicas lists the control replicas that take announcements; it may be nil.
+	// replicas lists the control replicas that accept announcements; it may be nil.
 	replicas func(context.Context) []*wire.DirectoryReplica
-	// ask asks an instance for a sign of life; it may be nil.
-	ask func(*Instance)
-	// watchers are woken by changes; told is how far they were.
+	// probe sends a probe to an instance without waiting for the reply; it may be nil.
+	probe func(*Instance)
+	// watchers are woken by changes; notified is the watermark of the last wake-up.
 	watchers kernel.Watchers
-	told     mark
+	notified watermark
 }
 
-// mark is how far a directory has come: what its watchers are sent depends on both.
-type mark struct {
+// watermark identifies a state of the directory as far as it is sent to watchers.
+type watermark struct {
 	changes, revisions uint64
 }
 
-// NewNode makes a node. onChange is called, outside any lock, after a change;
-// it may be nil.
+// NewNode returns a node. onChange is called after changes, without holding a lock; it
+// may be nil.
 func NewNode(s Settings, now func() time.Time, onChange func()) *Node {
 	if onChange == nil {
 		onChange = func() {}
@@ -49,15 +49,15 @@
 	return &Node{state: New(s, now(), 0), now: now, onChange: onChange}
 }
 
-// SetReplicas tells where the node learns the control replicas and their failure
-// domains, for those that announce to it. It is called before the node serves.
+// SetReplicas sets the function that lists the control replicas and their failure
+// domains for processes that announce here. Call it before the node serves.
 func (n *Node) SetReplicas(f func(context.Context) []*wire.DirectoryReplica) { n.replicas = f }
 
-// SetAsk tells how the node asks an instance for a sign of life, without waiting
-// for the answer. It is called before the node runs.
-func (n *Node) SetAsk(f func(*Instance)) { n.ask = f }
+// SetAsk sets the function that probes an instance; it must not wait for the reply.
+// Call it before Run.
+func (n *Node) SetAsk(f func(*Instance)) { n.probe = f }
 
-// Run ends leases until the context is done.
+// Run expires leases and sends probes until the context is done.
 func (n *Node) Run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -69,34 +69,34 @@
 		}
 		n.mu.Lock()
 		changed := n.state.Tick(n.now())
-		asks := n.state.TakeAsks()
+		probes := n.state.TakeAsks()
 		n.wakeWatchers()
 		n.mu.Unlock()
-		n.askAll(asks)
+		n.probeAll(probes)
 		if len(changed) > 0 {
 			n.onChange()
 		}
 	}
 }
 
-func (n *Node) askAll(list []*Instance) {
-	if n.ask == nil {
+func (n *Node) probeAll(list []*Instance) {
+	if n.probe == nil {
 		return
 	}
 	for _, i := range list {
-		n.ask(i)
+		n.probe(i)
 	}
 }
 
 // Announce implements the Directory service.
 func (n *Node) Announce(ctx context.Context, a *wire.Announcement) (*wire.AnnounceReply, error) {
-	changed, superseded, known := n.take(a, 0, true)
+	changed, superseded, known := n.applyAnnouncement(a, 0, true)
 	if changed {
 		n.onChange()
 	}
 	reply := &wire.AnnounceReply{
 		LeaseMs: a.LeaseMs, Superseded: superseded,
-		IntervalMs: uint32(askedInterval(known).Milliseconds()),
+		IntervalMs: uint32(requestedInterval(known).Milliseconds()),
 	}
 	if superseded {
 		reply.KnownIncarnation = n.Incarnation(a.Id)
@@ -107,7 +107,7 @@
 	return reply, nil
 }
 
-// Incarnation is the latest known of an ID; 0 if there is none.
+// Incarnation returns the latest known incarnation number of an ID, or 0.
 func (n *Node) Incarnation(id string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -117,7 +117,8 @@
 	return 0
 }
 
-// Leaves says whether an instance has said itself that it leaves, or has left.
+// Leaves reports whether the instance has announced that it is leaving or gone. It is
+// false for one whose lease expired.
 func (n *Node) Leaves(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,23 +132,25 @@
 	return i.Phase == wire.Phase_PHASE_LEAVING
 }
 
-// Contradicts says whether an announcement can't be one of the incarnation that it names.
+// Contradicts reports whether an announcement conflicts with what is known of the
+// incarnation that it names; see Instance.conflictsWith.
 func (n *Node) Contradicts(a *wire.Announcement) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	i := n.state.Get(a.Id)
-	return i != nil && i.contradicts(a)
+	return i != nil && i.conflictsWith(a)
 }
 
-// Heard notes that an instance was heard from directly.
+// Heard renews the lease of an instance that this process heard from directly.
 func (n *Node) Heard(id string, incarnation uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.state.Heard(n.now(), id, incarnation)
 }
 
-// take returns also how many instances are known.
-func (n *Node) take(a *wire.Announcement, age time.Duration, local bool) (changed, superseded bool, known int) {
+// applyAnnouncement passes an announcement to the state, and also returns the number of
+// known instances.
+func (n *Node) applyAnnouncement(a *wire.Announcement, age time.Duration, local bool) (changed, superseded bool, known int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	defer n.wakeWatchers()
@@ -155,14 +158,14 @@
 	return changed, superseded, n.state.Len()
 }
 
-// Instances returns the instances of a role that are not gone.
+// Instances returns the instances of a role that are not gone, sorted by ID.
 func (n *Node) Instances(role wire.Role) []*Instance {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.Instances(role)
 }
 
-// RingMembers lists the entries that are up, as members of a ring of claim
+// RingMembers returns the entries that are up, as members of a ring of claim
 // registers.
 func (n *Node) RingMembers() []*wire.RingMember {
 	var list []*wire.RingMember
@@ -170,24 +173,24 @@
 		if i.Up() {
 			list = append(list, &wire.RingMember{
 				Id: i.Id, Address: i.Address, FailureDomain: i.FailureDomain,
-				Incarnation: registerLife(i.Announcement), Durable: i.ClaimRegister.GetDurable(),
+				Incarnation: registerIncarnation(i.Announcement), Durable: i.ClaimRegister.GetDurable(),
 			})
 		}
 	}
 	return list
 }
 
-// registerLife is the life of an entry's register; that of the process, for an
-// entry of a release that announces none.
-func registerLife(a *wire.Announcement) uint64 {
+// registerIncarnation returns the incarnation of an entry's claim register. Entries of
+// releases that don't announce one use that of the process.
+func registerIncarnation(a *wire.Announcement) uint64 {
 	if r := a.ClaimRegister; r != nil {
 		return r.Life
 	}
 	return a.Incarnation
 }
 
-// Gone says whether a life of an instance has ended: it is known as gone, or a
-// later life is known. An instance that is not known at all may be new here.
+// Gone reports whether an incarnation of an instance has ended: it is known as gone, or
+// a later incarnation is known. It is false for an unknown instance, which may be new.
 func (n *Node) Gone(life *wire.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -195,27 +198,27 @@
 	return i != nil && (i.Incarnation > life.GetNumber() || i.Phase == wire.Phase_PHASE_GONE && i.Incarnation == life.GetNumber())
 }
 
-// Settled says whether the node may declare instances gone.
+// Settled reports whether the directory has settled; see State.Settled.
 func (n *Node) Settled() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.Settled(n.now())
 }
 
-// Watch implements the Directory service: it sends the whole directory, then
-// what changes, and at least every vouchInterval, or more seldom where there are
-// many watchers, a message that vouches for all that has not changed.
+// Watch implements the Directory service. It sends the whole directory, or what differs
+// from req.Known, then its changes, and at least every keepaliveInterval a message that
+// renews all unchanged instances.
 func (n *Node) Watch(req *wire.DirectoryWatchRequest, stream wire.DRPCDirectory_WatchStream) error {
 	changed, cancel := n.watchers.Subscribe()
 	defer cancel()
-	timer := time.NewTimer(watchInterval)
+	timer := time.NewTimer(minUpdateInterval)
 	defer timer.Stop()
 	view := &View{LocalOnly: req.LocalOnly, Known: req.Known}
 	var due time.Time
 	for {
 		u, more := n.update(view)
-		if more || worthSending(u) || !n.now().Before(due) {
-			next := n.speakInterval(req)
+		if more || hasContent(u) || !n.now().Before(due) {
+			next := n.keepaliveInterval(req)
 			u.NextMs = uint32(next.Milliseconds())
 			if err := stream.Send(u); err != nil {
 				return err
@@ -225,46 +228,47 @@
 		if more {
 			continue
 		}
-		// Changes are looked for again no sooner than watchInterval.
+		// Batches changes for at least minUpdateInterval.
 		select {
 		case <-stream.Context().Done():
 			return nil
-		case <-after(timer, watchInterval):
+		case <-resetTimer(timer, minUpdateInterval):
 		}
 		select {
 		case <-stream.Context().Done():
 			return nil
 		case <-changed:
-		case <-after(timer, due.Sub(n.now())):
+		case <-resetTimer(timer, due.Sub(n.now())):
 		}
 	}
 }
 
-func after(t *time.Timer, d time.Duration) <-chan time.Time {
+func resetTimer(t *time.Timer, d time.Duration) <-chan time.Time {
 	t.Reset(max(d, 0))
 	return t.C
 }
 
-// speakInterval is the longest time between two updates of a watcher. Replicas hear of each
-// other as often as ever: the word of one that fell silent must run out soon.
-func (n *Node) speakInterval(req *wire.DirectoryWatchRequest) time.Duration {
+// keepaliveInterval returns the longest time between two updates of a watcher. For other
+// replicas it doesn't grow with the number of watchers.
+func (n *Node) keepaliveInterval(req *wire.DirectoryWatchRequest) time.Duration {
 	if req.LocalOnly {
-		return vouchInterval
+		return minKeepaliveInterval
 	}
-	return SpeakInterval(vouchInterval, n.watchers.Len())
+	return SpeakInterval(minKeepaliveInterval, n.watchers.Len())
 }
 
-// wakeWatchers wakes the watchers if they lack something. The lock is held.
+// wakeWatchers wakes the watchers if there are changes to send. The caller must hold
+// n.mu.
 func (n *Node) wakeWatchers() {
-	now := mark{n.state.changes.version, n.state.revisions}
-	if now == n.told {
+	current := watermark{n.state.changes.version, n.state.revisionVersion}
+	if current == n.notified {
 		return
 	}
-	n.told = now
+	n.notified = current
 	n.watchers.Wake()
 }
 
-func worthSending(u *wire.DirectoryUpdate) bool {
+func hasContent(u *wire.DirectoryUpdate) bool {
 	return u.Synced || len(u.Kept) > 0 || len(u.Entries)+len(u.Withdrawn) > 0 || u.Revision != 0
 }
 
@@ -286,7 +290,7 @@
 	HeardAgoMS    int64    `json:"heard_ago_ms"`
 }
 
-// Dump returns the node's state for a dump.
+// Dump returns the instances for a diagnostic dump.
 func (n *Node) Dump() any {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/directory/node_test.go
+++ b/directory/node_test.go
@@ -14,12 +14,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-var sec = transport.Security{Secret: []byte("a secret of the tests")}
+var testSecurity = transport.Security{Secret: []byte("a secret of the tests")}
 
-// patience bounds waits; no verdict depends on how long they take.
-const patience = 20 * time.Second
+// waitTimeout bounds waiting for a condition; no check depends on how long it takes.
+const waitTimeout = 20 * time.Second
 
-// socketReplica is a replica's directory on loopback.
+// socketReplica is a control replica that serves its directory on loopback.
 type socketReplica struct {
 	node *Node
 	lis  net.Listener
@@ -35,10 +35,10 @@
 	r.pool.Close()
 }
 
-// slow holds a source's word for longer than the test lasts: a machine that
-// stalls must not change the verdict.
-func slow() Settings {
-	s := unsettled()
+// longLeases returns settings whose leases outlast the test, so that a stalled test
+// machine doesn't change its result.
+func longLeases() Settings {
+	s := noSettling()
 	s.VouchLease = time.Hour
 	s.MaxLease = time.Hour
 	return s
@@ -49,7 +49,7 @@
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NilError(t, err)
 		addrs = append(addrs, lis.Addr().String())
-		list = append(list, &socketReplica{lis: lis, node: NewNode(slow(), time.Now, nil), srv: transport.NewServer(sec), pool: transport.NewPool(sec)})
+		list = append(list, &socketReplica{lis: lis, node: NewNode(longLeases(), time.Now, nil), srv: transport.NewServer(testSecurity), pool: transport.NewPool(testSecurity)})
 	}
 	known := func(context.Context) (all []*wire.DirectoryReplica) {
 		for i, a := range addrs {
@@ -71,36 +71,35 @@
 
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !f(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !f(); time.Sleep(5 * time.Millisecond) {
 		assert.Assert(t, time.Now().Before(end), what)
 	}
 }
 
-// An entry follows one replica and that one dies. Upstreams that announced to it
-// go to another with the same announcement, and the entry still hears who leaves
-// and who is new; nobody is taken for gone.
-func TestFollowedReplicaDiesOverSockets(t *testing.T) {
+// When the followed replica fails, announcements move to another replica and the entry
+// still learns which upstreams leave or are new; none may be marked as gone.
+func TestFollowedReplicaFailsOverSockets(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	replicas, addrs := startReplicas(t, 3)
 	ctx, cancel := context.WithCancel(context.Background())
-	pool := transport.NewPool(sec)
+	pool := transport.NewPool(testSecurity)
 	var announcers []*Announcer
 	for i := range 6 {
 		targets := NewTargets(fmt.Sprint("u", i), fmt.Sprintf("hall-%d", i%3), addrs)
 		announcers = append(announcers, NewAnnouncer(targets, pool.Conn, time.Now))
 	}
 	seq := uint64(0)
-	// As an agent does, it announces again: one that is late on a busy machine is
-	// made up for by the next.
+	// Repeats the announcement as an agent does, which makes up for one that timed out
+	// on a busy machine.
 	announce := func(i int, phase wire.Phase) {
-		eventually(t, "two replicas hold it", func() bool {
+		eventually(t, "two replicas received the announcement", func() bool {
 			seq++
-			a := up(fmt.Sprint("u", i), 1, seq)
+			a := upAnnouncement(fmt.Sprint("u", i), 1, seq)
 			a.Phase, a.LeaseMs = phase, 3_600_000
-			return len(announcers[i].Announce(ctx, a)) == announceTo
+			return len(announcers[i].Announce(ctx, a)) == replicasPerAnnouncement
 		})
 	}
-	entry := NewNode(slow(), time.Now, nil)
+	entry := NewNode(longLeases(), time.Now, nil)
 	go entry.Run(ctx)
 	targets := NewTargets("entry", "hall-0", addrs)
 	followed := targets.Pick(time.Now(), 1)[0]
@@ -108,7 +107,7 @@
 	for i := range 5 {
 		announce(i, wire.Phase_PHASE_UP)
 	}
-	eventually(t, "the entry knows five", func() bool { return len(entry.Instances(wire.Role_ROLE_UPSTREAM)) == 5 })
+	eventually(t, "the entry knows five upstreams", func() bool { return len(entry.Instances(wire.Role_ROLE_UPSTREAM)) == 5 })
 	for i, a := range addrs {
 		if a == followed {
 			replicas[i].close()
@@ -116,9 +115,9 @@
 	}
 	announce(0, wire.Phase_PHASE_LEAVING)
 	announce(5, wire.Phase_PHASE_UP)
-	eventually(t, "the entry hears of both", func() bool {
+	eventually(t, "the entry knows both changes", func() bool {
 		list := entry.Instances(wire.Role_ROLE_UPSTREAM)
-		assert.Assert(t, len(list) >= 5, "one was taken for gone")
+		assert.Assert(t, len(list) >= 5, "an upstream was marked as gone")
 		return len(list) == 6 && list[0].Phase == wire.Phase_PHASE_LEAVING && list[5].Up()
 	})
 	cancel()
--- a/directory/cut_test.go
+++ b/directory/partition_test.go
@@ -11,21 +11,20 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Callers of an entry would be refused though every upstream is up. The entry copies
-// three replicas; upstreams announce to one of them after the other. A cut silences
-// the replicas some tenths of a second apart, and when it heals they speak again some
-// milliseconds apart: at no moment does an upstream count as gone.
-func TestCutOfAllReplicasLosesNoUpstream(t *testing.T) {
-	began := time.Unix(1000, 0)
+// An entry copies three replicas, which fall lostAt at slightly different times during a
+// partition and return the same way. No upstream may be gone at any time, or the entry
+// would refuse requests that it can serve.
+func TestPartitionFromAllReplicasKeepsUpstreams(t *testing.T) {
+	start := time.Unix(1000, 0)
 	settings := directory.DefaultSettings()
-	s := directory.New(settings, began, 0)
+	s := directory.New(settings, start, 0)
 	const upstreams = 6
 	var sources []*directory.Source
-	var speaks []func(now time.Time, first bool)
+	var updates []func(now time.Time, first bool)
 	for i := range 3 {
 		src := &directory.Source{Whole: true}
 		sources = append(sources, src)
-		speaks = append(speaks, func(now time.Time, first bool) {
+		updates = append(updates, func(now time.Time, first bool) {
 			u := &wire.DirectoryUpdate{Synced: first}
 			for n := range upstreams {
 				if first {
@@ -40,20 +39,20 @@
 		s.Tick(now)
 		return len(s.Instances(wire.Role_ROLE_UPSTREAM))
 	}
-	for i := range speaks {
-		speaks[i](began, true)
+	for i := range updates {
+		updates[i](start, true)
 	}
-	silent := []time.Duration{15 * time.Second, 15300 * time.Millisecond, 14900 * time.Millisecond}
-	back := []time.Duration{22 * time.Second, 22050 * time.Millisecond, 22400 * time.Millisecond}
+	lostAt := []time.Duration{15 * time.Second, 15300 * time.Millisecond, 14900 * time.Millisecond}
+	restoredAt := []time.Duration{22 * time.Second, 22050 * time.Millisecond, 22400 * time.Millisecond}
 	for d := time.Duration(0); d < 40*time.Second; d += 50 * time.Millisecond {
-		now := began.Add(d)
-		for i := range speaks {
+		now := start.Add(d)
+		for i := range updates {
 			switch {
-			case d == back[i]:
+			case d == restoredAt[i]:
 				sources[i] = &directory.Source{Whole: true, Replaces: sources[i]}
-				speaks[i](now, true)
-			case (d < silent[i] || d > back[i]) && d%(400*time.Millisecond) == 0:
-				speaks[i](now, false)
+				updates[i](now, true)
+			case (d < lostAt[i] || d > restoredAt[i]) && d%(400*time.Millisecond) == 0:
+				updates[i](now, false)
 			}
 		}
 		assert.Equal(t, up(now), upstreams, "after %v", d)
--- a/directory/revisions.go
+++ b/directory/revisions.go
@@ -8,34 +8,36 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// maxBehind is how many entries that lag are named one by one. With more, the
-// revision that all others have reached is the lower one: the bytes of an edit
-// don't grow with the entries.
+// maxBehind limits how many lagging entries are listed individually. If there are more,
+// the summary uses a lower revision, so that the size of an update doesn't grow with
+// the number of entries.
 const maxBehind = 16
 
-// revisionSummary is the table revision that all entries of a view have in
-// force, but for some that are named.
+// revisionSummary is the routing table revision that all entries of a view have in force,
+// except for the lagging ones that are listed.
 type revisionSummary struct {
-	counted  uint64
+	// version is the State.revisionVersion that the summary was computed from.
+	version  uint64
 	revision uint64
 	behind   []*wire.EntryRevision
 }
 
-// summary is that of the entries that a view vouches for. Watchers share it.
+// summary returns the cached summary of the entries that a view reports as alive. It is
+// shared by all watchers of the same kind.
 func (s *State) summary(now time.Time, localOnly bool) revisionSummary {
-	sum, ok := s.sums[localOnly]
-	if !ok || sum.counted != s.revisions {
+	sum, ok := s.summaries[localOnly]
+	if !ok || sum.version != s.revisionVersion {
 		sum = s.summarize(now, localOnly)
-		s.sums[localOnly] = sum
+		s.summaries[localOnly] = sum
 	}
 	return sum
 }
 
 func (s *State) summarize(now time.Time, localOnly bool) revisionSummary {
-	sum := revisionSummary{counted: s.revisions}
+	sum := revisionSummary{version: s.revisionVersion}
 	var entries []*Instance
 	for _, i := range s.instances {
-		if i.Role == wire.Role_ROLE_ENTRY && s.vouchesFor(i, now, localOnly) {
+		if i.Role == wire.Role_ROLE_ENTRY && s.reportsAlive(i, now, localOnly) {
 			entries = append(entries, i)
 		}
 	}
@@ -54,14 +56,14 @@
 	return sum
 }
 
-func (a *revisionSummary) same(b *revisionSummary) bool {
+func (a *revisionSummary) equal(b *revisionSummary) bool {
 	return a.revision == b.revision && slices.EqualFunc(a.behind, b.behind, func(x, y *wire.EntryRevision) bool {
 		return x.Id == y.Id && x.Incarnation == y.Incarnation && x.Revision == y.Revision
 	})
 }
 
-// raiseRevisions takes a source's summary for the entries that it vouches for.
-// A revision is only ever raised: two sources may differ in how late they are.
+// raiseRevisions applies the revision summary of a source to the entries that it reports.
+// Revisions are only raised, because sources may lag differently.
 func (s *State) raiseRevisions(src *Source, u *wire.DirectoryUpdate) {
 	if u.Revision == 0 {
 		return
@@ -71,7 +73,7 @@
 		behind[b.Id] = b.Revision
 	}
 	for id, inst := range s.instances {
-		if inst.Role != wire.Role_ROLE_ENTRY || !slices.Contains(inst.holders, src) {
+		if inst.Role != wire.Role_ROLE_ENTRY || !slices.Contains(inst.sources, src) {
 			continue
 		}
 		revision := u.Revision
@@ -84,6 +86,6 @@
 		next := *inst
 		next.Announcement = withRevision(inst.Announcement, revision)
 		s.instances[id] = &next
-		s.revisions++
+		s.revisionVersion++
 	}
 }
--- a/directory/relay_test.go
+++ b/directory/simulation_test.go
@@ -17,19 +17,19 @@
 	simLease = 3 * time.Second
 )
 
-// relay runs three replicas, entries that follow one of them, and agents, in
+// simulation runs three replicas, entries that each follow one of them, and agents in
 // virtual time. Messages between reachable processes take one step.
-type relay struct {
+type simulation struct {
 	t        *testing.T
 	now      time.Time
 	replicas []*simNode
 	entries  []*simNode
 	agents   []*simAgent
-	// cut holds pairs that are silently cut from each other.
+	// cut holds the pairs of processes between which all messages are dropped.
 	cut      map[[2]string]bool
 	settings Settings
-	// every is the agents' interval between announcements, in steps.
-	every int
+	// announceEvery is the announcement interval of the agents, in steps.
+	announceEvery int
 	// faultAt is when the latest fault began.
 	faultAt time.Time
 }
@@ -40,7 +40,7 @@
 	dead    bool
 	watches map[string]*simWatch
 	targets *Targets
-	// last is the watch of an entry that spoke last.
+	// last is the source that sent the latest update to an entry.
 	last *Source
 }
 
@@ -60,8 +60,8 @@
 	incarnation uint64
 }
 
-func newRelay(t *testing.T, settings Settings, agents, entries int) *relay {
-	s := &relay{t: t, now: epoch, cut: map[[2]string]bool{}, settings: settings, every: 5}
+func newSimulation(t *testing.T, settings Settings, agents, entries int) *simulation {
+	s := &simulation{t: t, now: testStart, cut: map[[2]string]bool{}, settings: settings, announceEvery: 5}
 	var addrs []string
 	var known []*wire.DirectoryReplica
 	for i := range 3 {
@@ -81,24 +81,26 @@
 	}
 	for i := range agents {
 		a := &simAgent{name: fmt.Sprintf("a%d", i), incarnation: 1, targets: targets(fmt.Sprintf("a%d", i), i)}
-		a.msg = up(a.name, 1, 0)
+		a.msg = upAnnouncement(a.name, 1, 0)
 		s.agents = append(s.agents, a)
 	}
 	return s
 }
 
-func (s *relay) reach(a, b string) bool { return !s.cut[[2]string{a, b}] && !s.cut[[2]string{b, a}] }
+func (s *simulation) reachable(a, b string) bool {
+	return !s.cut[[2]string{a, b}] && !s.cut[[2]string{b, a}]
+}
 
-func (s *relay) replica(name string) *simNode {
+func (s *simulation) replica(name string) *simNode {
 	return s.replicas[slices.IndexFunc(s.replicas, func(n *simNode) bool { return n.name == name })]
 }
 
-// run advances virtual time, and checks each step.
-func (s *relay) run(d time.Duration, check func()) {
+// run advances virtual time by d and calls check after each step.
+func (s *simulation) run(d time.Duration, check func()) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(simStep)
 		for i, a := range s.agents {
-			if !a.dead && (int(s.now.Sub(epoch)/simStep)+i)%s.every == 0 {
+			if !a.dead && (int(s.now.Sub(testStart)/simStep)+i)%s.announceEvery == 0 {
 				s.announce(a)
 			}
 		}
@@ -119,27 +121,27 @@
 		for _, n := range slices.Concat(s.replicas, s.entries) {
 			if !n.dead {
 				n.state.Tick(s.now)
-				s.answer(n)
+				s.answerProbes(n)
 			}
 		}
 		check()
 	}
 }
 
-// announce is Announcer.Announce without sockets.
-func (s *relay) announce(a *simAgent) {
-	msg := up(a.name, a.incarnation, a.msg.Seq+1)
+// announce does what Announcer.Announce does, without connections.
+func (s *simulation) announce(a *simAgent) {
+	msg := upAnnouncement(a.name, a.incarnation, a.msg.Seq+1)
 	msg.Phase, msg.Revision = a.msg.Phase, a.msg.Revision
 	a.msg = msg
 	got, tried := 0, []string{}
-	for len(tried) < announceTries && got < announceTo {
+	for len(tried) < maxReplicasTried && got < replicasPerAnnouncement {
 		list := slices.DeleteFunc(a.targets.Pick(s.now, len(tried)+1), func(x string) bool { return slices.Contains(tried, x) })
 		if len(list) == 0 {
 			return
 		}
 		tried = append(tried, list[0])
 		r := s.replica(list[0])
-		if r.dead || !s.reach(a.name, r.name) {
+		if r.dead || !s.reachable(a.name, r.name) {
 			a.targets.Failed(r.name, s.now)
 			continue
 		}
@@ -149,9 +151,9 @@
 	}
 }
 
-// watch carries what one node lacks of another. It returns false once nothing
-// was heard for silentWatch.
-func (s *relay) watch(to, from *simNode, localOnly bool) bool {
+// watch transfers one update between two nodes. It returns false when nothing was received
+// for initialWatchTimeout, or when the entry leaves a settling replica.
+func (s *simulation) watch(to, from *simNode, localOnly bool) bool {
 	w := to.watches[from.name]
 	if w == nil {
 		w = &simWatch{view: &View{LocalOnly: localOnly}, src: &Source{Replaces: to.last, Whole: !localOnly}, heard: s.now}
@@ -160,8 +162,8 @@
 		}
 		to.watches[from.name] = w
 	}
-	if from.dead || !s.reach(to.name, from.name) {
-		if s.now.Sub(w.heard) < silentWatch {
+	if from.dead || !s.reachable(to.name, from.name) {
+		if s.now.Sub(w.heard) < initialWatchTimeout {
 			return true
 		}
 		delete(to.watches, from.name)
@@ -180,7 +182,7 @@
 	return true
 }
 
-func (s *relay) followOne(e *simNode) {
+func (s *simulation) followOne(e *simNode) {
 	addr := ""
 	for name := range e.watches {
 		addr = name
@@ -193,30 +195,30 @@
 	}
 }
 
-// simReports is the steps between two reports of an upstream whose load hardly
-// changes.
-const simReports = 100
+// simReportSteps is the number of steps between two load reports of an upstream whose load
+// hardly changes.
+const simReportSteps = 100
 
-func (s *relay) hearReports(e *simNode, i int) {
+func (s *simulation) hearReports(e *simNode, i int) {
 	for j, a := range s.agents {
-		if !a.dead && s.reach(a.name, e.name) && (int(s.now.Sub(epoch)/simStep)+7*j+i)%simReports == 0 {
+		if !a.dead && s.reachable(a.name, e.name) && (int(s.now.Sub(testStart)/simStep)+7*j+i)%simReportSteps == 0 {
 			e.state.Heard(s.now, a.name, a.incarnation)
 		}
 	}
 }
 
-// answer lets the agents that a node asks answer, if they live.
-func (s *relay) answer(n *simNode) {
+// answerProbes lets the running, reachable agents reply to the probes of a node.
+func (s *simulation) answerProbes(n *simNode) {
 	for _, i := range n.state.TakeAsks() {
 		for _, a := range s.agents {
-			if a.name == i.Id && !a.dead && s.reach(a.name, n.name) {
+			if a.name == i.Id && !a.dead && s.reachable(a.name, n.name) {
 				n.state.Heard(s.now, a.name, a.incarnation)
 			}
 		}
 	}
 }
 
-func (s *relay) cutOff(name string) {
+func (s *simulation) isolate(name string) {
 	for _, n := range slices.Concat(s.replicas, s.entries) {
 		s.cut[[2]string{name, n.name}] = true
 	}
@@ -225,87 +227,87 @@
 	}
 }
 
-func (s *relay) heal() { clear(s.cut) }
+func (s *simulation) healPartitions() { clear(s.cut) }
 
-func (s *relay) restart(r *simNode) {
+func (s *simulation) restart(r *simNode) {
 	r.state, r.dead, r.watches = New(s.settings, s.now, 0), false, map[string]*simWatch{}
 	for _, n := range slices.Concat(s.replicas, s.entries) {
 		delete(n.watches, r.name)
 	}
 }
 
-// Whatever one replica does (die, start again with nothing, fall silent), no
-// entry takes an upstream that is up for gone; an upstream that leaves is known
-// as leaving everywhere within 2 s, and one that dies is gone within its lease
-// and 2 s. Only a replica that falls silent after the upstream died, and before
-// its lease ended, adds its word: the lease once more and half a second. All this
-// also at the longest interval of announcements that a replica can ask for.
-func TestRelayThroughFaultsOfOneReplica(t *testing.T) {
-	longest := int(pace(0, simLease, askedInterval(1_000_000)) / simStep)
+// While one replica crashes, restarts empty or is partitioned, no entry marks a running
+// upstream as gone. Every entry knows a leaving upstream within 2 s, and a dead one within
+// its lease plus 2 s, or for a replica that fails before the lease ended, within the
+// lease, the lease of the source and 0.5 s. The longest requested announcement interval
+// is covered too.
+func TestDirectorySurvivesFaultsOfOneReplica(t *testing.T) {
+	longest := int(announceInterval(0, simLease, requestedInterval(1_000_000)) / simStep)
 	assert.Equal(t, longest, 10)
 	for _, every := range []int{5, longest} {
 		for seed := range uint64(100) {
-			throughFaults(t, seed, every)
+			simulateFaults(t, seed, every)
 		}
 	}
 }
 
-func throughFaults(t *testing.T, seed uint64, every int) {
+func simulateFaults(t *testing.T, seed uint64, every int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := newRelay(t, DefaultSettings(), 12, 5)
-	s.every = every
+	s := newSimulation(t, DefaultSettings(), 12, 5)
+	s.announceEvery = every
 	s.run(12*time.Second, func() {})
 	faulty := s.replicas[rng.IntN(3)]
 	for range 8 {
-		s.faultOf(rng, faulty)
+		s.injectFault(rng, faulty)
 		s.changeAgents(rng)
-		s.run(time.Duration(500+rng.IntN(7000))*time.Millisecond, func() { s.check(seed) })
-		faulty.heals(s)
-		s.run(time.Duration(500+rng.IntN(7000))*time.Millisecond, func() { s.check(seed) })
+		s.run(time.Duration(500+rng.IntN(7000))*time.Millisecond, func() { s.checkInstances(seed) })
+		faulty.clearFault(s)
+		s.run(time.Duration(500+rng.IntN(7000))*time.Millisecond, func() { s.checkInstances(seed) })
 	}
 }
 
-func (s *relay) faultOf(rng *rand.Rand, r *simNode) {
+func (s *simulation) injectFault(rng *rand.Rand, r *simNode) {
 	s.faultAt = s.now
 	if rng.IntN(2) == 0 {
 		r.dead = true
 		return
 	}
-	s.cutOff(r.name)
+	s.isolate(r.name)
 }
 
-func (n *simNode) heals(s *relay) {
-	s.heal()
+func (n *simNode) clearFault(s *simulation) {
+	s.healPartitions()
 	if n.dead {
 		s.restart(n)
 	}
 }
 
-func (s *relay) changeAgents(rng *rand.Rand) {
+func (s *simulation) changeAgents(rng *rand.Rand) {
 	a := s.agents[rng.IntN(len(s.agents))]
 	switch {
 	case a.dead:
 		a.dead, a.incarnation, a.deadSince, a.leaveSince = false, a.incarnation+1, time.Time{}, time.Time{}
-		a.msg = up(a.name, a.incarnation, 0)
+		a.msg = upAnnouncement(a.name, a.incarnation, 0)
 		s.announce(a)
 	case rng.IntN(2) == 0:
 		a.dead, a.deadSince = true, s.now
 	case a.leaveSince.IsZero():
-		a.msg = leaving(a.name, a.incarnation, a.msg.Seq)
+		a.msg = leavingAnnouncement(a.name, a.incarnation, a.msg.Seq)
 		a.leaveSince = s.now
 		s.announce(a)
 	}
 }
 
-// goneWithin bounds the time in which a dead agent is known as gone.
-func (s *relay) goneWithin(a *simAgent) time.Duration {
+// maxGoneDelay returns the time within which every entry must know that a dead agent is
+// gone.
+func (s *simulation) maxGoneDelay(a *simAgent) time.Duration {
 	if s.faultAt.After(a.deadSince) && s.faultAt.Sub(a.deadSince) <= simLease {
 		return simLease + s.settings.VouchLease + 500*time.Millisecond
 	}
 	return simLease + 2*time.Second
 }
 
-func (s *relay) check(seed uint64) {
+func (s *simulation) checkInstances(seed uint64) {
 	s.t.Helper()
 	for _, e := range s.entries {
 		for _, a := range s.agents {
@@ -316,46 +318,45 @@
 			}
 			wrong := ""
 			switch gone := i.Phase == wire.Phase_PHASE_GONE; {
-			case a.dead && !gone && s.now.Sub(a.deadSince) > s.goneWithin(a):
-				wrong = "died and is not gone"
+			case a.dead && !gone && s.now.Sub(a.deadSince) > s.maxGoneDelay(a):
+				wrong = "is dead and not marked as gone"
 			case !a.dead && gone:
-				wrong = "is up and taken for gone"
+				wrong = "is up and marked as gone"
 			case !a.leaveSince.IsZero() && i.Up() && s.now.Sub(a.leaveSince) > 2*time.Second:
-				wrong = "leaves and is taken for up"
+				wrong = "is leaving and marked as up"
 			}
 			if wrong != "" {
-				s.t.Fatalf("seed %d, every %d, %v: %s at %s %s", seed, s.every, s.now.Sub(epoch), a.name, e.name, wrong)
+				s.t.Fatalf("seed %d, every %d, %v: %s at %s %s", seed, s.announceEvery, s.now.Sub(testStart), a.name, e.name, wrong)
 			}
 		}
 	}
 }
 
-// All control replicas start again at once, with nothing, and are away for ten
-// seconds. The upstreams are up all the time; no entry takes one for gone, neither
-// while nobody speaks nor while the replicas know only some. One that died
-// meanwhile is gone once the replicas have settled.
-func TestAllReplicasStartAgain(t *testing.T) {
-	s := newRelay(t, DefaultSettings(), 12, 5)
+// All control replicas restart empty after ten seconds of downtime. No entry marks a
+// running upstream as gone, neither during the downtime nor while the replicas know only
+// some instances. An upstream that died is gone once the replicas have settled.
+func TestAllReplicasRestart(t *testing.T) {
+	s := newSimulation(t, DefaultSettings(), 12, 5)
 	s.run(12*time.Second, func() {})
 	for _, r := range s.replicas {
 		r.dead = true
 	}
-	dies := s.agents[4]
-	dies.dead, dies.deadSince = true, s.now
-	still := func() {
+	deadAgent := s.agents[4]
+	deadAgent.dead, deadAgent.deadSince = true, s.now
+	checkUp := func() {
 		for _, e := range s.entries {
 			for _, a := range s.agents {
-				assert.Assert(t, a.dead || e.state.Get(a.name).Up(), "%s at %s, %v", a.name, e.name, s.now.Sub(epoch))
+				assert.Assert(t, a.dead || e.state.Get(a.name).Up(), "%s at %s, %v", a.name, e.name, s.now.Sub(testStart))
 			}
 		}
 	}
-	s.run(10*time.Second, still)
+	s.run(10*time.Second, checkUp)
 	for i, r := range s.replicas {
 		s.restart(r)
-		s.run(time.Duration(i)*time.Second, still)
+		s.run(time.Duration(i)*time.Second, checkUp)
 	}
-	s.run(s.settings.SettleTime+simLease+2*time.Second, still)
+	s.run(s.settings.SettleTime+simLease+2*time.Second, checkUp)
 	for _, e := range s.entries {
-		assert.Equal(t, e.state.Get(dies.name).Phase, wire.Phase_PHASE_GONE)
+		assert.Equal(t, e.state.Get(deadAgent.name).Phase, wire.Phase_PHASE_GONE)
 	}
 }
--- a/directory/source.go
+++ b/directory/source.go
@@ -7,66 +7,67 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Source is one watch of another directory. What it sends is held on its word:
-// with each update it vouches for all instances that it has sent and has not
-// withdrawn, so that unchanged instances cost no bytes of their own. A watch
-// that is opened again is a new Source; the word of the old one runs out.
+// Source is one watch of another directory. Its lease covers all instances that it has
+// sent and not withdrawn: each update renews them all, so that unchanged instances need
+// no bytes of their own. A reopened watch is a new Source; the lease of the old one
+// expires.
 type Source struct {
-	// until is when its word ends, unless it speaks again.
-	until time.Time
-	// settling says that it can't yet declare anything gone itself.
+	// expires is when the lease of the source ends unless another update renews it.
+	expires time.Time
+	// settling reports that the source is settling; see State.Settled.
 	settling bool
-	// Whole says that it sends the whole directory, not only what announces to it.
+	// Whole reports that the source sends its whole directory, not only the instances
+	// that announce to it directly.
 	Whole bool
-	// Replaces is the watch that this one takes over from. Once this one is
-	// synced, the earlier one's word ends: what it vouched for may have gone in
-	// between.
+	// Replaces is the watch that this one takes over from. Its lease ends as soon as this
+	// one is synced, as instances that it reported may be gone by then.
 	Replaces *Source
-	// known is what was known before its first update, by parts, until it is synced.
-	known map[int][]*wire.Announcement
-	// dropped says that its instances are no longer held on its word.
+	// resumeBuckets holds the announcements that were known before the first update, by
+	// bucket; nil once the source is synced.
+	resumeBuckets map[int][]*wire.Announcement
+	// dropped reports that the source no longer holds any instances.
 	dropped bool
 }
 
-func (src *Source) valid(now time.Time) bool { return !now.After(src.until) }
+func (src *Source) valid(now time.Time) bool { return !now.After(src.expires) }
 
-// Apply takes an update of a source; a new Source begins with the first one. It
-// returns whether an instance changed.
+// Apply handles an update of a source, which is added with its first update. It returns
+// whether an instance changed.
 //
-// A source that was silent for so long that it was dropped is not taken up
-// again: it would vouch for instances that are no longer held on its word.
+// Updates of a source that was dropped after a long silence are ignored, because the
+// instances that it would renew are no longer associated with it.
 func (s *State) Apply(now time.Time, src *Source, u *wire.DirectoryUpdate) bool {
 	if src.dropped {
 		return false
 	}
 	if !slices.Contains(s.sources, src) {
 		s.sources = append(s.sources, src)
-		s.followed = true
+		s.hadSource = true
 	}
-	changed := s.keepParts(now, src, u.Kept)
+	changed := s.renewUnchanged(now, src, u.Kept)
 	for _, e := range u.Entries {
-		c, _ := s.take(now, e.Announcement, time.Duration(e.AgeMs)*time.Millisecond, false, src)
+		c, _ := s.applyAnnouncement(now, e.Announcement, time.Duration(e.AgeMs)*time.Millisecond, false, src)
 		changed = changed || c
 	}
 	for _, w := range u.Withdrawn {
 		s.withdraw(src, w)
 	}
-	changed = s.vouch(now, src, u.Settling) || changed
+	changed = s.renewSource(now, src, u.Settling) || changed
 	s.raiseRevisions(src, u)
 	if u.Synced {
-		src.known = nil
+		src.resumeBuckets = nil
 	}
 	if u.Synced && !u.Settling && src.Replaces != nil {
-		src.Replaces.until = time.Time{}
-		s.due = time.Time{}
+		src.Replaces.expires = time.Time{}
+		s.nextCheck = time.Time{}
 		src.Replaces = nil
 	}
 	return changed
 }
 
-// hold notes that a source vouches for a life that is already known. It returns
-// whether that brought the instance back.
-func (s *State) hold(now time.Time, old *Instance, a *wire.Announcement, src *Source) bool {
+// renewFromSource adds src, if not nil, as a source of an incarnation that is already
+// known. It returns whether that restored an instance whose lease had expired.
+func (s *State) renewFromSource(now time.Time, old *Instance, a *wire.Announcement, src *Source) bool {
 	if src == nil || a.Phase == wire.Phase_PHASE_GONE {
 		return false
 	}
@@ -74,70 +75,68 @@
 		return false
 	}
 	next := *old
-	next.addHolder(src)
+	next.addSource(src)
 	if next.expired() {
-		s.revive(&next, now)
+		s.restore(&next, now)
 	}
 	s.instances[old.Id] = &next
 	return old.expired()
 }
 
-// revive brings back an instance whose lease had run out here.
-func (s *State) revive(inst *Instance, now time.Time) {
-	inst.Announcement, inst.before = inst.before, nil
+// restore marks an instance as alive again whose lease had expired here.
+func (s *State) restore(inst *Instance, now time.Time) {
+	inst.Announcement, inst.beforeExpiry = inst.beforeExpiry, nil
 	inst.Heard = now
-	s.lookBy(s.deadline(inst))
-	s.changes.touch(inst.Id)
-	s.revisions++
+	s.checkBy(s.nextDeadline(inst))
+	s.changes.record(inst.Id)
+	s.revisionVersion++
 }
 
-// addHolder makes a new list: instances share lists with their earlier versions.
-func (i *Instance) addHolder(src *Source) {
-	if slices.Contains(i.holders, src) {
+// addSource copies the list, which is shared with earlier versions of the instance.
+func (i *Instance) addSource(src *Source) {
+	if slices.Contains(i.sources, src) {
 		return
 	}
-	i.holders = append(slices.Clone(i.holders), src)
+	i.sources = append(slices.Clone(i.sources), src)
 }
 
 func (s *State) withdraw(src *Source, w *wire.Withdrawal) {
 	old := s.instances[w.Id]
-	// A withdrawal of an earlier life says nothing about the one that is known.
-	if old == nil || old.Incarnation != w.Incarnation || !slices.Contains(old.holders, src) {
+	// A withdrawal only applies to the incarnation that it names.
+	if old == nil || old.Incarnation != w.Incarnation || !slices.Contains(old.sources, src) {
 		return
 	}
 	next := *old
-	next.holders = slices.DeleteFunc(slices.Clone(old.holders), func(h *Source) bool { return h == src })
+	next.sources = slices.DeleteFunc(slices.Clone(old.sources), func(h *Source) bool { return h == src })
 	s.instances[w.Id] = &next
-	s.lookBy(s.deadline(&next))
+	s.checkBy(s.nextDeadline(&next))
 }
 
-// vouch extends a source's word. After a silence that was longer than its word
-// held, the instances that were declared gone meanwhile are brought back: the
-// watch had stalled, not they.
-func (s *State) vouch(now time.Time, src *Source, settling bool) bool {
-	silent := !src.until.IsZero() && !src.valid(now)
-	src.until = now.Add(s.settings.VouchLease)
+// renewSource renews the lease of a source. If the lease had expired, the watch was
+// stalled, and the instances of the source that expired meanwhile are restored.
+func (s *State) renewSource(now time.Time, src *Source, settling bool) bool {
+	lapsed := !src.expires.IsZero() && !src.valid(now)
+	src.expires = now.Add(s.settings.VouchLease)
 	src.settling = settling
-	if !silent {
+	if !lapsed {
 		return false
 	}
 	changed := false
 	for id, inst := range s.instances {
-		if !inst.expired() || !slices.Contains(inst.holders, src) {
+		if !inst.expired() || !slices.Contains(inst.sources, src) {
 			continue
 		}
 		next := *inst
-		s.revive(&next, now)
+		s.restore(&next, now)
 		s.instances[id] = &next
 		changed = true
 	}
 	return changed
 }
 
-// onlyUnsettledSources says whether all that this directory knows from others
-// comes from replicas that have just started. What they don't vouch for may be
-// up: it only has not announced to them yet.
-func (s *State) onlyUnsettledSources(now time.Time) bool {
+// onlySettlingSources reports whether there are sources with a valid lease and all of them
+// are settling. Instances missing from them may be up and not have announced to them yet.
+func (s *State) onlySettlingSources(now time.Time) bool {
 	unsettled := false
 	for _, src := range s.sources {
 		if !src.valid(now) {
@@ -151,40 +150,42 @@
 	return unsettled
 }
 
-// holds says whether all replicas have fallen silent, lately. A control replica
-// does not hold: it would vouch to others for what nobody hears.
-func (s *State) holds(now time.Time) bool {
+// inSourceLossGrace reports whether the leases of all sources have expired, the last one
+// no longer than Settings.SilentHold ago. It is false for a control replica, which
+// must not report instances to others that no replica hears from.
+func (s *State) inSourceLossGrace(now time.Time) bool {
 	var last time.Time
 	for _, src := range s.sources {
 		if !src.Whole {
 			return false
 		}
-		if src.until.After(last) {
-			last = src.until
+		if src.expires.After(last) {
+			last = src.expires
 		}
 	}
 	return now.After(last) && now.Sub(last) <= s.settings.SilentHold
 }
 
-// sourceMemory is how long after its word ended a source is remembered.
-const sourceMemory = time.Minute
+// sourceRetention is how long a source is kept after its lease expired.
+const sourceRetention = time.Minute
 
-// dropSources forgets sources that ended long ago.
-func (s *State) dropSources(now time.Time) {
-	old := func(src *Source) bool { return now.Sub(src.until) > sourceMemory }
-	if !slices.ContainsFunc(s.sources, old) {
+// removeStaleSources removes the sources whose lease expired more than sourceRetention
+// ago, also from the instances.
+func (s *State) removeStaleSources(now time.Time) {
+	stale := func(src *Source) bool { return now.Sub(src.expires) > sourceRetention }
+	if !slices.ContainsFunc(s.sources, stale) {
 		return
 	}
 	for _, src := range s.sources {
-		src.dropped = old(src)
+		src.dropped = stale(src)
 	}
-	s.sources = slices.DeleteFunc(s.sources, old)
+	s.sources = slices.DeleteFunc(s.sources, stale)
 	for id, inst := range s.instances {
-		if !slices.ContainsFunc(inst.holders, old) {
+		if !slices.ContainsFunc(inst.sources, stale) {
 			continue
 		}
 		next := *inst
-		next.holders = slices.DeleteFunc(slices.Clone(inst.holders), old)
+		next.sources = slices.DeleteFunc(slices.Clone(inst.sources), stale)
 		s.instances[id] = &next
 	}
 }
--- a/directory/targets.go
+++ b/directory/targets.go
@@ -11,32 +11,33 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// retryAfter is how long a replica that did not answer is asked last.
-const retryAfter = 5 * time.Second
-
-// Targets is the order in which one process uses the control replicas: those of
-// its own failure domain first, then by rendezvous hash (Thaler and
-// Ravishankar, 1998), so that many processes spread evenly and a replica that
-// is lost leaves its share to all others.
+// failureBackoff is how long a replica that did not answer is tried only after all
+// others.
+const failureBackoff = 5 * time.Second
+
+// Targets orders the control replicas for one process: those of its own failure domain
+// first, then by rendezvous hashing (Thaler and Ravishankar, 1998), which spreads the
+// processes evenly and distributes the load of a lost replica over all others. It is
+// safe for concurrent use.
 type Targets struct {
 	id     string
 	domain string
 
-	mu      sync.Mutex
-	list    []*target
-	learned bool
-	grow    bool
+	mu        sync.Mutex
+	list      []*target
+	learned   bool
+	acceptNew bool
 }
 
 type target struct {
 	address string
 	domain  string
 	score   uint64
-	// failed is when it last did not answer; zero if it answers.
+	// failed is when the replica last failed to answer; zero if the last call succeeded.
 	failed time.Time
 }
 
-// NewTargets makes the order for a process of a failure domain.
+// NewTargets returns the order for the process with the ID and failure domain.
 func NewTargets(id, failureDomain string, addresses []string) *Targets {
 	t := &Targets{id: id, domain: failureDomain}
 	for _, a := range addresses {
@@ -52,39 +53,41 @@
 
 func (t *Targets) sort() {
 	slices.SortStableFunc(t.list, func(a, b *target) int {
-		return cmp.Or(-cmp.Compare(t.near(a), t.near(b)), -cmp.Compare(a.score, b.score))
+		return cmp.Or(-cmp.Compare(t.proximity(a), t.proximity(b)), -cmp.Compare(a.score, b.score))
 	})
 }
 
-func (t *Targets) near(x *target) int {
+func (t *Targets) proximity(x *target) int {
 	if x.domain != "" && x.domain == t.domain {
 		return 1
 	}
 	return 0
 }
 
-// Learned says whether the replicas' failure domains are known.
+// Learned reports whether the failure domain of any replica has been received.
 func (t *Targets) Learned() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.learned
 }
 
-// wants says whether the replicas are to be asked for.
-func (t *Targets) wants() bool {
+// needsReplicaList reports whether announcements should ask for the list of
+// replicas.
+func (t *Targets) needsReplicaList() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.grow || !t.learned
+	return t.acceptNew || !t.learned
 }
 
-// Learn takes the replicas' failure domains, and replicas that were not known.
+// Learn updates the failure domains of the replicas. Unknown replicas are added if Grow
+// was called, and ignored otherwise.
 func (t *Targets) Learn(replicas []*wire.DirectoryReplica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range replicas {
 		i := slices.IndexFunc(t.list, func(x *target) bool { return x.address == r.Address })
 		if i < 0 {
-			if !t.grow {
+			if !t.acceptNew {
 				continue
 			}
 			t.list = append(t.list, newTarget(t.id, r.Address))
@@ -96,16 +99,16 @@
 	t.sort()
 }
 
-// Grow lets the order take up replicas that the settings don't name. They may be
-// replaced by others at new addresses while a process runs.
+// Grow allows Learn to add replicas that are not configured, as replicas may be replaced
+// at new addresses while the process runs. It returns t.
 func (t *Targets) Grow() *Targets {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.grow = true
+	t.acceptNew = true
 	return t
 }
 
-// Addresses lists the replicas.
+// Addresses returns the addresses of the replicas in order.
 func (t *Targets) Addresses() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,16 +119,16 @@
 	return list
 }
 
-// Pick returns n addresses to use now. Replicas that did not answer lately come
-// last. The second is of another failure domain than the first, where there is
-// one: both would be lost with it.
+// Pick returns up to n addresses to use now. Replicas that recently failed come last. Where
+// possible all are of different failure domains, so that the loss of one domain doesn't
+// affect them all.
 func (t *Targets) Pick(now time.Time, n int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var chosen []*target
 	for _, pass := range []func(*target) bool{
-		func(x *target) bool { return t.answers(x, now) && !sharesDomain(chosen, x) },
-		func(x *target) bool { return t.answers(x, now) },
+		func(x *target) bool { return t.isAvailable(x, now) && !sharesDomain(chosen, x) },
+		func(x *target) bool { return t.isAvailable(x, now) },
 		func(*target) bool { return true },
 	} {
 		for _, x := range t.list {
@@ -141,28 +144,28 @@
 	return addresses
 }
 
-func (t *Targets) answers(x *target, now time.Time) bool {
-	return x.failed.IsZero() || now.Sub(x.failed) >= retryAfter
+func (t *Targets) isAvailable(x *target, now time.Time) bool {
+	return x.failed.IsZero() || now.Sub(x.failed) >= failureBackoff
 }
 
 func sharesDomain(chosen []*target, x *target) bool {
 	return x.domain != "" && slices.ContainsFunc(chosen, func(c *target) bool { return c.domain == x.domain })
 }
 
-// Others says whether a replica besides this one may answer now.
+// Others reports whether a replica other than address is available.
 func (t *Targets) Others(address string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.ContainsFunc(t.list, func(x *target) bool { return x.address != address && t.answers(x, now) })
+	return slices.ContainsFunc(t.list, func(x *target) bool { return x.address != address && t.isAvailable(x, now) })
 }
 
-// Answered notes that a replica answered.
-func (t *Targets) Answered(address string) { t.mark(address, time.Time{}) }
+// Answered records that a replica answered.
+func (t *Targets) Answered(address string) { t.setFailed(address, time.Time{}) }
 
-// Failed notes that a replica did not answer.
-func (t *Targets) Failed(address string, now time.Time) { t.mark(address, now) }
+// Failed records that a replica did not answer.
+func (t *Targets) Failed(address string, now time.Time) { t.setFailed(address, now) }
 
-func (t *Targets) mark(address string, failed time.Time) {
+func (t *Targets) setFailed(address string, failed time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, x := range t.list {
--- a/directory/targets_test.go
+++ b/directory/targets_test.go
@@ -10,7 +10,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-func nineteen() (addrs []string, known []*wire.DirectoryReplica) {
+func testReplicas() (addrs []string, known []*wire.DirectoryReplica) {
 	for i := range 19 {
 		addr := fmt.Sprintf("10.0.0.%d:7000", i)
 		addrs = append(addrs, addr)
@@ -19,25 +19,25 @@
 	return addrs, known
 }
 
-// A control host dies. What announced to it goes to the others, and no other
-// host gets more than its share; after a while it is tried again.
-func TestTargetsSpreadTheLoadOfALostReplica(t *testing.T) {
-	addrs, known := nineteen()
+// When a replica is lost, its announcements are spread over the others, none of which gets
+// much more than its share, and the lost one is tried again after failureBackoff.
+func TestTargetsSpreadLoadOfLostReplica(t *testing.T) {
+	addrs, known := testReplicas()
 	lost := addrs[3]
 	before, after := map[string]int{}, map[string]int{}
 	for i := range 5500 {
 		x := NewTargets(fmt.Sprintf("upstream-%d", i), fmt.Sprintf("hall-%d", i%19), addrs)
 		x.Learn(known)
-		two := x.Pick(epoch, 2)
+		two := x.Pick(testStart, 2)
 		assert.Equal(t, two[0], addrs[i%19], "own failure domain first")
 		assert.Assert(t, two[0] != two[1])
 		before[two[0]]++
 		before[two[1]]++
-		x.Failed(lost, epoch)
-		for _, a := range x.Pick(epoch.Add(time.Second), 2) {
+		x.Failed(lost, testStart)
+		for _, a := range x.Pick(testStart.Add(time.Second), 2) {
 			after[a]++
 		}
-		assert.DeepEqual(t, x.Pick(epoch.Add(retryAfter), 2), two)
+		assert.DeepEqual(t, x.Pick(testStart.Add(failureBackoff), 2), two)
 	}
 	assert.Equal(t, after[lost], 0)
 	mean := 2 * 5500 / 19
@@ -47,12 +47,12 @@
 	}
 }
 
-// Every replica fails to answer. All are still tried: one may be back first.
-func TestTargetsGoOnWhenNoneAnswers(t *testing.T) {
-	addrs, _ := nineteen()
+// If no replica answers, all are still returned, as any may be the first to recover.
+func TestTargetsReturnFailedReplicasWhenNoneAnswers(t *testing.T) {
+	addrs, _ := testReplicas()
 	x := NewTargets("upstream-1", "hall-1", addrs)
 	for _, a := range addrs {
-		x.Failed(a, epoch)
+		x.Failed(a, testStart)
 	}
-	assert.Equal(t, len(x.Pick(epoch, 19)), 19)
+	assert.Equal(t, len(x.Pick(testStart, 19)), 19)
 }
