--- a/upstream/http.go
+++ b/upstream/http.go
@@ -22,23 +22,23 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Header names towards upstreams.
+// Names of header fields sent to upstreams.
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Request-Priority"
 	HeaderToken     = "X-Fencing-Token"
 )
 
-// maxControlBody bounds an answer to a load, cache or order call.
+// maxControlBody limits the response to a load, cache, counter or order call, in bytes.
 const maxControlBody = 4 << 20
 
-// HTTP holds the settings and the client that both kinds share.
+// HTTP holds the settings and the client that all kinds share.
 type HTTP struct {
-	// URL of the server, http://IP:port.
+	// URL of the server, such as http://IP:port.
 	URL string `toml:"url"`
-	// ControlTimeout bounds a load, cache or order call.
+	// ControlTimeout is the timeout of a load, cache, counter or order call.
 	ControlTimeout kernel.Duration `toml:"control_timeout"`
-	// MaxIdle bounds idle connections.
+	// MaxIdle limits the number of idle connections.
 	MaxIdle int `toml:"max_idle"`
 
 	base   *url.URL
@@ -69,35 +69,33 @@
 	return nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (h *HTTP) Close() { h.client.CloseIdleConnections() }
 
-// onceBody hides from net/http that a body may be empty or replayed.
+// nonReplayableBody returns a body that net/http doesn't replay.
 //
-// net/http sends a request again on a new connection, without a word, when an
-// idle connection breaks and the request looks replayable: a GET, or any method
-// with an Idempotency-Key header, whose body is nil. For a call that must run
-// at most once that is a second run. A body that is not nil and has no GetBody
-// is never replayed once a byte was written.
+// If an idle connection breaks, net/http silently resends a request that looks replayable,
+// that is a GET, or any method with an Idempotency-Key header, whose body is nil. A call
+// that must run at most once could then run twice. A non-nil body without GetBody is
+// never replayed once a byte was written.
 //
-// A bytes.Reader under io.NopCloser is known to net/http as held in memory: head
-// and body then go out in one write, and no timer waits for a first byte.
-func onceBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
+// net/http recognizes a bytes.Reader in io.NopCloser as held in memory, and sends the
+// header and the body in one write without waiting for the first byte of the body.
+func nonReplayableBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
 // Do implements Upstream.
 func (h *HTTP) Do(ctx context.Context, head *wire.RunHead, body []byte) (*Answer, error) {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
-	req, err := h.request(httptrace.WithClientTrace(ctx, trace), head, body)
+	req, err := h.newRequest(httptrace.WithClientTrace(ctx, trace), head, body)
 	if err != nil {
 		return nil, merry.Prepend(ErrNotSent, err.Error())
 	}
-	// The transport is called straight: what http.Client adds (redirects,
-	// cookies, copies of the head for them) has no place here.
+	// Bypasses http.Client, whose handling of redirects and cookies is not wanted.
 	resp, err := h.client.Transport.RoundTrip(req)
 	if err != nil {
-		// Without a connection not one byte can have reached the upstream;
-		// after one was had, nobody here can tell.
+		// Without a connection no byte can have reached the upstream. With one, it is unknown
+		// whether the upstream received the request.
 		if !sent.Load() {
 			return nil, merry.Prepend(ErrNotSent, err.Error())
 		}
@@ -105,7 +103,7 @@
 	}
 	if id := resp.Header.Get(HeaderRequestID); id != "" && id != head.RequestId {
 		_ = resp.Body.Close()
-		return nil, merry.Prependf(ErrCrossed, "asked %s, answered %s", head.RequestId, id)
+		return nil, merry.Prependf(ErrCrossed, "request ID is %s, response has %s", head.RequestId, id)
 	}
 	return &Answer{
 		Status:    resp.StatusCode,
@@ -129,22 +127,23 @@
 	return false
 }
 
-func (h *HTTP) request(ctx context.Context, head *wire.RunHead, body []byte) (*http.Request, error) {
+func (h *HTTP) newRequest(ctx context.Context, head *wire.RunHead, body []byte) (*http.Request, error) {
 	ref, err := url.Parse(head.Path)
 	if err != nil {
 		return nil, err
 	}
 	u := *h.base
-	// Both forms are kept: a slash that the caller escaped is part of a name, and
-	// would become a separator.
+	// Keeps the escaped path too, as an escaped slash is part of a name and not a
+	// separator.
 	u.RawPath = strings.TrimSuffix(u.EscapedPath(), "/") + ref.EscapedPath()
 	u.Path = strings.TrimSuffix(u.Path, "/") + ref.Path
 	u.RawQuery = ref.RawQuery
 	req := (&http.Request{
-		Method: head.Method, URL: &u, Host: u.Host, Body: onceBody(body),
-		Header: make(http.Header, len(head.Headers)+ownHeaders),
+		Method: head.Method, URL: &u, Host: u.Host, Body: nonReplayableBody(body),
+		Header: make(http.Header, len(head.Headers)+addedHeaders),
 	}).WithContext(ctx)
-	// Length 0 would mean "unknown" beside a body that is not nil.
+	// Marks the length of an empty body as unknown: net/http treats 0 beside a non-nil
+	// body the same way.
 	req.ContentLength = unknownLength
 	if len(body) > 0 {
 		req.ContentLength = int64(len(body))
@@ -160,34 +159,33 @@
 		req.SetBasicAuth(u.User.Username(), password)
 	}
 	req.Header.Set(HeaderRequestID, head.RequestId)
-	req.Header.Set(HeaderPriority, priorityWord(head.Priority))
+	req.Header.Set(HeaderPriority, priorityName(head.Priority))
 	return req, nil
 }
 
-// ownHeaders is how many fields request adds.
-const ownHeaders = 2
+// addedHeaders is the number of header fields that newRequest adds.
+const addedHeaders = 2
 
-// unknownLength is net/http's word for a body whose length is not said.
+// unknownLength is the value of http.Request.ContentLength for an unknown length.
 const unknownLength = -1
 
-func priorityWord(p wire.Priority) string {
+func priorityName(p wire.Priority) string {
 	return strings.ToLower(strings.TrimPrefix(p.String(), "PRIORITY_"))
 }
 
-// PassHeader says whether a header field is passed on to the next hop. A caller's
-// credentials are for the product and are not.
+// PassHeader reports whether a header field is forwarded to the next hop. Authorization is
+// not: the caller's credentials are meant for the load balancer.
 func PassHeader(name string) bool {
 	return !transport.HopByHop(name) && http.CanonicalHeaderKey(name) != "Authorization"
 }
 
-// PassedHeaders lists the fields of h that are passed on, but for those that skip
-// names.
+// PassedHeaders returns the fields of h to forward, except the one named skip.
 func PassedHeaders(h http.Header, skip string) []*wire.Header {
 	n := 0
 	for _, values := range h {
 		n += len(values)
 	}
-	// One allocation holds all fields of a head.
+	// Allocates all fields at once.
 	fields := make([]wire.Header, 0, n)
 	list := make([]*wire.Header, 0, n)
 	for name, values := range h {
@@ -202,7 +200,7 @@
 	return list
 }
 
-// getJSON reads a control answer.
+// getJSON calls path with GET and decodes the response into v.
 func (h *HTTP) getJSON(ctx context.Context, path string, v any) error {
 	return h.callJSON(ctx, http.MethodGet, path, nil, nil, v)
 }
@@ -210,11 +208,11 @@
 func (h *HTTP) callJSON(ctx context.Context, method, path string, body io.Reader, header http.Header, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, h.ControlTimeout.D())
 	defer cancel()
-	file, query, _ := strings.Cut(path, "?")
-	target := h.base.JoinPath(file)
+	pathOnly, query, _ := strings.Cut(path, "?")
+	target := h.base.JoinPath(pathOnly)
 	target.RawQuery = query
-	// JoinPath leaves the path without its first slash when the base has none;
-	// only String puts it back. Sent as it is, every server refuses the request.
+	// Uses String, because JoinPath leaves out the leading slash of the path if the base
+	// has none, and servers reject a request path without it.
 	req, err := http.NewRequestWithContext(ctx, method, target.String(), body)
 	if err != nil {
 		return merry.Prepend(ErrFailed, err.Error())
--- a/upstream/http_test.go
+++ b/upstream/http_test.go
@@ -16,9 +16,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// dropper answers the first request and closes the connection after it has read
-// the second: what a server does that dies between two requests.
-func dropper(t *testing.T, seen *atomic.Int32, bodies chan<- string) string {
+// startDroppingServer returns the URL of a server that answers the first request, and
+// closes the connection after it has read the second, like one that crashes.
+func startDroppingServer(t *testing.T, seen *atomic.Int32, bodies chan<- string) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -50,16 +50,15 @@
 	return "http://" + lis.Addr().String()
 }
 
-// The upstream dies after it has read a request on a connection that was idle.
-// net/http would send such a request again by itself when it looks repeatable:
-// the agent must see an error, and the upstream must see the request once.
-func TestBrokenIdleConnectionRunsNothingTwice(t *testing.T) {
+// A request must not be sent twice when the upstream crashes after reading it on a reused
+// connection. net/http resends requests that look replayable.
+func TestBrokenIdleConnectionIsNotRetried(t *testing.T) {
 	for _, c := range []struct{ method, body string }{
 		{http.MethodPost, "a body"}, {http.MethodPost, ""}, {http.MethodGet, ""}, {http.MethodGet, "a body"},
 	} {
 		var seen atomic.Int32
 		bodies := make(chan string, 8)
-		up, err := New("plain", map[string]any{"url": dropper(t, &seen, bodies)})
+		up, err := New("plain", map[string]any{"url": startDroppingServer(t, &seen, bodies)})
 		assert.NilError(t, err)
 		defer up.Close()
 		head := &wire.RunHead{
@@ -79,8 +78,8 @@
 	}
 }
 
-// A caller escapes a slash in the name of a lot. The upstream sees it escaped.
-func TestEscapedPathReachesTheUpstream(t *testing.T) {
+// An escaped slash in the path reaches the upstream escaped.
+func TestEscapedPathIsPreserved(t *testing.T) {
 	got := make(chan string, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got <- r.URL.EscapedPath() + "?" + r.URL.RawQuery }))
 	defer srv.Close()
--- a/upstream/kinds.go
+++ b/upstream/kinds.go
@@ -24,10 +24,10 @@
 	})
 }
 
-// LoadPath is where a server answers with its load as JSON.
+// LoadPath is the path at which a server returns its load as JSON.
 const LoadPath = "/load"
 
-// loadReport is the JSON of a load report.
+// loadReport is the JSON response to a load call.
 type loadReport struct {
 	Running       uint32 `json:"running"`
 	Waiting       uint32 `json:"waiting"`
@@ -36,7 +36,7 @@
 	CachePermille uint32 `json:"cache_permille"`
 }
 
-// Plain speaks to a plain service.
+// Plain is a client of a plain HTTP service.
 type Plain struct {
 	HTTP
 	seq atomic.Uint64
@@ -47,10 +47,10 @@
 
 // Load implements Upstream.
 func (p *Plain) Load(ctx context.Context) (*wire.Load, error) {
-	return p.load(ctx, &p.seq)
+	return p.fetchLoad(ctx, &p.seq)
 }
 
-func (h *HTTP) load(ctx context.Context, seq *atomic.Uint64) (*wire.Load, error) {
+func (h *HTTP) fetchLoad(ctx context.Context, seq *atomic.Uint64) (*wire.Load, error) {
 	var r loadReport
 	if err := h.getJSON(ctx, LoadPath, &r); err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	return nil, ErrUnsupported
 }
 
-// Engine speaks to a model engine.
+// Engine is a client of a model engine.
 type Engine struct {
 	HTTP
 	seq atomic.Uint64
@@ -87,10 +87,10 @@
 
 // Load implements Upstream.
 func (e *Engine) Load(ctx context.Context) (*wire.Load, error) {
-	return e.load(ctx, &e.seq)
+	return e.fetchLoad(ctx, &e.seq)
 }
 
-// cacheEvent is the JSON of a cache event.
+// cacheEvent is a cache event as JSON.
 type cacheEvent struct {
 	Seq     uint64   `json:"seq"`
 	Added   []uint64 `json:"added"`
@@ -120,7 +120,7 @@
 	return c, nil
 }
 
-// orderReply is the JSON answer to an order.
+// orderReply is the JSON response to an order.
 type orderReply struct {
 	Accepted bool   `json:"accepted"`
 	Detail   string `json:"detail"`
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,5 +1,6 @@
-// Package upstream speaks to the server that an agent stands beside. The kinds
-// are plug-ins in the namespace "upstream": "engine" and "plain".
+// Package upstream implements the clients through which an agent calls the server that
+// runs beside it. The kinds are plug-ins in the namespace "upstream": "engine" and
+// "plain".
 package upstream
 
 import (
@@ -12,21 +13,21 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
+// Errors returned by upstreams.
 var (
-	// ErrNotSent says that no byte of the request reached the upstream.
+	// ErrNotSent is returned when no byte of the request reached the upstream.
 	ErrNotSent = merry.Sentinel("upstream was not reached")
-	// ErrFailed says that the upstream may have seen the request.
+	// ErrFailed is returned when a call failed and the upstream may have received it.
 	ErrFailed = merry.Sentinel("upstream failed")
-	// ErrCrossed says that the answer names another request.
-	ErrCrossed = merry.Sentinel("answer belongs to another request")
-	// ErrUnsupported is returned by kinds that don't take orders.
-	ErrUnsupported = merry.Sentinel("upstream doesn't support this")
-	// ErrNotUpstream is returned for a plug-in of another kind.
-	ErrNotUpstream = merry.Sentinel("plug-in doesn't speak to an upstream")
+	// ErrCrossed is returned when the response has the ID of another request.
+	ErrCrossed = merry.Sentinel("response has the ID of another request")
+	// ErrUnsupported is returned when the upstream doesn't offer the operation.
+	ErrUnsupported = merry.Sentinel("operation not supported by the upstream")
+	// ErrNotUpstream is returned for a plug-in that is not an Upstream.
+	ErrNotUpstream = merry.Sentinel("plug-in is not an upstream")
 )
 
-// Answer is an upstream's answer. Body must be closed.
+// Answer is the response of an upstream. The caller must close Body.
 type Answer struct {
 	Status    int
 	Headers   []*wire.Header
@@ -34,33 +35,33 @@
 	Body      io.ReadCloser
 }
 
-// Upstream is one server. It is safe for use by several goroutines.
+// Upstream is the client of one server. It is safe for concurrent use.
 type Upstream interface {
-	// Kind is the plug-in's name.
+	// Kind returns the name of the plug-in.
 	Kind() string
-	// Do runs a request. An error that is not ErrNotSent means that it may
-	// have been run.
+	// Do sends a request. Unless the error is ErrNotSent, the upstream may have run the
+	// request.
 	Do(ctx context.Context, head *wire.RunHead, body []byte) (*Answer, error)
-	// Load asks for a load report.
+	// Load returns the current load of the upstream.
 	Load(ctx context.Context) (*wire.Load, error)
-	// Cache returns the cache events after a sequence number.
+	// Cache returns the cache events that follow the sequence number after.
 	Cache(ctx context.Context, after uint64) ([]*wire.CacheEvent, error)
 	// Counters returns the expert counters since the last call.
 	Counters(ctx context.Context) (*wire.ExpertCounters, error)
-	// Give passes an order on.
+	// Give sends an order to the upstream.
 	Give(ctx context.Context, o *wire.Order) (*wire.OrderReply, error)
-	// Close drops idle connections.
+	// Close closes idle connections.
 	Close()
 }
 
-// Refuser is an Upstream that can be asked whether it is there.
+// Refuser is an Upstream that can check whether its server refuses connections.
 type Refuser interface {
-	// Refuses says whether nothing listens at the upstream's address any more. A host that is
-	// silent doesn't refuse.
+	// Refuses reports whether connections to the address of the upstream are refused,
+	// because nothing listens there. It returns false for a host that doesn't respond.
 	Refuses(ctx context.Context) bool
 }
 
-// New makes the upstream that an agent's settings name.
+// New loads the plug-in of a kind with its settings.
 func New(kind string, settings map[string]any) (Upstream, error) {
 	v, err := kernel.Load("upstream."+kind, settings)
 	if err != nil {
