--- a/directory/digest_test.go
+++ b/directory/digest_test.go
@@ -31,10 +31,10 @@
 		now := testStart
 		first, second := New(noSettling(), now, 0), New(noSettling(), now, 0)
 		const count = 40
-		lives := [count]*wire.Announcement{}
+		latest := [count]*wire.Announcement{}
 		announce := func(to ...*State) {
 			i := rapid.IntRange(0, count-1).Draw(t, "instance")
-			a := proto.Clone(lives[i]).(*wire.Announcement)
+			a := proto.Clone(latest[i]).(*wire.Announcement)
 			a.Seq++
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
@@ -46,18 +46,18 @@
 			case 3:
 				a.Address = fmt.Sprint("10.0.0.1:", a.Seq)
 			}
-			lives[i] = a
+			latest[i] = a
 			for _, s := range to {
 				s.Announce(now, a, 0, true)
 			}
 		}
-		for i := range lives {
-			lives[i] = upAnnouncement(fmt.Sprint("u", i), 1, 1)
+		for i := range latest {
+			latest[i] = upAnnouncement(fmt.Sprint("u", i), 1, 1)
 			// Long leases keep some instances from expiring at the entry by themselves.
-			lives[i].LeaseMs = rapid.SampledFrom([]uint32{1000, 30_000}).Draw(t, "lease")
-			first.Announce(now, lives[i], 0, true)
+			latest[i].LeaseMs = rapid.SampledFrom([]uint32{1000, 30_000}).Draw(t, "lease")
+			first.Announce(now, latest[i], 0, true)
 			if rapid.IntRange(0, 9).Draw(t, "heard") > 0 {
-				second.Announce(now, lives[i], 0, true)
+				second.Announce(now, latest[i], 0, true)
 			}
 		}
 		noGrace := noSettling()
@@ -75,15 +75,15 @@
 		}
 		views[0].Known = watchers[0].Remember(sources[0])
 		dead := map[int]bool{}
-		for i := range lives {
+		for i := range latest {
 			dead[i] = rapid.IntRange(0, 9).Draw(t, "dead") == 0
 		}
 		renew := func() {
-			for i, a := range lives {
+			for i, a := range latest {
 				if !dead[i] && a.Phase != wire.Phase_PHASE_GONE {
-					lives[i] = proto.Clone(a).(*wire.Announcement)
-					lives[i].Seq++
-					second.Announce(now, lives[i], 0, true)
+					latest[i] = proto.Clone(a).(*wire.Announcement)
+					latest[i].Seq++
+					second.Announce(now, latest[i], 0, true)
 				}
 			}
 		}
@@ -100,7 +100,7 @@
 				syncWatcher(now, second, w, views[i], sources[i])
 				w.Tick(now)
 			}
-			for i := range lives {
+			for i := range latest {
 				got, want := watchers[0].Get(fmt.Sprint("u", i)), watchers[1].Get(fmt.Sprint("u", i))
 				assert.Equal(t, got.Incarnation, want.Incarnation)
 				assert.Equal(t, got.Phase, want.Phase, "u%d", i)
--- a/directory/intervals_test.go
+++ b/directory/intervals_test.go
@@ -10,12 +10,12 @@
 // A replica may lengthen the announcement interval up to a third of the lease, whatever it
 // requests, and never shorten a longer configured interval.
 func TestAnnounceIntervalIsLimitedByLease(t *testing.T) {
-	const own, lease = 500 * time.Millisecond, 3 * time.Second
-	assert.Equal(t, announceInterval(own, lease, 0), own, "earlier versions request no interval")
-	assert.Equal(t, announceInterval(own, lease, requestedInterval(30)), own)
-	assert.Equal(t, announceInterval(own, lease, requestedInterval(4000)), 800*time.Millisecond)
-	assert.Equal(t, announceInterval(own, lease, requestedInterval(7500)), time.Second)
-	assert.Equal(t, announceInterval(own, lease, time.Hour), time.Second)
+	const configured, lease = 500 * time.Millisecond, 3 * time.Second
+	assert.Equal(t, announceInterval(configured, lease, 0), configured, "earlier versions request no interval")
+	assert.Equal(t, announceInterval(configured, lease, requestedInterval(30)), configured)
+	assert.Equal(t, announceInterval(configured, lease, requestedInterval(4000)), 800*time.Millisecond)
+	assert.Equal(t, announceInterval(configured, lease, requestedInterval(7500)), time.Second)
+	assert.Equal(t, announceInterval(configured, lease, time.Hour), time.Second)
 	assert.Equal(t, announceInterval(2*time.Second, lease, requestedInterval(7500)), 2*time.Second)
 }
 
--- a/directory/partition_test.go
+++ b/directory/partition_test.go
@@ -11,7 +11,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// An entry copies three replicas, which fall lostAt at slightly different times during a
+// An entry copies three replicas, which fall silent at slightly different times during a
 // partition and return the same way. No upstream may be gone at any time, or the entry
 // would refuse requests that it can serve.
 func TestPartitionFromAllReplicasKeepsUpstreams(t *testing.T) {
--- a/directory/simulation_test.go
+++ b/directory/simulation_test.go
@@ -237,10 +237,10 @@
 }
 
 // While one replica crashes, restarts empty or is partitioned, no entry marks a running
-// upstream as gone. Every entry knows a leaving upstream within 2 s, and a dead one within
-// its lease plus 2 s, or for a replica that fails before the lease ended, within the
-// lease, the lease of the source and 0.5 s. The longest requested announcement interval
-// is covered too.
+// upstream as gone. Every entry learns within 2 s that an upstream is leaving, and that one
+// died within its lease plus 2 s; if the replica fails after the upstream died and before
+// that lease ended, within its lease plus the lease of the source plus 0.5 s. This also
+// holds at the longest announcement interval that a replica can request.
 func TestDirectorySurvivesFaultsOfOneReplica(t *testing.T) {
 	longest := int(announceInterval(0, simLease, requestedInterval(1_000_000)) / simStep)
 	assert.Equal(t, longest, 10)
