--- a/fake/cache.go
+++ b/fake/cache.go
@@ -23,48 +23,48 @@
 // prefixCache is an engine's cache of prompt prefixes: bounded, least recently
 // used blocks go first, and each change is an event.
 type prefixCache struct {
-	mu     sync.Mutex
-	blocks int
-	order  *list.List
-	held   map[uint64]*list.Element
-	seq    uint64
-	events []cacheEvent
+	mu       sync.Mutex
+	capacity int
+	lru      *list.List
+	entries  map[uint64]*list.Element
+	seq      uint64
+	events   []cacheEvent
 	// lose is how many of the next events are numbered but never published.
-	lose         int
-	hits, looked int
+	dropEvents    int
+	hits, lookups int
 }
 
 // use looks a prompt up and caches it; it returns how many blocks were missing.
-func (c *prefixCache) use(model, prompt string) int {
+func (c *prefixCache) lookupAndInsert(model, prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hashes := route.PrefixHashes(model, prompt)
-	if c.blocks == 0 || len(hashes) == 0 {
+	if c.capacity == 0 || len(hashes) == 0 {
 		return len(hashes)
 	}
-	if c.order == nil {
-		c.order, c.held = list.New(), map[uint64]*list.Element{}
+	if c.lru == nil {
+		c.lru, c.entries = list.New(), map[uint64]*list.Element{}
 	}
 	hit := 0
-	for hit < len(hashes) && c.held[hashes[hit]] != nil {
+	for hit < len(hashes) && c.entries[hashes[hit]] != nil {
 		hit++
 	}
 	c.hits += hit
-	c.looked += len(hashes)
+	c.lookups += len(hashes)
 	var e cacheEvent
 	// The end of a prompt goes before its beginning, which others share.
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if el := c.held[hashes[i]]; el != nil {
-			c.order.MoveToFront(el)
+		if el := c.entries[hashes[i]]; el != nil {
+			c.lru.MoveToFront(el)
 			continue
 		}
-		c.held[hashes[i]] = c.order.PushFront(hashes[i])
+		c.entries[hashes[i]] = c.lru.PushFront(hashes[i])
 		e.Added = append(e.Added, hashes[i])
 	}
-	for c.order.Len() > c.blocks {
-		last := c.order.Remove(c.order.Back()).(uint64)
-		delete(c.held, last)
-		e.Removed = append(e.Removed, last)
+	for c.lru.Len() > c.capacity {
+		evicted := c.lru.Remove(c.lru.Back()).(uint64)
+		delete(c.entries, evicted)
+		e.Removed = append(e.Removed, evicted)
 	}
 	c.publish(e)
 	return len(hashes) - hit
@@ -76,8 +76,8 @@
 	}
 	c.seq++
 	e.Seq = c.seq
-	if c.lose > 0 {
-		c.lose--
+	if c.dropEvents > 0 {
+		c.dropEvents--
 		return
 	}
 	c.events = append(c.events, e)
@@ -89,11 +89,11 @@
 func (c *prefixCache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.order, c.held = nil, nil
+	c.lru, c.entries = nil, nil
 	c.publish(cacheEvent{Cleared: true})
 }
 
-func (c *prefixCache) after(seq uint64) []cacheEvent {
+func (c *prefixCache) eventsAfter(seq uint64) []cacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	later := []cacheEvent{}
@@ -109,14 +109,14 @@
 // gaps: events that were lost, or are older than those kept.
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	writeJSON(w, e.cache.after(after))
+	writeJSON(w, e.cache.eventsAfter(after))
 }
 
 // CacheHits returns how many blocks of prompts were found cached, of how many.
-func (e *Engine) CacheHits() (hits, looked int) {
+func (e *Engine) CacheHits() (hits, lookups int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
-	return e.cache.hits, e.cache.looked
+	return e.cache.hits, e.cache.lookups
 }
 
 // ClearCache drops the whole cache.
@@ -126,5 +126,5 @@
 func (e *Engine) LoseCacheEvents(n int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
-	e.cache.lose = n
+	e.cache.dropEvents = n
 }
--- a/fake/disk.go
+++ b/fake/disk.go
@@ -22,8 +22,8 @@
 	mu    sync.Mutex
 	files map[string]*diskFile
 	// names are those that survive a crash.
-	names  map[string]*diskFile
-	locked bool
+	durableNames map[string]*diskFile
+	locked       bool
 
 	// Full makes every write fail.
 	Full bool
@@ -38,12 +38,12 @@
 	data   []byte
 	synced int
 	// lost says that a sync failed: what was not synced by then never will be.
-	lost bool
+	syncFailed bool
 }
 
 // NewDisk returns an empty disk.
 func NewDisk() *Disk {
-	return &Disk{files: map[string]*diskFile{}, names: map[string]*diskFile{}}
+	return &Disk{files: map[string]*diskFile{}, durableNames: map[string]*diskFile{}}
 }
 
 // Crash forgets what was not synced, but for the first keep bytes of each
@@ -53,7 +53,7 @@
 	defer d.mu.Unlock()
 	d.locked = false
 	d.files = map[string]*diskFile{}
-	for name, f := range d.names {
+	for name, f := range d.durableNames {
 		end := min(f.synced+keep, len(f.data))
 		f.data = append([]byte(nil), f.data[:end]...)
 		f.synced = end
@@ -85,8 +85,8 @@
 	c := NewDisk()
 	for name, f := range d.files {
 		c.files[name] = &diskFile{data: append([]byte(nil), f.data...), synced: f.synced}
-		if d.names[name] == f {
-			c.names[name] = c.files[name]
+		if d.durableNames[name] == f {
+			c.durableNames[name] = c.files[name]
 		}
 	}
 	return c
@@ -171,9 +171,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.Syncs++
-	d.names = make(map[string]*diskFile, len(d.files))
+	d.durableNames = make(map[string]*diskFile, len(d.files))
 	for n, f := range d.files {
-		d.names[n] = f
+		d.durableNames[n] = f
 	}
 	return nil
 }
@@ -218,10 +218,10 @@
 		h.disk.FailSync = false
 		// The kernel marks the pages clean and drops the error: they never
 		// reach the disk, whatever a later sync says.
-		h.file.lost = true
+		h.file.syncFailed = true
 		return ErrSyncFailed
 	}
-	if !h.file.lost {
+	if !h.file.syncFailed {
 		h.file.synced = len(h.file.data)
 	}
 	return nil
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -32,10 +32,10 @@
 
 	cache prefixCache
 
-	orderMu   sync.Mutex
-	highest   uint64
-	orders    []GivenOrder
-	overtaken int
+	orderMu      sync.Mutex
+	highestToken uint64
+	orders       []GivenOrder
+	staleOrders  int
 }
 
 // GivenOrder is an order that the engine carried out.
@@ -48,17 +48,17 @@
 // Start listens and serves.
 func (e *Engine) Start() error {
 	mux := http.NewServeMux()
-	e.cache.blocks = e.CacheBlocks
+	e.cache.capacity = e.CacheBlocks
 	mux.HandleFunc("GET /load", e.serveLoad)
 	mux.HandleFunc("GET /cache-events", e.serveCacheEvents)
-	mux.HandleFunc("POST /v1/chat/completions", e.serve)
-	mux.HandleFunc("POST /v1/completions", e.serve)
+	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	mux.HandleFunc("POST /v1/completions", e.serveCompletion)
 	mux.HandleFunc("POST /orders/{verb}", e.serveOrder)
 	mux.HandleFunc("GET /expert-counters", e.serveCounters)
 	return e.listen(mux)
 }
 
-type engineCall struct {
+type completionRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
 	MaxTokens int             `json:"max_tokens"`
@@ -66,34 +66,34 @@
 	Messages  json.RawMessage `json:"messages"`
 }
 
-type engineMessage struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
 const (
-	defaultEngineTokens = 16
+	defaultMaxTokens = 16
 	// maxEngineTokens bounds one answer, like an engine's context.
-	maxEngineTokens = 1 << 17
+	maxTokensLimit = 1 << 17
 )
 
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	var c engineCall
+	var c completionRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if c.MaxTokens <= 0 {
-		c.MaxTokens = defaultEngineTokens
+		c.MaxTokens = defaultMaxTokens
 	}
-	c.MaxTokens = min(c.MaxTokens, maxEngineTokens)
+	c.MaxTokens = min(c.MaxTokens, maxTokensLimit)
 	r.Body = io.NopCloser(bytes.NewReader(nil))
-	e.answerWith(w, r, func(w http.ResponseWriter) {
-		missing := e.cache.use(c.Model, string(c.Prompt)+string(c.Messages))
+	e.serveWithFault(w, r, func(w http.ResponseWriter) {
+		missing := e.cache.lookupAndInsert(c.Model, string(c.Prompt)+string(c.Messages))
 		time.Sleep(time.Duration(missing) * e.Prefill)
 		if c.Stream {
 			e.stream(w, r, &c)
@@ -106,27 +106,27 @@
 
 // text is what the engine generates: the caller's own key again and again, so
 // that a crossed answer shows.
-func text(r *http.Request, n int) string {
+func generatedText(r *http.Request, n int) string {
 	return runKey(r) + ":" + strconv.Itoa(n) + " "
 }
 
-func (e *Engine) completion(r *http.Request, c *engineCall) any {
+func (e *Engine) completion(r *http.Request, c *completionRequest) any {
 	var out bytes.Buffer
 	for n := range c.MaxTokens {
-		out.WriteString(text(r, n))
+		out.WriteString(generatedText(r, n))
 	}
 	return map[string]any{
 		"object": "chat.completion",
 		"model":  c.Model,
 		"choices": []any{map[string]any{
 			"index": 0, "finish_reason": "length",
-			"message": engineMessage{Role: "assistant", Content: out.String()},
+			"message": chatMessage{Role: "assistant", Content: out.String()},
 		}},
 		"usage": map[string]int{"completion_tokens": c.MaxTokens},
 	}
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, c *engineCall) {
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, c *completionRequest) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	for n := range c.MaxTokens {
@@ -136,7 +136,7 @@
 		}
 		chunk, _ := json.Marshal(map[string]any{
 			"object":  "chat.completion.chunk",
-			"choices": []any{map[string]any{"index": 0, "delta": engineMessage{Content: text(r, n)}}},
+			"choices": []any{map[string]any{"index": 0, "delta": chatMessage{Content: generatedText(r, n)}}},
 		})
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", chunk); err != nil {
 			return
@@ -151,14 +151,14 @@
 	body, _ := io.ReadAll(r.Body)
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
-	if e.Fencing && token < e.highest {
+	if e.Fencing && token < e.highestToken {
 		writeJSON(w, map[string]any{"accepted": false, "detail": "fencing token is old"})
 		return
 	}
-	if token < e.highest {
-		e.overtaken++
+	if token < e.highestToken {
+		e.staleOrders++
 	}
-	e.highest = max(e.highest, token)
+	e.highestToken = max(e.highestToken, token)
 	e.orders = append(e.orders, GivenOrder{Verb: r.PathValue("verb"), Token: token, Body: string(body)})
 	if e.Group != nil {
 		e.serveRankOrder(w, r.PathValue("verb"), body)
@@ -190,7 +190,7 @@
 func (e *Engine) Overtaken() int {
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
-	return e.overtaken
+	return e.staleOrders
 }
 
 // Orders returns the orders that the engine carried out, in their order.
--- a/fake/group.go
+++ b/fake/group.go
@@ -11,7 +11,7 @@
 )
 
 // groupPoll is how often a rank that may not begin its step looks again.
-const groupPoll = time.Millisecond / 2
+const stepPollInterval = time.Millisecond / 2
 
 // Group is a lock-step group of ranks in real time: a step begins once all ranks
 // are up and have ended the last one, and takes as long as its busiest rank.
@@ -27,14 +27,14 @@
 	// Slow makes ranks take so many times longer than their load explains.
 	Slow map[int]float64
 
-	mu       sync.Mutex
-	ranks    []*Rank
-	lives    []uint64
-	maps     map[uint64]*placement.Map
-	counters []wire.ExpertCounters
+	mu           sync.Mutex
+	ranks        []*Rank
+	incarnations []uint64
+	maps         map[uint64]*placement.Map
+	counters     []wire.ExpertCounters
 	// broken counts deaths of ranks; the step in progress at one is void.
-	broken  int
-	history GroupHistory
+	restarts int
+	history  GroupHistory
 }
 
 // GroupHistory is what a group has run.
@@ -55,7 +55,7 @@
 	g.maps = map[uint64]*placement.Map{}
 	for range g.Shape.Ranks {
 		g.ranks = append(g.ranks, NewRank(1))
-		g.lives = append(g.lives, 1)
+		g.incarnations = append(g.incarnations, 1)
 	}
 	g.counters = make([]wire.ExpertCounters, g.Shape.Ranks)
 	go g.run(ctx)
@@ -100,9 +100,9 @@
 func (g *Group) Restart(rank int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.lives[rank]++
-	g.ranks[rank] = NewRank(g.lives[rank])
-	g.broken++
+	g.incarnations[rank]++
+	g.ranks[rank] = NewRank(g.incarnations[rank])
+	g.restarts++
 }
 
 // History returns what the group has run so far.
@@ -117,7 +117,7 @@
 func (g *Group) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !g.runStep(ctx) {
-			sleep(ctx, groupPoll)
+			sleep(ctx, stepPollInterval)
 		}
 	}
 }
@@ -131,28 +131,28 @@
 
 // runStep runs one step; it returns false if no step could be run to its end.
 func (g *Group) runStep(ctx context.Context) bool {
-	step, broken, ok := g.agree()
+	step, restarts, ok := g.nextStep()
 	if !ok {
 		return false
 	}
 	began := time.Now()
 	used := map[int]uint64{}
-	for waited := false; g.begin(step, broken, used); waited = true {
+	for waited := false; g.beginStep(step, restarts, used); waited = true {
 		if len(used) == g.Shape.Ranks {
 			if waited {
-				g.note(time.Since(began))
+				g.recordBlocked(time.Since(began))
 			}
 			d, busy := g.stepTime(step, used[0])
 			sleep(ctx, d)
-			return g.end(step, broken, used[0], d, busy)
+			return g.endStep(step, restarts, used[0], d, busy)
 		}
-		sleep(ctx, groupPoll)
+		sleep(ctx, stepPollInterval)
 	}
 	return false
 }
 
 // agree chooses the number of the next step, once all ranks are there.
-func (g *Group) agree() (step uint64, broken int, ok bool) {
+func (g *Group) nextStep() (step uint64, restarts int, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range g.ranks {
@@ -161,14 +161,14 @@
 		}
 		step = max(step, r.Next())
 	}
-	return step, g.broken, true
+	return step, g.restarts, true
 }
 
 // begin lets every rank begin that may and hasn't; false if the step is void.
-func (g *Group) begin(step uint64, broken int, used map[int]uint64) bool {
+func (g *Group) beginStep(step uint64, restarts int, used map[int]uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.broken != broken {
+	if g.restarts != restarts {
 		return false
 	}
 	for i, r := range g.ranks {
@@ -190,7 +190,7 @@
 	return true
 }
 
-func (g *Group) note(blocked time.Duration) {
+func (g *Group) recordBlocked(blocked time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.history.Blocked = max(g.history.Blocked, blocked)
@@ -237,10 +237,10 @@
 }
 
 // end counts a step; false if a rank died in it.
-func (g *Group) end(step uint64, broken int, epoch uint64, d time.Duration, busy []time.Duration) bool {
+func (g *Group) endStep(step uint64, restarts int, epoch uint64, d time.Duration, busy []time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.broken != broken {
+	if g.restarts != restarts {
 		return false
 	}
 	g.history.Steps++
--- a/fake/network.go
+++ b/fake/network.go
@@ -14,16 +14,16 @@
 var ErrUnreachable = errors.New("connect: no route to host")
 
 // dialLimit is how long a dial over a cut link waits, as a kernel's does.
-const dialLimit = 2 * time.Second
+const dialTimeout = 2 * time.Second
 
 // Network is loopback with links between named parts that can be cut and
 // healed. A cut link is silent: bytes are neither delivered nor refused, and no
 // connection breaks. What was under way arrives when the link is healed, as TCP
 // would send it again.
 type Network struct {
-	mu    sync.Mutex
-	names map[string]string
-	links map[link]*linkState
+	mu            sync.Mutex
+	partByAddress map[string]string
+	links         map[link]*linkState
 	// frozen are the hosts that neither send nor receive.
 	frozen map[string]bool
 }
@@ -38,19 +38,19 @@
 	cut    bool
 	delay  time.Duration
 	// dialling is how many dials wait for the link.
-	dialling int
+	dialing int
 }
 
 // NewNetwork returns a network on which nothing is cut.
 func NewNetwork() *Network {
-	return &Network{names: map[string]string{}, links: map[link]*linkState{}, frozen: map[string]bool{}}
+	return &Network{partByAddress: map[string]string{}, links: map[link]*linkState{}, frozen: map[string]bool{}}
 }
 
 // Name says which part listens on an address.
 func (n *Network) Name(address, part string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names[address] = part
+	n.partByAddress[address] = part
 }
 
 // Cut stops what one part sends to another.
@@ -58,8 +58,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := link{from, to}
-	n.state(l).cut = true
-	n.settle(l)
+	n.linkLocked(l).cut = true
+	n.updateGateLocked(l)
 }
 
 // Heal lets what one part sends to another arrive again.
@@ -67,8 +67,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := link{from, to}
-	n.state(l).cut = false
-	n.settle(l)
+	n.linkLocked(l).cut = false
+	n.updateGateLocked(l)
 }
 
 // HealAll heals every link and takes its delay away. Frozen parts stay frozen.
@@ -77,7 +77,7 @@
 	defer n.mu.Unlock()
 	for l, s := range n.links {
 		s.delay, s.cut = 0, false
-		n.settle(l)
+		n.updateGateLocked(l)
 	}
 }
 
@@ -92,7 +92,7 @@
 	defer n.mu.Unlock()
 	n.frozen[part] = frozen
 	for l := range n.links {
-		n.settle(l)
+		n.updateGateLocked(l)
 	}
 }
 
@@ -101,17 +101,17 @@
 func (n *Network) Dialling(from, to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.state(link{from, to}).dialling
+	return n.linkLocked(link{from, to}).dialing
 }
 
-func (n *Network) dials(l link, change int) {
+func (n *Network) addDialing(l link, change int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.state(l).dialling += change
+	n.linkLocked(l).dialing += change
 }
 
 // settle opens or closes a link as its cut and its ends demand; the caller holds mu.
-func (n *Network) settle(l link) {
+func (n *Network) updateGateLocked(l link) {
 	s := n.links[l]
 	closed := s.cut || n.frozen[l.from] || n.frozen[l.to]
 	switch {
@@ -127,25 +127,25 @@
 func (n *Network) Delay(from, to string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.state(link{from, to}).delay = d
+	n.linkLocked(link{from, to}).delay = d
 }
 
 // state returns a link's state; the caller holds mu.
-func (n *Network) state(l link) *linkState {
+func (n *Network) linkLocked(l link) *linkState {
 	s := n.links[l]
 	if s == nil {
 		s = &linkState{open: make(chan struct{})}
 		close(s.open)
 		n.links[l] = s
-		n.settle(l)
+		n.updateGateLocked(l)
 	}
 	return s
 }
 
-func (n *Network) look(l link) (<-chan struct{}, time.Duration) {
+func (n *Network) gate(l link) (<-chan struct{}, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	s := n.state(l)
+	s := n.linkLocked(l)
 	return s.open, s.delay
 }
 
@@ -153,34 +153,34 @@
 func (n *Network) Dialer(part string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
-		peer, known := n.names[address]
+		peer, known := n.partByAddress[address]
 		n.mu.Unlock()
 		if !known {
 			return new(net.Dialer).DialContext(ctx, network, address)
 		}
 		out, back := link{part, peer}, link{peer, part}
-		if err := n.passDial(ctx, out, back); err != nil {
+		if err := n.waitDial(ctx, out, back); err != nil {
 			return nil, err
 		}
 		c, err := new(net.Dialer).DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &networkConn{Conn: c, net: n, out: out, back: back, closed: make(chan struct{})}, nil
+		return &networkConn{Conn: c, network: n, out: out, back: back, closed: make(chan struct{})}, nil
 	}
 }
 
 // passDial waits until both directions carry bytes, as a SYN and its answer do.
-func (n *Network) passDial(ctx context.Context, dirs ...link) error {
-	limit := time.NewTimer(dialLimit)
-	defer limit.Stop()
-	n.dials(dirs[0], 1)
-	defer n.dials(dirs[0], -1)
+func (n *Network) waitDial(ctx context.Context, dirs ...link) error {
+	timer := time.NewTimer(dialTimeout)
+	defer timer.Stop()
+	n.addDialing(dirs[0], 1)
+	defer n.addDialing(dirs[0], -1)
 	for _, l := range dirs {
-		open, delay := n.look(l)
+		open, delay := n.gate(l)
 		select {
 		case <-open:
-		case <-limit.C:
+		case <-timer.C:
 			return ErrUnreachable
 		case <-ctx.Done():
 			return ctx.Err()
@@ -193,42 +193,42 @@
 // networkConn is a connection over two links, seen from the part that dialled.
 type networkConn struct {
 	net.Conn
-	net       *Network
+	network   *Network
 	out, back link
 	once      sync.Once
 	closed    chan struct{}
 
-	mu                 sync.Mutex
-	readEnd, writeEnd  time.Time
-	readHeld, heldFrom []byte
+	mu                          sync.Mutex
+	readDeadline, writeDeadline time.Time
+	readPending, readBuf        []byte
 }
 
 // Read holds what has arrived until its link carries bytes: it may have been
 // sent before the cut, but a caller must not see it during one.
 func (c *networkConn) Read(b []byte) (int, error) {
-	if len(c.readHeld) == 0 {
-		if c.heldFrom == nil {
-			c.heldFrom = make([]byte, 64<<10)
+	if len(c.readPending) == 0 {
+		if c.readBuf == nil {
+			c.readBuf = make([]byte, 64<<10)
 		}
-		n, err := c.Conn.Read(c.heldFrom)
+		n, err := c.Conn.Read(c.readBuf)
 		if n == 0 && err != nil {
-			if cut := c.pass(c.back, c.end(&c.readEnd)); cut != nil {
+			if cut := c.waitOpen(c.back, c.deadline(&c.readDeadline)); cut != nil {
 				return 0, cut
 			}
 			return 0, err
 		}
-		c.readHeld = c.heldFrom[:n]
+		c.readPending = c.readBuf[:n]
 	}
-	if err := c.pass(c.back, c.end(&c.readEnd)); err != nil {
+	if err := c.waitOpen(c.back, c.deadline(&c.readDeadline)); err != nil {
 		return 0, err
 	}
-	n := copy(b, c.readHeld)
-	c.readHeld = c.readHeld[n:]
+	n := copy(b, c.readPending)
+	c.readPending = c.readPending[n:]
 	return n, nil
 }
 
 func (c *networkConn) Write(b []byte) (int, error) {
-	if err := c.pass(c.out, c.end(&c.writeEnd)); err != nil {
+	if err := c.waitOpen(c.out, c.deadline(&c.writeDeadline)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
@@ -239,7 +239,7 @@
 func (c *networkConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		open, _ := c.net.look(c.out)
+		open, _ := c.network.gate(c.out)
 		select {
 		case <-open:
 			_ = c.Conn.Close()
@@ -255,24 +255,24 @@
 	return nil
 }
 
-func (c *networkConn) end(at *time.Time) time.Time {
+func (c *networkConn) deadline(at *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return *at
 }
 
 // pass waits until a link carries bytes.
-func (c *networkConn) pass(l link, end time.Time) error {
-	var timeout <-chan time.Time
-	if !end.IsZero() {
-		t := time.NewTimer(time.Until(end))
+func (c *networkConn) waitOpen(l link, deadline time.Time) error {
+	var timedOut <-chan time.Time
+	if !deadline.IsZero() {
+		t := time.NewTimer(time.Until(deadline))
 		defer t.Stop()
-		timeout = t.C
+		timedOut = t.C
 	}
-	open, delay := c.net.look(l)
+	open, delay := c.network.gate(l)
 	select {
 	case <-open:
-	case <-timeout:
+	case <-timedOut:
 		return os.ErrDeadlineExceeded
 	case <-c.closed:
 		return net.ErrClosed
@@ -295,14 +295,14 @@
 
 func (c *networkConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.readEnd = t
+	c.readDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
 func (c *networkConn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.writeEnd = t
+	c.writeDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetWriteDeadline(t)
 }
--- a/fake/plain.go
+++ b/fake/plain.go
@@ -30,7 +30,7 @@
 }
 
 func (p *Plain) serve(w http.ResponseWriter, r *http.Request) {
-	p.answerWith(w, r, func(w http.ResponseWriter) {
+	p.serveWithFault(w, r, func(w http.ResponseWriter) {
 		time.Sleep(p.Work)
 		writeJSON(w, PlainAnswer{Key: r.Header.Get(HeaderRunKey), Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery})
 	})
--- a/fake/port.go
+++ b/fake/port.go
@@ -20,7 +20,7 @@
 	}
 	syscall.CloseOnExec(fd)
 	release = func() { _ = syscall.Close(fd) }
-	port, err := bindAny(fd)
+	port, err := bindFreePort(fd)
 	if err != nil {
 		release()
 		return "", nil, err
@@ -28,7 +28,7 @@
 	return net.JoinHostPort("127.0.0.1", strconv.Itoa(port)), release, nil
 }
 
-func bindAny(fd int) (port int, err error) {
+func bindFreePort(fd int) (port int, err error) {
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return 0, err
 	}
--- a/fake/rank.go
+++ b/fake/rank.go
@@ -23,7 +23,7 @@
 	seq         uint64
 	blank       bool
 	epoch       uint64
-	next        uint64
+	nextStep    uint64
 	loading     uint64
 	staged      uint64
 	armed       uint64
@@ -31,7 +31,7 @@
 	decided     bool
 	// settled is the highest epoch that this life saw decided: an order of an
 	// older switch that comes late must not bring it back.
-	settled uint64
+	highestDecided uint64
 	// StepMicros is reported as the time of a step.
 	StepMicros uint64
 }
@@ -51,7 +51,7 @@
 	case r.blank:
 		refused = "rank has no map"
 	default:
-		refused = r.change(verb, o)
+		refused = r.dispatch(verb, o)
 	}
 	s := r.Status()
 	s.Refused = refused
@@ -62,7 +62,7 @@
 func (r *Rank) Status() rollout.Status {
 	r.seq++
 	return rollout.Status{
-		Incarnation: r.incarnation, Seq: r.seq, Blank: r.blank, Epoch: r.epoch, NextStep: r.next,
+		Incarnation: r.incarnation, Seq: r.seq, Blank: r.blank, Epoch: r.epoch, NextStep: r.nextStep,
 		StepMicros: r.StepMicros, Loading: r.loading, Staged: r.staged, Armed: r.armed, ArmedStep: r.armedStep,
 		Decided: r.decided,
 	}
@@ -73,11 +73,11 @@
 		return
 	}
 	r.blank = false
-	r.epoch, r.settled = o.Epoch, o.Epoch
-	r.next = max(r.next, o.Step)
+	r.epoch, r.highestDecided = o.Epoch, o.Epoch
+	r.nextStep = max(r.nextStep, o.Step)
 }
 
-func (r *Rank) change(verb string, o *rollout.Order) string {
+func (r *Rank) dispatch(verb string, o *rollout.Order) string {
 	switch verb {
 	case rollout.VerbStage:
 		return r.stage(o)
@@ -93,7 +93,7 @@
 
 func (r *Rank) stage(o *rollout.Order) string {
 	switch {
-	case o.Epoch <= r.settled:
+	case o.Epoch <= r.highestDecided:
 		return "the map was decided before"
 	case o.Base != r.epoch || r.armed != 0 && r.armed != o.Epoch:
 		return "the map is based on another one"
@@ -116,11 +116,11 @@
 func (r *Rank) arm(o *rollout.Order) string {
 	switch {
 	case r.armed == o.Epoch && r.armedStep == o.Step:
-	case o.Epoch <= r.settled:
+	case o.Epoch <= r.highestDecided:
 		return "the map was decided before"
 	case r.staged != o.Epoch || r.armed != 0:
 		return "the map isn't staged"
-	case r.next > o.Step:
+	case r.nextStep > o.Step:
 		return "the step has begun"
 	default:
 		r.armed, r.armedStep = o.Epoch, o.Step
@@ -136,7 +136,7 @@
 		return "the map isn't armed"
 	}
 	r.decided = true
-	r.settled = max(r.settled, o.Epoch)
+	r.highestDecided = max(r.highestDecided, o.Epoch)
 	return ""
 }
 
@@ -144,7 +144,7 @@
 	if r.epoch == o.Epoch || r.decided && r.armed == o.Epoch {
 		return "the map was committed"
 	}
-	r.settled = max(r.settled, o.Epoch)
+	r.highestDecided = max(r.highestDecided, o.Epoch)
 	if r.loading == o.Epoch {
 		r.loading = 0
 	}
@@ -161,7 +161,7 @@
 func (r *Rank) Blank() bool { return r.blank }
 
 // Next returns the number of the step that the rank will begin.
-func (r *Rank) Next() uint64 { return r.next }
+func (r *Rank) Next() uint64 { return r.nextStep }
 
 // MayBegin says whether the rank may begin its next step now.
 func (r *Rank) MayBegin() bool {
@@ -171,13 +171,13 @@
 	// Another rank may know the decision already and begin the step with the
 	// new map; beginning it with the old one would mix two maps in one step.
 	// Stopping is enough: no rank is told to switch before all have armed.
-	return r.armed == 0 || r.decided || r.next < r.armedStep
+	return r.armed == 0 || r.decided || r.nextStep < r.armedStep
 }
 
 // Begin begins the step that the group agreed on and returns the epoch of the
 // map that the rank uses in it.
 func (r *Rank) Begin(step uint64) uint64 {
-	r.next = step + 1
+	r.nextStep = step + 1
 	if r.decided && step >= r.armedStep {
 		r.epoch = r.armed
 		r.armed, r.armedStep, r.staged, r.decided = 0, 0, 0, false
@@ -186,4 +186,4 @@
 }
 
 // Join raises the rank's next step to what the group agreed on.
-func (r *Rank) Join(step uint64) { r.next = max(r.next, step) }
+func (r *Rank) Join(step uint64) { r.nextStep = max(r.nextStep, step) }
--- a/fake/server.go
+++ b/fake/server.go
@@ -61,17 +61,17 @@
 	// Listen is the address; a free loopback port if empty.
 	Listen string
 
-	mu      sync.Mutex
-	faults  func(r *http.Request) Fault
-	runs    map[string]int
-	running int
-	waiting int
-	lis     net.Listener
-	http    *http.Server
-	slots   chan struct{}
-	held    chan struct{}
+	mu          sync.Mutex
+	chooseFault func(r *http.Request) Fault
+	runs        map[string]int
+	running     int
+	waiting     int
+	lis         net.Listener
+	http        *http.Server
+	slots       chan struct{}
+	released    chan struct{}
 	// crossed is the head of the request that was held last to be crossed.
-	crossed http.Header
+	lastHeader http.Header
 }
 
 // listen serves a handler.
@@ -85,7 +85,7 @@
 	}
 	s.lis = lis
 	s.runs = map[string]int{}
-	s.held = make(chan struct{})
+	s.released = make(chan struct{})
 	if s.Slots > 0 {
 		s.slots = make(chan struct{}, s.Slots)
 	}
@@ -142,7 +142,7 @@
 }
 
 // enter waits for a slot; it returns false if the caller left.
-func (s *Server) enter(r *http.Request) bool {
+func (s *Server) acquireSlot(r *http.Request) bool {
 	s.mu.Lock()
 	s.waiting++
 	s.mu.Unlock()
@@ -164,7 +164,7 @@
 	return ok
 }
 
-func (s *Server) leave() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	s.running--
 	s.mu.Unlock()
@@ -177,15 +177,15 @@
 func (s *Server) SetFault(f func(r *http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults = f
+	s.chooseFault = f
 }
 
 // Release lets answers that are held go.
 func (s *Server) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.held)
-	s.held = make(chan struct{})
+	close(s.released)
+	s.released = make(chan struct{})
 }
 
 // Running returns how many requests run now.
@@ -197,9 +197,9 @@
 
 // hold waits for the Release of what was held when the request came; false if the
 // caller left first.
-func hold(r *http.Request, held <-chan struct{}) bool {
+func waitRelease(r *http.Request, released <-chan struct{}) bool {
 	select {
-	case <-held:
+	case <-released:
 		return true
 	case <-r.Context().Done():
 		return false
@@ -208,14 +208,14 @@
 
 // cross keeps a request's head for the next one, and returns that of the one before;
 // the first gets one that nobody sent.
-func (s *Server) cross(r *http.Request) http.Header {
+func (s *Server) swapHeader(r *http.Request) http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	other := s.crossed
+	other := s.lastHeader
 	if other == nil {
 		other = http.Header{"X-Request-Id": {"another-request"}, HeaderRunKey: {"another-request"}}
 	}
-	s.crossed = r.Header
+	s.lastHeader = r.Header
 	return other
 }
 
@@ -223,14 +223,14 @@
 // for. Both are taken before the request counts as run: whoever saw it run may
 // release it at once, and a request that began to wait only then would wait for a
 // Release that never comes.
-func (s *Server) fault(r *http.Request) (Fault, <-chan struct{}) {
+func (s *Server) faultFor(r *http.Request) (Fault, <-chan struct{}) {
 	s.mu.Lock()
-	f, held := s.faults, s.held
+	f, released := s.chooseFault, s.released
 	s.mu.Unlock()
 	if f == nil {
-		return FaultNone, held
+		return FaultNone, released
 	}
-	return f(r), held
+	return f(r), released
 }
 
 func (s *Server) serveLoad(w http.ResponseWriter, _ *http.Request) {
@@ -246,18 +246,18 @@
 }
 
 // answerWith runs a request under its fault; run writes the answer.
-func (s *Server) answerWith(w http.ResponseWriter, r *http.Request, run func(w http.ResponseWriter)) {
-	fault, held := s.fault(r)
+func (s *Server) serveWithFault(w http.ResponseWriter, r *http.Request, run func(w http.ResponseWriter)) {
+	fault, released := s.faultFor(r)
 	if fault == FaultDieBefore {
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
-	if !s.enter(r) {
+	if !s.acquireSlot(r) {
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	switch fault {
 	case FaultDieAfterRun:
 		panic(http.ErrAbortHandler)
@@ -268,27 +268,27 @@
 		<-r.Context().Done()
 		return
 	case FaultHeld:
-		if !hold(r, held) {
+		if !waitRelease(r, released) {
 			return
 		}
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	case FaultHeldCrossed:
-		other := s.cross(r)
-		if !hold(r, held) {
+		other := s.swapHeader(r)
+		if !waitRelease(r, released) {
 			return
 		}
 		r.Header = other
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	case FaultHeldMidway:
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-		w = &heldWriter{ResponseWriter: w, hold: func() bool { return hold(r, held) }}
+		w = &heldWriter{ResponseWriter: w, wait: func() bool { return waitRelease(r, released) }}
 	case FaultOversized:
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		run(w)
 		_, _ = w.Write(make([]byte, Oversize))
 		return
 	case FaultCutShort:
-		s.cutShort(w, r, run)
+		s.writeTruncated(w, r, run)
 	case FaultCrossed:
 		w.Header().Set("X-Request-Id", "another-request")
 	case FaultCut:
@@ -304,20 +304,20 @@
 }
 
 // heldAfter is how many parts of a stream FaultHeldMidway lets through.
-const heldAfter = 2
+const heldAfterWrites = 2
 
 // heldWriter holds an answer after its first parts.
 type heldWriter struct {
 	http.ResponseWriter
-	parts int
-	hold  func() bool
+	writes int
+	wait   func() bool
 }
 
 func (h *heldWriter) Write(b []byte) (int, error) {
-	if h.parts == heldAfter && !h.hold() {
+	if h.writes == heldAfterWrites && !h.wait() {
 		return 0, http.ErrAbortHandler
 	}
-	h.parts++
+	h.writes++
 	return h.ResponseWriter.Write(b)
 }
 
@@ -325,7 +325,7 @@
 func (h *heldWriter) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
 // cutShort announces the whole answer and sends the first CutAfter bytes of it.
-func (s *Server) cutShort(w http.ResponseWriter, r *http.Request, run func(http.ResponseWriter)) {
+func (s *Server) writeTruncated(w http.ResponseWriter, r *http.Request, run func(http.ResponseWriter)) {
 	whole := httptest.NewRecorder()
 	run(whole)
 	body := whole.Body.Bytes()
--- a/load/audit.go
+++ b/load/audit.go
@@ -26,7 +26,7 @@
 	return a.Doubled == 0 && a.WrongNotRun == 0 && a.Unrun == 0 && a.Crossed == 0
 }
 
-func audit(calls []ended, runs map[string]int) *Audit {
+func audit(calls []requestRecord, runs map[string]int) *Audit {
 	a := &Audit{Requests: len(calls)}
 	known := make(map[string]bool, len(calls))
 	for _, c := range calls {
--- a/load/check.go
+++ b/load/check.go
@@ -82,7 +82,7 @@
 func checkCompletion(want expected, body []byte) Verdict {
 	var c completion
 	if err := json.Unmarshal(body, &c); err != nil {
-		return notJSON(body)
+		return classifyInvalidJSON(body)
 	}
 	if len(c.Choices) != 1 {
 		return Malformed
@@ -94,7 +94,7 @@
 func checkEcho(want expected, body []byte) Verdict {
 	var a fake.PlainAnswer
 	if err := json.Unmarshal(body, &a); err != nil {
-		return notJSON(body)
+		return classifyInvalidJSON(body)
 	}
 	switch {
 	case a.Key != want.key:
@@ -107,7 +107,7 @@
 
 // notJSON tells why a body can't be decoded: two answers in one, a part of one, or
 // something else.
-func notJSON(body []byte) Verdict {
+func classifyInvalidJSON(body []byte) Verdict {
 	d := json.NewDecoder(strings.NewReader(string(body)))
 	var first json.RawMessage
 	if err := d.Decode(&first); err == nil {
@@ -129,7 +129,7 @@
 }
 
 // event takes the data of one event and says whether it carried text.
-func (s *streamCheck) event(data string) bool {
+func (s *streamCheck) addEvent(data string) bool {
 	if data == "[DONE]" {
 		if s.done {
 			s.bad = Doubled
--- a/load/check_test.go
+++ b/load/check_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func tokens(key string, numbers ...string) string {
+func tokenText(key string, numbers ...string) string {
 	var b strings.Builder
 	for _, n := range numbers {
 		b.WriteString(key + ":" + n + " ")
@@ -19,22 +19,22 @@
 	return `{"choices":[{"message":{"content":"` + content + `"}}]}`
 }
 
-func TestCheckOfTokens(t *testing.T) {
+func TestCheckTokens(t *testing.T) {
 	want := expected{key: "me-1", tokens: 3}
 	for content, verdict := range map[string]Verdict{
-		tokens("me-1", "0", "1", "2"):      Whole,
-		tokens("me-1", "0", "1"):           Cut,
-		tokens("me-1", "0", "2"):           Cut,
-		"":                                 Cut,
-		tokens("me-1", "0", "1", "1", "2"): Doubled,
-		tokens("me-1", "0", "1", "2", "0", "1", "2"):            Doubled,
-		tokens("me-2", "0", "1", "2"):                           Crossed,
-		tokens("me-1", "0", "1") + tokens("me-2", "2"):          Crossed,
-		tokens("me-1", "0", "1", "2", "3"):                      Malformed,
-		tokens("me-1", "0", "one"):                              Malformed,
-		"something else":                                        Malformed,
-		tokens("me-1", "0", "1", "2") + tokens("me-2", "0"):     Crossed,
-		strings.TrimSuffix(tokens("me-1", "0", "1", "2"), "2 "): Malformed,
+		tokenText("me-1", "0", "1", "2"):      Whole,
+		tokenText("me-1", "0", "1"):           Cut,
+		tokenText("me-1", "0", "2"):           Cut,
+		"":                                    Cut,
+		tokenText("me-1", "0", "1", "1", "2"): Doubled,
+		tokenText("me-1", "0", "1", "2", "0", "1", "2"):            Doubled,
+		tokenText("me-2", "0", "1", "2"):                           Crossed,
+		tokenText("me-1", "0", "1") + tokenText("me-2", "2"):       Crossed,
+		tokenText("me-1", "0", "1", "2", "3"):                      Malformed,
+		tokenText("me-1", "0", "one"):                              Malformed,
+		"something else":                                           Malformed,
+		tokenText("me-1", "0", "1", "2") + tokenText("me-2", "0"):  Crossed,
+		strings.TrimSuffix(tokenText("me-1", "0", "1", "2"), "2 "): Malformed,
 	} {
 		assert.Equal(t, checkTokens(want, content), verdict, "%q", content)
 		assert.Equal(t, checkCompletion(want, []byte(completionOf(content))), verdict, "%q", content)
@@ -42,9 +42,9 @@
 }
 
 // An answer is cut at every byte. No part of it passes for the whole.
-func TestAnswerCutAnywhereIsNotWhole(t *testing.T) {
+func TestTruncatedAnswerIsCut(t *testing.T) {
 	want := expected{key: "me-1", tokens: 2, method: "POST", path: "/lots/1"}
-	whole := completionOf(tokens("me-1", "0", "1"))
+	whole := completionOf(tokenText("me-1", "0", "1"))
 	plain := `{"key":"me-1","method":"POST","path":"/lots/1","query":""}`
 	assert.Equal(t, checkCompletion(want, []byte(whole)), Whole)
 	assert.Equal(t, checkEcho(want, []byte(plain)), Whole)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestCheckOfEcho(t *testing.T) {
+func TestCheckEcho(t *testing.T) {
 	want := expected{key: "me-1", method: "POST", path: "/lots/1"}
 	mine := `{"key":"me-1","method":"POST","path":"/lots/1"}`
 	for body, verdict := range map[string]Verdict{
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestCheckOfStream(t *testing.T) {
+func TestStreamCheck(t *testing.T) {
 	event := func(key, n string) string { return `{"choices":[{"delta":{"content":"` + key + ":" + n + ` "}}]}` }
 	a, b, other := event("me-1", "0"), event("me-1", "1"), event("me-2", "1")
 	for _, c := range []struct {
@@ -90,7 +90,7 @@
 	} {
 		s := &streamCheck{want: expected{key: "me-1", tokens: 2}}
 		for _, e := range c.events {
-			s.event(e)
+			s.addEvent(e)
 		}
 		assert.Equal(t, s.verdict(), c.verdict, "%v", c.events)
 	}
@@ -98,8 +98,8 @@
 
 // Each way in which a caller can be told something wrong, or a request run
 // wrongly, shows in the audit, and by itself.
-func TestAuditOfRuns(t *testing.T) {
-	clean := []ended{
+func TestAuditCountsEachViolation(t *testing.T) {
+	clean := []requestRecord{
 		{"a", false, Answered, Whole}, {"b", false, NotRun, ""}, {"c", true, Answered, Whole},
 		{"d", false, Unknown, ""}, {"e", false, Unknown, ""},
 	}
@@ -126,7 +126,7 @@
 		assert.Equal(t, c.get(a), 1, "%v", c.runs)
 		assert.Assert(t, !a.Clean())
 	}
-	crossed := audit([]ended{{"a", false, Unknown, Crossed}}, map[string]int{"a": 1, "z": 3})
+	crossed := audit([]requestRecord{{"a", false, Unknown, Crossed}}, map[string]int{"a": 1, "z": 3})
 	assert.Equal(t, crossed.Crossed, 1)
 	assert.Equal(t, crossed.Foreign, 3)
 	assert.Assert(t, !crossed.Clean())
--- a/load/cli.go
+++ b/load/cli.go
@@ -20,15 +20,15 @@
 const programName = "snipereach-load"
 
 type cliOptions struct {
-	Config     string        `long:"config" value-name:"FILE" description:"workload in TOML"`
-	Check      bool          `long:"check-config" description:"check the workload and exit"`
-	ServeFakes bool          `long:"serve-fakes" description:"run the workload's fake upstreams in this process and count their runs"`
-	Duration   time.Duration `long:"duration" description:"length of the run, in place of the workload's"`
-	JSON       string        `long:"json" value-name:"FILE" description:"file for the results as JSON"`
-	Plot       string        `long:"plot" value-name:"FILE" description:"file for the results over time as PNG"`
-	Quiet      bool          `long:"quiet" description:"print no progress"`
-	Any        bool          `long:"allow-any-address" description:"let load go to addresses that are not on the loopback"`
-	Version    bool          `long:"version" description:"print the version and exit"`
+	Config          string        `long:"config" value-name:"FILE" description:"workload in TOML"`
+	Check           bool          `long:"check-config" description:"check the workload and exit"`
+	ServeFakes      bool          `long:"serve-fakes" description:"run the workload's fake upstreams in this process and count their runs"`
+	Duration        time.Duration `long:"duration" description:"length of the run, in place of the workload's"`
+	JSON            string        `long:"json" value-name:"FILE" description:"file for the results as JSON"`
+	Plot            string        `long:"plot" value-name:"FILE" description:"file for the results over time as PNG"`
+	Quiet           bool          `long:"quiet" description:"print no progress"`
+	AllowAnyAddress bool          `long:"allow-any-address" description:"let load go to addresses that are not on the loopback"`
+	Version         bool          `long:"version" description:"print the version and exit"`
 }
 
 // Main runs the command line and returns the exit code: 0 if every answer, refusal
@@ -91,7 +91,7 @@
 			return merry.Prepend(err, "--duration")
 		}
 	}
-	opts := Options{AnyAddress: o.Any}
+	opts := Options{AnyAddress: o.AllowAnyAddress}
 	if !o.Quiet {
 		opts.Progress = stderr
 	}
--- a/load/entries.go
+++ b/load/entries.go
@@ -16,9 +16,9 @@
 	// listTimeout bounds one question for the list.
 	listTimeout = 2 * time.Second
 	// maxList bounds the list, in bytes.
-	maxList = 1 << 20
+	maxListBytes = 1 << 20
 	// retryList is the wait after nobody gave the list.
-	retryList = 200 * time.Millisecond
+	fetchRetryDelay = 200 * time.Millisecond
 )
 
 // entries keeps the list of entries as long as the system lets callers keep it.
@@ -27,12 +27,12 @@
 	seeds  []string
 	allow  func(address string) error
 
-	mu       sync.Mutex
-	list     []string
-	until    time.Time
-	next     int
-	changes  int
-	fetching bool
+	mu         sync.Mutex
+	list       []string
+	freshUntil time.Time
+	next       int
+	fetches    int
+	fetching   bool
 }
 
 type entryList struct {
@@ -45,7 +45,7 @@
 // pick returns the next entry in turn that is not avoid, if there is another.
 func (e *entries) pick(ctx context.Context, avoid string) (string, error) {
 	var err error
-	if e.stale() {
+	if e.claimFetch() {
 		err = e.fetch(ctx)
 	}
 	e.mu.Lock()
@@ -64,10 +64,10 @@
 
 // stale says whether the caller is to fetch the list: one does it at a time, and
 // the others go on with the old list meanwhile, if there is one.
-func (e *entries) stale() bool {
+func (e *entries) claimFetch() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().Before(e.until) || e.fetching && len(e.list) > 0 {
+	if time.Now().Before(e.freshUntil) || e.fetching && len(e.list) > 0 {
 		return false
 	}
 	e.fetching = true
@@ -77,13 +77,13 @@
 // fetch asks the entries that are known, then those of the settings.
 func (e *entries) fetch(ctx context.Context) error {
 	e.mu.Lock()
-	ask := append(append([]string(nil), e.list...), e.seeds...)
+	candidates := append(append([]string(nil), e.list...), e.seeds...)
 	e.mu.Unlock()
 	var last error
-	for _, a := range ask {
-		l, err := e.ask(ctx, a)
+	for _, a := range candidates {
+		l, err := e.fetchFrom(ctx, a)
 		if err == nil {
-			e.set(l)
+			e.update(l)
 			return nil
 		}
 		last = err
@@ -92,23 +92,23 @@
 	defer e.mu.Unlock()
 	e.fetching = false
 	// An old list is better than none; the question is put again soon.
-	e.until = time.Now().Add(retryList)
+	e.freshUntil = time.Now().Add(fetchRetryDelay)
 	return merry.Prependf(ErrNoEntries, "%v", last)
 }
 
-func (e *entries) set(l *entryList) {
+func (e *entries) update(l *entryList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fetching = false
-	e.changes++
-	e.until = time.Now().Add(time.Duration(l.KeepSeconds) * time.Second)
+	e.fetches++
+	e.freshUntil = time.Now().Add(time.Duration(l.KeepSeconds) * time.Second)
 	e.list = e.list[:0]
 	for _, x := range l.Entries {
 		e.list = append(e.list, x.Address)
 	}
 }
 
-func (e *entries) ask(ctx context.Context, address string) (*entryList, error) {
+func (e *entries) fetchFrom(ctx context.Context, address string) (*entryList, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entries", nil)
@@ -121,7 +121,7 @@
 	}
 	defer resp.Body.Close()
 	var l entryList
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&l); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&l); err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK || len(l.Entries) == 0 {
--- a/load/entries_test.go
+++ b/load/entries_test.go
@@ -13,18 +13,18 @@
 )
 
 // lister serves a list of entries and counts who asks.
-func lister(t *testing.T, keep int, addresses func() string) (*httptest.Server, *atomic.Int32) {
+func newListServer(t *testing.T, keep int, addresses func() string) (*httptest.Server, *atomic.Int32) {
 	t.Helper()
-	var asked atomic.Int32
+	var requests atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		fmt.Fprintf(w, `{"keep_seconds":%d,"entries":[%s]}`, keep, addresses())
 	}))
 	t.Cleanup(srv.Close)
-	return srv, &asked
+	return srv, &requests
 }
 
-func listOf(addresses ...string) string {
+func entriesJSON(addresses ...string) string {
 	text := ""
 	for i, a := range addresses {
 		if i > 0 {
@@ -35,8 +35,8 @@
 	return text
 }
 
-func TestListIsKeptAndTakenInTurn(t *testing.T) {
-	srv, asked := lister(t, 3600, func() string { return listOf("127.0.0.1:1", "127.0.0.1:2") })
+func TestEntryListIsCachedAndRotated(t *testing.T) {
+	srv, requests := newListServer(t, 3600, func() string { return entriesJSON("127.0.0.1:1", "127.0.0.1:2") })
 	e := &entries{client: http.DefaultClient, seeds: []string{srv.Listener.Addr().String()}, allow: CheckLoopback}
 	count := map[string]int{}
 	for range 10 {
@@ -48,17 +48,17 @@
 		assert.Assert(t, other != a, "a resend goes through another entry")
 	}
 	assert.Equal(t, count["127.0.0.1:1"]+count["127.0.0.1:2"], 10)
-	assert.Equal(t, asked.Load(), int32(1))
-	e.until = time.Time{}
+	assert.Equal(t, requests.Load(), int32(1))
+	e.freshUntil = time.Time{}
 	_, err := e.pick(context.Background(), "")
 	assert.NilError(t, err)
-	assert.Equal(t, asked.Load(), int32(2))
+	assert.Equal(t, requests.Load(), int32(2))
 }
 
 // Every entry that is asked for the list is gone. Callers go on with the list that
 // they have; without one they are told.
-func TestOldListIsBetterThanNone(t *testing.T) {
-	srv, _ := lister(t, 0, func() string { return listOf("127.0.0.1:1") })
+func TestStaleEntryListIsUsedWhenFetchFails(t *testing.T) {
+	srv, _ := newListServer(t, 0, func() string { return entriesJSON("127.0.0.1:1") })
 	e := &entries{client: http.DefaultClient, seeds: []string{srv.Listener.Addr().String()}, allow: CheckLoopback}
 	_, err := e.pick(context.Background(), "")
 	assert.NilError(t, err)
@@ -72,8 +72,8 @@
 }
 
 // The list leads away from the loopback: load must not follow it.
-func TestListMustStayOnTheLoopback(t *testing.T) {
-	srv, _ := lister(t, 1, func() string { return listOf("127.0.0.1:1", "192.0.2.1:80") })
+func TestEntryListOutsideLoopbackIsRejected(t *testing.T) {
+	srv, _ := newListServer(t, 1, func() string { return entriesJSON("127.0.0.1:1", "192.0.2.1:80") })
 	e := &entries{client: http.DefaultClient, seeds: []string{srv.Listener.Addr().String()}, allow: CheckLoopback}
 	_, err := e.pick(context.Background(), "")
 	assert.ErrorIs(t, err, ErrNoEntries)
--- a/load/faults_test.go
+++ b/load/faults_test.go
@@ -24,8 +24,8 @@
 type naiveEntry struct {
 	upstream string
 	// wrong, if set, answers in place of the forwarder.
-	wrong func(e *naiveEntry, w http.ResponseWriter, r *http.Request)
-	list  []string
+	override func(e *naiveEntry, w http.ResponseWriter, r *http.Request)
+	list     []string
 }
 
 func (e *naiveEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -36,10 +36,10 @@
 			list += strings.Repeat(",", min(i, 1)) + `{"address":` + strconv.Quote(a) + `}`
 		}
 		_, _ = io.WriteString(w, list+`]}`)
-	case e.wrong != nil:
-		e.wrong(e, w, r)
+	case e.override != nil:
+		e.override(e, w, r)
 	default:
-		pass(w, e.forward(r))
+		writeBody(w, e.forward(r))
 	}
 }
 
@@ -60,10 +60,10 @@
 	return body
 }
 
-func pass(w http.ResponseWriter, body []byte) { _, _ = w.Write(body) }
+func writeBody(w http.ResponseWriter, body []byte) { _, _ = w.Write(body) }
 
 // crossing returns a fault that gives each two callers each other's answers.
-func crossing() func(*naiveEntry, http.ResponseWriter, *http.Request) {
+func swapAnswers() func(*naiveEntry, http.ResponseWriter, *http.Request) {
 	pairs := make(chan [2]chan []byte)
 	return func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
 		mine := e.forward(r)
@@ -71,18 +71,18 @@
 		select {
 		case pairs <- ends:
 			ends[0] <- mine
-			pass(w, <-ends[1])
+			writeBody(w, <-ends[1])
 		case ends = <-pairs:
 			ends[1] <- mine
-			pass(w, <-ends[0])
+			writeBody(w, <-ends[0])
 		case <-time.After(time.Second):
-			pass(w, mine) // the last one finds no other
+			writeBody(w, mine) // the last one finds no other
 		}
 	}
 }
 
-func signals(addresses ...string) *Settings {
-	s := workload()
+func signalSettings(addresses ...string) *Settings {
+	s := testSettings()
 	s.Entries = addresses[:1]
 	s.Class = s.Class[:1]
 	s.Class[0].Rate, s.Class[0].Resends = 100, 0
@@ -102,61 +102,61 @@
 }
 
 // naiveRun sends signals through two naive entries.
-func naiveRun(t *testing.T, wrong func(*naiveEntry, http.ResponseWriter, *http.Request), fault func(*http.Request) fake.Fault, resends int) *Report {
+func runThroughNaiveEntries(t *testing.T, override func(*naiveEntry, http.ResponseWriter, *http.Request), fault func(*http.Request) fake.Fault, resends int) *Report {
 	t.Helper()
 	up := &fake.Plain{}
 	assert.NilError(t, up.Start())
 	defer up.Close()
 	up.SetFault(fault)
-	e := &naiveEntry{upstream: up.URL(), wrong: wrong}
+	e := &naiveEntry{upstream: up.URL(), override: override}
 	for range 2 {
 		srv := httptest.NewServer(e)
 		defer srv.Close()
 		e.list = append(e.list, srv.Listener.Addr().String())
 	}
-	s := signals(e.list...)
+	s := signalSettings(e.list...)
 	s.Class[0].Resends = resends
 	return runLoad(t, s, up.Runs)
 }
 
 // An entry without safeguards gives callers wrong answers or runs requests wrongly,
 // one way at a time. The tool says so, and which; without a fault it says nothing.
-func TestToolCatchesWhatANaiveEntryDoesWrong(t *testing.T) {
+func TestReportDetectsFaultsOfNaiveEntry(t *testing.T) {
 	every := func(f fake.Fault) func(*http.Request) fake.Fault {
 		return func(*http.Request) fake.Fault { return f }
 	}
-	rep := naiveRun(t, nil, nil, 0)
+	rep := runThroughNaiveEntries(t, nil, nil, 0)
 	assert.Assert(t, rep.Clean())
 	sent := rep.Audit.Requests
 	assert.Assert(t, sent > 20)
 	assert.Equal(t, rep.Classes[0].Verdicts[Whole], sent)
 
-	rep = naiveRun(t, crossing(), nil, 0)
+	rep = runThroughNaiveEntries(t, swapAnswers(), nil, 0)
 	assert.Assert(t, rep.Audit.Crossed > 0 && !rep.Clean())
 	assert.Equal(t, rep.Classes[0].Verdicts[Crossed], rep.Audit.Crossed)
 
-	rep = naiveRun(t, func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
+	rep = runThroughNaiveEntries(t, func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
 		_ = e.forward(r)
-		pass(w, e.forward(r))
+		writeBody(w, e.forward(r))
 	}, nil, 0)
 	assert.Equal(t, rep.Audit.Doubled, sent)
 	assert.Assert(t, !rep.Clean())
 
-	rep = naiveRun(t, func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
+	rep = runThroughNaiveEntries(t, func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
 		b := e.forward(r)
-		pass(w, append(b, b...))
+		writeBody(w, append(b, b...))
 	}, nil, 0)
 	assert.Equal(t, rep.Classes[0].Verdicts[Doubled], sent)
 	assert.Assert(t, !rep.Clean())
 
-	rep = naiveRun(t, func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
+	rep = runThroughNaiveEntries(t, func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
 		b := e.forward(r)
-		pass(w, b[:len(b)/2])
+		writeBody(w, b[:len(b)/2])
 	}, nil, 0)
 	assert.Equal(t, rep.Classes[0].Verdicts[Cut], sent)
 	assert.Assert(t, !rep.Clean())
 
-	rep = naiveRun(t, func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
+	rep = runThroughNaiveEntries(t, func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
 		_ = e.forward(r)
 		w.Header().Set("Content-Type", "application/problem+json")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -166,7 +166,7 @@
 	assert.Equal(t, rep.Classes[0].Reasons["not-run queue-full"], sent)
 	assert.Assert(t, !rep.Clean())
 
-	rep = naiveRun(t, func(_ *naiveEntry, w http.ResponseWriter, r *http.Request) {
+	rep = runThroughNaiveEntries(t, func(_ *naiveEntry, w http.ResponseWriter, r *http.Request) {
 		kernel.WriteJSON(w, http.StatusOK, fake.PlainAnswer{
 			Key: r.Header.Get(fake.HeaderRunKey), Method: r.Method, Path: strings.TrimPrefix(r.URL.Path, "/services/clock"),
 		})
@@ -176,7 +176,7 @@
 
 	// Lost answers: the caller sees a cut and knows that it knows nothing.
 	for _, f := range []fake.Fault{fake.FaultDieAfterRun, fake.FaultCut} {
-		rep = naiveRun(t, nil, every(f), 0)
+		rep = runThroughNaiveEntries(t, nil, every(f), 0)
 		assert.Equal(t, rep.Audit.Lost, sent)
 		assert.Equal(t, rep.Classes[0].Outcomes[Unknown], sent)
 		assert.Assert(t, rep.Audit.LostRan > 0 && rep.Clean())
@@ -185,13 +185,13 @@
 	// An answer that leads elsewhere is not followed.
 	away := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("load went elsewhere") }))
 	defer away.Close()
-	rep = naiveRun(t, func(_ *naiveEntry, w http.ResponseWriter, r *http.Request) {
+	rep = runThroughNaiveEntries(t, func(_ *naiveEntry, w http.ResponseWriter, r *http.Request) {
 		http.Redirect(w, r, away.URL, http.StatusFound)
 	}, nil, 0)
 	assert.Equal(t, rep.Classes[0].Reasons["unknown status-302"], sent)
 
 	// A resend through an entry that knows nothing of keys runs the request again.
-	rep = naiveRun(t, nil, every(fake.FaultDieAfterRun), 1)
+	rep = runThroughNaiveEntries(t, nil, every(fake.FaultDieAfterRun), 1)
 	assert.Equal(t, rep.Audit.Doubled, sent)
 	assert.Equal(t, rep.Classes[0].Resent, sent)
 	assert.Assert(t, !rep.Clean())
@@ -200,7 +200,7 @@
 // Upstreams of the real path die, cut and cross answers all the time. Callers see
 // refusals and resend what is in doubt; nothing runs twice, nothing crosses, and no
 // "not run" is wrong.
-func TestPathKeepsItsPromisesUnderFaults(t *testing.T) {
+func TestReportIsCleanUnderUpstreamFaults(t *testing.T) {
 	sys, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewNopLogger(), Plains: 2})
 	assert.NilError(t, err)
 	defer sys.Stop()
@@ -228,7 +228,7 @@
 	for _, e := range sys.Engines {
 		e.SetFault(fault)
 	}
-	s := signals(sys.Entries[0].CallerAddress())
+	s := signalSettings(sys.Entries[0].CallerAddress())
 	s.Team = []Team{{Name: "growers", Key: quickstart.TeamKey}}
 	s.Class[0].Teams, s.Class[0].Target, s.Class[0].Resends = nil, "clock-core", 2
 	s.Class = append(s.Class, Class{
--- a/load/plan.go
+++ b/load/plan.go
@@ -21,26 +21,26 @@
 // day's shape, by thinning (Lewis, Shedler: Simulation of Nonhomogeneous Poisson
 // Processes by Thinning, 1979). The same settings give the same arrivals.
 type Plan struct {
-	settings *Settings
-	rand     *rand.Rand
-	teams    [][]*Team
-	total    float64
-	peak     float64
-	now      time.Duration
-	number   int
+	settings   *Settings
+	rand       *rand.Rand
+	teams      [][]*Team
+	totalRate  float64
+	peakFactor float64
+	now        time.Duration
+	number     int
 }
 
 // NewPlan makes the plan of checked settings.
 func NewPlan(s *Settings) *Plan {
-	p := &Plan{settings: s, rand: rand.New(rand.NewPCG(s.Seed, 0)), peak: 1}
+	p := &Plan{settings: s, rand: rand.New(rand.NewPCG(s.Seed, 0)), peakFactor: 1}
 	if len(s.Day) > 0 {
-		p.peak = 0
+		p.peakFactor = 0
 		for _, d := range s.Day {
-			p.peak = max(p.peak, d.Factor)
+			p.peakFactor = max(p.peakFactor, d.Factor)
 		}
 	}
 	for i := range s.Class {
-		p.total += s.Class[i].Rate
+		p.totalRate += s.Class[i].Rate
 		p.teams = append(p.teams, teamsOf(s, &s.Class[i]))
 	}
 	return p
@@ -65,22 +65,22 @@
 // Next returns the next arrival, or false when the run is over.
 func (p *Plan) Next() (Arrival, bool) {
 	length := p.settings.Duration.D()
-	for p.peak > 0 {
-		gap := p.rand.ExpFloat64() / (p.total * p.peak)
+	for p.peakFactor > 0 {
+		gap := p.rand.ExpFloat64() / (p.totalRate * p.peakFactor)
 		p.now += time.Duration(gap * float64(time.Second))
 		if p.now >= length {
 			break
 		}
 		factor := Factor(p.settings.Day, p.now.Seconds()/length.Seconds())
-		if p.rand.Float64()*p.peak < factor {
-			return p.draw(), true
+		if p.rand.Float64()*p.peakFactor < factor {
+			return p.drawArrival(), true
 		}
 	}
 	return Arrival{}, false
 }
 
-func (p *Plan) draw() Arrival {
-	at := p.rand.Float64() * p.total
+func (p *Plan) drawArrival() Arrival {
+	at := p.rand.Float64() * p.totalRate
 	i := 0
 	for i < len(p.settings.Class)-1 && at >= p.settings.Class[i].Rate {
 		at -= p.settings.Class[i].Rate
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -14,7 +14,7 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-func workload() *Settings {
+func testSettings() *Settings {
 	s := DefaultSettings()
 	s.Entries = []string{"127.0.0.1:1"}
 	s.Team = []Team{{Name: "one", Key: "k1"}, {Name: "two", Key: "k2"}}
@@ -25,7 +25,7 @@
 	return s
 }
 
-func TestFactorFollowsTheDay(t *testing.T) {
+func TestFactorInterpolatesLinearly(t *testing.T) {
 	day := []Point{{0.2, 1}, {0.4, 3}, {0.4, 0.5}, {0.8, 0.5}}
 	for at, want := range map[float64]float64{0: 1, 0.2: 1, 0.3: 2, 0.4: 0.5, 0.6: 0.5, 0.9: 0.5, 1: 0.5} {
 		assert.Assert(t, math.Abs(Factor(day, at)-want) < 1e-9, "at %g: %g", at, Factor(day, at))
@@ -34,8 +34,8 @@
 }
 
 // The plan keeps rates, shape, teams and ranges, and is the same each time.
-func TestPlanIsTheWorkload(t *testing.T) {
-	s := workload()
+func TestPlanMatchesSettings(t *testing.T) {
+	s := testSettings()
 	s.Duration = kernel.Duration(1000 * time.Second)
 	s.Day = []Point{{0, 0}, {0.5, 0}, {0.5, 2}, {1, 2}}
 	assert.NilError(t, s.Check())
@@ -67,7 +67,7 @@
 
 // A workload with a mistake is refused with the file and the key, and with the
 // line where the file itself shows it.
-func TestWrongWorkloadsAreNamed(t *testing.T) {
+func TestInvalidWorkloadErrorNamesFileLineAndKey(t *testing.T) {
 	text, err := os.ReadFile("../examples/load-auction.toml")
 	assert.NilError(t, err)
 	for _, c := range []struct{ old, new, want string }{
@@ -97,8 +97,8 @@
 	}
 }
 
-func TestLoadStaysOnTheLoopback(t *testing.T) {
-	s := workload()
+func TestRunnerRejectsNonLoopbackEntries(t *testing.T) {
+	s := testSettings()
 	s.Entries = []string{"192.0.2.1:80"}
 	assert.NilError(t, s.Check())
 	_, err := NewRunner(s, Options{})
--- a/load/plot.go
+++ b/load/plot.go
@@ -51,7 +51,7 @@
 	var lines []any
 	for i := range r.settings.Class {
 		c := &r.settings.Class[i]
-		points := r.points(c, func(x *piece) (float64, bool) {
+		points := r.points(c, func(x *bucket) (float64, bool) {
 			return float64(x.whole.ValueAtQuantile(99)) / 1000, x.whole.TotalCount() > 0
 		})
 		if len(points) > 0 {
@@ -65,39 +65,39 @@
 	p := newPlot("requests by outcome", "a second")
 	var lines []any
 	for _, o := range []Outcome{Answered, NotRun, Unknown, Unsent} {
-		if points := r.rate(o); len(points) > 0 {
+		if points := r.outcomeRate(o); len(points) > 0 {
 			lines = append(lines, string(o), points)
 		}
 	}
 	return p, plotutil.AddLinePoints(p, lines...)
 }
 
-func (r *Report) points(c *Class, value func(*piece) (float64, bool)) plotter.XYs {
+func (r *Report) points(c *Class, value func(*bucket) (float64, bool)) plotter.XYs {
 	var list plotter.XYs
-	for i, x := range r.stats.classes[c].pieces {
+	for i, x := range r.stats.classes[c].buckets {
 		if x == nil {
 			continue
 		}
 		if y, ok := value(x); ok {
-			list = append(list, plotter.XY{X: r.at(i), Y: y})
+			list = append(list, plotter.XY{X: r.bucketStart(i), Y: y})
 		}
 	}
 	return list
 }
 
-func (r *Report) rate(o Outcome) plotter.XYs {
+func (r *Report) outcomeRate(o Outcome) plotter.XYs {
 	var list plotter.XYs
 	seen := false
-	pieces := int(r.settings.Duration.D() / r.stats.length)
-	for i := range pieces {
+	buckets := int(r.settings.Duration.D() / r.stats.bucketWidth)
+	for i := range buckets {
 		n := 0
 		for _, cs := range r.stats.classes {
-			if x := cs.pieces[i]; x != nil {
+			if x := cs.buckets[i]; x != nil {
 				n += x.outcomes[o]
 			}
 		}
 		seen = seen || n > 0
-		list = append(list, plotter.XY{X: r.at(i), Y: float64(n) / r.stats.length.Seconds()})
+		list = append(list, plotter.XY{X: r.bucketStart(i), Y: float64(n) / r.stats.bucketWidth.Seconds()})
 	}
 	if !seen {
 		return nil
@@ -105,6 +105,6 @@
 	return list
 }
 
-func (r *Report) at(piece int) float64 {
-	return (time.Duration(piece) * r.stats.length).Seconds()
+func (r *Report) bucketStart(index int) float64 {
+	return (time.Duration(index) * r.stats.bucketWidth).Seconds()
 }
--- a/load/report.go
+++ b/load/report.go
@@ -59,7 +59,7 @@
 
 func (r *Runner) report() *Report {
 	rep := &Report{
-		Started: r.began, Seconds: time.Since(r.began).Seconds(), Lists: r.entries.changes,
+		Started: r.began, Seconds: time.Since(r.began).Seconds(), Lists: r.entries.fetches,
 		settings: r.settings, stats: r.stats,
 	}
 	for i := range r.settings.Class {
@@ -68,18 +68,18 @@
 		rep.Classes = append(rep.Classes, ClassReport{
 			Name: c.Name, Outcomes: cs.outcomes, Reasons: cs.reasons, Verdicts: cs.verdicts,
 			Resent: cs.resent, Replayed: cs.replayed,
-			First: quantiles(cs.first), Whole: quantiles(cs.whole), Gap: quantiles(cs.gap),
+			First: quantiles(cs.first), Whole: quantiles(cs.whole), Gap: quantiles(cs.tokenGap),
 		})
 	}
 	if r.opts.Runs != nil {
-		rep.Audit = audit(r.calls, r.opts.Runs())
+		rep.Audit = audit(r.records, r.opts.Runs())
 	}
 	return rep
 }
 
 // Clean says whether every answer passed its check and the audit found nothing.
 func (r *Report) Clean() bool {
-	return r.stats.wrong() == 0 && (r.Audit == nil || r.Audit.Clean())
+	return r.stats.wrongAnswers() == 0 && (r.Audit == nil || r.Audit.Clean())
 }
 
 // WriteJSON writes the report as JSON.
@@ -102,14 +102,14 @@
 		}
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", c.Name,
 			c.Outcomes[Answered], c.Outcomes[NotRun], c.Outcomes[Unknown], c.Outcomes[Unsent],
-			c.Resent, c.Replayed, wrong, ms(c.First.P50), ms(c.First.P99), ms(c.Whole.P50), ms(c.Whole.P99), ms(c.Gap.P95))
+			c.Resent, c.Replayed, wrong, formatMillis(c.First.P50), formatMillis(c.First.P99), formatMillis(c.Whole.P50), formatMillis(c.Whole.P99), formatMillis(c.Gap.P95))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, c := range r.Classes {
 		printCounts(w, c.Name+" reasons", c.Reasons)
-		printCounts(w, c.Name+" answers", wrongOnly(c.Verdicts))
+		printCounts(w, c.Name+" answers", failedVerdicts(c.Verdicts))
 	}
 	if a := r.Audit; a != nil {
 		fmt.Fprintf(w, "runs: %d of %d requests; doubled %d, wrong \"not run\" %d, answered without a run %d, crossed %d, lost %d (%d of them ran), foreign %d\n",
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func wrongOnly(v map[Verdict]int) map[string]int {
+func failedVerdicts(v map[Verdict]int) map[string]int {
 	m := map[string]int{}
 	for name, n := range v {
 		if name != Whole {
@@ -140,7 +140,7 @@
 	fmt.Fprintf(w, "%s: %s\n", title, strings.Join(list, ", "))
 }
 
-func ms(us int64) string {
+func formatMillis(us int64) string {
 	if us == 0 {
 		return "-"
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -15,11 +15,11 @@
 
 const (
 	// resendPause is the wait before a request is sent again.
-	resendPause = 100 * time.Millisecond
+	resendDelay = 100 * time.Millisecond
 	// maxUnreachable bounds the entries that one request tries to connect to.
-	maxUnreachable   = 5
-	progressInterval = time.Second
-	dialTimeout      = 2 * time.Second
+	maxConnectFailures = 5
+	progressInterval   = time.Second
+	dialTimeout        = 2 * time.Second
 )
 
 // Options of a run.
@@ -45,12 +45,12 @@
 	inFlight atomic.Int64
 	wg       sync.WaitGroup
 
-	mu    sync.Mutex
-	calls []ended
+	mu      sync.Mutex
+	records []requestRecord
 }
 
 // ended is what is kept of a request for the audit of runs.
-type ended struct {
+type requestRecord struct {
 	key        string
 	idempotent bool
 	outcome    Outcome
@@ -90,11 +90,11 @@
 	if err := r.entries.fetch(ctx); err != nil {
 		return nil, err
 	}
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	r.began = time.Now()
 	stop := r.progress()
-	r.sendAll(ctx, work)
+	r.sendAll(ctx, workCtx)
 	r.drain(ctx, cancel)
 	stop()
 	return r.report(), nil
@@ -103,7 +103,7 @@
 // sendAll starts each request at its time. It never waits for an answer: a system
 // that slows down gets no less load (open loop), and latency counts from the
 // intended start, also where the tool itself was late.
-func (r *Runner) sendAll(ctx, work context.Context) {
+func (r *Runner) sendAll(ctx, workCtx context.Context) {
 	plan := NewPlan(r.settings)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -118,66 +118,66 @@
 			return
 		case <-timer.C:
 		}
-		r.start(work, a)
+		r.start(workCtx, a)
 	}
 }
 
-func (r *Runner) start(work context.Context, a Arrival) {
+func (r *Runner) start(workCtx context.Context, a Arrival) {
 	c := &call{Arrival: a, key: r.id + "-" + strconv.Itoa(a.Number), due: r.began.Add(a.Due)}
 	if int(r.inFlight.Add(1)) > r.settings.MaxInFlight {
 		r.inFlight.Add(-1)
-		r.stats.add(c, reply{outcome: Unsent}, 0, time.Now())
+		r.stats.add(c, attemptResult{outcome: Unsent}, 0, time.Now())
 		return
 	}
 	r.wg.Go(func() {
 		defer r.inFlight.Add(-1)
-		r.carry(work, c)
+		r.execute(workCtx, c)
 	})
 }
 
 // carry brings one request to its end.
-func (r *Runner) carry(ctx context.Context, c *call) {
-	rep, sendings := r.sendings(ctx, c)
-	r.stats.add(c, rep, sendings, time.Now())
+func (r *Runner) execute(ctx context.Context, c *call) {
+	rep, attempts := r.sendWithRetries(ctx, c)
+	r.stats.add(c, rep, attempts, time.Now())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls = append(r.calls, ended{c.key, c.Class.Idempotent, rep.outcome, rep.verdict})
+	r.records = append(r.records, requestRecord{c.key, c.Class.Idempotent, rep.outcome, rep.verdict})
 }
 
-func (r *Runner) sendings(ctx context.Context, c *call) (rep reply, sendings int) {
-	entry, unreachable, doubt := "", 0, false
+func (r *Runner) sendWithRetries(ctx context.Context, c *call) (rep attemptResult, attempts int) {
+	entry, connectFailures, mayHaveRun := "", 0, false
 	for {
 		next, err := r.entries.pick(ctx, entry)
 		if err != nil {
-			return inDoubt(reply{outcome: NotRun, reason: reasonUnreachable}, doubt), sendings
+			return withdrawNotRun(attemptResult{outcome: NotRun, reason: reasonUnreachable}, mayHaveRun), attempts
 		}
 		entry = next
-		rep = c.send(ctx, r.client, entry)
-		if rep.reason == reasonUnreachable && unreachable < maxUnreachable && ctx.Err() == nil {
-			unreachable++
+		rep = c.attempt(ctx, r.client, entry)
+		if rep.reason == reasonUnreachable && connectFailures < maxConnectFailures && ctx.Err() == nil {
+			connectFailures++
 			continue
 		}
-		sendings++
-		if rep.outcome != Unknown || sendings > c.Class.Resends || !pause(ctx) {
+		attempts++
+		if rep.outcome != Unknown || attempts > c.Class.Resends || !waitBeforeResend(ctx) {
 			// Of a request without a key, a "not run" speaks of one sending.
-			return inDoubt(rep, doubt && !c.Class.Keys), sendings
+			return withdrawNotRun(rep, mayHaveRun && !c.Class.Keys), attempts
 		}
-		doubt = true
+		mayHaveRun = true
 	}
 }
 
-func inDoubt(rep reply, doubt bool) reply {
-	if doubt && rep.outcome == NotRun {
+func withdrawNotRun(rep attemptResult, mayHaveRun bool) attemptResult {
+	if mayHaveRun && rep.outcome == NotRun {
 		rep.outcome = Unknown
 	}
 	return rep
 }
 
-func pause(ctx context.Context) bool {
+func waitBeforeResend(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(resendPause):
+	case <-time.After(resendDelay):
 		return true
 	}
 }
@@ -228,5 +228,5 @@
 	t := r.stats.totals()
 	return fmt.Sprintf("%5.0fs of %.0fs  in flight %5d  answered %7d  not run %6d  unknown %5d  unsent %5d  wrong %d",
 		time.Since(r.began).Seconds(), r.settings.Duration.D().Seconds(), r.inFlight.Load(),
-		t[Answered], t[NotRun], t[Unknown], t[Unsent], r.stats.wrong())
+		t[Answered], t[NotRun], t[Unknown], t[Unsent], r.stats.wrongAnswers())
 }
--- a/load/send.go
+++ b/load/send.go
@@ -17,7 +17,7 @@
 )
 
 // maxAnswer bounds what is read of one answer.
-const maxAnswer = 64 << 20
+const maxAnswerBytes = 64 << 20
 
 // Outcome is what a caller knows of a request.
 type Outcome string
@@ -43,7 +43,7 @@
 )
 
 // reply is what came of one sending.
-type reply struct {
+type attemptResult struct {
 	outcome  Outcome
 	reason   string
 	verdict  Verdict
@@ -133,24 +133,24 @@
 }
 
 // send makes one sending and waits for what comes of it.
-func (c *call) send(ctx context.Context, client *http.Client, entry string) reply {
+func (c *call) attempt(ctx context.Context, client *http.Client, entry string) attemptResult {
 	ctx, cancel := context.WithTimeout(ctx, c.Class.Timeout.D())
 	defer cancel()
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	req, err := c.request(httptrace.WithClientTrace(ctx, trace), entry)
 	if err != nil {
-		return reply{outcome: NotRun, reason: reasonUnreachable}
+		return attemptResult{outcome: NotRun, reason: reasonUnreachable}
 	}
 	resp, err := client.Do(req)
 	switch {
 	case err != nil && !connected:
-		return reply{outcome: NotRun, reason: reasonUnreachable}
+		return attemptResult{outcome: NotRun, reason: reasonUnreachable}
 	case err != nil:
-		return reply{outcome: Unknown, reason: brokenReason(ctx)}
+		return attemptResult{outcome: Unknown, reason: interruptReason(ctx)}
 	}
 	defer resp.Body.Close()
-	rep := reply{first: time.Now(), replayed: resp.Header.Get("Idempotent-Replayed") != ""}
+	rep := attemptResult{first: time.Now(), replayed: resp.Header.Get("Idempotent-Replayed") != ""}
 	kind := resp.Header.Get("Content-Type")
 	switch {
 	case strings.HasPrefix(kind, "application/problem+json"):
@@ -160,23 +160,23 @@
 	case strings.HasPrefix(kind, "text/event-stream"):
 		c.readStream(ctx, resp.Body, &rep)
 	default:
-		c.readWhole(ctx, resp.Body, &rep)
+		c.readBody(ctx, resp.Body, &rep)
 	}
 	return rep
 }
 
-func brokenReason(ctx context.Context) string {
+func interruptReason(ctx context.Context) string {
 	if ctx.Err() != nil {
 		return reasonTimeout
 	}
 	return reasonConnection
 }
 
-func (c *call) readRefusal(ctx context.Context, body io.Reader, rep *reply) {
+func (c *call) readRefusal(ctx context.Context, body io.Reader, rep *attemptResult) {
 	var p refusal.Problem
 	rep.outcome = Unknown
-	if err := json.NewDecoder(io.LimitReader(body, maxAnswer)).Decode(&p); err != nil {
-		rep.reason = brokenReason(ctx)
+	if err := json.NewDecoder(io.LimitReader(body, maxAnswerBytes)).Decode(&p); err != nil {
+		rep.reason = interruptReason(ctx)
 		return
 	}
 	rep.reason = p.Reason
@@ -185,15 +185,15 @@
 	}
 }
 
-func (c *call) readWhole(ctx context.Context, body io.Reader, rep *reply) {
-	text, err := io.ReadAll(io.LimitReader(body, maxAnswer))
+func (c *call) readBody(ctx context.Context, body io.Reader, rep *attemptResult) {
+	text, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err != nil {
-		rep.outcome, rep.reason = Unknown, brokenReason(ctx)
+		rep.outcome, rep.reason = Unknown, interruptReason(ctx)
 		return
 	}
 	rep.outcome, rep.verdict = Answered, Whole
 	switch {
-	case c.Class.Check == checkNone:
+	case c.Class.Check == checkModeNone:
 	case c.Class.Kind == KindEngine:
 		rep.verdict = checkCompletion(c.expected(), text)
 	default:
@@ -201,14 +201,14 @@
 	}
 }
 
-func (c *call) readStream(ctx context.Context, body io.Reader, rep *reply) {
+func (c *call) readStream(ctx context.Context, body io.Reader, rep *attemptResult) {
 	check := &streamCheck{want: c.expected()}
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxAnswer)
+	lines.Buffer(nil, maxAnswerBytes)
 	var last time.Time
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
-		if !ok || !check.event(data) {
+		if !ok || !check.addEvent(data) {
 			continue
 		}
 		now := time.Now()
@@ -221,14 +221,14 @@
 	}
 	if lines.Err() != nil {
 		// The cut shows. What came before it must still be the request's own.
-		rep.outcome, rep.reason = Unknown, brokenReason(ctx)
+		rep.outcome, rep.reason = Unknown, interruptReason(ctx)
 		if v := check.verdict(); v == Crossed || v == Doubled {
 			rep.verdict = v
 		}
 		return
 	}
 	rep.outcome, rep.verdict = Answered, check.verdict()
-	if c.Class.Check == checkNone {
+	if c.Class.Check == checkModeNone {
 		rep.verdict = Whole
 	}
 }
--- a/load/settings.go
+++ b/load/settings.go
@@ -103,8 +103,8 @@
 
 // Checks of answers.
 const (
-	checkEchoWord = "echo"
-	checkNone     = "none"
+	checkModeEcho = "echo"
+	checkModeNone = "none"
 )
 
 // Fakes are upstreams that the tool may run in its own process.
@@ -207,7 +207,7 @@
 
 func (c *Class) check() error {
 	if c.Check == "" {
-		c.Check = checkEchoWord
+		c.Check = checkModeEcho
 	}
 	if c.Timeout == 0 {
 		c.Timeout = kernel.Duration(defaultTimeout)
@@ -223,7 +223,7 @@
 		return kernel.BadKey("class.path", "must begin with /")
 	case c.Rate <= 0 || c.Rate > maxRate:
 		return kernel.BadKey("class.rate", "must be over 0 and at most 100000")
-	case c.Check != checkEchoWord && c.Check != checkNone:
+	case c.Check != checkModeEcho && c.Check != checkModeNone:
 		return kernel.BadKey("class.check", "must be echo or none")
 	case c.Resends < 0 || c.Resends > 20:
 		return kernel.BadKey("class.resends", "must be from 0 to 20")
--- a/load/stats.go
+++ b/load/stats.go
@@ -9,62 +9,64 @@
 
 const (
 	// maxRecorded bounds the histograms, in microseconds.
-	maxRecorded = int64(10 * time.Minute / time.Microsecond)
-	precision   = 3
+	maxRecordedMicros  = int64(10 * time.Minute / time.Microsecond)
+	histogramPrecision = 3
 	// The timeline has at most this many pieces, of a second or more each.
-	maxPieces      = 200
-	minPiece       = time.Second
-	piecePrecision = 2
+	maxBuckets      = 200
+	minBucketWidth  = time.Second
+	bucketPrecision = 2
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecorded, precision) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxRecordedMicros, histogramPrecision)
+}
 
 // record counts a time; one beyond the bound counts as the bound.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxRecorded))
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxRecordedMicros))
 }
 
 // classStats is what a run saw of one class.
 type classStats struct {
-	first, whole, gap *hdrhistogram.Histogram
-	outcomes          map[Outcome]int
-	reasons           map[string]int
-	verdicts          map[Verdict]int
-	resent, replayed  int
-	pieces            []*piece
+	first, whole, tokenGap *hdrhistogram.Histogram
+	outcomes               map[Outcome]int
+	reasons                map[string]int
+	verdicts               map[Verdict]int
+	resent, replayed       int
+	buckets                []*bucket
 }
 
 // piece is a stretch of the run, by the intended start of its requests.
-type piece struct {
+type bucket struct {
 	whole    *hdrhistogram.Histogram
 	outcomes map[Outcome]int
 }
 
 type stats struct {
-	mu      sync.Mutex
-	classes map[*Class]*classStats
-	length  time.Duration
+	mu          sync.Mutex
+	classes     map[*Class]*classStats
+	bucketWidth time.Duration
 }
 
 func newStats(s *Settings) *stats {
-	st := &stats{classes: map[*Class]*classStats{}, length: max(minPiece, s.Duration.D()/maxPieces)}
-	count := int(s.Duration.D()/st.length) + 1
+	st := &stats{classes: map[*Class]*classStats{}, bucketWidth: max(minBucketWidth, s.Duration.D()/maxBuckets)}
+	count := int(s.Duration.D()/st.bucketWidth) + 1
 	for i := range s.Class {
 		st.classes[&s.Class[i]] = &classStats{
-			first: newHistogram(), whole: newHistogram(), gap: newHistogram(),
+			first: newHistogram(), whole: newHistogram(), tokenGap: newHistogram(),
 			outcomes: map[Outcome]int{}, reasons: map[string]int{}, verdicts: map[Verdict]int{},
-			pieces: make([]*piece, count),
+			buckets: make([]*bucket, count),
 		}
 	}
 	return st
 }
 
 // add counts the end of a request.
-func (s *stats) add(c *call, rep reply, sendings int, now time.Time) {
+func (s *stats) add(c *call, rep attemptResult, attempts int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cs := s.classes[c.Class]
-	p := cs.piece(int(c.Due / s.length))
+	p := cs.bucket(int(c.Due / s.bucketWidth))
 	cs.outcomes[rep.outcome]++
 	p.outcomes[rep.outcome]++
 	if rep.reason != "" {
@@ -73,26 +75,26 @@
 	if rep.verdict != "" {
 		cs.verdicts[rep.verdict]++
 	}
-	cs.resent += max(sendings-1, 0)
+	cs.resent += max(attempts-1, 0)
 	if rep.replayed {
 		cs.replayed++
 	}
 	if rep.outcome != Answered {
 		return
 	}
-	record(cs.first, rep.first.Sub(c.due))
-	record(cs.whole, now.Sub(c.due))
-	record(p.whole, now.Sub(c.due))
+	recordDuration(cs.first, rep.first.Sub(c.due))
+	recordDuration(cs.whole, now.Sub(c.due))
+	recordDuration(p.whole, now.Sub(c.due))
 	for _, g := range rep.gaps {
-		record(cs.gap, g)
+		recordDuration(cs.tokenGap, g)
 	}
 }
 
-func (cs *classStats) piece(i int) *piece {
-	if cs.pieces[i] == nil {
-		cs.pieces[i] = &piece{whole: hdrhistogram.New(1, maxRecorded, piecePrecision), outcomes: map[Outcome]int{}}
+func (cs *classStats) bucket(i int) *bucket {
+	if cs.buckets[i] == nil {
+		cs.buckets[i] = &bucket{whole: hdrhistogram.New(1, maxRecordedMicros, bucketPrecision), outcomes: map[Outcome]int{}}
 	}
-	return cs.pieces[i]
+	return cs.buckets[i]
 }
 
 func (s *stats) totals() map[Outcome]int {
@@ -108,7 +110,7 @@
 }
 
 // wrong counts answers that the check didn't pass.
-func (s *stats) wrong() int {
+func (s *stats) wrongAnswers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/quickstart/ends_test.go
+++ b/quickstart/crash_test.go
@@ -18,26 +18,26 @@
 
 // endingServices is a system whose plain services end when they run requests of one path, and
 // are back a while later.
-type endingServices struct {
+type crashingServices struct {
 	*System
-	mu   sync.Mutex
-	ends int
+	mu      sync.Mutex
+	crashes int
 }
 
 const (
-	badPath  = "/services/clock-core/bad"
-	finePath = "/services/clock-core/fine"
+	crashPath = "/services/clock-core/bad"
+	okPath    = "/services/clock-core/fine"
 )
 
-func newEndingServices(t *testing.T) *endingServices {
+func newCrashingServices(t *testing.T) *crashingServices {
 	s, err := Start(context.Background(), Options{Log: log.NewNopLogger(), FakeDisks: true, Plains: 5})
 	assert.NilError(t, err)
-	e := &endingServices{System: s}
+	e := &crashingServices{System: s}
 	stopped := make(chan struct{})
-	var back sync.WaitGroup
+	var restarts sync.WaitGroup
 	t.Cleanup(func() {
 		close(stopped)
-		back.Wait()
+		restarts.Wait()
 		s.Stop()
 	})
 	assert.NilError(t, s.WaitReady(context.Background()))
@@ -47,11 +47,11 @@
 				return fake.FaultNone
 			}
 			e.mu.Lock()
-			e.ends++
+			e.crashes++
 			e.mu.Unlock()
-			back.Add(1)
+			restarts.Add(1)
 			go func() {
-				defer back.Done()
+				defer restarts.Done()
 				select {
 				case <-stopped:
 				case <-time.After(300 * time.Millisecond):
@@ -64,14 +64,14 @@
 	return e
 }
 
-func (e *endingServices) ended() int {
+func (e *crashingServices) crashCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ends
+	return e.crashes
 }
 
 // post sends a request to an entry and returns the answer's status and body.
-func (e *endingServices) post(entry int, path, body string) (int, string) {
+func (e *crashingServices) post(entry int, path, body string) (int, string) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.Entries[entry].CallerAddress()+path, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
@@ -93,20 +93,20 @@
 // in turn. Each time an agent answers "in doubt", which says nothing to the next entry, or to the
 // next request. Once three services have ended under it, it is refused as not run, with its reason;
 // other requests are served.
-func TestRequestThatEndsServicesIsStopped(t *testing.T) {
-	e := newEndingServices(t)
+func TestRequestThatCrashesServicesIsQuarantined(t *testing.T) {
+	e := newCrashingServices(t)
 	refused := 0
 	for n := range 30 {
-		status, text := e.post(n%3, badPath, "{}")
+		status, text := e.post(n%3, crashPath, "{}")
 		if status == http.StatusServiceUnavailable && strings.Contains(text, `"quarantined"`) && strings.Contains(text, `"not-run"`) {
 			refused++
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	assert.Assert(t, e.ended() <= 4, "%d services ended", e.ended())
+	assert.Assert(t, e.crashCount() <= 4, "%d services ended", e.crashCount())
 	assert.Assert(t, refused >= 20, "%d of 30 were refused as they should", refused)
 	for n := range 30 {
-		status, text := e.post(n%3, finePath, fmt.Sprint(`{"n":`, n, `}`))
+		status, text := e.post(n%3, okPath, fmt.Sprint(`{"n":`, n, `}`))
 		assert.Equal(t, status, http.StatusOK, text)
 	}
 }
--- a/quickstart/drain_test.go
+++ b/quickstart/drain_test.go
@@ -16,7 +16,7 @@
 // Callers send one ping after another, each on a connection that it keeps, while the
 // entry is stopped as planned. Every ping is answered whole: the answers tell the
 // callers to connect anew, and they take another entry before connections are closed.
-func TestPlannedStopCutsNoRequestOfAKeptConnection(t *testing.T) {
+func TestEntryDrainCutsNoRequestOnKeepAliveConnections(t *testing.T) {
 	s, err := Start(context.Background(), Options{Log: log.NewNopLogger(), FakeDisks: true, Keep: time.Second})
 	assert.NilError(t, err)
 	t.Cleanup(s.Stop)
@@ -29,7 +29,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			errs <- pingUntilTold("http://" + leaving.CallerAddress())
+			errs <- pingUntilClosed("http://" + leaving.CallerAddress())
 		}()
 	}
 	assert.NilError(t, leaving.Drain(context.Background()))
@@ -40,7 +40,7 @@
 }
 
 // pingUntilTold pings on one connection until an answer says that it is closed.
-func pingUntilTold(base string) error {
+func pingUntilClosed(base string) error {
 	conn := &http.Transport{MaxConnsPerHost: 1}
 	defer conn.CloseIdleConnections()
 	for {
--- a/quickstart/failure_test.go
+++ b/quickstart/failure_test.go
@@ -19,11 +19,11 @@
 
 // A plain service dies after each byte of its answer in turn. The caller never
 // gets a part: it is told that the outcome is unknown, and each call ran once.
-func TestAnswerCutAtEveryByte(t *testing.T) {
+func TestTruncatedAnswerOutcomeIsUnknown(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{FakeDisks: true})
+	s := startSystem(t, Options{FakeDisks: true})
 	post := func(key string) reply {
-		return call(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: key})
+		return callFirstEntry(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: key})
 	}
 	whole := post("whole-xx")
 	assert.Equal(t, whole.status, 200)
@@ -40,13 +40,13 @@
 
 // An engine dies after each byte of a streamed answer in turn. The caller sees
 // that the stream broke off: the connection ends without the end of the body.
-func TestStreamCutAtEveryByte(t *testing.T) {
+func TestTruncatedStreamIsNotPassedAsComplete(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Engines: 1, FakeDisks: true})
+	s := startSystem(t, Options{Engines: 1, FakeDisks: true})
 	s.Engines[0].Step = 0
 	body := strings.Replace(modelBody, `"max_tokens":4`, `"max_tokens":2,"stream":true`, 1)
 	post := func() reply {
-		return call(s, "POST", "/v1/chat/completions", body, map[string]string{fake.HeaderRunKey: "k"})
+		return callFirstEntry(s, "POST", "/v1/chat/completions", body, map[string]string{fake.HeaderRunKey: "k"})
 	}
 	whole := post()
 	assert.NilError(t, whole.err)
@@ -62,10 +62,10 @@
 // A caller reads the head of a long stream and then nothing. The engine is held
 // back, rather than the answer piled up in the system; other callers are served.
 // When it reads on, its stream is whole and in order.
-func TestSlowReaderHoldsBackOnlyItsOwnStream(t *testing.T) {
+func TestSlowReaderBlocksOnlyItsOwnStream(t *testing.T) {
 	t.Parallel()
 	const tokens = 100_000
-	s := start(t, Options{Engines: 1, FakeDisks: true})
+	s := startSystem(t, Options{Engines: 1, FakeDisks: true})
 	s.Engines[0].Step = 0
 	body := strings.Replace(modelBody, `"max_tokens":4`, fmt.Sprintf(`"max_tokens":%d,"stream":true`, tokens), 1)
 	req, err := http.NewRequest("POST", "http://"+s.Entries[0].CallerAddress()+"/v1/chat/completions", strings.NewReader(body))
@@ -77,7 +77,7 @@
 	defer resp.Body.Close()
 	for n := range 40 {
 		key := fmt.Sprintf("quick-%d", n)
-		r := served(func() reply {
+		r := retryUntilServed(func() reply {
 			return callEntry(s, n%3, "POST", "/v1/chat/completions", modelBody, map[string]string{fake.HeaderRunKey: key})
 		})
 		assert.Equal(t, r.status, 200, r.body)
@@ -97,13 +97,13 @@
 
 // Callers leave while their calls run, streamed or not, repeatable or not. The
 // work at the upstream is cancelled.
-func TestLeavingCallerCancelsTheWork(t *testing.T) {
+func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Engines: 1, FakeDisks: true})
+	s := startSystem(t, Options{Engines: 1, FakeDisks: true})
 	stall := func(*http.Request) fake.Fault { return fake.FaultStall }
 	s.Engines[0].SetFault(stall)
 	s.Plains[0].SetFault(stall)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 2)
 	for _, path := range []string{"/v1/chat/completions", "/services/clock-core/bid"} {
 		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.Entries[0].CallerAddress()+path, strings.NewReader(modelBody))
@@ -118,7 +118,7 @@
 		}()
 	}
 	waitFor(t, func() bool { return s.Engines[0].Running() == 1 && s.Plains[0].Running() == 1 })
-	leave()
+	cancel()
 	assert.Assert(t, <-done != nil)
 	assert.Assert(t, <-done != nil)
 	waitFor(t, func() bool { return s.Engines[0].Running() == 0 && s.Plains[0].Running() == 0 })
@@ -126,7 +126,7 @@
 
 // Every daemon is stopped while requests run and links are open: no goroutine of
 // theirs is left, so an embedding program can start and stop them again and again.
-func TestStopLeavesNoGoroutine(t *testing.T) {
+func TestStopLeaksNoGoroutines(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	for _, opts := range []Options{{}, {Controls: 3}} {
 		opts.Log, opts.FakeDisks = log.NewNopLogger(), true
--- a/quickstart/group.go
+++ b/quickstart/group.go
@@ -19,7 +19,7 @@
 	groupStep           = 5 * time.Millisecond
 	groupStaging        = 200 * time.Millisecond
 	// driftSteps is how long one expert stays the busiest.
-	driftSteps = 4000
+	stepsPerHotExpert = 4000
 )
 
 func groupRow(o Options) string {
@@ -51,7 +51,7 @@
 		load[i] = even
 	}
 	for layer := range s.Layers {
-		hot := (int(step/driftSteps) + 5*layer) % s.Experts
+		hot := (int(step/stepsPerHotExpert) + 5*layer) % s.Experts
 		load[layer*s.Experts+hot] = busy
 	}
 	return load
--- a/quickstart/group_test.go
+++ b/quickstart/group_test.go
@@ -17,17 +17,17 @@
 )
 
 // rotate hands each rank's experts to the next one, as often as it is asked.
-type rotate struct{ shape placement.Shape }
+type rotatePlanner struct{ shape placement.Shape }
 
 func init() {
-	kernel.Register(kernel.Module{ID: "placement.test-rotate", New: func() any { return &rotate{} }})
+	kernel.Register(kernel.Module{ID: "placement.test-rotate", New: func() any { return &rotatePlanner{} }})
 }
 
-func (p *rotate) Reset(s placement.Shape, _ placement.Cost) { p.shape = s }
+func (p *rotatePlanner) Reset(s placement.Shape, _ placement.Cost) { p.shape = s }
 
-func (p *rotate) Observe(time.Time, placement.Load) {}
+func (p *rotatePlanner) Observe(time.Time, placement.Load) {}
 
-func (p *rotate) Plan(_ time.Time, m *placement.Map) placement.Decision {
+func (p *rotatePlanner) Plan(_ time.Time, m *placement.Map) placement.Decision {
 	d := placement.Decision{Next: &placement.Map{}, Why: "rotated by one rank", SkewBefore: 1.5, SkewAfter: 1.25}
 	per := p.shape.Ranks * p.shape.Slots
 	for layer := range p.shape.Layers {
@@ -38,7 +38,7 @@
 }
 
 // operate runs a command against one entry and returns its output.
-func operate(t *testing.T, s *System, entry int, args ...string) (string, int) {
+func runCtl(t *testing.T, s *System, entry int, args ...string) (string, int) {
 	t.Helper()
 	var out, errOut bytes.Buffer
 	server := []string{"--server", "http://" + s.Entries[entry].OperatorAddress(), "--key", OperatorKey, "-o", "tsv"}
@@ -61,8 +61,8 @@
 }
 
 // groupLine returns the columns of snipereachctl groups, or nil.
-func groupLine(t *testing.T, s *System, entry int) []string {
-	out, code := operate(t, s, entry, "groups")
+func groupColumns(t *testing.T, s *System, entry int) []string {
+	out, code := runCtl(t, s, entry, "groups")
 	if cols := strings.Split(strings.TrimSuffix(out, "\n"), "\t"); code == 0 && len(cols) == 7 {
 		return cols
 	}
@@ -78,8 +78,8 @@
 }
 
 // leaderOf returns the number of the entry whose control replica leads.
-func leaderOf(t *testing.T, s *System) int {
-	out, _ := operate(t, s, 0, "status")
+func leaderEntry(t *testing.T, s *System) int {
+	out, _ := runCtl(t, s, 0, "status")
 	for _, line := range strings.Split(out, "\n") {
 		for i := range s.Entries {
 			if strings.HasPrefix(line, fmt.Sprintf("entry-%d/", i+1)) && strings.Contains(line, "\tleader\t") {
@@ -94,25 +94,25 @@
 // The entry whose control replica leads dies while the group switches maps.
 // Callers go on through the other entries; the next leader ends the switch from
 // the log; no step mixes two maps; and the operator sees there what became of it.
-func TestEntryThatLeadsDiesDuringASwitch(t *testing.T) {
+func TestLeaderEntryDiesDuringMapSwitch(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Planner: "test-rotate"})
+	s := startSystem(t, Options{Planner: "test-rotate"})
 	var cols []string
 	eventually(t, func() bool {
-		cols = groupLine(t, s, 0)
+		cols = groupColumns(t, s, 0)
 		return epochOf(cols) > 0 && strings.HasPrefix(cols[3], "switching")
 	})
 	before := epochOf(cols)
-	state, _ := operate(t, s, leaderOf(t, s), "dump")
+	state, _ := runCtl(t, s, leaderEntry(t, s), "dump")
 	assert.Assert(t, strings.Contains(state, `"group": "`+GroupName+`"`), state)
-	dead := leaderOf(t, s)
+	dead := leaderEntry(t, s)
 	s.Entries[dead].Stop()
 	other := (dead + 1) % 3
 	assert.Equal(t, callEntry(s, other, "POST", "/v1/chat/completions", modelBody, nil).status, 200)
-	eventually(t, func() bool { return epochOf(groupLine(t, s, other)) > before })
+	eventually(t, func() bool { return epochOf(groupColumns(t, s, other)) > before })
 	var out string
 	eventually(t, func() bool {
-		out, _ = operate(t, s, other, "groups", "log", GroupName)
+		out, _ = runCtl(t, s, other, "groups", "log", GroupName)
 		return strings.Contains(out, "\tin-force\t")
 	})
 	assert.Assert(t, strings.Contains(out, "1.500\t1.250\t0.00\t0.00\tplanner test-rotate\trotated by one rank"), out)
@@ -123,30 +123,30 @@
 
 // An operator takes a change back on the command line, sees who holds the map,
 // and lets the planner go on. A wish that can't be had is refused with the reason.
-func TestOperatorUndoesOnTheCommandLine(t *testing.T) {
+func TestOperatorUndoesAndUnpinsMap(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Planner: "test-rotate"})
+	s := startSystem(t, Options{Planner: "test-rotate"})
 	eventually(t, func() bool {
-		out, _ := operate(t, s, 0, "groups", "log", GroupName)
+		out, _ := runCtl(t, s, 0, "groups", "log", GroupName)
 		return strings.Contains(out, "in-force")
 	})
-	out, code := operate(t, s, 0, "groups", "undo", GroupName)
+	out, code := runCtl(t, s, 0, "groups", "undo", GroupName)
 	assert.Equal(t, code, 0, out)
 	eventually(t, func() bool {
-		cols := groupLine(t, s, 1)
+		cols := groupColumns(t, s, 1)
 		return cols != nil && strings.HasSuffix(cols[3], "by quickstart") && strings.HasPrefix(cols[3], "pinned")
 	})
-	out, code = operate(t, s, 0, "groups", "pin", "--epoch", "999999", GroupName)
+	out, code = runCtl(t, s, 0, "groups", "pin", "--epoch", "999999", GroupName)
 	assert.Equal(t, code, kernel.ExitFailed)
 	assert.Assert(t, strings.Contains(out, "map 999999 is not kept"), out)
-	out, code = operate(t, s, 0, "groups", "pin", "nobody")
+	out, code = runCtl(t, s, 0, "groups", "pin", "nobody")
 	assert.Equal(t, code, kernel.ExitFailed)
 	assert.Assert(t, strings.Contains(out, "no group nobody has a map"), out)
-	held := epochOf(groupLine(t, s, 0))
-	out, code = operate(t, s, 2, "groups", "unpin", GroupName)
+	held := epochOf(groupColumns(t, s, 0))
+	out, code = runCtl(t, s, 2, "groups", "unpin", GroupName)
 	assert.Equal(t, code, 0, out)
-	eventually(t, func() bool { return epochOf(groupLine(t, s, 0)) > held })
-	out, code = operate(t, s, 0, "groups", "ranks", GroupName)
+	eventually(t, func() bool { return epochOf(groupColumns(t, s, 0)) > held })
+	out, code = runCtl(t, s, 0, "groups", "ranks", GroupName)
 	assert.Equal(t, code, 0, out)
 	assert.Equal(t, strings.Count(out, "lm-"), 3, out)
 	assert.Equal(t, s.Group.History().Mixed, 0)
--- a/quickstart/limits_test.go
+++ b/quickstart/limits_test.go
@@ -18,7 +18,7 @@
 // editRow changes columns of a row as an operator would.
 func editRow(t *testing.T, s *System, id, kind, key string, base uint64, columns map[string]string) {
 	t.Helper()
-	client := control.NewClient(s.pool, s.members, "operator")
+	client := control.NewClient(s.pool, s.controlAddrs, "operator")
 	reply, err := client.Edit(context.Background(), &wire.TableEdit{EditId: id, By: "operator", Rows: []*wire.RowEdit{
 		{Kind: kind, Key: key, BaseVersion: base, Columns: columns},
 	}})
@@ -30,15 +30,15 @@
 // is closed.
 type heldEngines struct {
 	running atomic.Int64
-	ch      chan struct{}
+	release chan struct{}
 }
 
 func holdEngines(s *System) *heldEngines {
-	h := &heldEngines{ch: make(chan struct{})}
+	h := &heldEngines{release: make(chan struct{})}
 	for _, e := range s.Engines {
 		e.SetFault(func(*http.Request) fake.Fault {
 			h.running.Add(1)
-			<-h.ch
+			<-h.release
 			return fake.FaultNone
 		})
 	}
@@ -47,9 +47,9 @@
 
 // An operator lowers a pool's slots while more requests run than that, and then
 // raises them. The agent follows the row, and every request is answered whole.
-func TestPoolRowChangesTheAgentsQueueAndLosesNoRequest(t *testing.T) {
+func TestPoolRowResizesAgentQueueWithoutLosingRequests(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Engines: 1})
+	s := startSystem(t, Options{Engines: 1})
 	waitFor(t, func() bool { return s.Agents[0].Slots() == 8 && s.Agents[1].Slots() == 32 })
 	slow := strings.Replace(modelBody, `"max_tokens":4`, `"max_tokens":60`, 1)
 	got := make(chan reply, 24)
@@ -76,9 +76,9 @@
 // A team may have two requests in progress. Of twelve at once through all entries
 // never more than two run, and the others are refused truthfully; when the row is
 // raised in flight, all run.
-func TestConcurrentLimitHoldsOverAllEntries(t *testing.T) {
+func TestConcurrencyLimitHoldsAcrossEntries(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Rows: Rows() + "limit\tgrowers/pushpa-lm\tconcurrent=2\n"})
+	s := startSystem(t, Options{Rows: Rows() + "limit\tgrowers/pushpa-lm\tconcurrent=2\n"})
 	round := func() (ran int) {
 		var refused atomic.Int64
 		held := holdEngines(s)
@@ -94,7 +94,7 @@
 		}
 		waitFor(t, func() bool { return held.running.Load()+refused.Load() == int64(cap(got)) })
 		ran = int(held.running.Load())
-		close(held.ch)
+		close(held.release)
 		for range cap(got) {
 			r := <-got
 			assert.NilError(t, r.err)
@@ -118,10 +118,10 @@
 
 // A service may have no request waiting at an entry, which carries one at a time.
 // While one runs, the others are refused with the service's row.
-func TestServiceRowBoundsWhatWaitsAtAnEntry(t *testing.T) {
+func TestServiceRowLimitsEntryQueue(t *testing.T) {
 	t.Parallel()
 	rows := strings.Replace(Rows(), "idempotent=yes", "idempotent=yes\tmax_queue=0", 1)
-	s := start(t, Options{Rows: rows, EntrySlots: 1})
+	s := startSystem(t, Options{Rows: rows, EntrySlots: 1})
 	held := holdEngines(s)
 	got := make(chan reply, 6)
 	for range cap(got) {
@@ -132,7 +132,7 @@
 		assert.Equal(t, problemOf(t, r).Reason, "queue-full")
 		assert.Assert(t, strings.Contains(r.body, `"row":"service pushpa-lm"`), r.body)
 	}
-	close(held.ch)
+	close(held.release)
 	r := <-got
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.status, 200, r.body)
--- a/quickstart/parts.go
+++ b/quickstart/parts.go
@@ -38,22 +38,22 @@
 	name, domain string
 	role         Role
 	// operators is the address of its operators' HTTP.
-	operators string
-	folder    string
+	operatorAddr string
+	dataDir      string
 	// disk stands in for the folder if set.
 	disk *fake.Disk
 	// claims stands in for the folder of an entry's claims if disk is set.
-	claims   *fake.Disk
-	start    func(ctx context.Context) (kernel.Daemon, error)
-	daemon   kernel.Daemon
-	upstream *fake.Server
-	clock    fake.Clock
+	claimsDisk *fake.Disk
+	start      func(ctx context.Context) (kernel.Daemon, error)
+	daemon     kernel.Daemon
+	upstream   *fake.Server
+	clock      fake.Clock
 }
 
 // maxReplicas is how many entries hold control replicas.
 const maxReplicas = 3
 
-func (s *System) add(ctx context.Context, p *part) error {
+func (s *System) addPart(ctx context.Context, p *part) error {
 	s.mu.Lock()
 	s.parts[p.name] = p
 	s.order = append(s.order, p.name)
@@ -119,13 +119,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.parts[name]; p != nil {
-		return p.operators
+		return p.operatorAddr
 	}
 	return ""
 }
 
 // Members lists the drpc addresses of the control replicas.
-func (s *System) Members() []string { return append([]string(nil), s.members...) }
+func (s *System) Members() []string { return append([]string(nil), s.controlAddrs...) }
 
 // StartPart starts a part that doesn't run: a new process on the same host.
 func (s *System) StartPart(ctx context.Context, name string) error {
@@ -147,7 +147,7 @@
 }
 
 // take removes a part's daemon; nil if it doesn't run.
-func (s *System) take(name string) kernel.Daemon {
+func (s *System) takeDaemon(name string) kernel.Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.parts[name]
@@ -160,12 +160,12 @@
 }
 
 // Freeze stops the clock of a part, and Thaw lets it go on; see fake.Clock.
-func (s *System) Freeze(name string) { s.clock(name, (*fake.Clock).Freeze) }
+func (s *System) Freeze(name string) { s.withClock(name, (*fake.Clock).Freeze) }
 
 // Thaw ends Freeze.
-func (s *System) Thaw(name string) { s.clock(name, (*fake.Clock).Thaw) }
+func (s *System) Thaw(name string) { s.withClock(name, (*fake.Clock).Thaw) }
 
-func (s *System) clock(name string, change func(*fake.Clock)) {
+func (s *System) withClock(name string, change func(*fake.Clock)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.parts[name]; p != nil {
@@ -175,7 +175,7 @@
 
 // Kill ends a part at once. It returns how many requests were cut.
 func (s *System) Kill(name string) int {
-	d := s.take(name)
+	d := s.takeDaemon(name)
 	if d == nil {
 		return 0
 	}
@@ -186,7 +186,7 @@
 	defer s.mu.Unlock()
 	if p := s.parts[name]; p.disk != nil {
 		p.disk.Crash(0)
-		p.claims.Crash(0)
+		p.claimsDisk.Crash(0)
 	}
 	return cut
 }
@@ -211,22 +211,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.parts[name]
-	if p == nil || p.daemon != nil || p.folder == "" {
+	if p == nil || p.daemon != nil || p.dataDir == "" {
 		return merry.Prependf(ErrPart, "lose the disk of %s", name)
 	}
 	if p.disk != nil {
-		p.disk, p.claims = fake.NewDisk(), fake.NewDisk()
+		p.disk, p.claimsDisk = fake.NewDisk(), fake.NewDisk()
 		return nil
 	}
-	return os.RemoveAll(p.folder)
+	return os.RemoveAll(p.dataDir)
 }
 
 // giveDisk gives a part with a control replica its data folder, or a fake disk
 // that forgets what was not synced when the part is killed.
-func (s *System) giveDisk(p *part) {
-	p.folder = filepath.Join(s.dir, p.name)
+func (s *System) assignStorage(p *part) {
+	p.dataDir = filepath.Join(s.dir, p.name)
 	if s.opts.FakeDisks {
-		p.disk, p.claims = fake.NewDisk(), fake.NewDisk()
+		p.disk, p.claimsDisk = fake.NewDisk(), fake.NewDisk()
 	}
 }
 
@@ -237,7 +237,7 @@
 	return s.opts.Network.Dialer(name)
 }
 
-func (s *System) named(address, name string) {
+func (s *System) nameAddress(address, name string) {
 	if s.opts.Network != nil {
 		s.opts.Network.Name(address, name)
 	}
@@ -245,14 +245,14 @@
 
 // reserve holds free loopback ports until the system is stopped, so that a part
 // finds its address free when it is started again.
-func (s *System) reserve(n int) ([]string, error) {
+func (s *System) reservePorts(n int) ([]string, error) {
 	var list []string
 	for range n {
 		address, release, err := fake.HoldPort()
 		if err != nil {
 			return nil, err
 		}
-		s.ports = append(s.ports, release)
+		s.releasePorts = append(s.releasePorts, release)
 		list = append(list, address)
 	}
 	return list, nil
@@ -260,17 +260,17 @@
 
 // startControls starts control replicas on hosts of their own.
 func (s *System) startControls(ctx context.Context) error {
-	addresses, err := s.reserve(s.opts.Controls)
+	addresses, err := s.reservePorts(s.opts.Controls)
 	if err != nil {
 		return err
 	}
-	operators, err := s.reserve(s.opts.Controls)
+	operators, err := s.reservePorts(s.opts.Controls)
 	if err != nil {
 		return err
 	}
 	for i, address := range addresses {
-		s.members = append(s.members, address)
-		s.named(address, fmt.Sprintf("control-%d", i+1))
+		s.controlAddrs = append(s.controlAddrs, address)
+		s.nameAddress(address, fmt.Sprintf("control-%d", i+1))
 	}
 	for i := range addresses {
 		if err := s.startControl(ctx, i, operators[i]); err != nil {
@@ -283,24 +283,24 @@
 func (s *System) startControl(ctx context.Context, i int, operators string) error {
 	p := &part{
 		name: fmt.Sprintf("control-%d", i+1), domain: s.layout.domain(i),
-		role: RoleControl, operators: operators,
+		role: RoleControl, operatorAddr: operators,
 	}
-	s.named(operators, p.name)
-	s.giveDisk(p)
+	s.nameAddress(operators, p.name)
+	s.assignStorage(p)
 	p.start = func(ctx context.Context) (kernel.Daemon, error) {
 		set := control.DefaultDaemonSettings()
 		set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, Secret
-		set.Listen, set.Operators = s.members[i], operators
+		set.Listen, set.Operators = s.controlAddrs[i], operators
 		set.Control = s.controlSettings(p)
 		set.Dial = s.dialer(p.name)
 		d, err := control.NewDaemon(set, s.opts.Log)
-		return started(ctx, d, err)
+		return startDaemon(ctx, d, err)
 	}
-	return s.add(ctx, p)
+	return s.addPart(ctx, p)
 }
 
 // started starts a daemon that was made, and ends it if it can't be.
-func started(ctx context.Context, d kernel.Daemon, err error) (kernel.Daemon, error) {
+func startDaemon(ctx context.Context, d kernel.Daemon, err error) (kernel.Daemon, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -313,12 +313,12 @@
 
 func (s *System) controlSettings(p *part) control.Settings {
 	set := control.DefaultSettings()
-	set.DataDir = p.folder
+	set.DataDir = p.dataDir
 	set.Now = p.clock.Now
 	if p.disk != nil {
 		set.FS = p.disk
 	}
-	set.Members = s.members
+	set.Members = s.controlAddrs
 	set.FormCluster = true
 	set.Groups.PlanPeriod = kernel.Duration(planPeriod)
 	return set
@@ -327,14 +327,14 @@
 // startEntries starts the entries, with control replicas unless those have
 // hosts of their own.
 func (s *System) startEntries(ctx context.Context) error {
-	internal, err := s.reserve(s.opts.Entries)
+	internal, err := s.reservePorts(s.opts.Entries)
 	if err != nil {
 		return err
 	}
 	for i, address := range internal {
-		s.named(address, fmt.Sprintf("entry-%d", i+1))
+		s.nameAddress(address, fmt.Sprintf("entry-%d", i+1))
 		if s.opts.Controls == 0 && i < maxReplicas {
-			s.members = append(s.members, address)
+			s.controlAddrs = append(s.controlAddrs, address)
 		}
 	}
 	s.Entries = make([]*entry.Entry, s.opts.Entries)
@@ -351,25 +351,25 @@
 	replica := s.opts.Controls == 0 && i < maxReplicas
 	durable := replica && s.opts.ClaimFolders == 0 || i < s.opts.ClaimFolders
 	if replica || durable {
-		s.giveDisk(p)
+		s.assignStorage(p)
 	}
-	outer, err := s.reserve(2)
+	reserved, err := s.reservePorts(2)
 	if err != nil {
 		return err
 	}
-	callers, operators := outer[0], outer[1]
+	callers, operators := reserved[0], reserved[1]
 	if i == 0 && s.opts.CallersPort != 0 {
 		callers = fmt.Sprintf("127.0.0.1:%d", s.opts.CallersPort)
 	}
-	s.named(callers, p.name)
-	s.named(operators, p.name)
-	p.operators = operators
+	s.nameAddress(callers, p.name)
+	s.nameAddress(operators, p.name)
+	p.operatorAddr = operators
 	p.start = func(ctx context.Context) (kernel.Daemon, error) {
 		set := s.entrySettings(p, replica)
 		set.Callers, set.Operators, set.Internal = callers, operators, internal
 		s.claimSettings(set, p, durable)
 		e, err := entry.New(set, s.opts.Log)
-		d, err := started(ctx, e, err)
+		d, err := startDaemon(ctx, e, err)
 		if err != nil {
 			return nil, err
 		}
@@ -378,7 +378,7 @@
 		s.mu.Unlock()
 		return d, nil
 	}
-	return s.add(ctx, p)
+	return s.addPart(ctx, p)
 }
 
 // claimSettings says where an entry keeps its claims.
@@ -388,10 +388,10 @@
 	}
 	set.ClaimsDataDir = ""
 	switch {
-	case durable && p.claims != nil:
-		set.ClaimsFS = p.claims
+	case durable && p.claimsDisk != nil:
+		set.ClaimsFS = p.claimsDisk
 	case durable:
-		set.ClaimsDataDir = filepath.Join(p.folder, entry.ClaimsDirName)
+		set.ClaimsDataDir = filepath.Join(p.dataDir, entry.ClaimsDirName)
 	}
 }
 
@@ -401,7 +401,7 @@
 	digest := sha256.Sum256([]byte(OperatorKey))
 	set.Operator = []operators.Operator{{Name: "quickstart", KeySHA256: hex.EncodeToString(digest[:])}}
 	set.Dial, set.Now = s.dialer(p.name), p.clock.Now
-	set.ControlReplicas = s.members
+	set.ControlReplicas = s.controlAddrs
 	if replica {
 		ctl := s.controlSettings(p)
 		set.Control = &ctl
@@ -420,21 +420,21 @@
 		name: fmt.Sprintf("%s-%d", pool, i+1), domain: s.layout.domain(i),
 		role: RoleAgent, upstream: up,
 	}
-	reserved, err := s.reserve(2)
+	reserved, err := s.reservePorts(2)
 	if err != nil {
 		return err
 	}
 	listen, operators := reserved[0], reserved[1]
-	s.named(listen, p.name)
-	s.named(operators, p.name)
-	p.operators = operators
-	at := len(s.Agents)
+	s.nameAddress(listen, p.name)
+	s.nameAddress(operators, p.name)
+	p.operatorAddr = operators
+	index := len(s.Agents)
 	s.Agents = append(s.Agents, nil)
 	p.start = func(ctx context.Context) (kernel.Daemon, error) {
 		set := agent.DefaultSettings()
 		set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, Secret
 		set.Kind, set.Pools, set.Upstream = kind, []string{pool}, map[string]any{"url": url}
-		set.AnnounceTo, set.Dial, set.Now = s.members, s.dialer(p.name), p.clock.Now
+		set.AnnounceTo, set.Dial, set.Now = s.controlAddrs, s.dialer(p.name), p.clock.Now
 		set.Listen, set.Operators = listen, operators
 		if kind == "plain" {
 			set.Slots = up.Slots
@@ -444,14 +444,14 @@
 			set.Group, set.Rank = s.Group.Name, uint32(i)
 		}
 		a, err := agent.New(set, s.opts.Log)
-		d, err := started(ctx, a, err)
+		d, err := startDaemon(ctx, a, err)
 		if err != nil {
 			return nil, err
 		}
 		s.mu.Lock()
-		s.Agents[at] = a
+		s.Agents[index] = a
 		s.mu.Unlock()
 		return d, nil
 	}
-	return s.add(ctx, p)
+	return s.addPart(ctx, p)
 }
--- a/quickstart/quickstart.go
+++ b/quickstart/quickstart.go
@@ -92,18 +92,18 @@
 	// Group is the engines' group, or nil.
 	Group *fake.Group
 
-	opts    Options
-	cancel  context.CancelFunc
-	layout  Layout
-	dir     string
-	members []string
-	pool    *transport.Pool
+	opts         Options
+	cancel       context.CancelFunc
+	layout       Layout
+	dir          string
+	controlAddrs []string
+	pool         *transport.Pool
 
 	mu    sync.Mutex
 	parts map[string]*part
 	order []string
 	// ports are held for parts that are down.
-	ports []func()
+	releasePorts []func()
 }
 
 const (
@@ -163,7 +163,7 @@
 	if err := s.startEntries(ctx); err != nil {
 		return err
 	}
-	if err := s.putRows(ctx); err != nil {
+	if err := s.putInitialRows(ctx); err != nil {
 		return err
 	}
 	var groupCtx context.Context
@@ -179,7 +179,7 @@
 			return err
 		}
 	}
-	addresses, err := s.reserve(s.opts.Plains)
+	addresses, err := s.reservePorts(s.opts.Plains)
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 }
 
 // putRows makes the first edit, as an operator would.
-func (s *System) putRows(ctx context.Context) error {
+func (s *System) putInitialRows(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	rows, err := table.ReadTSV(strings.NewReader(s.opts.Rows))
@@ -209,7 +209,7 @@
 		edit.Rows = append(edit.Rows, &wire.RowEdit{Kind: r.Kind, Key: r.Key, Columns: r.Columns})
 	}
 	s.pool = transport.NewPool(transport.Security{Secret: []byte(Secret)})
-	client := control.NewClient(s.pool, s.members, "quickstart")
+	client := control.NewClient(s.pool, s.controlAddrs, "quickstart")
 	for {
 		reply, err := client.Edit(ctx, edit)
 		if err == nil && reply.Status != wire.EditStatus_EDIT_STATUS_ACCEPTED {
@@ -235,7 +235,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, e := range s.Entries {
-		for !s.ready(ctx, e) {
+		for !s.entryReady(ctx, e) {
 			select {
 			case <-ctx.Done():
 				return merry.Prepend(ErrNotReady, e.CallerAddress())
@@ -246,7 +246,7 @@
 	return nil
 }
 
-func (s *System) ready(ctx context.Context, e *entry.Entry) bool {
+func (s *System) entryReady(ctx context.Context, e *entry.Entry) bool {
 	pools := e.Upstreams()
 	return pools[s.layout.ModelPool] == s.opts.Engines && pools[s.layout.PlainPool] == s.opts.Plains && e.Ready() && e.ClaimsReady() && ctx.Err() == nil
 }
@@ -291,9 +291,9 @@
 	if s.pool != nil {
 		s.pool.Close()
 	}
-	for _, release := range s.ports {
+	for _, release := range s.releasePorts {
 		release()
 	}
-	s.ports = nil
+	s.releasePorts = nil
 	_ = os.RemoveAll(s.dir)
 }
--- a/quickstart/quickstart_test.go
+++ b/quickstart/quickstart_test.go
@@ -17,7 +17,7 @@
 	"github.com/snipereach/snipereach/fake"
 )
 
-func start(t *testing.T, opts Options) *System {
+func startSystem(t *testing.T, opts Options) *System {
 	t.Helper()
 	opts.Log = log.NewNopLogger()
 	s, err := Start(context.Background(), opts)
@@ -34,7 +34,7 @@
 	err    error
 }
 
-func call(s *System, method, path, body string, header map[string]string) reply {
+func callFirstEntry(s *System, method, path, body string, header map[string]string) reply {
 	return callEntry(s, 0, method, path, body, header)
 }
 
@@ -55,13 +55,13 @@
 
 // patience bounds waits for what must come true, and is the deadline of requests
 // whose outcome is not to depend on the machine's speed.
-const patience = 45 * time.Second
+const slowMachineTimeout = 45 * time.Second
 
 // served sends a request until it is served, as callers are told to: again while the
 // refusal says "not run" and when to come back. On a busy machine an upstream may
 // have been silent for longer than its lease. Any other answer is returned at once.
-func served(send func() reply) reply {
-	for end := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+func retryUntilServed(send func() reply) reply {
+	for end := time.Now().Add(slowMachineTimeout); ; time.Sleep(20 * time.Millisecond) {
 		r := send()
 		var p problem
 		_ = json.Unmarshal([]byte(r.body), &p)
@@ -88,9 +88,9 @@
 
 const modelBody = `{"model":"pushpa-lm","max_tokens":4,"messages":[{"role":"user","content":"a lot of jasmine"}]}`
 
-func TestWholePathAnswersEachCaller(t *testing.T) {
+func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{})
+	s := startSystem(t, Options{})
 	for n := range s.Entries {
 		key := fmt.Sprintf("caller-%d", n)
 		r := callEntry(s, n, "POST", "/v1/chat/completions", modelBody, map[string]string{fake.HeaderRunKey: key})
@@ -98,18 +98,18 @@
 		assert.Equal(t, r.status, 200, r.body)
 		assert.Assert(t, strings.Contains(r.body, key+":3 "), r.body)
 	}
-	r := call(s, "PUT", "/services/clock-core/lots/17/confirm?lane=2", "{}", map[string]string{fake.HeaderRunKey: "bid"})
+	r := callFirstEntry(s, "PUT", "/services/clock-core/lots/17/confirm?lane=2", "{}", map[string]string{fake.HeaderRunKey: "bid"})
 	assert.Equal(t, r.status, 200, r.body)
 	var a fake.PlainAnswer
 	assert.NilError(t, json.Unmarshal([]byte(r.body), &a))
 	assert.Equal(t, a, fake.PlainAnswer{Key: "bid", Method: "PUT", Path: "/lots/17/confirm", Query: "lane=2"})
 }
 
-func TestStreamIsWholeAndInOrder(t *testing.T) {
+func TestStreamHasEveryToken(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{})
+	s := startSystem(t, Options{})
 	body := strings.Replace(modelBody, `"max_tokens":4`, `"max_tokens":5,"stream":true`, 1)
-	r := call(s, "POST", "/v1/chat/completions", body, map[string]string{fake.HeaderRunKey: "k"})
+	r := callFirstEntry(s, "POST", "/v1/chat/completions", body, map[string]string{fake.HeaderRunKey: "k"})
 	assert.NilError(t, r.err)
 	sc := bufio.NewScanner(strings.NewReader(r.body))
 	var data []string
@@ -125,10 +125,10 @@
 // A caller is refused by one entry, which then dies. Another entry explains the
 // refusal from the token alone, because the token carries all that decided it;
 // a token with one letter changed is refused.
-func TestAnotherEntryExplainsARefusalAfterTheFirstDied(t *testing.T) {
+func TestOtherEntryExplainsRefusalAfterEntryDies(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{})
-	p := problemOf(t, call(s, "POST", "/v1/chat/completions", `{"model":"nobody"}`, nil))
+	s := startSystem(t, Options{})
+	p := problemOf(t, callFirstEntry(s, "POST", "/v1/chat/completions", `{"model":"nobody"}`, nil))
 	assert.Equal(t, p.Reason, "unknown-service")
 	assert.Equal(t, p.Outcome, "not-run")
 	s.Entries[0].Stop()
@@ -145,9 +145,9 @@
 // The upstream dies at each point of a call that may not be repeated. The
 // caller is told "not run" or "unknown", never gets part of an answer as the
 // whole, and the call has run at most once.
-func TestUpstreamDeathIsToldTruthfully(t *testing.T) {
+func TestUpstreamFailureOutcomes(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{})
+	s := startSystem(t, Options{})
 	for _, c := range []struct {
 		fault   fake.Fault
 		runs    int
@@ -161,25 +161,25 @@
 	} {
 		key := fmt.Sprintf("fault-%d", c.fault)
 		s.Plains[0].SetFault(func(*http.Request) fake.Fault { return c.fault })
-		p := problemOf(t, call(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: key}))
+		p := problemOf(t, callFirstEntry(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: key}))
 		assert.Equal(t, p.Outcome, c.outcome, key)
 		assert.Equal(t, p.Reason, c.reason, key)
 		assert.Equal(t, s.Plains[0].Runs()[key], c.runs, key)
 	}
 	s.Plains[0].Close()
-	p := problemOf(t, call(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: "closed"}))
+	p := problemOf(t, callFirstEntry(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: "closed"}))
 	assert.Equal(t, p.Outcome, "not-run", "nothing listens: no byte can have reached it")
 }
 
 // An agent is told to leave while it runs a request. That request is answered
 // whole; new ones go to the other upstreams.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestAgentDrainFinishesInFlightRequests(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Engines: 2})
+	s := startSystem(t, Options{Engines: 2})
 	slow := strings.Replace(modelBody, `"max_tokens":4`, `"max_tokens":100`, 1)
 	got := make(chan reply, 8)
 	for range 8 {
-		go func() { got <- call(s, "POST", "/v1/chat/completions", slow, nil) }()
+		go func() { got <- callFirstEntry(s, "POST", "/v1/chat/completions", slow, nil) }()
 	}
 	waitFor(t, func() bool { return len(s.Engines[0].Runs()) > 0 })
 	assert.NilError(t, s.Agents[0].Drain(context.Background()))
@@ -190,7 +190,7 @@
 		assert.Equal(t, r.status, 200, r.body)
 	}
 	for range 8 {
-		assert.Equal(t, call(s, "POST", "/v1/chat/completions", modelBody, nil).status, 200)
+		assert.Equal(t, callFirstEntry(s, "POST", "/v1/chat/completions", modelBody, nil).status, 200)
 	}
 	assert.Equal(t, len(s.Engines[0].Runs()), before)
 }
@@ -198,16 +198,16 @@
 // A buyer's bid confirmation is sent again through every other entry, while it
 // runs and after it was answered. It runs once, and each sending gets the one
 // answer.
-func TestBidConfirmationRunsOnceThroughAnyEntry(t *testing.T) {
+func TestIdempotencyKeyRunsOnceAcrossEntries(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{})
+	s := startSystem(t, Options{})
 	send := func(n int, body string) reply {
 		return callEntry(s, n, "POST", "/services/clock-core/lots/17/confirm", body,
 			map[string]string{"Idempotency-Key": "bid-17", fake.HeaderRunKey: "bid-17"})
 	}
 	got := make(chan reply, 9)
 	for i := range 9 {
-		go func() { got <- served(func() reply { return send(i%3, "{}") }) }()
+		go func() { got <- retryUntilServed(func() reply { return send(i%3, "{}") }) }()
 	}
 	for range 9 {
 		r := <-got
@@ -215,7 +215,7 @@
 		assert.Equal(t, r.status, 200, r.body)
 		assert.Assert(t, strings.Contains(r.body, `"key":"bid-17"`))
 	}
-	again := served(func() reply { return send(1, "{}") })
+	again := retryUntilServed(func() reply { return send(1, "{}") })
 	assert.Equal(t, again.header.Get("Idempotent-Replayed"), "true")
 	assert.Equal(t, s.Plains[0].Runs()["bid-17"], 1)
 	other := problemOf(t, send(2, `{"lane":2}`))
@@ -227,9 +227,9 @@
 // bid again through another entry, and is told "unknown" again: it never runs a
 // second time. A bid whose upstream was never reached is told "not run", and its
 // resend runs.
-func TestResendAfterAnUnknownOutcomeDoesNotRun(t *testing.T) {
+func TestResendAfterUnknownOutcomeDoesNotRunAgain(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{})
+	s := startSystem(t, Options{})
 	send := func(n int, key string) reply {
 		return callEntry(s, n, "POST", "/services/clock-core/confirm", "{}",
 			map[string]string{"Idempotency-Key": key, fake.HeaderRunKey: key})
@@ -268,9 +268,9 @@
 // A team sends far more than its limit through all entries. It is refused with
 // the row that decided, is told when to come back, and nothing of what was
 // refused ran; another team is not held up.
-func TestTeamOverItsLimitIsRefusedTruthfully(t *testing.T) {
+func TestTeamOverRateLimitIsRefused(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Rows: Idukki().rows(defaultPlainSlots, patience) + "limit\tgrowers/clock-core\trequests_per_second=5\n"})
+	s := startSystem(t, Options{Rows: Idukki().rows(defaultPlainSlots, slowMachineTimeout) + "limit\tgrowers/clock-core\trequests_per_second=5\n"})
 	refused, served := 0, 0
 	for i := 0; i < 2000 && (i < 60 || served == 0); i++ {
 		time.Sleep(5 * time.Millisecond)
@@ -289,5 +289,5 @@
 		assert.Equal(t, s.Plains[0].Runs()[key], 0)
 	}
 	assert.Assert(t, refused > 0 && served > 0, "%d refused, %d served", refused, served)
-	assert.Equal(t, call(s, "POST", "/v1/chat/completions", modelBody, nil).status, 200)
+	assert.Equal(t, callFirstEntry(s, "POST", "/v1/chat/completions", modelBody, nil).status, 200)
 }
--- a/quickstart/route_test.go
+++ b/quickstart/route_test.go
@@ -14,7 +14,7 @@
 )
 
 // routeOf reads what an entry's balancer of the engines knows.
-func routeOf(t *testing.T, s *System, n int) map[string]route.UpstreamState {
+func routeState(t *testing.T, s *System, n int) map[string]route.UpstreamState {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[n].OperatorAddress()+"/debug/state", nil)
 	assert.NilError(t, err)
@@ -37,19 +37,19 @@
 	return known
 }
 
-func prompt(topic string) string {
+func promptBody(topic string) string {
 	text := strings.Repeat(topic+" of the morning lots. ", 100)
 	return fmt.Sprintf(`{"model":"pushpa-lm","max_tokens":2,"messages":[{"role":"user","content":%q}]}`, text)
 }
 
 // holder sends a prompt through the first entry and returns which engine ran it.
-func holder(t *testing.T, s *System, body string) int {
+func engineThatRuns(t *testing.T, s *System, body string) int {
 	t.Helper()
 	before := make([]int, len(s.Engines))
 	for i, e := range s.Engines {
 		_, before[i] = e.CacheHits()
 	}
-	assert.Equal(t, call(s, "POST", "/v1/chat/completions", body, nil).status, 200)
+	assert.Equal(t, callFirstEntry(s, "POST", "/v1/chat/completions", body, nil).status, 200)
 	for i, e := range s.Engines {
 		if _, looked := e.CacheHits(); looked > before[i] {
 			return i
@@ -62,13 +62,13 @@
 // A long prompt runs through one entry. The engine publishes what it cached, and
 // another entry, which never saw the prompt, sends the same one to that engine
 // and to no other.
-func TestOtherEntriesLearnWhatAnEngineHolds(t *testing.T) {
+func TestCacheEventsReachOtherEntries(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Rows: strings.Replace(Rows(), "pool\tlm\t", "pool\tlm\troute=prefix\t", 1)})
-	body := prompt("roses")
-	i := holder(t, s, body)
+	s := startSystem(t, Options{Rows: strings.Replace(Rows(), "pool\tlm\t", "pool\tlm\troute=prefix\t", 1)})
+	body := promptBody("roses")
+	i := engineThatRuns(t, s, body)
 	id := fmt.Sprintf("lm-%d", i+1)
-	waitFor(t, func() bool { return routeOf(t, s, 1)[id].CacheSeq > 0 })
+	waitFor(t, func() bool { return routeState(t, s, 1)[id].CacheSeq > 0 })
 	for range 5 {
 		assert.Equal(t, callEntry(s, 1, "POST", "/v1/chat/completions", body, nil).status, 200)
 	}
@@ -79,19 +79,19 @@
 
 // Cache events are lost. The entries notice the gap, forget what they knew of
 // the engine, and go on answering; what the engine caches later counts again.
-func TestLostCacheEventsCostNoAnswer(t *testing.T) {
+func TestLostCacheEventsDoNotFailRequests(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Rows: strings.Replace(Rows(), "pool\tlm\t", "pool\tlm\troute=prefix\t", 1)})
-	i := holder(t, s, prompt("roses"))
+	s := startSystem(t, Options{Rows: strings.Replace(Rows(), "pool\tlm\t", "pool\tlm\troute=prefix\t", 1)})
+	i := engineThatRuns(t, s, promptBody("roses"))
 	id := fmt.Sprintf("lm-%d", i+1)
-	waitFor(t, func() bool { return routeOf(t, s, 1)[id].CacheSeq == 1 })
+	waitFor(t, func() bool { return routeState(t, s, 1)[id].CacheSeq == 1 })
 	s.Engines[i].LoseCacheEvents(1)
 	s.Engines[i].ClearCache()
 	s.Engines[i].ClearCache()
-	waitFor(t, func() bool { return routeOf(t, s, 1)[id].CacheSeq == 3 })
+	waitFor(t, func() bool { return routeState(t, s, 1)[id].CacheSeq == 3 })
 	for _, topic := range []string{"roses", "jasmine", "marigolds"} {
 		for n := range s.Entries {
-			assert.Equal(t, callEntry(s, n, "POST", "/v1/chat/completions", prompt(topic), nil).status, 200)
+			assert.Equal(t, callEntry(s, n, "POST", "/v1/chat/completions", promptBody(topic), nil).status, 200)
 		}
 	}
 }
