--- a/fake/cache.go
+++ b/fake/cache.go
@@ -9,7 +9,7 @@
 	"github.com/snipereach/snipereach/route"
 )
 
-// maxCacheEvents is how many events an engine keeps for those who ask late.
+// maxCacheEvents bounds the published events that an engine keeps for pollers.
 const maxCacheEvents = 256
 
 // cacheEvent is the JSON of a cache event.
@@ -20,8 +20,8 @@
 	Cleared bool     `json:"cleared,omitempty"`
 }
 
-// prefixCache is an engine's cache of prompt prefixes: bounded, least recently
-// used blocks go first, and each change is an event.
+// prefixCache is an engine's LRU cache of prompt prefix blocks. Each change is
+// published as an event.
 type prefixCache struct {
 	mu       sync.Mutex
 	capacity int
@@ -34,7 +34,8 @@
 	hits, lookups int
 }
 
-// use looks a prompt up and caches it; it returns how many blocks were missing.
+// lookupAndInsert looks a prompt up, inserts its blocks, and returns how many of
+// them were missing.
 func (c *prefixCache) lookupAndInsert(model, prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +53,8 @@
 	c.hits += hit
 	c.lookups += len(hashes)
 	var e cacheEvent
-	// The end of a prompt goes before its beginning, which others share.
+	// Insert in reverse order, so that the end of a prompt is evicted before its
+	// beginning, which other prompts share.
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if el := c.entries[hashes[i]]; el != nil {
 			c.lru.MoveToFront(el)
@@ -105,24 +107,26 @@
 	return later
 }
 
-// serveCacheEvents answers with the events after a sequence number. There may be
-// gaps: events that were lost, or are older than those kept.
+// serveCacheEvents returns the kept events after a sequence number. Sequence
+// numbers of dropped and of discarded old events are missing.
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	writeJSON(w, e.cache.eventsAfter(after))
 }
 
-// CacheHits returns how many blocks of prompts were found cached, of how many.
+// CacheHits returns how many prompt blocks were found in the cache, and how many
+// were looked up.
 func (e *Engine) CacheHits() (hits, lookups int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
 	return e.cache.hits, e.cache.lookups
 }
 
-// ClearCache drops the whole cache.
+// ClearCache empties the prefix cache and publishes that.
 func (e *Engine) ClearCache() { e.cache.clear() }
 
-// LoseCacheEvents makes the next n cache events get lost.
+// LoseCacheEvents drops the next n cache events: they take sequence numbers but
+// are not published.
 func (e *Engine) LoseCacheEvents(n int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
--- a/fake/clock.go
+++ b/fake/clock.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// Clock is the time of one part, which can be frozen with its host. While it is
-// frozen, whoever asks for the time waits; what it then learns is the time of the
-// thaw, all timers passed. A part acts on time only after it asked for it, so that
-// it stands where it is: what it knew before the freeze it still believes when it
-// wakes. The zero value runs.
+// Clock is the clock of one part; it can be frozen to simulate a paused host. Now
+// blocks while the clock is frozen and then returns the time after the thaw, when
+// timeouts and leases may have expired. A part that reads the clock before it acts
+// on time thus pauses with the state that it had before. The zero value runs.
 type Clock struct {
-	// frozen is closed at the thaw; nil while the clock runs.
+	// frozen is closed by Thaw; nil while the clock runs.
 	frozen atomic.Pointer[chan struct{}]
 }
 
-// Now returns the time, after the thaw if the clock is frozen.
+// Now returns the current time. It blocks while the clock is frozen.
 func (c *Clock) Now() time.Time {
 	for {
 		frozen := c.frozen.Load()
@@ -26,13 +25,13 @@
 	}
 }
 
-// Freeze stops the clock; once it is frozen it does nothing.
+// Freeze stops the clock. It has no effect on a frozen clock.
 func (c *Clock) Freeze() {
 	frozen := make(chan struct{})
 	c.frozen.CompareAndSwap(nil, &frozen)
 }
 
-// Thaw lets everybody who asked go on.
+// Thaw starts the clock again and unblocks pending calls of Now.
 func (c *Clock) Thaw() {
 	if frozen := c.frozen.Swap(nil); frozen != nil {
 		close(*frozen)
--- a/fake/clock_test.go
+++ b/fake/clock_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A part on a frozen host asks for the time. It waits until the host wakes, and then
-// learns the time of that moment: a lease that ran out meanwhile shows as over.
+// Now must not return a time from before the thaw: a lease that expired during the
+// freeze would look valid.
 func TestFrozenClockReturnsTimeAfterThaw(t *testing.T) {
 	c := &Clock{}
 	before := c.Now()
--- a/fake/disk.go
+++ b/fake/disk.go
@@ -9,45 +9,46 @@
 	"github.com/snipereach/snipereach/wal"
 )
 
-// Errors of a faulty disk.
+// Errors returned by a Disk with Full or FailSync set.
 var (
 	ErrDiskFull   = errors.New("no space left on device")
 	ErrSyncFailed = errors.New("input/output error")
 )
 
-// Disk is a data folder in memory that forgets what was not synced. It
-// implements wal.FS. Files and names are durable separately: a file under a
-// name that was not synced is gone after a crash.
+// Disk is a data directory in memory; Crash discards what was not synced. It
+// implements wal.FS. File contents and names are synced separately: a file whose
+// name was not synced by SyncDir is gone after a crash.
 type Disk struct {
 	mu    sync.Mutex
 	files map[string]*diskFile
-	// names are those that survive a crash.
+	// durableNames are the names that survive a crash.
 	durableNames map[string]*diskFile
 	locked       bool
 
 	// Full makes every write fail.
 	Full bool
-	// FailSync makes the next sync fail; the data written before it is lost
-	// although later syncs succeed, as on a real kernel.
+	// FailSync makes the next sync of a file fail. What was written to that file
+	// is never synced, although later syncs succeed, as with a real kernel.
 	FailSync bool
-	// Syncs counts syncs.
+	// Syncs counts the syncs of files and of the directory.
 	Syncs int
 }
 
 type diskFile struct {
 	data   []byte
 	synced int
-	// lost says that a sync failed: what was not synced by then never will be.
+	// syncFailed is set once a sync has failed; no later sync takes effect.
 	syncFailed bool
 }
 
-// NewDisk returns an empty disk.
+// NewDisk returns an empty Disk.
 func NewDisk() *Disk {
 	return &Disk{files: map[string]*diskFile{}, durableNames: map[string]*diskFile{}}
 }
 
-// Crash forgets what was not synced, but for the first keep bytes of each
-// file's unsynced tail: a torn write. The lock is dropped, as with the process.
+// Crash discards what was not synced, except for the first keep bytes of each
+// file's unsynced tail, which simulate a torn write. It releases the lock, as the
+// end of a process does.
 func (d *Disk) Crash(keep int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,7 +69,7 @@
 	d.files[name].data[bit/8] ^= 1 << (bit % 8)
 }
 
-// Size returns a file's length, or -1.
+// Size returns a file's length in bytes, or -1 if there is no such file.
 func (d *Disk) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +79,7 @@
 	return -1
 }
 
-// Clone returns a copy of the disk as it stands; the copy is not locked.
+// Clone returns an unlocked copy of the disk with its current contents.
 func (d *Disk) Clone() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -216,8 +217,8 @@
 	h.disk.Syncs++
 	if h.disk.FailSync {
 		h.disk.FailSync = false
-		// The kernel marks the pages clean and drops the error: they never
-		// reach the disk, whatever a later sync says.
+		// After a failed fsync the kernel marks the dirty pages clean: they never
+		// reach the disk, although later syncs report success.
 		h.file.syncFailed = true
 		return ErrSyncFailed
 	}
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -13,20 +13,22 @@
 	"github.com/snipereach/snipereach/rollout"
 )
 
-// Engine is a model engine: OpenAI-shaped completions, streamed or not, at a
-// steady step time; orders with or without a check of the fencing token.
+// Engine is a fake model engine. It serves OpenAI-style completions, streamed or
+// not, with a constant time per decoding step, and carries out orders with or
+// without checking their fencing tokens.
 type Engine struct {
 	Server
-	// Step is the time of one decoding step; every running request gets one
-	// token a step.
+	// Step is the duration of one decoding step, which yields one token per
+	// running request.
 	Step time.Duration
-	// CacheBlocks is the size of the prefix cache; 0 is none.
+	// CacheBlocks is the capacity of the prefix cache; 0 disables it.
 	CacheBlocks int
-	// Prefill is the time for a block of the prompt that is not cached.
+	// Prefill is the time taken per prompt block that is not cached.
 	Prefill time.Duration
-	// Fencing makes the engine refuse an order with an old token.
+	// Fencing makes the engine reject orders whose fencing token is lower than
+	// the highest one seen.
 	Fencing bool
-	// Group and Rank make the engine one rank of a lock-step group.
+	// Group, if set, makes the engine the rank Rank of a lock-step group.
 	Group *Group
 	Rank  int
 
@@ -38,14 +40,14 @@
 	staleOrders  int
 }
 
-// GivenOrder is an order that the engine carried out.
+// GivenOrder is an order that an engine carried out.
 type GivenOrder struct {
 	Verb  string
 	Token uint64
 	Body  string
 }
 
-// Start listens and serves.
+// Start listens on the engine's address and serves in the background.
 func (e *Engine) Start() error {
 	mux := http.NewServeMux()
 	e.cache.capacity = e.CacheBlocks
@@ -73,7 +75,7 @@
 
 const (
 	defaultMaxTokens = 16
-	// maxEngineTokens bounds one answer, like an engine's context.
+	// maxTokensLimit bounds one answer, like an engine's context length.
 	maxTokensLimit = 1 << 17
 )
 
@@ -104,8 +106,8 @@
 	})
 }
 
-// text is what the engine generates: the caller's own key again and again, so
-// that a crossed answer shows.
+// generatedText returns token n of an answer. It repeats the request's run key, so
+// that callers detect an answer that belongs to another request.
 func generatedText(r *http.Request, n int) string {
 	return runKey(r) + ":" + strconv.Itoa(n) + " "
 }
@@ -185,15 +187,15 @@
 	writeJSON(w, e.Group.Counters(e.Rank))
 }
 
-// Overtaken counts the orders that the engine carried out after one with a higher
-// token: an old leader's after a new leader's first.
+// Overtaken returns how many orders the engine carried out after an order with a
+// higher fencing token, as when a former leader's order arrives late.
 func (e *Engine) Overtaken() int {
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
 	return e.staleOrders
 }
 
-// Orders returns the orders that the engine carried out, in their order.
+// Orders returns the orders that the engine carried out, oldest first.
 func (e *Engine) Orders() []GivenOrder {
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
--- a/fake/group.go
+++ b/fake/group.go
@@ -10,21 +10,23 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// groupPoll is how often a rank that may not begin its step looks again.
+// stepPollInterval is how often a group that cannot begin or complete a step retries.
 const stepPollInterval = time.Millisecond / 2
 
-// Group is a lock-step group of ranks in real time: a step begins once all ranks
-// are up and have ended the last one, and takes as long as its busiest rank.
+// Group is a lock-step group of ranks that runs in real time. A step begins once
+// all ranks have a map and have ended the previous step. Each layer of a step
+// takes as long as its slowest rank.
 type Group struct {
 	Name  string
 	Shape placement.Shape
-	// Step is the time of a step whose ranks are even.
+	// Step is the duration of a step whose load is even over the ranks.
 	Step time.Duration
-	// Load is the time that staging takes.
+	// Load is how long the weights of a staged map take to load.
 	Load time.Duration
 	// Tokens returns the tokens that each expert gets in a step, layer by layer.
 	Tokens func(step uint64) placement.Load
-	// Slow makes ranks take so many times longer than their load explains.
+	// Slow maps stragglers to the factor by which they take longer than their
+	// load requires.
 	Slow map[int]float64
 
 	mu           sync.Mutex
@@ -32,25 +34,25 @@
 	incarnations []uint64
 	maps         map[uint64]*placement.Map
 	counters     []wire.ExpertCounters
-	// broken counts deaths of ranks; the step in progress at one is void.
+	// restarts counts rank restarts. A step during which it changes is discarded.
 	restarts int
 	history  GroupHistory
 }
 
-// GroupHistory is what a group has run.
+// GroupHistory summarizes the steps that a group has run.
 type GroupHistory struct {
-	// Steps that all ranks ended.
+	// Steps counts the steps that all ranks ended.
 	Steps int
 	// Mixed counts steps that ranks began with different maps.
 	Mixed int
 	// Epochs are the maps used, in the order of their first step.
 	Epochs []uint64
-	// Blocked is the longest time that a step waited for a rank that was armed,
-	// Lost the sum of them.
+	// Blocked is the longest time that a step waited for ranks that could not
+	// begin it, and Lost is the sum of these waits.
 	Blocked, Lost time.Duration
 }
 
-// Start makes the ranks and runs steps until the context is done.
+// Start creates the ranks and runs steps in the background until ctx is done.
 func (g *Group) Start(ctx context.Context) {
 	g.maps = map[uint64]*placement.Map{}
 	for range g.Shape.Ranks {
@@ -61,7 +63,7 @@
 	go g.run(ctx)
 }
 
-// Give carries out an order to a rank.
+// Give carries out an order on a rank and returns the rank's status.
 func (g *Group) Give(rank int, verb string, o *rollout.Order) rollout.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,7 +85,7 @@
 	return s
 }
 
-// Counters returns a rank's counters and starts them anew.
+// Counters returns a rank's expert counters and resets its token counts.
 func (g *Group) Counters(rank int) *wire.ExpertCounters {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,7 +107,7 @@
 	g.restarts++
 }
 
-// History returns what the group has run so far.
+// History returns a copy of the group's history so far.
 func (g *Group) History() GroupHistory {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -129,7 +131,8 @@
 	}
 }
 
-// runStep runs one step; it returns false if no step could be run to its end.
+// runStep runs one step. It returns false if the step could not begin or was
+// discarded.
 func (g *Group) runStep(ctx context.Context) bool {
 	step, restarts, ok := g.nextStep()
 	if !ok {
@@ -151,7 +154,8 @@
 	return false
 }
 
-// agree chooses the number of the next step, once all ranks are there.
+// nextStep returns the number of the next step, the highest that any rank names;
+// ok is false while a rank has no map.
 func (g *Group) nextStep() (step uint64, restarts int, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -164,7 +168,8 @@
 	return step, g.restarts, true
 }
 
-// begin lets every rank begin that may and hasn't; false if the step is void.
+// beginStep begins the step on every rank that may begin it and has not yet. It
+// returns false if the step is discarded because a rank was restarted.
 func (g *Group) beginStep(step uint64, restarts int, used map[int]uint64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -197,8 +202,8 @@
 	g.history.Lost += blocked
 }
 
-// stepTime is the step's time with the slowest rank of each layer as its pace, and
-// the time that each rank is busy in it.
+// stepTime returns the duration of a step, which is the sum over the layers of the
+// slowest rank's time, and the time that each rank is busy in it.
 func (g *Group) stepTime(step, epoch uint64) (d time.Duration, busy []time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -218,7 +223,7 @@
 	return d, busy
 }
 
-// layerTime adds one layer to the ranks' busy times and returns the longest.
+// layerTime adds the ranks' times for one layer to busy and returns the longest.
 func (g *Group) layerTime(loads []float64, even float64, busy []time.Duration) time.Duration {
 	total := 0.0
 	for _, v := range loads {
@@ -236,7 +241,8 @@
 	return longest
 }
 
-// end counts a step; false if a rank died in it.
+// endStep records a completed step. It returns false if a rank was restarted
+// during the step.
 func (g *Group) endStep(step uint64, restarts int, epoch uint64, d time.Duration, busy []time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -254,7 +260,8 @@
 	return true
 }
 
-// countTokens credits a rank with its even share of the step's tokens.
+// countTokens adds the rank's share of the step's tokens, the same for each rank,
+// to its counters.
 func (g *Group) countTokens(c *wire.ExpertCounters, step, epoch uint64, busy time.Duration) {
 	c.Step, c.MapEpoch, c.StepUs = step, epoch, uint32(busy.Microseconds())
 	if g.Tokens == nil {
--- a/fake/network.go
+++ b/fake/network.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// ErrUnreachable is what a dial over a cut link ends with when nobody gives it
-// up earlier.
+// ErrUnreachable is returned by a dial over a closed link after dialTimeout.
 var ErrUnreachable = errors.New("connect: no route to host")
 
-// dialLimit is how long a dial over a cut link waits, as a kernel's does.
+// dialTimeout is how long a dial waits for closed links, like the connect timeout
+// of a kernel.
 const dialTimeout = 2 * time.Second
 
-// Network is loopback with links between named parts that can be cut and
-// healed. A cut link is silent: bytes are neither delivered nor refused, and no
-// connection breaks. What was under way arrives when the link is healed, as TCP
-// would send it again.
+// Network simulates partitions and delays between named parts on loopback. A cut
+// link drops traffic silently: bytes are neither delivered nor refused, and no
+// connection breaks. Pending bytes arrive once the link is healed, as with TCP
+// retransmission.
 type Network struct {
 	mu            sync.Mutex
 	partByAddress map[string]string
 	links         map[link]*linkState
-	// frozen are the hosts that neither send nor receive.
+	// frozen are the parts that neither send nor receive.
 	frozen map[string]bool
 }
 
@@ -32,28 +32,28 @@
 type link struct{ from, to string }
 
 type linkState struct {
-	// open is closed while the link carries bytes.
+	// open is a closed channel while the link carries bytes.
 	open   chan struct{}
 	closed bool
 	cut    bool
 	delay  time.Duration
-	// dialling is how many dials wait for the link.
+	// dialing counts the dials that are waiting for the link.
 	dialing int
 }
 
-// NewNetwork returns a network on which nothing is cut.
+// NewNetwork returns a Network without partitions or delays.
 func NewNetwork() *Network {
 	return &Network{partByAddress: map[string]string{}, links: map[link]*linkState{}, frozen: map[string]bool{}}
 }
 
-// Name says which part listens on an address.
+// Name registers the part that listens on an address.
 func (n *Network) Name(address, part string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partByAddress[address] = part
 }
 
-// Cut stops what one part sends to another.
+// Cut blocks traffic from one part to another, in this direction only.
 func (n *Network) Cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,7 +62,7 @@
 	n.updateGateLocked(l)
 }
 
-// Heal lets what one part sends to another arrive again.
+// Heal undoes Cut for traffic from one part to another.
 func (n *Network) Heal(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +71,7 @@
 	n.updateGateLocked(l)
 }
 
-// HealAll heals every link and takes its delay away. Frozen parts stay frozen.
+// HealAll removes the cut and the delay of every link. Frozen parts stay frozen.
 func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,10 +81,10 @@
 	}
 }
 
-// Freeze stops all that goes to and from a part, beside the cuts of its links.
+// Freeze blocks all traffic to and from a part, independently of cut links.
 func (n *Network) Freeze(part string) { n.setFrozen(part, true) }
 
-// Thaw ends Freeze. Links that are cut stay so.
+// Thaw undoes Freeze. Cut links stay cut.
 func (n *Network) Thaw(part string) { n.setFrozen(part, false) }
 
 func (n *Network) setFrozen(part string, frozen bool) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// Dialling returns how many dials from one part to another are under way. Over a
-// link that carries nothing they wait.
+// Dialling returns how many dials from one part to another are waiting for closed
+// links or delays.
 func (n *Network) Dialling(from, to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,7 +110,8 @@
 	n.linkLocked(l).dialing += change
 }
 
-// settle opens or closes a link as its cut and its ends demand; the caller holds mu.
+// updateGateLocked closes the link if it is cut or either end is frozen, and opens
+// it otherwise. The caller holds mu.
 func (n *Network) updateGateLocked(l link) {
 	s := n.links[l]
 	closed := s.cut || n.frozen[l.from] || n.frozen[l.to]
@@ -123,14 +124,15 @@
 	s.closed = closed
 }
 
-// Delay makes what one part sends to another take longer.
+// Delay sets the delay of each dial, read and write over the link from one part to
+// another.
 func (n *Network) Delay(from, to string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.linkLocked(link{from, to}).delay = d
 }
 
-// state returns a link's state; the caller holds mu.
+// linkLocked returns a link's state and creates it if needed. The caller holds mu.
 func (n *Network) linkLocked(l link) *linkState {
 	s := n.links[l]
 	if s == nil {
@@ -149,7 +151,8 @@
 	return s.open, s.delay
 }
 
-// Dialer returns a dial function for what one part connects to.
+// Dialer returns the dial function of a part. Connections to unregistered addresses
+// are not affected by the network.
 func (n *Network) Dialer(part string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
@@ -166,11 +169,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return &networkConn{Conn: c, network: n, out: out, back: back, closed: make(chan struct{})}, nil
+		return &networkConn{Conn: c, net: n, out: out, back: back, closed: make(chan struct{})}, nil
 	}
 }
 
-// passDial waits until both directions carry bytes, as a SYN and its answer do.
+// waitDial waits for both directions in turn, as the SYN and the SYN-ACK of a
+// connect do.
 func (n *Network) waitDial(ctx context.Context, dirs ...link) error {
 	timer := time.NewTimer(dialTimeout)
 	defer timer.Stop()
@@ -190,10 +194,10 @@
 	return nil
 }
 
-// networkConn is a connection over two links, seen from the part that dialled.
+// networkConn is the dialing side's end of a connection over two links.
 type networkConn struct {
 	net.Conn
-	network   *Network
+	net   *Network
 	out, back link
 	once      sync.Once
 	closed    chan struct{}
@@ -203,8 +207,8 @@
 	readPending, readBuf        []byte
 }
 
-// Read holds what has arrived until its link carries bytes: it may have been
-// sent before the cut, but a caller must not see it during one.
+// Read returns received bytes only while the incoming link is open: bytes that
+// arrived before a cut must not be delivered during it.
 func (c *networkConn) Read(b []byte) (int, error) {
 	if len(c.readPending) == 0 {
 		if c.readBuf == nil {
@@ -234,12 +238,12 @@
 	return c.Conn.Write(b)
 }
 
-// Close tells the peer only if the link carries bytes: the end of a connection
-// is lost on a cut link like everything else, and arrives after the heal.
+// Close closes the underlying connection once the outgoing link is open, so that
+// the peer of a cut link learns of it only after the link is healed.
 func (c *networkConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		open, _ := c.network.gate(c.out)
+		open, _ := c.net.gate(c.out)
 		select {
 		case <-open:
 			_ = c.Conn.Close()
@@ -249,7 +253,7 @@
 				_ = c.Conn.Close()
 			}()
 		}
-		// A Read that waits for bytes ends.
+		// Unblock a pending Read.
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 	})
 	return nil
@@ -261,7 +265,8 @@
 	return *at
 }
 
-// pass waits until a link carries bytes.
+// waitOpen waits until a link is open, and then for its delay. A zero deadline
+// sets no limit; the deadline does not cover the delay.
 func (c *networkConn) waitOpen(l link, deadline time.Time) error {
 	var timedOut <-chan time.Time
 	if !deadline.IsZero() {
@@ -269,7 +274,7 @@
 		defer t.Stop()
 		timedOut = t.C
 	}
-	open, delay := c.network.gate(l)
+	open, delay := c.net.gate(l)
 	select {
 	case <-open:
 	case <-timedOut:
--- a/fake/plain.go
+++ b/fake/plain.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Plain is a plain service: it answers with the request's own key, path and
-// query, so that a crossed answer shows.
+// Plain is a fake plain service. It echoes the request's run key, method, path and
+// query, so that callers detect an answer that belongs to another request.
 type Plain struct {
 	Server
-	// Work is how long one request takes.
+	// Work is the time taken per request.
 	Work time.Duration
 }
 
-// Start listens and serves.
+// Start listens on the service's address and serves in the background.
 func (p *Plain) Start() error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /load", p.serveLoad)
@@ -21,7 +21,7 @@
 	return p.listen(mux)
 }
 
-// PlainAnswer is what a Plain answers with.
+// PlainAnswer is the response body of a Plain.
 type PlainAnswer struct {
 	Key    string `json:"key"`
 	Method string `json:"method"`
--- a/fake/port.go
+++ b/fake/port.go
@@ -8,11 +8,11 @@
 	"syscall"
 )
 
-// HoldPort binds a free loopback port without listening on it and returns its
-// address. A part that listens there with SO_REUSEADDR, as package net does, can
-// be stopped and started again: until release nobody else gets the port, also
-// not as the source of a connection, and a call to it is refused while the part
-// is down.
+// HoldPort reserves a free loopback port by binding it without listening, and
+// returns its address. A server that sets SO_REUSEADDR, as package net does, can
+// listen there repeatedly. Until release is called the kernel does not assign the
+// port to anyone else, not even as the source of a connection, and connections to
+// it are refused while no server listens.
 func HoldPort() (address string, release func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/fake/rank.go
+++ b/fake/rank.go
@@ -6,18 +6,18 @@
 	"github.com/snipereach/snipereach/rollout"
 )
 
-// Rank is one rank of a lock-step group, as far as expert maps go. It is pure,
-// and says exactly what an engine must do:
+// Rank is the expert map state machine of one rank of a lock-step group. It does
+// no I/O and specifies what an engine must do:
 //
-//   - A rank that starts is blank: it runs no step until it is told the map in
-//     force, and refuses orders that were meant for an earlier life.
-//   - A staged map's weights are held beside those in use until it is committed
-//     or aborted.
-//   - An armed rank doesn't begin the armed step until it knows the decision.
-//     It refuses to be armed for a step that it has begun.
-//   - Once told to commit, it uses the new map from the armed step on.
-//   - All ranks agree on the number of each step before they begin it; a group
-//     that forms anew takes the highest number that any of its ranks names.
+//   - A rank starts blank: it runs no step until it adopts the map in force. It
+//     rejects orders for another incarnation.
+//   - The weights of a staged map are kept beside those in use until the map is
+//     committed or aborted.
+//   - An armed rank does not begin the armed step until it knows the decision,
+//     and it rejects being armed for a step that it has begun.
+//   - After a commit it uses the new map from the armed step on.
+//   - All ranks agree on the number of each step before they begin it. A group
+//     that forms again takes the highest next step of its ranks.
 type Rank struct {
 	incarnation uint64
 	seq         uint64
@@ -29,17 +29,18 @@
 	armed       uint64
 	armedStep   uint64
 	decided     bool
-	// settled is the highest epoch that this life saw decided: an order of an
-	// older switch that comes late must not bring it back.
+	// highestDecided is the highest epoch that this incarnation adopted, committed
+	// or aborted. It guards against late orders of an earlier switch.
 	highestDecided uint64
-	// StepMicros is reported as the time of a step.
+	// StepMicros is the duration of a step in microseconds, as reported in Status.
 	StepMicros uint64
 }
 
-// NewRank starts a rank. Incarnations of one rank grow.
+// NewRank returns a blank rank. Each restart of a rank needs a higher incarnation.
 func NewRank(incarnation uint64) *Rank { return &Rank{incarnation: incarnation, blank: true} }
 
-// Give carries out an order.
+// Give carries out an order and returns the resulting status, whose Refused field
+// gives the reason if the order was rejected.
 func (r *Rank) Give(verb string, o *rollout.Order) rollout.Status {
 	refused := ""
 	switch {
@@ -58,7 +59,7 @@
 	return s
 }
 
-// Status returns the rank's state; each call takes the next sequence number.
+// Status returns the rank's state. Each call increments the sequence number.
 func (r *Rank) Status() rollout.Status {
 	r.seq++
 	return rollout.Status{
@@ -103,7 +104,7 @@
 	return ""
 }
 
-// Loaded ends the loading of weights.
+// Loaded marks the map that is being loaded as staged.
 func (r *Rank) Loaded() {
 	if r.loading != 0 {
 		r.staged, r.loading = r.loading, 0
@@ -157,25 +158,24 @@
 	return ""
 }
 
-// Blank says whether the rank waits to be told the map in force.
+// Blank reports whether the rank has not yet adopted a map.
 func (r *Rank) Blank() bool { return r.blank }
 
 // Next returns the number of the step that the rank will begin.
 func (r *Rank) Next() uint64 { return r.nextStep }
 
-// MayBegin says whether the rank may begin its next step now.
+// MayBegin reports whether the rank may begin its next step.
 func (r *Rank) MayBegin() bool {
 	if r.blank {
 		return false
 	}
-	// Another rank may know the decision already and begin the step with the
-	// new map; beginning it with the old one would mix two maps in one step.
-	// Stopping is enough: no rank is told to switch before all have armed.
+	// Another rank may already know the decision and begin the step with the new
+	// map; beginning it here with the old one would mix two maps in one step.
+	// Waiting is enough, because no rank gets a commit before all are armed.
 	return r.armed == 0 || r.decided || r.nextStep < r.armedStep
 }
 
-// Begin begins the step that the group agreed on and returns the epoch of the
-// map that the rank uses in it.
+// Begin begins the agreed step and returns the epoch of the map used in it.
 func (r *Rank) Begin(step uint64) uint64 {
 	r.nextStep = step + 1
 	if r.decided && step >= r.armedStep {
@@ -185,5 +185,5 @@
 	return r.epoch
 }
 
-// Join raises the rank's next step to what the group agreed on.
+// Join raises the rank's next step to the one that the group agreed on.
 func (r *Rank) Join(step uint64) { r.nextStep = max(r.nextStep, step) }
--- a/fake/server.go
+++ b/fake/server.go
@@ -1,6 +1,6 @@
-// Package fake holds small stand-ins at the system's interfaces: a model
-// engine, a plain service, a clock. They serve tests, the quickstart and the
-// load tool; nothing in production depends on them.
+// Package fake provides in-process fakes of a model engine, a plain service, a
+// clock, a disk and a network for tests, the quickstart and the load tool. No
+// production code depends on it.
 package fake
 
 import (
@@ -15,50 +15,56 @@
 	"time"
 )
 
-// Fault is what a server does wrong with one request.
+// Fault is an injected failure of one request.
 type Fault int
 
-// Faults of a fake server.
+// Faults that a fake server can inject.
 const (
 	FaultNone Fault = iota
-	// FaultDieBefore closes the connection and runs nothing.
+	// FaultDieBefore closes the connection without running the request.
 	FaultDieBefore
-	// FaultDieAfterRun runs the request and closes the connection unanswered.
+	// FaultDieAfterRun counts the request as run and closes the connection without
+	// an answer.
 	FaultDieAfterRun
-	// FaultCut runs the request and cuts the answer in the middle.
+	// FaultCut counts the request as run and closes the connection in the middle of
+	// an answer.
 	FaultCut
-	// FaultCrossed answers in the name of another request.
+	// FaultCrossed answers with the request ID of another request.
 	FaultCrossed
-	// FaultStall runs the request and answers only when the caller gives up.
+	// FaultStall counts the request as run and sends no answer until the caller
+	// disconnects.
 	FaultStall
-	// FaultHeld runs the request and answers after Release, or when the caller
-	// gives up.
+	// FaultHeld runs the request and answers after Release, or sends no answer if
+	// the caller disconnects first.
 	FaultHeld
-	// FaultHeldCrossed is FaultHeld with the whole answer of the request that was
-	// held before it on this server.
+	// FaultHeldCrossed is FaultHeld with the headers of the server's previous
+	// FaultHeldCrossed request, so that the answer is another request's.
 	FaultHeldCrossed
-	// FaultHeldMidway sends the first heldAfter parts of a stream at once, and the
-	// rest after Release.
+	// FaultHeldMidway sends the first heldAfterWrites writes of an answer at once,
+	// and the rest after Release.
 	FaultHeldMidway
-	// FaultOversized answers with Oversize bytes more than it should.
+	// FaultOversized appends Oversize bytes to the answer.
 	FaultOversized
-	// FaultCutShort cuts the answer after CutAfter bytes of its body.
+	// FaultCutShort closes the connection after CutAfter bytes of the body.
 	FaultCutShort
-	// FaultEnd ends the server as it runs the request: all connections are reset, and nothing
-	// listens until Again.
+	// FaultEnd stops the server while it runs the request: all connections are
+	// closed, and nothing listens until Again is called.
 	FaultEnd
 )
 
-// Oversize is more than any service row of the tests lets through.
+// Oversize, in bytes, is above the answer size limit of every service row in the
+// tests.
 const Oversize = 2 << 20
 
-// Server is what the fakes share: a listener, counts of runs, and faults.
+// Server is the common part of the fake upstreams: a listener, run counts and
+// fault injection.
 type Server struct {
-	// Slots is how many requests run at once; 0 is no bound.
+	// Slots is the concurrency limit; 0 is unlimited.
 	Slots int
-	// CutAfter is where FaultCutShort cuts; set it while nothing runs.
+	// CutAfter is the body length in bytes at which FaultCutShort truncates. It
+	// must not be set while requests run.
 	CutAfter int
-	// Listen is the address; a free loopback port if empty.
+	// Listen is the address to listen on; a free loopback port if empty.
 	Listen string
 
 	mu          sync.Mutex
@@ -70,11 +76,11 @@
 	http        *http.Server
 	slots       chan struct{}
 	released    chan struct{}
-	// crossed is the head of the request that was held last to be crossed.
+	// lastHeader is the header of the last FaultHeldCrossed request.
 	lastHeader http.Header
 }
 
-// listen serves a handler.
+// listen opens the listener and serves h in the background.
 func (s *Server) listen(h http.Handler) error {
 	if s.Listen == "" {
 		s.Listen = "127.0.0.1:0"
@@ -94,7 +100,7 @@
 	return nil
 }
 
-// Again serves once more, at its address, after it has ended.
+// Again restarts a closed server at its previous address.
 func (s *Server) Again() error {
 	lis, err := net.Listen("tcp", s.lis.Addr().String())
 	if err != nil {
@@ -111,15 +117,15 @@
 // URL returns the server's address as an http URL.
 func (s *Server) URL() string { return "http://" + s.lis.Addr().String() }
 
-// Close cuts every connection.
+// Close stops the server and closes its connections at once.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = s.http.Close()
 }
 
-// Runs returns how often each request ran, by the caller's key (header
-// X-Run-Key), or by request ID where there is none.
+// Runs returns how often each request ran, by run key (header X-Run-Key), or by
+// request ID for requests without one.
 func (s *Server) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,8 +136,8 @@
 	return copied
 }
 
-// HeaderRunKey lets a caller name its request, so that runs can be counted
-// through retries.
+// HeaderRunKey is the header that identifies a request across retries, so that its
+// runs can be counted.
 const HeaderRunKey = "X-Run-Key"
 
 func runKey(r *http.Request) string {
@@ -141,7 +147,8 @@
 	return r.Header.Get("X-Request-Id")
 }
 
-// enter waits for a slot; it returns false if the caller left.
+// acquireSlot waits for a slot and counts the run. It returns false if the caller
+// disconnected first.
 func (s *Server) acquireSlot(r *http.Request) bool {
 	s.mu.Lock()
 	s.waiting++
@@ -173,14 +180,15 @@
 	}
 }
 
-// SetFault chooses what goes wrong with each request; nil is nothing.
+// SetFault sets the function that chooses the fault of each request; nil injects
+// none.
 func (s *Server) SetFault(f func(r *http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooseFault = f
 }
 
-// Release lets answers that are held go.
+// Release unblocks the held answers of all requests received so far.
 func (s *Server) Release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,15 +196,15 @@
 	s.released = make(chan struct{})
 }
 
-// Running returns how many requests run now.
+// Running returns the number of requests that hold a slot.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running
 }
 
-// hold waits for the Release of what was held when the request came; false if the
-// caller left first.
+// waitRelease waits until released is closed. It returns false if the caller
+// disconnected first.
 func waitRelease(r *http.Request, released <-chan struct{}) bool {
 	select {
 	case <-released:
@@ -206,8 +214,8 @@
 	}
 }
 
-// cross keeps a request's head for the next one, and returns that of the one before;
-// the first gets one that nobody sent.
+// swapHeader stores the request's header and returns the previous one; the first
+// call returns a made-up header.
 func (s *Server) swapHeader(r *http.Request) http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,10 +227,10 @@
 	return other
 }
 
-// fault chooses what goes wrong with a request, and the Release that it would wait
-// for. Both are taken before the request counts as run: whoever saw it run may
-// release it at once, and a request that began to wait only then would wait for a
-// Release that never comes.
+// faultFor returns the fault of a request and the channel that the next Release
+// closes. The channel is taken before the request counts as run: a test may call
+// Release as soon as it sees the run, and a request that took the channel later
+// would miss that Release.
 func (s *Server) faultFor(r *http.Request) (Fault, <-chan struct{}) {
 	s.mu.Lock()
 	f, released := s.chooseFault, s.released
@@ -245,7 +253,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// answerWith runs a request under its fault; run writes the answer.
+// serveWithFault runs a request and injects its fault; run writes the answer.
 func (s *Server) serveWithFault(w http.ResponseWriter, r *http.Request, run func(w http.ResponseWriter)) {
 	fault, released := s.faultFor(r)
 	if fault == FaultDieBefore {
@@ -303,10 +311,11 @@
 	run(w)
 }
 
-// heldAfter is how many parts of a stream FaultHeldMidway lets through.
+// heldAfterWrites is how many writes FaultHeldMidway passes before it blocks.
 const heldAfterWrites = 2
 
-// heldWriter holds an answer after its first parts.
+// heldWriter blocks in wait before the write that follows the first
+// heldAfterWrites writes.
 type heldWriter struct {
 	http.ResponseWriter
 	writes int
@@ -321,10 +330,11 @@
 	return h.ResponseWriter.Write(b)
 }
 
-// Unwrap lets http.ResponseController flush.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (h *heldWriter) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
-// cutShort announces the whole answer and sends the first CutAfter bytes of it.
+// writeTruncated announces the full Content-Length, sends the first CutAfter bytes
+// of the body and closes the connection.
 func (s *Server) writeTruncated(w http.ResponseWriter, r *http.Request, run func(http.ResponseWriter)) {
 	whole := httptest.NewRecorder()
 	run(whole)
--- a/fake/server_test.go
+++ b/fake/server_test.go
@@ -9,9 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A test holds an answer and releases it as soon as it knows of the request, which on
-// a busy machine is before the request waits. The answer comes all the same: it would
-// else be held until the caller's deadline, and the test would blame the system.
+// Release may be called after the fault is chosen but before the request waits for
+// it. The request must not miss it and hang until the caller's deadline.
 func TestReleaseBeforeRequestWaitsIsNotLost(t *testing.T) {
 	p := &Plain{}
 	assert.NilError(t, p.Start())
