--- a/load/audit.go
+++ b/load/audit.go
@@ -1,27 +1,29 @@
 package load
 
-// Audit compares what callers were told with what the upstreams ran.
+// Audit compares the outcomes that callers saw with the runs that the upstreams
+// counted.
 type Audit struct {
 	Requests int `json:"requests"`
-	Runs     int `json:"runs"`
-	// Doubled counts requests that may not be repeated and ran more than once.
+	// Runs counts the runs of this tool's requests.
+	Runs int `json:"runs"`
+	// Doubled counts non-idempotent requests that ran more than once.
 	Doubled int `json:"doubled"`
-	// WrongNotRun counts requests that ran although the caller was told "not run".
+	// WrongNotRun counts requests that ran although their outcome was NotRun.
 	WrongNotRun int `json:"wrong_not_run"`
-	// Unrun counts answers that no upstream had run.
+	// Unrun counts answered requests that no upstream ran.
 	Unrun int `json:"answered_without_a_run"`
-	// Crossed counts answers, or parts, that were another request's.
+	// Crossed counts requests that got another request's answer or a part of one.
 	Crossed int `json:"crossed"`
-	// Lost counts requests whose outcome the caller never learnt, and LostRan those
-	// of them that ran.
+	// Lost counts requests whose outcome is Unknown, and LostRan those of them
+	// that ran.
 	Lost    int `json:"lost"`
 	LostRan int `json:"lost_that_ran"`
-	// Foreign counts runs of requests that this tool did not send.
+	// Foreign counts runs of requests that are not in the audit.
 	Foreign int `json:"foreign_runs"`
 }
 
-// Clean says whether every promise held. A lost request breaks none: the caller
-// was told that the outcome is unknown.
+// Clean reports whether the audit found no violation. A lost request is none: the
+// caller knows that the outcome is unknown.
 func (a *Audit) Clean() bool {
 	return a.Doubled == 0 && a.WrongNotRun == 0 && a.Unrun == 0 && a.Crossed == 0
 }
--- a/load/check_test.go
+++ b/load/check_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// An answer is cut at every byte. No part of it passes for the whole.
+// An answer truncated at any byte must not pass as whole.
 func TestTruncatedAnswerIsCut(t *testing.T) {
 	want := expected{key: "me-1", tokens: 2, method: "POST", path: "/lots/1"}
 	whole := completionOf(tokenText("me-1", "0", "1"))
@@ -96,8 +96,7 @@
 	}
 }
 
-// Each way in which a caller can be told something wrong, or a request run
-// wrongly, shows in the audit, and by itself.
+// Each kind of violation makes the audit unclean and is counted in its own field.
 func TestAuditCountsEachViolation(t *testing.T) {
 	clean := []requestRecord{
 		{"a", false, Answered, Whole}, {"b", false, NotRun, ""}, {"c", true, Answered, Whole},
--- a/load/cli.go
+++ b/load/cli.go
@@ -14,7 +14,7 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// ErrWrong is returned for a run in which callers were told something wrong.
+// ErrWrong is returned for a run whose report is not clean.
 var ErrWrong = merry.Sentinel("answers, refusals or runs were wrong")
 
 const programName = "snipereach-load"
@@ -31,8 +31,8 @@
 	Version         bool          `long:"version" description:"print the version and exit"`
 }
 
-// Main runs the command line and returns the exit code: 0 if every answer, refusal
-// and run was right, 1 if one was wrong or the run failed, 2 for wrong settings.
+// Main runs the command and returns its exit code: 0 for a clean report, 1 if the
+// report is not clean or the run failed, 2 for invalid settings.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var o cliOptions
 	p := flags.NewNamedParser(programName, flags.HelpFlag|flags.PassDoubleDash)
@@ -65,7 +65,7 @@
 	return kernel.ExitFailed
 }
 
-// ReadWorkload reads and checks a workload file. An error names the file.
+// ReadWorkload reads and checks a workload file. Errors name the file.
 func ReadWorkload(path string) (*Settings, error) {
 	s := DefaultSettings()
 	if err := kernel.ReadSettings(path, s); err != nil {
--- a/load/entries.go
+++ b/load/entries.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// listTimeout bounds one question for the list.
+	// listTimeout bounds one request for the list of entries.
 	listTimeout = 2 * time.Second
-	// maxList bounds the list, in bytes.
+	// maxListBytes bounds the size of the list.
 	maxListBytes = 1 << 20
-	// retryList is the wait after nobody gave the list.
+	// fetchRetryDelay is the delay before the next fetch after a failed one.
 	fetchRetryDelay = 200 * time.Millisecond
 )
 
-// entries keeps the list of entries as long as the system lets callers keep it.
+// entries caches the list of entries for the time that the system allows
+// (keep_seconds).
 type entries struct {
 	client *http.Client
 	seeds  []string
@@ -42,7 +43,8 @@
 	KeepSeconds int `json:"keep_seconds"`
 }
 
-// pick returns the next entry in turn that is not avoid, if there is another.
+// pick returns the next entry in round-robin order, other than avoid if there is
+// another one. It refreshes an expired list first.
 func (e *entries) pick(ctx context.Context, avoid string) (string, error) {
 	var err error
 	if e.claimFetch() {
@@ -62,8 +64,8 @@
 	return e.list[0], nil
 }
 
-// stale says whether the caller is to fetch the list: one does it at a time, and
-// the others go on with the old list meanwhile, if there is one.
+// claimFetch reports whether the caller must fetch the list because it has expired.
+// While one caller fetches it, the others use the old list if there is one.
 func (e *entries) claimFetch() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,7 +76,8 @@
 	return true
 }
 
-// fetch asks the entries that are known, then those of the settings.
+// fetch refreshes the list from the first entry that returns it, trying the known
+// entries and then those of the settings.
 func (e *entries) fetch(ctx context.Context) error {
 	e.mu.Lock()
 	candidates := append(append([]string(nil), e.list...), e.seeds...)
@@ -91,7 +94,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fetching = false
-	// An old list is better than none; the question is put again soon.
+	// Keep the old list and fetch again after fetchRetryDelay.
 	e.freshUntil = time.Now().Add(fetchRetryDelay)
 	return merry.Prependf(ErrNoEntries, "%v", last)
 }
@@ -128,7 +131,7 @@
 		return nil, fmt.Errorf("%s: status %d, %d entries", address, resp.StatusCode, len(l.Entries))
 	}
 	for _, x := range l.Entries {
-		// The list may name addresses that the settings did not.
+		// The list may name addresses that are not in the settings.
 		if err := e.allow(x.Address); err != nil {
 			return nil, err
 		}
--- a/load/entries_test.go
+++ b/load/entries_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// lister serves a list of entries and counts who asks.
+// newListServer serves a list of entries and counts the requests for it.
 func newListServer(t *testing.T, keep int, addresses func() string) (*httptest.Server, *atomic.Int32) {
 	t.Helper()
 	var requests atomic.Int32
@@ -55,8 +55,8 @@
 	assert.Equal(t, requests.Load(), int32(2))
 }
 
-// Every entry that is asked for the list is gone. Callers go on with the list that
-// they have; without one they are told.
+// When no entry serves the list, callers keep using the one that they have, or get
+// ErrNoEntries if they have none.
 func TestStaleEntryListIsUsedWhenFetchFails(t *testing.T) {
 	srv, _ := newListServer(t, 0, func() string { return entriesJSON("127.0.0.1:1") })
 	e := &entries{client: http.DefaultClient, seeds: []string{srv.Listener.Addr().String()}, allow: CheckLoopback}
@@ -71,7 +71,7 @@
 	assert.ErrorIs(t, err, ErrNoEntries)
 }
 
-// The list leads away from the loopback: load must not follow it.
+// A list with an address outside the loopback must not be used.
 func TestEntryListOutsideLoopbackIsRejected(t *testing.T) {
 	srv, _ := newListServer(t, 1, func() string { return entriesJSON("127.0.0.1:1", "192.0.2.1:80") })
 	e := &entries{client: http.DefaultClient, seeds: []string{srv.Listener.Addr().String()}, allow: CheckLoopback}
--- a/load/fakes.go
+++ b/load/fakes.go
@@ -4,13 +4,13 @@
 	"github.com/snipereach/snipereach/fake"
 )
 
-// FakeSet is the fake upstreams that run in the tool's own process.
+// FakeSet holds the fake upstreams that run in the tool's process.
 type FakeSet struct {
 	engines []*fake.Engine
 	plains  []*fake.Plain
 }
 
-// StartFakes starts the fake upstreams that the settings name.
+// StartFakes starts the fake upstreams of the settings.
 func StartFakes(f Fakes) (*FakeSet, error) {
 	set := &FakeSet{}
 	for _, s := range f.Engine {
@@ -32,7 +32,7 @@
 	return set, nil
 }
 
-// Runs returns how often the fakes ran each request, by its key.
+// Runs returns how often the fakes ran each request, by run key.
 func (s *FakeSet) Runs() map[string]int {
 	total := map[string]int{}
 	for _, e := range s.engines {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Close cuts the fakes' connections.
+// Close stops all fakes.
 func (s *FakeSet) Close() {
 	for _, e := range s.engines {
 		e.Close()
--- a/load/faults_test.go
+++ b/load/faults_test.go
@@ -19,11 +19,10 @@
 	"github.com/snipereach/snipereach/quickstart"
 )
 
-// naiveEntry forwards as it comes, checks nothing, and does wrong what a test
-// asks of it.
+// naiveEntry is an entry that forwards requests without any safeguards.
 type naiveEntry struct {
 	upstream string
-	// wrong, if set, answers in place of the forwarder.
+	// override, if set, handles requests in place of forward.
 	override func(e *naiveEntry, w http.ResponseWriter, r *http.Request)
 	list     []string
 }
@@ -43,7 +42,7 @@
 	}
 }
 
-// forward returns the upstream's answer, or panics so that the caller sees a cut.
+// forward returns the upstream's answer, or panics to abort the response.
 func (e *naiveEntry) forward(r *http.Request) []byte {
 	path := strings.TrimPrefix(r.URL.Path, "/services/clock")
 	req, _ := http.NewRequest(r.Method, e.upstream+path, strings.NewReader("{}"))
@@ -62,7 +61,7 @@
 
 func writeBody(w http.ResponseWriter, body []byte) { _, _ = w.Write(body) }
 
-// crossing returns a fault that gives each two callers each other's answers.
+// swapAnswers returns a handler that pairs up callers and swaps their answers.
 func swapAnswers() func(*naiveEntry, http.ResponseWriter, *http.Request) {
 	pairs := make(chan [2]chan []byte)
 	return func(e *naiveEntry, w http.ResponseWriter, r *http.Request) {
@@ -76,7 +75,7 @@
 			ends[1] <- mine
 			writeBody(w, <-ends[0])
 		case <-time.After(time.Second):
-			writeBody(w, mine) // the last one finds no other
+			writeBody(w, mine) // an odd last request has no partner
 		}
 	}
 }
@@ -101,7 +100,7 @@
 	return rep
 }
 
-// naiveRun sends signals through two naive entries.
+// runThroughNaiveEntries runs signalSettings through two naive entries.
 func runThroughNaiveEntries(t *testing.T, override func(*naiveEntry, http.ResponseWriter, *http.Request), fault func(*http.Request) fake.Fault, resends int) *Report {
 	t.Helper()
 	up := &fake.Plain{}
@@ -119,8 +118,8 @@
 	return runLoad(t, s, up.Runs)
 }
 
-// An entry without safeguards gives callers wrong answers or runs requests wrongly,
-// one way at a time. The tool says so, and which; without a fault it says nothing.
+// The report must identify each fault that an entry without safeguards can cause,
+// and must be clean when there is none.
 func TestReportDetectsFaultsOfNaiveEntry(t *testing.T) {
 	every := func(f fake.Fault) func(*http.Request) fake.Fault {
 		return func(*http.Request) fake.Fault { return f }
@@ -174,7 +173,7 @@
 	assert.Equal(t, rep.Audit.Unrun, sent)
 	assert.Assert(t, !rep.Clean())
 
-	// Lost answers: the caller sees a cut and knows that it knows nothing.
+	// Lost answers: the outcome is unknown, which is no violation.
 	for _, f := range []fake.Fault{fake.FaultDieAfterRun, fake.FaultCut} {
 		rep = runThroughNaiveEntries(t, nil, every(f), 0)
 		assert.Equal(t, rep.Audit.Lost, sent)
@@ -182,7 +181,7 @@
 		assert.Assert(t, rep.Audit.LostRan > 0 && rep.Clean())
 	}
 
-	// An answer that leads elsewhere is not followed.
+	// Redirects are not followed.
 	away := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("load went elsewhere") }))
 	defer away.Close()
 	rep = runThroughNaiveEntries(t, func(_ *naiveEntry, w http.ResponseWriter, r *http.Request) {
@@ -190,16 +189,16 @@
 	}, nil, 0)
 	assert.Equal(t, rep.Classes[0].Reasons["unknown status-302"], sent)
 
-	// A resend through an entry that knows nothing of keys runs the request again.
+	// An entry that ignores idempotency keys runs a resent request twice.
 	rep = runThroughNaiveEntries(t, nil, every(fake.FaultDieAfterRun), 1)
 	assert.Equal(t, rep.Audit.Doubled, sent)
 	assert.Equal(t, rep.Classes[0].Resent, sent)
 	assert.Assert(t, !rep.Clean())
 }
 
-// Upstreams of the real path die, cut and cross answers all the time. Callers see
-// refusals and resend what is in doubt; nothing runs twice, nothing crosses, and no
-// "not run" is wrong.
+// The real system must keep the report clean while its upstreams abort requests,
+// truncate answers and mix them up: no request that may not be repeated runs
+// twice, no caller gets another's answer, and no "not run" is wrong.
 func TestReportIsCleanUnderUpstreamFaults(t *testing.T) {
 	sys, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewNopLogger(), Plains: 2})
 	assert.NilError(t, err)
--- a/load/plan.go
+++ b/load/plan.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// Arrival is one request that is due.
+// Arrival is one planned request.
 type Arrival struct {
-	// Due is when it is due, from the run's start.
+	// Due is the intended start, relative to the start of the run.
 	Due    time.Duration
 	Number int
 	Class  *Class
 	Team   *Team
-	// Tokens and Prefix are drawn for engine classes.
+	// Tokens is the completion length and Prefix the number of the prompt prefix;
+	// only engine classes use them.
 	Tokens int
 	Prefix int
 }
 
-// Plan draws the arrivals of a run: a Poisson process whose rate follows the
-// day's shape, by thinning (Lewis, Shedler: Simulation of Nonhomogeneous Poisson
-// Processes by Thinning, 1979). The same settings give the same arrivals.
+// Plan generates the arrivals of a run: a nonhomogeneous Poisson process whose rate
+// follows Settings.Day, simulated by thinning (Lewis, Shedler: Simulation of
+// Nonhomogeneous Poisson Processes by Thinning, 1979). It is deterministic for
+// given settings.
 type Plan struct {
 	settings   *Settings
 	rand       *rand.Rand
@@ -30,7 +32,7 @@
 	number     int
 }
 
-// NewPlan makes the plan of checked settings.
+// NewPlan returns the plan for settings that have passed Check.
 func NewPlan(s *Settings) *Plan {
 	p := &Plan{settings: s, rand: rand.New(rand.NewPCG(s.Seed, 0)), peakFactor: 1}
 	if len(s.Day) > 0 {
@@ -62,7 +64,7 @@
 	return list
 }
 
-// Next returns the next arrival, or false when the run is over.
+// Next returns the next arrival, or false at the end of the run.
 func (p *Plan) Next() (Arrival, bool) {
 	length := p.settings.Duration.D()
 	for p.peakFactor > 0 {
@@ -96,8 +98,8 @@
 	}
 }
 
-// Factor is the day's shape at a fraction of the run, from 0 to 1; 1 without
-// points.
+// Factor returns the rate factor at a fraction of the run from 0 to 1, interpolated
+// linearly between points. Without points it is 1.
 func Factor(day []Point, at float64) float64 {
 	if len(day) == 0 {
 		return 1
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -33,7 +33,8 @@
 	assert.Equal(t, Factor(nil, 0.5), 1.0)
 }
 
-// The plan keeps rates, shape, teams and ranges, and is the same each time.
+// A plan follows the rates, load curve, teams and ranges of the settings, and is
+// deterministic.
 func TestPlanMatchesSettings(t *testing.T) {
 	s := testSettings()
 	s.Duration = kernel.Duration(1000 * time.Second)
@@ -59,14 +60,14 @@
 		}
 		assert.Assert(t, a.Tokens >= 2 && a.Tokens <= 5 && a.Prefix >= 0 && a.Prefix < 3)
 	}
-	// 500 s at twice the rates; five standard deviations are 870 and 500.
+	// 500 s at twice the rates. 870 and 500 are five standard deviations.
 	assert.Assert(t, math.Abs(float64(count["signals"])-30_000) < 870, "%v", count)
 	assert.Assert(t, math.Abs(float64(count["texts"])-10_000) < 500, "%v", count)
 	assert.Assert(t, math.Abs(float64(count["one"])-5_000) < 400, "%v", count)
 }
 
-// A workload with a mistake is refused with the file and the key, and with the
-// line where the file itself shows it.
+// The error for an invalid workload names the file and the key, and the line of
+// unknown keys and undecodable values.
 func TestInvalidWorkloadErrorNamesFileLineAndKey(t *testing.T) {
 	text, err := os.ReadFile("../examples/load-auction.toml")
 	assert.NilError(t, err)
--- a/load/plot.go
+++ b/load/plot.go
@@ -17,8 +17,9 @@
 	plotHeight = 8 * vg.Inch
 )
 
-// WritePlot writes a PNG over the run's time: each class's 99th percentile of the
-// whole answer above, answers and other ends a second below.
+// WritePlot writes a PNG with two plots over the intended start of the requests:
+// the 99th percentile of each class's time to the whole answer, and the requests
+// per second by outcome.
 func (r *Report) WritePlot(w io.Writer) error {
 	latency, err := r.latencyPlot()
 	if err != nil {
--- a/load/report.go
+++ b/load/report.go
@@ -12,25 +12,25 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the result of a run. Times are in microseconds; those of a request
-// count from its intended start.
+// Report is the result of a run. Latencies are in microseconds, from the intended
+// start of the request.
 type Report struct {
 	Started time.Time     `json:"started"`
 	Seconds float64       `json:"seconds"`
 	Lists   int           `json:"entry_lists_fetched"`
 	Classes []ClassReport `json:"classes"`
-	// Audit is nil where the upstreams' runs are not known.
+	// Audit is nil if the runs at the upstreams are not known.
 	Audit *Audit `json:"audit,omitempty"`
 
 	settings *Settings
 	stats    *stats
 }
 
-// ClassReport is the part of one class.
+// ClassReport is the result of one class.
 type ClassReport struct {
 	Name     string          `json:"name"`
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Reasons are keyed by outcome and reason.
+	// Reasons counts requests by outcome and reason, as in "not-run queue-full".
 	Reasons  map[string]int  `json:"reasons,omitempty"`
 	Verdicts map[Verdict]int `json:"verdicts,omitempty"`
 	Resent   int             `json:"resent"`
@@ -40,7 +40,7 @@
 	Gap      Quantiles       `json:"between_tokens_us"`
 }
 
-// Quantiles of a histogram.
+// Quantiles summarizes a histogram.
 type Quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -77,19 +77,20 @@
 	return rep
 }
 
-// Clean says whether every answer passed its check and the audit found nothing.
+// Clean reports whether every answer passed its check and the audit, if any, is
+// clean.
 func (r *Report) Clean() bool {
 	return r.stats.wrongAnswers() == 0 && (r.Audit == nil || r.Audit.Clean())
 }
 
-// WriteJSON writes the report as JSON.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(r)
 }
 
-// WriteTable writes the report for a terminal.
+// WriteTable writes the report as a text table.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tanswered\tnot run\tunknown\tunsent\tresent\treplayed\twrong\tfirst p50\tp99\twhole p50\tp99\tbetween tokens p95\t")
--- a/load/run.go
+++ b/load/run.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// resendPause is the wait before a request is sent again.
 	resendDelay = 100 * time.Millisecond
-	// maxUnreachable bounds the entries that one request tries to connect to.
+	// maxConnectFailures bounds how often a request that cannot connect tries
+	// another entry.
 	maxConnectFailures = 5
 	progressInterval   = time.Second
 	dialTimeout        = 2 * time.Second
@@ -24,16 +24,16 @@
 
 // Options of a run.
 type Options struct {
-	// Progress takes a line a second; nil is none.
+	// Progress receives a progress line per second; nil disables it.
 	Progress io.Writer
-	// AnyAddress lets load go to addresses that are not on the loopback.
+	// AnyAddress permits entries outside the loopback.
 	AnyAddress bool
-	// Runs returns how often the upstreams ran each request, by its key; nil if
-	// that is not known.
+	// Runs returns how often the upstreams ran each request, by run key. If it is
+	// nil, the report has no audit.
 	Runs func() map[string]int
 }
 
-// Runner sends a workload.
+// Runner sends a workload and collects its results.
 type Runner struct {
 	settings *Settings
 	opts     Options
@@ -49,7 +49,7 @@
 	records []requestRecord
 }
 
-// ended is what is kept of a request for the audit of runs.
+// requestRecord is the data about a completed request that the audit needs.
 type requestRecord struct {
 	key        string
 	idempotent bool
@@ -57,7 +57,8 @@
 	verdict    Verdict
 }
 
-// NewRunner makes a runner from checked settings.
+// NewRunner returns a runner for settings that have passed Check. It returns
+// ErrNotLoopback for an entry outside the loopback unless Options.AnyAddress is set.
 func NewRunner(s *Settings, o Options) (*Runner, error) {
 	allow := CheckLoopback
 	if o.AnyAddress {
@@ -73,7 +74,7 @@
 			MaxIdleConns: s.MaxInFlight, MaxIdleConnsPerHost: s.MaxInFlight, IdleConnTimeout: time.Minute,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableCompression: true,
 		},
-		// A redirect could lead load away from the loopback.
+		// A redirect could lead outside the loopback.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return &Runner{
@@ -83,8 +84,9 @@
 	}, nil
 }
 
-// Run sends the workload and returns the report. It ends with the plan, or when
-// the context is done, and waits for answers as long as the settings let it.
+// Run sends the workload and returns the report. It stops sending at the end of the
+// plan or when ctx is done. After the plan it waits up to Settings.Drain for
+// outstanding answers; once ctx is done it cancels them.
 func (r *Runner) Run(ctx context.Context) (*Report, error) {
 	defer r.client.CloseIdleConnections()
 	if err := r.entries.fetch(ctx); err != nil {
@@ -100,9 +102,9 @@
 	return r.report(), nil
 }
 
-// sendAll starts each request at its time. It never waits for an answer: a system
-// that slows down gets no less load (open loop), and latency counts from the
-// intended start, also where the tool itself was late.
+// sendAll starts each request at its intended time without waiting for answers
+// (open loop), so that a slow system gets no less load. Latency is measured from
+// the intended start, even if the tool itself starts the request late.
 func (r *Runner) sendAll(ctx, workCtx context.Context) {
 	plan := NewPlan(r.settings)
 	timer := time.NewTimer(0)
@@ -135,7 +137,7 @@
 	})
 }
 
-// carry brings one request to its end.
+// execute sends one request until it is finished and records the result.
 func (r *Runner) execute(ctx context.Context, c *call) {
 	rep, attempts := r.sendWithRetries(ctx, c)
 	r.stats.add(c, rep, attempts, time.Now())
@@ -159,7 +161,7 @@
 		}
 		attempts++
 		if rep.outcome != Unknown || attempts > c.Class.Resends || !waitBeforeResend(ctx) {
-			// Of a request without a key, a "not run" speaks of one sending.
+			// Without an idempotency key, NotRun covers only the last attempt.
 			return withdrawNotRun(rep, mayHaveRun && !c.Class.Keys), attempts
 		}
 		mayHaveRun = true
@@ -182,7 +184,8 @@
 	}
 }
 
-// drain waits for answers, then cancels what is left; those end as unknown.
+// drain waits for outstanding requests and cancels those that are left after
+// Settings.Drain or when ctx is done.
 func (r *Runner) drain(ctx context.Context, cancel context.CancelFunc) {
 	done := make(chan struct{})
 	go func() {
@@ -199,7 +202,7 @@
 	<-done
 }
 
-// progress prints a line a second until the returned function is called.
+// progress prints a line per progressInterval until stop is called.
 func (r *Runner) progress() (stop func()) {
 	if r.opts.Progress == nil {
 		return func() {}
--- a/load/send.go
+++ b/load/send.go
@@ -16,25 +16,26 @@
 	"github.com/snipereach/snipereach/refusal"
 )
 
-// maxAnswer bounds what is read of one answer.
+// maxAnswerBytes bounds how much of one answer is read.
 const maxAnswerBytes = 64 << 20
 
-// Outcome is what a caller knows of a request.
+// Outcome is a caller's knowledge of a request's result.
 type Outcome string
 
 // Outcomes.
 const (
-	// Answered is a whole answer, whatever the check of it found.
+	// Answered means that a response was read to its end, whatever its verdict.
 	Answered Outcome = "answered"
-	// NotRun is a refusal that says so, or no connection at all.
+	// NotRun means that the system refused the request as not run, or that no
+	// connection was made.
 	NotRun Outcome = "not-run"
-	// Unknown is everything else: it may have run.
+	// Unknown is any other result: the request may have run.
 	Unknown Outcome = "unknown"
-	// Unsent was due while the tool was at its bound of requests in flight.
+	// Unsent means that the request was due while MaxInFlight were in flight.
 	Unsent Outcome = "unsent"
 )
 
-// Reasons that the tool finds itself; the others are the system's.
+// Reasons assigned by the tool. All others come from the system's refusals.
 const (
 	reasonUnreachable = "entry-unreachable"
 	reasonConnection  = "connection-cut"
@@ -42,19 +43,19 @@
 	reasonStatus      = "status-"
 )
 
-// reply is what came of one sending.
+// attemptResult is the result of one attempt of a request.
 type attemptResult struct {
 	outcome  Outcome
 	reason   string
 	verdict  Verdict
 	replayed bool
-	// first is when the first byte (of a stream: the first token) came.
+	// first is when the response header was received; for a stream, the first token.
 	first time.Time
-	// gaps are the times between the tokens of a stream.
+	// gaps are the times between consecutive tokens of a stream.
 	gaps []time.Duration
 }
 
-// call is one request, whatever the number of its sendings.
+// call is one request with all its attempts.
 type call struct {
 	Arrival
 	key string
@@ -98,7 +99,7 @@
 	return body
 }
 
-// prefixText makes a prompt prefix: the same number gives the same text.
+// prefixText returns the prompt prefix of a number, chars bytes long.
 func prefixText(number, chars int) string {
 	word := "prefix " + strconv.Itoa(number) + " "
 	return strings.Repeat(word, chars/len(word)+1)[:chars]
@@ -110,8 +111,8 @@
 		url = "http://" + entry + "/services/" + c.Class.Target + c.path()
 	}
 	body := c.body()
-	// Without GetBody net/http sends nothing again by itself: a resend that the
-	// tool doesn't know of would look like a doubled run.
+	// Without GetBody net/http does not retry by itself. A retry that the tool does
+	// not know of would be reported as a doubled run.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, err
@@ -132,7 +133,7 @@
 	return req, nil
 }
 
-// send makes one sending and waits for what comes of it.
+// attempt sends the request once to an entry and waits for the result.
 func (c *call) attempt(ctx context.Context, client *http.Client, entry string) attemptResult {
 	ctx, cancel := context.WithTimeout(ctx, c.Class.Timeout.D())
 	defer cancel()
@@ -220,7 +221,8 @@
 		last = now
 	}
 	if lines.Err() != nil {
-		// The cut shows. What came before it must still be the request's own.
+		// The caller sees the interruption, so a Cut is no fault here. Tokens read
+		// before it must still belong to the request.
 		rep.outcome, rep.reason = Unknown, interruptReason(ctx)
 		if v := check.verdict(); v == Crossed || v == Doubled {
 			rep.verdict = v
--- a/load/settings.go
+++ b/load/settings.go
@@ -1,11 +1,10 @@
-// Package load is an open-loop load and experiment tool for a running system. It
-// sends requests at their intended times whatever became of earlier ones, checks
-// every answer against its own request, sends requests whose outcome is unknown
-// again through another entry, and says what callers saw.
+// Package load is an open-loop load generator for a running system. It sends
+// requests at their intended times regardless of earlier ones, checks every answer
+// against its request, resends requests of unknown outcome through another entry,
+// and reports the outcomes and latencies that callers saw.
 //
-// Decisions are pure: the arrivals (Plan), the check of an answer (checkTokens,
-// checkEcho) and the audit of runs take values and return values. Runner drives
-// them with goroutines and sockets.
+// The arrivals (Plan), the check of answers (checkTokens, checkEcho) and the audit
+// do no I/O; Runner does it with goroutines and sockets.
 package load
 
 import (
@@ -18,30 +17,30 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// Errors of this layer.
 var (
-	// ErrNotLoopback is returned for an address that load may not go to.
+	// ErrNotLoopback is returned for an address outside the loopback.
 	ErrNotLoopback = merry.Sentinel("address is not on the loopback")
-	// ErrNoEntries is returned when no entry gives the list of entries.
+	// ErrNoEntries is returned if no entry returns the list of entries.
 	ErrNoEntries = merry.Sentinel("no entry gives the list of entries")
 )
 
-// Bounds of a run.
+// Limits of a run; maxRate is in requests per second.
 const (
 	maxDuration = 24 * time.Hour
 	maxRate     = 100_000
 )
 
-// Settings of a workload, as its TOML file gives them.
+// Settings describes a workload and is read from a TOML file.
 type Settings struct {
-	// Entries are the addresses that are asked for the list of entries.
+	// Entries are the addresses from which the list of entries is fetched.
 	Entries  []string        `toml:"entries"`
 	Duration kernel.Duration `toml:"duration"`
-	// Drain is the wait for answers after the last request.
+	// Drain is how long to wait for answers after the last request.
 	Drain kernel.Duration `toml:"drain"`
 	Seed  uint64          `toml:"seed"`
-	// MaxInFlight bounds the tool. A request that is due beyond it is counted as
-	// unsent: the tool, not the system, was at its end.
+	// MaxInFlight bounds the tool's in-flight requests. A request that is due
+	// beyond it is counted as unsent, because the tool is overloaded, not the
+	// system.
 	MaxInFlight int     `toml:"max_in_flight"`
 	Day         []Point `toml:"day"`
 	Team        []Team  `toml:"team"`
@@ -49,20 +48,20 @@
 	Fakes       Fakes   `toml:"fakes"`
 }
 
-// Point is one point of the day's shape: a factor of the rates at a fraction of
-// the duration. Between points the factor changes linearly.
+// Point is one point of the day's load curve: the factor of all rates at a fraction
+// of the duration. Between points the factor is interpolated linearly.
 type Point struct {
 	At     float64 `toml:"at"`
 	Factor float64 `toml:"factor"`
 }
 
-// Team sends requests under its key.
+// Team is a team and the bearer key that its requests carry.
 type Team struct {
 	Name string `toml:"name"`
 	Key  string `toml:"key"`
 }
 
-// Kinds of a class.
+// Values of Class.Kind.
 const (
 	KindEngine = "engine"
 	KindPlain  = "plain"
@@ -71,60 +70,59 @@
 // Class is one kind of request.
 type Class struct {
 	Name string `toml:"name"`
-	// Kind is engine (chat completions) or plain (a call to a plain service).
+	// Kind is KindEngine (chat completions) or KindPlain (a plain service).
 	Kind string `toml:"kind"`
 	// Target is the model of an engine class, the service of a plain one.
 	Target string `toml:"target"`
-	// Path of a plain call; "{n}" stands for the request's number.
+	// Path is the path of a plain call; "{n}" is replaced by the request's number.
 	Path string `toml:"path"`
-	// Rate at factor 1, in requests a second.
+	// Rate is in requests per second at factor 1.
 	Rate float64 `toml:"rate"`
-	// Teams that send it, in equal parts; all if empty.
+	// Teams send the class in equal shares; all teams if empty.
 	Teams    []string `toml:"teams"`
 	Priority string   `toml:"priority"`
-	// Idempotent says that the request may be run more than once.
+	// Idempotent marks requests that may run more than once.
 	Idempotent bool `toml:"idempotent"`
-	// Keys gives each request an idempotency key, so that it can be sent again
-	// although it may not be run again.
+	// Keys gives each request an idempotency key, which makes it safe to resend.
 	Keys bool `toml:"keys"`
-	// Resends is how often a request of unknown outcome is sent again.
+	// Resends is how often a request of unknown outcome may be resent.
 	Resends int             `toml:"resends"`
 	Timeout kernel.Duration `toml:"timeout"`
-	// Stream, tokens and prompts of an engine class. Prefixes is how many
-	// different prompt prefixes there are, PrefixChars their length.
+	// Stream to PrefixChars apply to engine classes. Prefixes is the number of
+	// distinct prompt prefixes and PrefixChars their length in bytes.
 	Stream      bool `toml:"stream"`
 	MinTokens   int  `toml:"min_tokens"`
 	MaxTokens   int  `toml:"max_tokens"`
 	Prefixes    int  `toml:"prefixes"`
 	PrefixChars int  `toml:"prefix_chars"`
-	// Check is echo where the upstreams answer as the fakes do, or none.
+	// Check is "echo", which requires answers as the fakes give them, or "none".
 	Check string `toml:"check"`
 }
 
-// Checks of answers.
+// Values of Class.Check.
 const (
 	checkModeEcho = "echo"
 	checkModeNone = "none"
 )
 
-// Fakes are upstreams that the tool may run in its own process.
+// Fakes are fake upstreams that the tool can run in its own process.
 type Fakes struct {
-	// Settle is the wait between their start and the first request, in which the
-	// system finds them.
+	// Settle is the delay between their start and the first request, in which the
+	// system discovers them.
 	Settle kernel.Duration `toml:"settle"`
 	Engine []FakeServer    `toml:"engine"`
 	Plain  []FakeServer    `toml:"plain"`
 }
 
-// FakeServer is one fake upstream. Work is the time of a plain request or of one
-// decoding step.
+// FakeServer is one fake upstream. Work is the duration of a plain request or of
+// one decoding step.
 type FakeServer struct {
 	Listen string          `toml:"listen"`
 	Slots  int             `toml:"slots"`
 	Work   kernel.Duration `toml:"work"`
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the settings that apply to keys absent from the file.
 func DefaultSettings() *Settings {
 	return &Settings{
 		Duration: kernel.Duration(30 * time.Second), Drain: kernel.Duration(10 * time.Second),
@@ -134,7 +132,8 @@
 
 const defaultTimeout = 30 * time.Second
 
-// Check names the first key that is wrong, and fills in the defaults of classes.
+// Check returns an error that names the first invalid key. It fills in the defaults
+// of the classes.
 func (s *Settings) Check() error {
 	switch {
 	case len(s.Entries) == 0:
@@ -228,7 +227,7 @@
 	case c.Resends < 0 || c.Resends > 20:
 		return kernel.BadKey("class.resends", "must be from 0 to 20")
 	case c.Resends > 0 && !c.Idempotent && !c.Keys:
-		// Without a key a resend of a request that may have run runs it again.
+		// A resend without an idempotency key could run the request twice.
 		return kernel.BadKey("class.resends", "needs keys or idempotent")
 	case c.Timeout < 0:
 		return kernel.BadKey("class.timeout", "must not be negative")
@@ -236,7 +235,8 @@
 	return nil
 }
 
-// CheckLoopback refuses an address that is not on the loopback.
+// CheckLoopback returns ErrNotLoopback unless address is a loopback IP address with
+// a port.
 func CheckLoopback(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/load/stats.go
+++ b/load/stats.go
@@ -8,25 +8,24 @@
 )
 
 const (
-	// maxRecorded bounds the histograms, in microseconds.
-	maxRecordedMicros  = int64(10 * time.Minute / time.Microsecond)
-	histogramPrecision = 3
-	// The timeline has at most this many pieces, of a second or more each.
+	// maxMicros is the highest value of the histograms, in microseconds.
+	maxMicros  = int64(10 * time.Minute / time.Microsecond)
+	sigDigits = 3
+	// The timeline is divided into about maxBuckets buckets of at least
+	// minBucketWidth.
 	maxBuckets      = 200
 	minBucketWidth  = time.Second
-	bucketPrecision = 2
+	bucketSigDigits = 2
 )
 
-func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxRecordedMicros, histogramPrecision)
-}
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, sigDigits) }
 
-// record counts a time; one beyond the bound counts as the bound.
+// recordDuration adds a duration to a histogram, clamped to its range.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxRecordedMicros))
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), maxMicros))
 }
 
-// classStats is what a run saw of one class.
+// classStats holds the results of one class.
 type classStats struct {
 	first, whole, tokenGap *hdrhistogram.Histogram
 	outcomes               map[Outcome]int
@@ -36,7 +35,8 @@
 	buckets                []*bucket
 }
 
-// piece is a stretch of the run, by the intended start of its requests.
+// bucket holds the results of the requests whose intended start is in one interval
+// of the run.
 type bucket struct {
 	whole    *hdrhistogram.Histogram
 	outcomes map[Outcome]int
@@ -61,7 +61,7 @@
 	return st
 }
 
-// add counts the end of a request.
+// add records the result of a request.
 func (s *stats) add(c *call, rep attemptResult, attempts int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 
 func (cs *classStats) bucket(i int) *bucket {
 	if cs.buckets[i] == nil {
-		cs.buckets[i] = &bucket{whole: hdrhistogram.New(1, maxRecordedMicros, bucketPrecision), outcomes: map[Outcome]int{}}
+		cs.buckets[i] = &bucket{whole: hdrhistogram.New(1, maxMicros, bucketSigDigits), outcomes: map[Outcome]int{}}
 	}
 	return cs.buckets[i]
 }
@@ -109,7 +109,7 @@
 	return t
 }
 
-// wrong counts answers that the check didn't pass.
+// wrongAnswers returns the number of answers that failed their check.
 func (s *stats) wrongAnswers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
