--- a/fake/clock_test.go
+++ b/fake/clock_test.go
@@ -18,7 +18,7 @@
 	go func() { returned <- c.Now() }()
 	select {
 	case at := <-returned:
-		t.Fatalf("a frozen clock told %v", at)
+		t.Fatalf("Now returned %v while the clock was frozen", at)
 	case <-time.After(20 * time.Millisecond):
 	}
 	thaw := time.Now()
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -181,7 +181,7 @@
 
 func (e *Engine) serveCounters(w http.ResponseWriter, _ *http.Request) {
 	if e.Group == nil {
-		http.Error(w, "the engine belongs to no group", http.StatusNotFound)
+		http.Error(w, "engine is not in a group", http.StatusNotFound)
 		return
 	}
 	writeJSON(w, e.Group.Counters(e.Rank))
--- a/load/entries_test.go
+++ b/load/entries_test.go
@@ -45,7 +45,7 @@
 		count[a]++
 		other, err := e.pick(context.Background(), a)
 		assert.NilError(t, err)
-		assert.Assert(t, other != a, "a resend goes through another entry")
+		assert.Assert(t, other != a, "a resend must go through another entry")
 	}
 	assert.Equal(t, count["127.0.0.1:1"]+count["127.0.0.1:2"], 10)
 	assert.Equal(t, requests.Load(), int32(1))
@@ -65,7 +65,7 @@
 	srv.Close()
 	a, err := e.pick(context.Background(), "127.0.0.1:1")
 	assert.NilError(t, err)
-	assert.Equal(t, a, "127.0.0.1:1", "the only entry is taken again")
+	assert.Equal(t, a, "127.0.0.1:1", "the only entry must be picked again")
 	none := &entries{client: http.DefaultClient, seeds: e.seeds, allow: CheckLoopback}
 	_, err = none.pick(context.Background(), "")
 	assert.ErrorIs(t, err, ErrNoEntries)
--- a/load/faults_test.go
+++ b/load/faults_test.go
@@ -182,7 +182,7 @@
 	}
 
 	// Redirects are not followed.
-	away := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("load went elsewhere") }))
+	away := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { t.Error("a redirect was followed") }))
 	defer away.Close()
 	rep = runThroughNaiveEntries(t, func(_ *naiveEntry, w http.ResponseWriter, r *http.Request) {
 		http.Redirect(w, r, away.URL, http.StatusFound)
--- a/load/settings.go
+++ b/load/settings.go
@@ -167,7 +167,7 @@
 	last := 0.0
 	for _, p := range s.Day {
 		if p.At < last || p.At > 1 {
-			return kernel.BadKey("day.at", "must rise from 0 to 1")
+			return kernel.BadKey("day.at", "must be from 0 to 1 and not decrease")
 		}
 		if p.Factor < 0 {
 			return kernel.BadKey("day.factor", "must not be negative")
@@ -181,7 +181,7 @@
 	teams := map[string]bool{}
 	for _, t := range s.Team {
 		if t.Name == "" || t.Key == "" || teams[t.Name] {
-			return kernel.BadKey("team", "each needs a key and a name of its own")
+			return kernel.BadKey("team", "each needs a key and a unique name")
 		}
 		teams[t.Name] = true
 	}
@@ -189,7 +189,7 @@
 	for i := range s.Class {
 		c := &s.Class[i]
 		if c.Name == "" || names[c.Name] {
-			return kernel.BadKey("class.name", "each class needs a name of its own")
+			return kernel.BadKey("class.name", "each class needs a unique name")
 		}
 		names[c.Name] = true
 		for _, t := range c.Teams {
--- a/load/stats.go
+++ b/load/stats.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxMicros is the highest value of the histograms, in microseconds.
-	maxMicros  = int64(10 * time.Minute / time.Microsecond)
+	maxMicros = int64(10 * time.Minute / time.Microsecond)
 	sigDigits = 3
 	// The timeline is divided into about maxBuckets buckets of at least
 	// minBucketWidth.
--- a/quickstart/crash_test.go
+++ b/quickstart/crash_test.go
@@ -16,8 +16,8 @@
 	"github.com/snipereach/snipereach/fake"
 )
 
-// endingServices is a system whose plain services end when they run requests of one path, and
-// are back a while later.
+// crashingServices is a system whose plain services crash when they run a request
+// to crashPath, and restart a while later.
 type crashingServices struct {
 	*System
 	mu      sync.Mutex
@@ -70,7 +70,8 @@
 	return e.crashes
 }
 
-// post sends a request to an entry and returns the answer's status and body.
+// post sends a request to an entry and returns the status and body of the answer,
+// or 0 and the error.
 func (e *crashingServices) post(entry int, path, body string) (int, string) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.Entries[entry].CallerAddress()+path, strings.NewReader(body))
 	if err != nil {
@@ -89,10 +90,9 @@
 	return resp.StatusCode, string(text)
 }
 
-// A request ends each service that begins to run it, and its caller sends it again at each entry
-// in turn. Each time an agent answers "in doubt", which says nothing to the next entry, or to the
-// next request. Once three services have ended under it, it is refused as not run, with its reason;
-// other requests are served.
+// A request that crashes each service that runs it, and that its caller resends
+// through all entries, must be quarantined before it has crashed all of them. Other
+// requests must still be served.
 func TestRequestThatCrashesServicesIsQuarantined(t *testing.T) {
 	e := newCrashingServices(t)
 	refused := 0
@@ -103,8 +103,8 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	assert.Assert(t, e.crashCount() <= 4, "%d services ended", e.crashCount())
-	assert.Assert(t, refused >= 20, "%d of 30 were refused as they should", refused)
+	assert.Assert(t, e.crashCount() <= 4, "%d services crashed", e.crashCount())
+	assert.Assert(t, refused >= 20, "%d of 30 requests were refused as quarantined", refused)
 	for n := range 30 {
 		status, text := e.post(n%3, okPath, fmt.Sprint(`{"n":`, n, `}`))
 		assert.Equal(t, status, http.StatusOK, text)
--- a/quickstart/drain_test.go
+++ b/quickstart/drain_test.go
@@ -13,9 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Callers send one ping after another, each on a connection that it keeps, while the
-// entry is stopped as planned. Every ping is answered whole: the answers tell the
-// callers to connect anew, and they take another entry before connections are closed.
+// A drained entry must answer with Connection: close on keep-alive connections
+// before it closes them, so that no request is cut.
 func TestEntryDrainCutsNoRequestOnKeepAliveConnections(t *testing.T) {
 	s, err := Start(context.Background(), Options{Log: log.NewNopLogger(), FakeDisks: true, Keep: time.Second})
 	assert.NilError(t, err)
@@ -39,12 +38,13 @@
 	}
 }
 
-// pingUntilTold pings on one connection until an answer says that it is closed.
+// pingUntilClosed sends requests on one connection until a response announces its
+// close. It returns an error if the connection breaks earlier.
 func pingUntilClosed(base string) error {
 	conn := &http.Transport{MaxConnsPerHost: 1}
 	defer conn.CloseIdleConnections()
 	for {
-		// A body that can't be sent again keeps net/http from hiding a cut.
+		// A body that cannot be replayed keeps net/http from retrying after a cut.
 		body := io.NopCloser(strings.NewReader("{}"))
 		req, err := http.NewRequest(http.MethodPost, base+"/services/clock-core/confirm", body)
 		if err != nil {
--- a/quickstart/failure_test.go
+++ b/quickstart/failure_test.go
@@ -17,8 +17,8 @@
 	"github.com/snipereach/snipereach/fake"
 )
 
-// A plain service dies after each byte of its answer in turn. The caller never
-// gets a part: it is told that the outcome is unknown, and each call ran once.
+// A plain service's answer that is truncated at any byte must not reach the caller:
+// the outcome is unknown, and the request runs once.
 func TestTruncatedAnswerOutcomeIsUnknown(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{FakeDisks: true})
@@ -38,8 +38,8 @@
 	}
 }
 
-// An engine dies after each byte of a streamed answer in turn. The caller sees
-// that the stream broke off: the connection ends without the end of the body.
+// An engine's stream that is truncated at any byte must not look complete to the
+// caller: reading the body fails, or the entry answers 502.
 func TestTruncatedStreamIsNotPassedAsComplete(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Engines: 1, FakeDisks: true})
@@ -59,9 +59,8 @@
 	}
 }
 
-// A caller reads the head of a long stream and then nothing. The engine is held
-// back, rather than the answer piled up in the system; other callers are served.
-// When it reads on, its stream is whole and in order.
+// A caller that stops reading a long stream must cause backpressure on the engine,
+// without blocking other callers. When it continues, its stream is complete.
 func TestSlowReaderBlocksOnlyItsOwnStream(t *testing.T) {
 	t.Parallel()
 	const tokens = 100_000
@@ -95,8 +94,8 @@
 	assert.Equal(t, next, tokens)
 }
 
-// Callers leave while their calls run, streamed or not, repeatable or not. The
-// work at the upstream is cancelled.
+// When a caller disconnects, its request must be cancelled at the engine and at the
+// plain service.
 func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Engines: 1, FakeDisks: true})
@@ -124,8 +123,8 @@
 	waitFor(t, func() bool { return s.Engines[0].Running() == 0 && s.Plains[0].Running() == 0 })
 }
 
-// Every daemon is stopped while requests run and links are open: no goroutine of
-// theirs is left, so an embedding program can start and stop them again and again.
+// Stopping all daemons while requests run must not leak goroutines into an
+// embedding program.
 func TestStopLeaksNoGoroutines(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	for _, opts := range []Options{{}, {Controls: 3}} {
--- a/quickstart/group.go
+++ b/quickstart/group.go
@@ -9,16 +9,16 @@
 	"github.com/snipereach/snipereach/placement"
 )
 
-// GroupName is the group that a quickstart with a planner makes.
+// GroupName is the name of the lock-step group of a quickstart with a planner.
 const GroupName = "pushpa"
 
-// Sizes and times of the group.
 const (
 	groupExpertsPerRank = 4
 	groupLayers         = 2
 	groupStep           = 5 * time.Millisecond
 	groupStaging        = 200 * time.Millisecond
-	// driftSteps is how long one expert stays the busiest.
+	// stepsPerHotExpert is the number of steps for which a layer's busiest expert
+	// stays the same.
 	stepsPerHotExpert = 4000
 )
 
@@ -27,8 +27,8 @@
 		GroupName, o.Layout.ModelPool, o.Engines, groupExpertsPerRank*o.Engines, groupLayers, o.Planner)
 }
 
-// startGroup makes the engines one lock-step group, whose busiest expert changes
-// now and then.
+// startGroup makes the engines one lock-step group with a load that drifts from
+// expert to expert. It does nothing without a planner.
 func (s *System) startGroup(ctx context.Context) {
 	if s.opts.Planner == "" {
 		return
--- a/quickstart/group_test.go
+++ b/quickstart/group_test.go
@@ -16,7 +16,7 @@
 	"github.com/snipereach/snipereach/placement"
 )
 
-// rotate hands each rank's experts to the next one, as often as it is asked.
+// rotatePlanner moves the experts of each rank to the next one whenever it plans.
 type rotatePlanner struct{ shape placement.Shape }
 
 func init() {
@@ -37,7 +37,8 @@
 	return d
 }
 
-// operate runs a command against one entry and returns its output.
+// runCtl runs snipereachctl against one entry. It returns the exit code and the
+// output, or the error output if the command failed.
 func runCtl(t *testing.T, s *System, entry int, args ...string) (string, int) {
 	t.Helper()
 	var out, errOut bytes.Buffer
@@ -49,7 +50,8 @@
 	return out.String(), code
 }
 
-// eventually waits longer than waitFor: an election may come first.
+// eventually waits for a condition longer than waitFor does, to allow for an
+// election.
 func eventually(t *testing.T, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -57,10 +59,11 @@
 			return
 		}
 	}
-	t.Fatal("condition did not come true")
+	t.Fatal("timed out waiting for a condition")
 }
 
-// groupLine returns the columns of snipereachctl groups, or nil.
+// groupColumns returns the columns that snipereachctl groups prints for the only
+// group, or nil.
 func groupColumns(t *testing.T, s *System, entry int) []string {
 	out, code := runCtl(t, s, entry, "groups")
 	if cols := strings.Split(strings.TrimSuffix(out, "\n"), "\t"); code == 0 && len(cols) == 7 {
@@ -77,7 +80,7 @@
 	return n
 }
 
-// leaderOf returns the number of the entry whose control replica leads.
+// leaderEntry returns the index of the entry whose control replica is the leader.
 func leaderEntry(t *testing.T, s *System) int {
 	out, _ := runCtl(t, s, 0, "status")
 	for _, line := range strings.Split(out, "\n") {
@@ -91,9 +94,9 @@
 	return 0
 }
 
-// The entry whose control replica leads dies while the group switches maps.
-// Callers go on through the other entries; the next leader ends the switch from
-// the log; no step mixes two maps; and the operator sees there what became of it.
+// If the entry with the leading control replica dies during a map switch, other
+// entries must still serve, the next leader must complete the switch, no step may
+// mix two maps, and the outcome must be in the operator's log.
 func TestLeaderEntryDiesDuringMapSwitch(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Planner: "test-rotate"})
@@ -121,8 +124,8 @@
 	assert.Assert(t, slices.IsSorted(h.Epochs) && h.Steps > 100, "%+v", h)
 }
 
-// An operator takes a change back on the command line, sees who holds the map,
-// and lets the planner go on. A wish that can't be had is refused with the reason.
+// Undo must pin the previous map and show who pinned it, unpin must let the planner
+// continue, and impossible pins must be refused with the reason.
 func TestOperatorUndoesAndUnpinsMap(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Planner: "test-rotate"})
--- a/quickstart/layout.go
+++ b/quickstart/layout.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Layout names a user's failure domains, services and pools.
+// Layout names the failure domains, team, services and pools of a deployment.
 type Layout struct {
 	Domains []string
 	Team    string
@@ -18,8 +18,8 @@
 	PlainService, PlainPool string
 }
 
-// Idukki is the layout of the clock auction: lot descriptions, and bids that
-// may run once.
+// Idukki returns the layout of a clock auction: a model service that describes
+// lots, and a plain service for bids, which must not run twice.
 func Idukki() Layout {
 	return Layout{
 		Domains: []string{"hall-a", "hall-b", "hall-c"}, Team: "growers",
@@ -28,8 +28,9 @@
 	}
 }
 
-// Karaganda is the layout of the lift service: repair summaries, and status
-// pings that may run once.
+// Karaganda returns the layout of a lift maintenance service: a model service that
+// summarizes repairs, and a plain service for status pings, which must not run
+// twice.
 func Karaganda() Layout {
 	return Layout{
 		Domains: []string{"hall-north", "hall-south", "hall-grain"}, Team: "mechanics",
@@ -38,12 +39,12 @@
 	}
 }
 
-// Rows returns the layout's rows: one team, an engine service and an urgent
-// plain service.
+// Rows returns the layout's table rows as TSV: two pools, an engine service, an
+// urgent plain service and one team.
 func (l Layout) Rows() string { return l.rows(defaultPlainSlots, defaultPlainTimeout) }
 
-// rows is Rows with as many slots at a plain service, at least as many
-// requests that may wait, and the time that a request to it may take.
+// rows returns the rows with the given slots and timeout of the plain service. Its
+// queue holds at least as many requests as it has slots.
 func (l Layout) rows(plainSlots int, plainTimeout time.Duration) string {
 	digest := sha256.Sum256([]byte(TeamKey))
 	return strings.Join([]string{
@@ -57,9 +58,9 @@
 	}, "\n")
 }
 
-// minPlainQueue is the least number of requests that may wait at a plain
-// service: what the column's default would be.
+// minPlainQueue is the smallest max_queue of the plain pool, equal to the column's
+// default.
 const minPlainQueue = 64
 
-// domain returns the failure domain of the i-th part of a kind.
+// domain returns the failure domain of the i-th part of a role or pool.
 func (l Layout) domain(i int) string { return l.Domains[i%len(l.Domains)] }
--- a/quickstart/limits_test.go
+++ b/quickstart/limits_test.go
@@ -15,7 +15,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// editRow changes columns of a row as an operator would.
+// editRow changes columns of a table row that has version base.
 func editRow(t *testing.T, s *System, id, kind, key string, base uint64, columns map[string]string) {
 	t.Helper()
 	client := control.NewClient(s.pool, s.controlAddrs, "operator")
@@ -26,8 +26,8 @@
 	assert.Equal(t, reply.Status, wire.EditStatus_EDIT_STATUS_ACCEPTED, reply.Detail)
 }
 
-// heldEngines counts the requests that engines have, none of which ends before ch
-// is closed.
+// heldEngines blocks the requests at all engines until release is closed, and counts
+// them.
 type heldEngines struct {
 	running atomic.Int64
 	release chan struct{}
@@ -45,8 +45,9 @@
 	return h
 }
 
-// An operator lowers a pool's slots while more requests run than that, and then
-// raises them. The agent follows the row, and every request is answered whole.
+// An agent must follow its pool's slots when they are lowered below the number of
+// running requests and raised again, and every request must run and be answered
+// once.
 func TestPoolRowResizesAgentQueueWithoutLosingRequests(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Engines: 1})
@@ -73,9 +74,8 @@
 	}
 }
 
-// A team may have two requests in progress. Of twelve at once through all entries
-// never more than two run, and the others are refused truthfully; when the row is
-// raised in flight, all run.
+// A team's concurrency limit must hold over all entries together: the requests
+// above it are refused as not run. A raised limit must take effect.
 func TestConcurrencyLimitHoldsAcrossEntries(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Rows: Rows() + "limit\tgrowers/pushpa-lm\tconcurrent=2\n"})
@@ -110,14 +110,14 @@
 	waitFor(t, func() bool { return round() > 0 })
 	for range 5 {
 		ran := round()
-		assert.Assert(t, ran <= 2, "%d at once", ran)
+		assert.Assert(t, ran <= 2, "%d requests ran at once", ran)
 	}
 	editRow(t, s, "raise", "limit", "growers/pushpa-lm", 1, map[string]string{"concurrent": "200"})
 	waitFor(t, func() bool { return round() == 12 })
 }
 
-// A service may have no request waiting at an entry, which carries one at a time.
-// While one runs, the others are refused with the service's row.
+// A service with max_queue=0 must not queue at an entry: while the entry's only slot
+// is in use, further requests are refused with the service's row.
 func TestServiceRowLimitsEntryQueue(t *testing.T) {
 	t.Parallel()
 	rows := strings.Replace(Rows(), "idempotent=yes", "idempotent=yes\tmax_queue=0", 1)
--- a/quickstart/parts.go
+++ b/quickstart/parts.go
@@ -19,30 +19,30 @@
 	"github.com/snipereach/snipereach/transport"
 )
 
-// ErrPart is returned for a part that isn't there or is in the wrong state.
-var ErrPart = merry.Sentinel("no such part, or not in this state")
+// ErrPart is returned for a part that does not exist or is in the wrong state.
+var ErrPart = merry.Sentinel("no such part, or part is in the wrong state")
 
-// Role is what a part is.
+// Role is the kind of daemon that a part runs.
 type Role int
 
-// Roles.
+// Roles of parts.
 const (
 	RoleEntry Role = iota
 	RoleAgent
 	RoleControl
 )
 
-// part is one process's worth of the system: what to start it with, again and
-// again, and the daemon while it runs.
+// part is one process of the system: how to start it, any number of times, and the
+// daemon while it runs.
 type part struct {
 	name, domain string
 	role         Role
-	// operators is the address of its operators' HTTP.
+	// operatorAddr is the address of the operator HTTP interface.
 	operatorAddr string
 	dataDir      string
-	// disk stands in for the folder if set.
+	// disk, if set, replaces dataDir.
 	disk *fake.Disk
-	// claims stands in for the folder of an entry's claims if disk is set.
+	// claimsDisk replaces the data directory of an entry's claims if disk is set.
 	claimsDisk *fake.Disk
 	start      func(ctx context.Context) (kernel.Daemon, error)
 	daemon     kernel.Daemon
@@ -50,7 +50,7 @@
 	clock      fake.Clock
 }
 
-// maxReplicas is how many entries hold control replicas.
+// maxReplicas bounds how many entries hold control replicas.
 const maxReplicas = 3
 
 func (s *System) addPart(ctx context.Context, p *part) error {
@@ -61,7 +61,8 @@
 	return s.StartPart(ctx, p.name)
 }
 
-// Names lists all parts, whether they run or not, in the order of their start.
+// Names returns the names of all parts, running or not, in the order of their first
+// start.
 func (s *System) Names() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,11 +77,11 @@
 	Name, FailureDomain string
 	Role                Role
 	Running             bool
-	// Upstream is the fake upstream beside an agent.
+	// Upstream is the fake upstream of an agent; nil for other parts.
 	Upstream *fake.Server
 }
 
-// Part describes a part; false if there is none by this name.
+// Part describes a part. It returns false if there is no part of this name.
 func (s *System) Part(name string) (PartInfo, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +92,7 @@
 	return PartInfo{Name: p.name, FailureDomain: p.domain, Role: p.role, Running: p.daemon != nil, Upstream: p.upstream}, true
 }
 
-// Entry returns a running entry, or nil.
+// Entry returns the entry of this name, or nil if it does not run.
 func (s *System) Entry(name string) *entry.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// Agent returns a running agent, or nil.
+// Agent returns the agent of this name, or nil if it does not run.
 func (s *System) Agent(name string) *agent.Agent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// OperatorAddress returns the address of a part's operators' HTTP, whether it runs
-// or not; empty if there is no such part.
+// OperatorAddress returns the operator HTTP address of a part, running or not. It is
+// empty if there is no such part.
 func (s *System) OperatorAddress(name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,10 +125,11 @@
 	return ""
 }
 
-// Members lists the drpc addresses of the control replicas.
+// Members returns the drpc addresses of the control replicas.
 func (s *System) Members() []string { return append([]string(nil), s.controlAddrs...) }
 
-// StartPart starts a part that doesn't run: a new process on the same host.
+// StartPart starts a stopped part, like a new process on the same host. It returns
+// ErrPart if there is no such part or it runs.
 func (s *System) StartPart(ctx context.Context, name string) error {
 	s.mu.Lock()
 	p := s.parts[name]
@@ -146,7 +148,8 @@
 	return nil
 }
 
-// take removes a part's daemon; nil if it doesn't run.
+// takeDaemon marks a part as stopped and returns its daemon, or nil if it does not
+// run.
 func (s *System) takeDaemon(name string) kernel.Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,10 +162,10 @@
 	return d
 }
 
-// Freeze stops the clock of a part, and Thaw lets it go on; see fake.Clock.
+// Freeze stops the clock of a part until Thaw is called; see fake.Clock.
 func (s *System) Freeze(name string) { s.withClock(name, (*fake.Clock).Freeze) }
 
-// Thaw ends Freeze.
+// Thaw undoes Freeze.
 func (s *System) Thaw(name string) { s.withClock(name, (*fake.Clock).Thaw) }
 
 func (s *System) withClock(name string, change func(*fake.Clock)) {
@@ -173,13 +176,14 @@
 	}
 }
 
-// Kill ends a part at once. It returns how many requests were cut.
+// Kill stops a part at once. Fake disks lose what was not synced. It returns how
+// many requests were aborted.
 func (s *System) Kill(name string) int {
 	d := s.takeDaemon(name)
 	if d == nil {
 		return 0
 	}
-	// What waits for a frozen clock could not be ended.
+	// A daemon that is blocked on a frozen clock cannot stop.
 	s.Thaw(name)
 	cut := d.Stop()
 	s.mu.Lock()
@@ -191,7 +195,8 @@
 	return cut
 }
 
-// Drain stops a part as SIGTERM does. It returns how many requests were cut.
+// Drain drains a part as SIGTERM does and then kills it. It returns how many
+// requests were aborted.
 func (s *System) Drain(ctx context.Context, name string) (int, error) {
 	s.mu.Lock()
 	var d kernel.Daemon
@@ -206,7 +211,8 @@
 	return s.Kill(name), err
 }
 
-// LoseDisk removes the data folder of a part that doesn't run.
+// LoseDisk deletes the data of a stopped part. It returns ErrPart if the part runs
+// or has no data directory.
 func (s *System) LoseDisk(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,8 +227,8 @@
 	return os.RemoveAll(p.dataDir)
 }
 
-// giveDisk gives a part with a control replica its data folder, or a fake disk
-// that forgets what was not synced when the part is killed.
+// assignStorage gives a part a data directory and, with Options.FakeDisks, the fake
+// disks that replace it.
 func (s *System) assignStorage(p *part) {
 	p.dataDir = filepath.Join(s.dir, p.name)
 	if s.opts.FakeDisks {
@@ -243,8 +249,8 @@
 	}
 }
 
-// reserve holds free loopback ports until the system is stopped, so that a part
-// finds its address free when it is started again.
+// reservePorts reserves free loopback ports until the system stops, so that a part
+// can listen on the same address after a restart.
 func (s *System) reservePorts(n int) ([]string, error) {
 	var list []string
 	for range n {
@@ -258,7 +264,7 @@
 	return list, nil
 }
 
-// startControls starts control replicas on hosts of their own.
+// startControls starts the dedicated control replicas, if any.
 func (s *System) startControls(ctx context.Context) error {
 	addresses, err := s.reservePorts(s.opts.Controls)
 	if err != nil {
@@ -299,7 +305,8 @@
 	return s.addPart(ctx, p)
 }
 
-// started starts a daemon that was made, and ends it if it can't be.
+// startDaemon starts a newly created daemon, and stops it if the start fails. A
+// non-nil err is the error of its creation and is returned.
 func startDaemon(ctx context.Context, d kernel.Daemon, err error) (kernel.Daemon, error) {
 	if err != nil {
 		return nil, err
@@ -324,8 +331,8 @@
 	return set
 }
 
-// startEntries starts the entries, with control replicas unless those have
-// hosts of their own.
+// startEntries starts the entries. The first maxReplicas of them hold the control
+// replicas unless there are dedicated ones.
 func (s *System) startEntries(ctx context.Context) error {
 	internal, err := s.reservePorts(s.opts.Entries)
 	if err != nil {
@@ -381,7 +388,7 @@
 	return s.addPart(ctx, p)
 }
 
-// claimSettings says where an entry keeps its claims.
+// claimSettings sets the claim round and where an entry stores its claims.
 func (s *System) claimSettings(set *entry.Settings, p *part, durable bool) {
 	if s.opts.ClaimRound > 0 {
 		set.ClaimRound = kernel.Duration(s.opts.ClaimRound)
--- a/quickstart/quickstart.go
+++ b/quickstart/quickstart.go
@@ -1,6 +1,6 @@
-// Package quickstart runs a whole small system in one process on loopback: three
-// entries, four agents, and a fake upstream behind each. It serves newcomers and
-// the tests of the whole path.
+// Package quickstart runs a small but complete system in one process on loopback:
+// by default three entries, and four agents with a fake upstream each. It is used
+// for trying out the system and for end-to-end tests.
 package quickstart
 
 import (
@@ -24,16 +24,17 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrNotReady is returned when the system doesn't come up in time.
+// ErrNotReady is returned if the system does not become ready in time or rejects
+// its initial rows.
 var ErrNotReady = merry.Sentinel("system did not become ready")
 
-// TeamKey is the bearer key of the team that the quickstart makes.
+// TeamKey is the bearer key of the quickstart's team.
 const TeamKey = "quickstart-key"
 
-// OperatorKey is the bearer key of the operator that the quickstart makes.
+// OperatorKey is the bearer key of the quickstart's operator.
 const OperatorKey = "quickstart-operator"
 
-// planPeriod is shorter than the default, for a laptop's patience.
+// planPeriod is how often placement is planned.
 const planPeriod = 2 * time.Second
 
 // Secret is the cluster secret of the quickstart.
@@ -42,48 +43,50 @@
 // Options of a quickstart.
 type Options struct {
 	Log log.Logger
-	// CallersPort is the first entry's port for callers; 0 takes a free one.
+	// CallersPort is the caller port of the first entry; 0 selects a free one.
 	CallersPort int
-	// Rows in TSV stand in for the built-in ones if not empty.
+	// Rows, in TSV, replaces the built-in table rows if not empty.
 	Rows string
-	// Engines and Plains are how many upstreams there are; 3 and 1 if zero.
+	// Engines and Plains are the numbers of upstreams; 3 and 1 if zero.
 	Engines, Plains int
-	// Entries is how many entries there are, and Controls how many control
-	// replicas on hosts of their own; 3 and 0 if zero. Without the latter the
-	// first three entries hold the replicas.
+	// Entries is the number of entries; 3 if zero. Controls is the number of
+	// dedicated control replicas; if zero, the first three entries hold the
+	// replicas.
 	Entries, Controls int
-	// Layout names failure domains and services; Idukki's if empty.
+	// Layout names failure domains and services; Idukki if it has no domains.
 	Layout Layout
-	// Network carries what the parts say to each other if set.
+	// Network, if set, carries the connections between parts and can cut or delay
+	// them.
 	Network *fake.Network
-	// FakeDisks keeps the replicas' state in memory, as disks would: what was not
-	// synced is forgotten when a part is killed.
+	// FakeDisks keeps durable state on fake disks in memory. A killed part loses
+	// what was not synced.
 	FakeDisks bool
-	// ClaimFolders is how many entries keep their claims in data folders: those
-	// with control replicas if zero, none if negative.
+	// ClaimFolders is how many entries store their claims durably: those with
+	// control replicas if zero, none if negative.
 	ClaimFolders int
-	// Keep is how long callers may keep the list of entries; 10 s if zero.
+	// Keep is how long callers may cache the list of entries; the entries' default
+	// if zero.
 	Keep time.Duration
-	// EntrySlots is how many requests an entry carries at once; the default of
-	// an entry's settings if zero.
+	// EntrySlots is the concurrency limit of an entry; the entries' default if
+	// zero.
 	EntrySlots int
-	// Planner makes the engines one lock-step group whose row names this
-	// placement plug-in; empty is no group.
+	// Planner is the placement module for a lock-step group of all engines; empty
+	// means no group.
 	Planner string
-	// PlainSlots is how many requests a plain service and its agent run at
-	// once; 32 if zero. At least as many again may wait at the agent.
+	// PlainSlots is the concurrency limit of a plain service and its agent; 32 if
+	// zero. The agent's queue holds at least as many requests.
 	PlainSlots int
-	// PlainWork is the time of one request at a plain service; 1 ms if zero,
-	// none if negative.
+	// PlainWork is the duration of one request at a plain service; 1 ms if zero, 0
+	// if negative.
 	PlainWork time.Duration
-	// ClaimRound is the entries' claim_round; their default if zero.
+	// ClaimRound is the entries' claim_round; the entries' default if zero.
 	ClaimRound time.Duration
 	// PlainTimeout is the plain service's timeout_ms; 2 s if zero.
 	PlainTimeout time.Duration
 }
 
-// System is a running quickstart. Entries and Agents hold the running ones in
-// their places; a part that was killed keeps its place.
+// System is a running quickstart. A killed entry or agent stays in Entries or
+// Agents until StartPart replaces it.
 type System struct {
 	Entries []*entry.Entry
 	Agents  []*agent.Agent
@@ -102,7 +105,7 @@
 	mu    sync.Mutex
 	parts map[string]*part
 	order []string
-	// ports are held for parts that are down.
+	// releasePorts release the ports reserved for the parts.
 	releasePorts []func()
 }
 
@@ -111,11 +114,10 @@
 	defaultPlainTimeout = 2 * time.Second
 )
 
-// Rows returns the built-in rows: one team, an engine service and an urgent
-// plain service.
+// Rows returns the built-in table rows, those of Idukki.
 func Rows() string { return Idukki().Rows() }
 
-// Start brings a system up.
+// Start starts a system. It does not wait until the system is ready; see WaitReady.
 func Start(ctx context.Context, opts Options) (*System, error) {
 	if opts.Engines == 0 {
 		opts.Engines = 3
@@ -196,7 +198,8 @@
 	return nil
 }
 
-// putRows makes the first edit, as an operator would.
+// putInitialRows writes the table rows through the control replicas. It retries
+// until readyTimeout, as there may be no leader yet.
 func (s *System) putInitialRows(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -226,11 +229,12 @@
 	}
 }
 
-// readyTimeout ends a start that hangs. On a busy machine, many systems side by
-// side, a start takes long and succeeds.
+// readyTimeout bounds a start that hangs. It leaves time for many systems that start
+// on one busy machine.
 const readyTimeout = 45 * time.Second
 
-// WaitReady returns once every entry answers a call to every service.
+// WaitReady waits until every entry is ready and knows all upstreams. It returns
+// ErrNotReady after readyTimeout.
 func (s *System) WaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -251,7 +255,7 @@
 	return pools[s.layout.ModelPool] == s.opts.Engines && pools[s.layout.PlainPool] == s.opts.Plains && e.Ready() && e.ClaimsReady() && ctx.Err() == nil
 }
 
-// Describe prints addresses and commands that work as printed.
+// Describe prints the addresses of the system and example commands.
 func (s *System) Describe(w io.Writer) {
 	fmt.Fprintln(w, "Snipereach is running. Entries:")
 	for _, e := range s.Entries {
@@ -274,7 +278,7 @@
 `, addr, TeamKey, s.Entries[0].OperatorAddress(), OperatorKey)
 }
 
-// Stop ends everything at once and removes the folder.
+// Stop kills all parts, stops the fake upstreams and removes the data directory.
 func (s *System) Stop() {
 	if s.cancel != nil {
 		s.cancel()
--- a/quickstart/quickstart_test.go
+++ b/quickstart/quickstart_test.go
@@ -53,13 +53,13 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
 
-// patience bounds waits for what must come true, and is the deadline of requests
-// whose outcome is not to depend on the machine's speed.
+// slowMachineTimeout is the deadline of waits and requests whose result must not
+// depend on the machine's speed.
 const slowMachineTimeout = 45 * time.Second
 
-// served sends a request until it is served, as callers are told to: again while the
-// refusal says "not run" and when to come back. On a busy machine an upstream may
-// have been silent for longer than its lease. Any other answer is returned at once.
+// retryUntilServed resends a request that is refused as not run with a Retry-After,
+// and returns any other result. On a busy machine an upstream's lease may expire and
+// cause such refusals.
 func retryUntilServed(send func() reply) reply {
 	for end := time.Now().Add(slowMachineTimeout); ; time.Sleep(20 * time.Millisecond) {
 		r := send()
@@ -122,9 +122,8 @@
 	assert.Equal(t, data[5], "[DONE]")
 }
 
-// A caller is refused by one entry, which then dies. Another entry explains the
-// refusal from the token alone, because the token carries all that decided it;
-// a token with one letter changed is refused.
+// The explanation token of a refusal must be enough for another entry to explain it
+// after the refusing entry died, and a modified token must be rejected.
 func TestOtherEntryExplainsRefusalAfterEntryDies(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{})
@@ -142,9 +141,9 @@
 	assert.Equal(t, callEntry(s, 1, "GET", "/v1/refusals/"+forged, "", nil).status, 400)
 }
 
-// The upstream dies at each point of a call that may not be repeated. The
-// caller is told "not run" or "unknown", never gets part of an answer as the
-// whole, and the call has run at most once.
+// Whenever an upstream fails during a request that must not run twice, the request
+// runs at most once, and the caller gets a refusal with a true outcome instead of a
+// partial answer.
 func TestUpstreamFailureOutcomes(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{})
@@ -168,11 +167,11 @@
 	}
 	s.Plains[0].Close()
 	p := problemOf(t, callFirstEntry(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: "closed"}))
-	assert.Equal(t, p.Outcome, "not-run", "nothing listens: no byte can have reached it")
+	assert.Equal(t, p.Outcome, "not-run", "connection refused, so the request cannot have run")
 }
 
-// An agent is told to leave while it runs a request. That request is answered
-// whole; new ones go to the other upstreams.
+// A drained agent must finish its in-flight requests, and new ones must go to the
+// other upstreams.
 func TestAgentDrainFinishesInFlightRequests(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Engines: 2})
@@ -195,9 +194,8 @@
 	assert.Equal(t, len(s.Engines[0].Runs()), before)
 }
 
-// A buyer's bid confirmation is sent again through every other entry, while it
-// runs and after it was answered. It runs once, and each sending gets the one
-// answer.
+// A request with an idempotency key that is resent through all entries, while it
+// runs and afterwards, must run once, and each attempt must get the same answer.
 func TestIdempotencyKeyRunsOnceAcrossEntries(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{})
@@ -223,10 +221,9 @@
 	assert.Equal(t, s.Plains[0].Runs()["bid-17"], 1)
 }
 
-// The upstream dies after it ran a bid. The caller is told "unknown", sends the
-// bid again through another entry, and is told "unknown" again: it never runs a
-// second time. A bid whose upstream was never reached is told "not run", and its
-// resend runs.
+// A keyed request of unknown outcome must stay unknown when it is resent through
+// another entry, and must not run again. A request that did not reach an upstream
+// must be refused as not run.
 func TestResendAfterUnknownOutcomeDoesNotRunAgain(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{})
@@ -235,8 +232,8 @@
 			map[string]string{"Idempotency-Key": key, fake.HeaderRunKey: key})
 	}
 	s.Plains[0].SetFault(func(*http.Request) fake.Fault { return fake.FaultDieAfterRun })
-	// On a busy machine a sending may be refused before it reaches the upstream
-	// (its lease ran out, its deadline came): that is "not run", and true.
+	// On a busy machine an attempt may be refused before it reaches the upstream
+	// (expired lease or deadline). It is then correctly reported as not run.
 	key := ""
 	waitFor(t, func() bool {
 		key += "a"
@@ -262,12 +259,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("condition did not come true")
+	t.Fatal("timed out waiting for a condition")
 }
 
-// A team sends far more than its limit through all entries. It is refused with
-// the row that decided, is told when to come back, and nothing of what was
-// refused ran; another team is not held up.
+// Requests above a team's rate limit must be refused as not run, with the limiting
+// row and a Retry-After. The team's other service must not be affected.
 func TestTeamOverRateLimitIsRefused(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Rows: Idukki().rows(defaultPlainSlots, slowMachineTimeout) + "limit\tgrowers/clock-core\trequests_per_second=5\n"})
--- a/quickstart/route_test.go
+++ b/quickstart/route_test.go
@@ -13,7 +13,8 @@
 	"github.com/snipereach/snipereach/route"
 )
 
-// routeOf reads what an entry's balancer of the engines knows.
+// routeState returns the state of the engines in an entry's balancer, by upstream
+// ID.
 func routeState(t *testing.T, s *System, n int) map[string]route.UpstreamState {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+s.Entries[n].OperatorAddress()+"/debug/state", nil)
@@ -42,7 +43,8 @@
 	return fmt.Sprintf(`{"model":"pushpa-lm","max_tokens":2,"messages":[{"role":"user","content":%q}]}`, text)
 }
 
-// holder sends a prompt through the first entry and returns which engine ran it.
+// engineThatRuns sends a prompt through the first entry and returns the index of the
+// engine that ran it.
 func engineThatRuns(t *testing.T, s *System, body string) int {
 	t.Helper()
 	before := make([]int, len(s.Engines))
@@ -59,9 +61,8 @@
 	return 0
 }
 
-// A long prompt runs through one entry. The engine publishes what it cached, and
-// another entry, which never saw the prompt, sends the same one to that engine
-// and to no other.
+// An entry must learn from an engine's cache events, without having seen the prompt
+// itself, to route the same prompt to that engine.
 func TestCacheEventsReachOtherEntries(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Rows: strings.Replace(Rows(), "pool\tlm\t", "pool\tlm\troute=prefix\t", 1)})
@@ -74,11 +75,11 @@
 	}
 	hits, looked := s.Engines[i].CacheHits()
 	assert.Assert(t, hits > 0)
-	assert.Equal(t, hits*6, looked*5, "5 of 6 prompts are found whole")
+	assert.Equal(t, hits*6, looked*5, "the last 5 of 6 requests must hit the cache fully")
 }
 
-// Cache events are lost. The entries notice the gap, forget what they knew of
-// the engine, and go on answering; what the engine caches later counts again.
+// A gap in an engine's cache events must not make requests fail, and later events
+// must still be applied.
 func TestLostCacheEventsDoNotFailRequests(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, Options{Rows: strings.Replace(Rows(), "pool\tlm\t", "pool\tlm\troute=prefix\t", 1)})
