--- a/fake/network.go
+++ b/fake/network.go
@@ -197,7 +197,7 @@
 // networkConn is the dialing side's end of a connection over two links.
 type networkConn struct {
 	net.Conn
-	net   *Network
+	net       *Network
 	out, back link
 	once      sync.Once
 	closed    chan struct{}
