--- a/load/run.go
+++ b/load/run.go
@@ -168,6 +168,7 @@
 	}
 }
 
+// withdrawNotRun turns NotRun into Unknown if an earlier attempt may have run.
 func withdrawNotRun(rep attemptResult, mayHaveRun bool) attemptResult {
 	if mayHaveRun && rep.outcome == NotRun {
 		rep.outcome = Unknown
--- a/quickstart/layout.go
+++ b/quickstart/layout.go
@@ -28,9 +28,8 @@
 	}
 }
 
-// Karaganda returns the layout of a lift maintenance service: a model service that
-// summarizes repairs, and a plain service for status pings, which must not run
-// twice.
+// Karaganda returns the layout of a lift service: a model service that summarizes
+// repairs, and a plain service for status pings, which must not run twice.
 func Karaganda() Layout {
 	return Layout{
 		Domains: []string{"hall-north", "hall-south", "hall-grain"}, Team: "mechanics",
