--- a/fake/cache.go
+++ b/fake/cache.go
@@ -9,7 +9,7 @@
 	"github.com/snipereach/snipereach/route"
 )
 
-// maxCacheEvents is how many events an engine keeps for those who ask late.
+// maxCacheEvents bounds the published events that an engine keeps for pollers.
 const maxCacheEvents = 256
 
 // cacheEvent is the JSON of a cache event.
@@ -20,51 +20,53 @@
 	Cleared bool     `json:"cleared,omitempty"`
 }
 
-// prefixCache is an engine's cache of prompt prefixes: bounded, least recently
-// used blocks go first, and each change is an event.
+// prefixCache is an engine's LRU cache of prompt prefix blocks. Each change is
+// published as an event.
 type prefixCache struct {
-	mu     sync.Mutex
-	blocks int
-	order  *list.List
-	held   map[uint64]*list.Element
-	seq    uint64
-	events []cacheEvent
+	mu       sync.Mutex
+	capacity int
+	lru      *list.List
+	entries  map[uint64]*list.Element
+	seq      uint64
+	events   []cacheEvent
 	// lose is how many of the next events are numbered but never published.
-	lose         int
-	hits, looked int
+	dropEvents    int
+	hits, lookups int
 }
 
-// use looks a prompt up and caches it; it returns how many blocks were missing.
-func (c *prefixCache) use(model, prompt string) int {
+// lookupAndInsert looks a prompt up, inserts its blocks, and returns how many of
+// them were missing.
+func (c *prefixCache) lookupAndInsert(model, prompt string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hashes := route.PrefixHashes(model, prompt)
-	if c.blocks == 0 || len(hashes) == 0 {
+	if c.capacity == 0 || len(hashes) == 0 {
 		return len(hashes)
 	}
-	if c.order == nil {
-		c.order, c.held = list.New(), map[uint64]*list.Element{}
+	if c.lru == nil {
+		c.lru, c.entries = list.New(), map[uint64]*list.Element{}
 	}
 	hit := 0
-	for hit < len(hashes) && c.held[hashes[hit]] != nil {
+	for hit < len(hashes) && c.entries[hashes[hit]] != nil {
 		hit++
 	}
 	c.hits += hit
-	c.looked += len(hashes)
+	c.lookups += len(hashes)
 	var e cacheEvent
-	// The end of a prompt goes before its beginning, which others share.
+	// Insert in reverse order, so that the end of a prompt is evicted before its
+	// beginning, which other prompts share.
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if el := c.held[hashes[i]]; el != nil {
-			c.order.MoveToFront(el)
+		if el := c.entries[hashes[i]]; el != nil {
+			c.lru.MoveToFront(el)
 			continue
 		}
-		c.held[hashes[i]] = c.order.PushFront(hashes[i])
+		c.entries[hashes[i]] = c.lru.PushFront(hashes[i])
 		e.Added = append(e.Added, hashes[i])
 	}
-	for c.order.Len() > c.blocks {
-		last := c.order.Remove(c.order.Back()).(uint64)
-		delete(c.held, last)
-		e.Removed = append(e.Removed, last)
+	for c.lru.Len() > c.capacity {
+		evicted := c.lru.Remove(c.lru.Back()).(uint64)
+		delete(c.entries, evicted)
+		e.Removed = append(e.Removed, evicted)
 	}
 	c.publish(e)
 	return len(hashes) - hit
@@ -76,8 +78,8 @@
 	}
 	c.seq++
 	e.Seq = c.seq
-	if c.lose > 0 {
-		c.lose--
+	if c.dropEvents > 0 {
+		c.dropEvents--
 		return
 	}
 	c.events = append(c.events, e)
@@ -89,11 +91,11 @@
 func (c *prefixCache) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.order, c.held = nil, nil
+	c.lru, c.entries = nil, nil
 	c.publish(cacheEvent{Cleared: true})
 }
 
-func (c *prefixCache) after(seq uint64) []cacheEvent {
+func (c *prefixCache) eventsAfter(seq uint64) []cacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	later := []cacheEvent{}
@@ -105,26 +107,28 @@
 	return later
 }
 
-// serveCacheEvents answers with the events after a sequence number. There may be
-// gaps: events that were lost, or are older than those kept.
+// serveCacheEvents returns the kept events after a sequence number. Sequence
+// numbers of dropped and of discarded old events are missing.
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	writeJSON(w, e.cache.after(after))
+	writeJSON(w, e.cache.eventsAfter(after))
 }
 
-// CacheHits returns how many blocks of prompts were found cached, of how many.
-func (e *Engine) CacheHits() (hits, looked int) {
+// CacheHits returns how many prompt blocks were found in the cache, and how many
+// were looked up.
+func (e *Engine) CacheHits() (hits, lookups int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
-	return e.cache.hits, e.cache.looked
+	return e.cache.hits, e.cache.lookups
 }
 
-// ClearCache drops the whole cache.
+// ClearCache empties the prefix cache and publishes that.
 func (e *Engine) ClearCache() { e.cache.clear() }
 
-// LoseCacheEvents makes the next n cache events get lost.
+// LoseCacheEvents drops the next n cache events: they take sequence numbers but
+// are not published.
 func (e *Engine) LoseCacheEvents(n int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
-	e.cache.lose = n
+	e.cache.dropEvents = n
 }
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -13,52 +13,54 @@
 	"github.com/snipereach/snipereach/rollout"
 )
 
-// Engine is a model engine: OpenAI-shaped completions, streamed or not, at a
-// steady step time; orders with or without a check of the fencing token.
+// Engine is a fake model engine. It serves OpenAI-style completions, streamed or
+// not, with a constant time per decoding step, and carries out orders with or
+// without checking their fencing tokens.
 type Engine struct {
 	Server
-	// Step is the time of one decoding step; every running request gets one
-	// token a step.
+	// Step is the duration of one decoding step, which yields one token per
+	// running request.
 	Step time.Duration
-	// CacheBlocks is the size of the prefix cache; 0 is none.
+	// CacheBlocks is the capacity of the prefix cache; 0 disables it.
 	CacheBlocks int
-	// Prefill is the time for a block of the prompt that is not cached.
+	// Prefill is the time taken per prompt block that is not cached.
 	Prefill time.Duration
-	// Fencing makes the engine refuse an order with an old token.
+	// Fencing makes the engine reject orders whose fencing token is lower than
+	// the highest one seen.
 	Fencing bool
-	// Group and Rank make the engine one rank of a lock-step group.
+	// Group, if set, makes the engine the rank Rank of a lock-step group.
 	Group *Group
 	Rank  int
 
 	cache prefixCache
 
-	orderMu   sync.Mutex
-	highest   uint64
-	orders    []GivenOrder
-	overtaken int
+	orderMu      sync.Mutex
+	highestToken uint64
+	orders       []GivenOrder
+	staleOrders  int
 }
 
-// GivenOrder is an order that the engine carried out.
+// GivenOrder is an order that an engine carried out.
 type GivenOrder struct {
 	Verb  string
 	Token uint64
 	Body  string
 }
 
-// Start listens and serves.
+// Start listens on the engine's address and serves in the background.
 func (e *Engine) Start() error {
 	mux := http.NewServeMux()
-	e.cache.blocks = e.CacheBlocks
+	e.cache.capacity = e.CacheBlocks
 	mux.HandleFunc("GET /load", e.serveLoad)
 	mux.HandleFunc("GET /cache-events", e.serveCacheEvents)
-	mux.HandleFunc("POST /v1/chat/completions", e.serve)
-	mux.HandleFunc("POST /v1/completions", e.serve)
+	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	mux.HandleFunc("POST /v1/completions", e.serveCompletion)
 	mux.HandleFunc("POST /orders/{verb}", e.serveOrder)
 	mux.HandleFunc("GET /expert-counters", e.serveCounters)
 	return e.listen(mux)
 }
 
-type engineCall struct {
+type completionRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
 	MaxTokens int             `json:"max_tokens"`
@@ -66,34 +68,34 @@
 	Messages  json.RawMessage `json:"messages"`
 }
 
-type engineMessage struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
 const (
-	defaultEngineTokens = 16
-	// maxEngineTokens bounds one answer, like an engine's context.
-	maxEngineTokens = 1 << 17
+	defaultMaxTokens = 16
+	// maxTokensLimit bounds one answer, like an engine's context length.
+	maxTokensLimit = 1 << 17
 )
 
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	var c engineCall
+	var c completionRequest
 	if err := json.Unmarshal(body, &c); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	if c.MaxTokens <= 0 {
-		c.MaxTokens = defaultEngineTokens
+		c.MaxTokens = defaultMaxTokens
 	}
-	c.MaxTokens = min(c.MaxTokens, maxEngineTokens)
+	c.MaxTokens = min(c.MaxTokens, maxTokensLimit)
 	r.Body = io.NopCloser(bytes.NewReader(nil))
-	e.answerWith(w, r, func(w http.ResponseWriter) {
-		missing := e.cache.use(c.Model, string(c.Prompt)+string(c.Messages))
+	e.serveWithFault(w, r, func(w http.ResponseWriter) {
+		missing := e.cache.lookupAndInsert(c.Model, string(c.Prompt)+string(c.Messages))
 		time.Sleep(time.Duration(missing) * e.Prefill)
 		if c.Stream {
 			e.stream(w, r, &c)
@@ -104,29 +106,29 @@
 	})
 }
 
-// text is what the engine generates: the caller's own key again and again, so
-// that a crossed answer shows.
-func text(r *http.Request, n int) string {
+// generatedText returns token n of an answer. It repeats the request's run key, so
+// that callers detect an answer that belongs to another request.
+func generatedText(r *http.Request, n int) string {
 	return runKey(r) + ":" + strconv.Itoa(n) + " "
 }
 
-func (e *Engine) completion(r *http.Request, c *engineCall) any {
+func (e *Engine) completion(r *http.Request, c *completionRequest) any {
 	var out bytes.Buffer
 	for n := range c.MaxTokens {
-		out.WriteString(text(r, n))
+		out.WriteString(generatedText(r, n))
 	}
 	return map[string]any{
 		"object": "chat.completion",
 		"model":  c.Model,
 		"choices": []any{map[string]any{
 			"index": 0, "finish_reason": "length",
-			"message": engineMessage{Role: "assistant", Content: out.String()},
+			"message": chatMessage{Role: "assistant", Content: out.String()},
 		}},
 		"usage": map[string]int{"completion_tokens": c.MaxTokens},
 	}
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, c *engineCall) {
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, c *completionRequest) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	for n := range c.MaxTokens {
@@ -136,7 +138,7 @@
 		}
 		chunk, _ := json.Marshal(map[string]any{
 			"object":  "chat.completion.chunk",
-			"choices": []any{map[string]any{"index": 0, "delta": engineMessage{Content: text(r, n)}}},
+			"choices": []any{map[string]any{"index": 0, "delta": chatMessage{Content: generatedText(r, n)}}},
 		})
 		if _, err := fmt.Fprintf(w, "data: %s\n\n", chunk); err != nil {
 			return
@@ -151,14 +153,14 @@
 	body, _ := io.ReadAll(r.Body)
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
-	if e.Fencing && token < e.highest {
+	if e.Fencing && token < e.highestToken {
 		writeJSON(w, map[string]any{"accepted": false, "detail": "fencing token is old"})
 		return
 	}
-	if token < e.highest {
-		e.overtaken++
+	if token < e.highestToken {
+		e.staleOrders++
 	}
-	e.highest = max(e.highest, token)
+	e.highestToken = max(e.highestToken, token)
 	e.orders = append(e.orders, GivenOrder{Verb: r.PathValue("verb"), Token: token, Body: string(body)})
 	if e.Group != nil {
 		e.serveRankOrder(w, r.PathValue("verb"), body)
@@ -179,21 +181,21 @@
 
 func (e *Engine) serveCounters(w http.ResponseWriter, _ *http.Request) {
 	if e.Group == nil {
-		http.Error(w, "the engine belongs to no group", http.StatusNotFound)
+		http.Error(w, "engine is not in a group", http.StatusNotFound)
 		return
 	}
 	writeJSON(w, e.Group.Counters(e.Rank))
 }
 
-// Overtaken counts the orders that the engine carried out after one with a higher
-// token: an old leader's after a new leader's first.
+// Overtaken returns how many orders the engine carried out after an order with a
+// higher fencing token, as when a former leader's order arrives late.
 func (e *Engine) Overtaken() int {
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
-	return e.overtaken
+	return e.staleOrders
 }
 
-// Orders returns the orders that the engine carried out, in their order.
+// Orders returns the orders that the engine carried out, oldest first.
 func (e *Engine) Orders() []GivenOrder {
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
--- a/fake/network.go
+++ b/fake/network.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// ErrUnreachable is what a dial over a cut link ends with when nobody gives it
-// up earlier.
+// ErrUnreachable is returned by a dial over a closed link after dialTimeout.
 var ErrUnreachable = errors.New("connect: no route to host")
 
-// dialLimit is how long a dial over a cut link waits, as a kernel's does.
-const dialLimit = 2 * time.Second
+// dialTimeout is how long a dial waits for closed links, like the connect timeout
+// of a kernel.
+const dialTimeout = 2 * time.Second
 
-// Network is loopback with links between named parts that can be cut and
-// healed. A cut link is silent: bytes are neither delivered nor refused, and no
-// connection breaks. What was under way arrives when the link is healed, as TCP
-// would send it again.
+// Network simulates partitions and delays between named parts on loopback. A cut
+// link drops traffic silently: bytes are neither delivered nor refused, and no
+// connection breaks. Pending bytes arrive once the link is healed, as with TCP
+// retransmission.
 type Network struct {
-	mu    sync.Mutex
-	names map[string]string
-	links map[link]*linkState
-	// frozen are the hosts that neither send nor receive.
+	mu            sync.Mutex
+	partByAddress map[string]string
+	links         map[link]*linkState
+	// frozen are the parts that neither send nor receive.
 	frozen map[string]bool
 }
 
@@ -32,59 +32,59 @@
 type link struct{ from, to string }
 
 type linkState struct {
-	// open is closed while the link carries bytes.
+	// open is a closed channel while the link carries bytes.
 	open   chan struct{}
 	closed bool
 	cut    bool
 	delay  time.Duration
-	// dialling is how many dials wait for the link.
-	dialling int
+	// dialing counts the dials that are waiting for the link.
+	dialing int
 }
 
-// NewNetwork returns a network on which nothing is cut.
+// NewNetwork returns a Network without partitions or delays.
 func NewNetwork() *Network {
-	return &Network{names: map[string]string{}, links: map[link]*linkState{}, frozen: map[string]bool{}}
+	return &Network{partByAddress: map[string]string{}, links: map[link]*linkState{}, frozen: map[string]bool{}}
 }
 
-// Name says which part listens on an address.
+// Name registers the part that listens on an address.
 func (n *Network) Name(address, part string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.names[address] = part
+	n.partByAddress[address] = part
 }
 
-// Cut stops what one part sends to another.
+// Cut blocks traffic from one part to another, in this direction only.
 func (n *Network) Cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := link{from, to}
-	n.state(l).cut = true
-	n.settle(l)
+	n.linkLocked(l).cut = true
+	n.updateGateLocked(l)
 }
 
-// Heal lets what one part sends to another arrive again.
+// Heal undoes Cut for traffic from one part to another.
 func (n *Network) Heal(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := link{from, to}
-	n.state(l).cut = false
-	n.settle(l)
+	n.linkLocked(l).cut = false
+	n.updateGateLocked(l)
 }
 
-// HealAll heals every link and takes its delay away. Frozen parts stay frozen.
+// HealAll removes the cut and the delay of every link. Frozen parts stay frozen.
 func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for l, s := range n.links {
 		s.delay, s.cut = 0, false
-		n.settle(l)
+		n.updateGateLocked(l)
 	}
 }
 
-// Freeze stops all that goes to and from a part, beside the cuts of its links.
+// Freeze blocks all traffic to and from a part, independently of cut links.
 func (n *Network) Freeze(part string) { n.setFrozen(part, true) }
 
-// Thaw ends Freeze. Links that are cut stay so.
+// Thaw undoes Freeze. Cut links stay cut.
 func (n *Network) Thaw(part string) { n.setFrozen(part, false) }
 
 func (n *Network) setFrozen(part string, frozen bool) {
@@ -92,26 +92,27 @@
 	defer n.mu.Unlock()
 	n.frozen[part] = frozen
 	for l := range n.links {
-		n.settle(l)
+		n.updateGateLocked(l)
 	}
 }
 
-// Dialling returns how many dials from one part to another are under way. Over a
-// link that carries nothing they wait.
+// Dialling returns how many dials from one part to another are waiting for closed
+// links or delays.
 func (n *Network) Dialling(from, to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.state(link{from, to}).dialling
+	return n.linkLocked(link{from, to}).dialing
 }
 
-func (n *Network) dials(l link, change int) {
+func (n *Network) addDialing(l link, change int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.state(l).dialling += change
+	n.linkLocked(l).dialing += change
 }
 
-// settle opens or closes a link as its cut and its ends demand; the caller holds mu.
-func (n *Network) settle(l link) {
+// updateGateLocked closes the link if it is cut or either end is frozen, and opens
+// it otherwise. The caller holds mu.
+func (n *Network) updateGateLocked(l link) {
 	s := n.links[l]
 	closed := s.cut || n.frozen[l.from] || n.frozen[l.to]
 	switch {
@@ -123,43 +124,45 @@
 	s.closed = closed
 }
 
-// Delay makes what one part sends to another take longer.
+// Delay sets the delay of each dial, read and write over the link from one part to
+// another.
 func (n *Network) Delay(from, to string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.state(link{from, to}).delay = d
+	n.linkLocked(link{from, to}).delay = d
 }
 
-// state returns a link's state; the caller holds mu.
-func (n *Network) state(l link) *linkState {
+// linkLocked returns a link's state and creates it if needed. The caller holds mu.
+func (n *Network) linkLocked(l link) *linkState {
 	s := n.links[l]
 	if s == nil {
 		s = &linkState{open: make(chan struct{})}
 		close(s.open)
 		n.links[l] = s
-		n.settle(l)
+		n.updateGateLocked(l)
 	}
 	return s
 }
 
-func (n *Network) look(l link) (<-chan struct{}, time.Duration) {
+func (n *Network) gate(l link) (<-chan struct{}, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	s := n.state(l)
+	s := n.linkLocked(l)
 	return s.open, s.delay
 }
 
-// Dialer returns a dial function for what one part connects to.
+// Dialer returns the dial function of a part. Connections to unregistered addresses
+// are not affected by the network.
 func (n *Network) Dialer(part string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n.mu.Lock()
-		peer, known := n.names[address]
+		peer, known := n.partByAddress[address]
 		n.mu.Unlock()
 		if !known {
 			return new(net.Dialer).DialContext(ctx, network, address)
 		}
 		out, back := link{part, peer}, link{peer, part}
-		if err := n.passDial(ctx, out, back); err != nil {
+		if err := n.waitDial(ctx, out, back); err != nil {
 			return nil, err
 		}
 		c, err := new(net.Dialer).DialContext(ctx, network, address)
@@ -170,17 +173,18 @@
 	}
 }
 
-// passDial waits until both directions carry bytes, as a SYN and its answer do.
-func (n *Network) passDial(ctx context.Context, dirs ...link) error {
-	limit := time.NewTimer(dialLimit)
-	defer limit.Stop()
-	n.dials(dirs[0], 1)
-	defer n.dials(dirs[0], -1)
+// waitDial waits for both directions in turn, as the SYN and the SYN-ACK of a
+// connect do.
+func (n *Network) waitDial(ctx context.Context, dirs ...link) error {
+	timer := time.NewTimer(dialTimeout)
+	defer timer.Stop()
+	n.addDialing(dirs[0], 1)
+	defer n.addDialing(dirs[0], -1)
 	for _, l := range dirs {
-		open, delay := n.look(l)
+		open, delay := n.gate(l)
 		select {
 		case <-open:
-		case <-limit.C:
+		case <-timer.C:
 			return ErrUnreachable
 		case <-ctx.Done():
 			return ctx.Err()
@@ -190,7 +194,7 @@
 	return nil
 }
 
-// networkConn is a connection over two links, seen from the part that dialled.
+// networkConn is the dialing side's end of a connection over two links.
 type networkConn struct {
 	net.Conn
 	net       *Network
@@ -198,48 +202,48 @@
 	once      sync.Once
 	closed    chan struct{}
 
-	mu                 sync.Mutex
-	readEnd, writeEnd  time.Time
-	readHeld, heldFrom []byte
+	mu                          sync.Mutex
+	readDeadline, writeDeadline time.Time
+	readPending, readBuf        []byte
 }
 
-// Read holds what has arrived until its link carries bytes: it may have been
-// sent before the cut, but a caller must not see it during one.
+// Read returns received bytes only while the incoming link is open: bytes that
+// arrived before a cut must not be delivered during it.
 func (c *networkConn) Read(b []byte) (int, error) {
-	if len(c.readHeld) == 0 {
-		if c.heldFrom == nil {
-			c.heldFrom = make([]byte, 64<<10)
+	if len(c.readPending) == 0 {
+		if c.readBuf == nil {
+			c.readBuf = make([]byte, 64<<10)
 		}
-		n, err := c.Conn.Read(c.heldFrom)
+		n, err := c.Conn.Read(c.readBuf)
 		if n == 0 && err != nil {
-			if cut := c.pass(c.back, c.end(&c.readEnd)); cut != nil {
+			if cut := c.waitOpen(c.back, c.deadline(&c.readDeadline)); cut != nil {
 				return 0, cut
 			}
 			return 0, err
 		}
-		c.readHeld = c.heldFrom[:n]
+		c.readPending = c.readBuf[:n]
 	}
-	if err := c.pass(c.back, c.end(&c.readEnd)); err != nil {
+	if err := c.waitOpen(c.back, c.deadline(&c.readDeadline)); err != nil {
 		return 0, err
 	}
-	n := copy(b, c.readHeld)
-	c.readHeld = c.readHeld[n:]
+	n := copy(b, c.readPending)
+	c.readPending = c.readPending[n:]
 	return n, nil
 }
 
 func (c *networkConn) Write(b []byte) (int, error) {
-	if err := c.pass(c.out, c.end(&c.writeEnd)); err != nil {
+	if err := c.waitOpen(c.out, c.deadline(&c.writeDeadline)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
-// Close tells the peer only if the link carries bytes: the end of a connection
-// is lost on a cut link like everything else, and arrives after the heal.
+// Close closes the underlying connection once the outgoing link is open, so that
+// the peer of a cut link learns of it only after the link is healed.
 func (c *networkConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		open, _ := c.net.look(c.out)
+		open, _ := c.net.gate(c.out)
 		select {
 		case <-open:
 			_ = c.Conn.Close()
@@ -249,30 +253,31 @@
 				_ = c.Conn.Close()
 			}()
 		}
-		// A Read that waits for bytes ends.
+		// Unblock a pending Read.
 		_ = c.Conn.SetReadDeadline(time.Unix(1, 0))
 	})
 	return nil
 }
 
-func (c *networkConn) end(at *time.Time) time.Time {
+func (c *networkConn) deadline(at *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return *at
 }
 
-// pass waits until a link carries bytes.
-func (c *networkConn) pass(l link, end time.Time) error {
-	var timeout <-chan time.Time
-	if !end.IsZero() {
-		t := time.NewTimer(time.Until(end))
+// waitOpen waits until a link is open, and then for its delay. A zero deadline
+// sets no limit; the deadline does not cover the delay.
+func (c *networkConn) waitOpen(l link, deadline time.Time) error {
+	var timedOut <-chan time.Time
+	if !deadline.IsZero() {
+		t := time.NewTimer(time.Until(deadline))
 		defer t.Stop()
-		timeout = t.C
+		timedOut = t.C
 	}
-	open, delay := c.net.look(l)
+	open, delay := c.net.gate(l)
 	select {
 	case <-open:
-	case <-timeout:
+	case <-timedOut:
 		return os.ErrDeadlineExceeded
 	case <-c.closed:
 		return net.ErrClosed
@@ -295,14 +300,14 @@
 
 func (c *networkConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.readEnd = t
+	c.readDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetReadDeadline(t)
 }
 
 func (c *networkConn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
-	c.writeEnd = t
+	c.writeDeadline = t
 	c.mu.Unlock()
 	return c.Conn.SetWriteDeadline(t)
 }
--- a/fake/rank.go
+++ b/fake/rank.go
@@ -6,40 +6,41 @@
 	"github.com/snipereach/snipereach/rollout"
 )
 
-// Rank is one rank of a lock-step group, as far as expert maps go. It is pure,
-// and says exactly what an engine must do:
+// Rank is the expert map state machine of one rank of a lock-step group. It does
+// no I/O and specifies what an engine must do:
 //
-//   - A rank that starts is blank: it runs no step until it is told the map in
-//     force, and refuses orders that were meant for an earlier life.
-//   - A staged map's weights are held beside those in use until it is committed
-//     or aborted.
-//   - An armed rank doesn't begin the armed step until it knows the decision.
-//     It refuses to be armed for a step that it has begun.
-//   - Once told to commit, it uses the new map from the armed step on.
-//   - All ranks agree on the number of each step before they begin it; a group
-//     that forms anew takes the highest number that any of its ranks names.
+//   - A rank starts blank: it runs no step until it adopts the map in force. It
+//     rejects orders for another incarnation.
+//   - The weights of a staged map are kept beside those in use until the map is
+//     committed or aborted.
+//   - An armed rank does not begin the armed step until it knows the decision,
+//     and it rejects being armed for a step that it has begun.
+//   - After a commit it uses the new map from the armed step on.
+//   - All ranks agree on the number of each step before they begin it. A group
+//     that forms again takes the highest next step of its ranks.
 type Rank struct {
 	incarnation uint64
 	seq         uint64
 	blank       bool
 	epoch       uint64
-	next        uint64
+	nextStep    uint64
 	loading     uint64
 	staged      uint64
 	armed       uint64
 	armedStep   uint64
 	decided     bool
-	// settled is the highest epoch that this life saw decided: an order of an
-	// older switch that comes late must not bring it back.
-	settled uint64
-	// StepMicros is reported as the time of a step.
+	// highestDecided is the highest epoch that this incarnation adopted, committed
+	// or aborted. It guards against late orders of an earlier switch.
+	highestDecided uint64
+	// StepMicros is the duration of a step in microseconds, as reported in Status.
 	StepMicros uint64
 }
 
-// NewRank starts a rank. Incarnations of one rank grow.
+// NewRank returns a blank rank. Each restart of a rank needs a higher incarnation.
 func NewRank(incarnation uint64) *Rank { return &Rank{incarnation: incarnation, blank: true} }
 
-// Give carries out an order.
+// Give carries out an order and returns the resulting status, whose Refused field
+// gives the reason if the order was rejected.
 func (r *Rank) Give(verb string, o *rollout.Order) rollout.Status {
 	refused := ""
 	switch {
@@ -51,18 +52,18 @@
 	case r.blank:
 		refused = "rank has no map"
 	default:
-		refused = r.change(verb, o)
+		refused = r.dispatch(verb, o)
 	}
 	s := r.Status()
 	s.Refused = refused
 	return s
 }
 
-// Status returns the rank's state; each call takes the next sequence number.
+// Status returns the rank's state. Each call increments the sequence number.
 func (r *Rank) Status() rollout.Status {
 	r.seq++
 	return rollout.Status{
-		Incarnation: r.incarnation, Seq: r.seq, Blank: r.blank, Epoch: r.epoch, NextStep: r.next,
+		Incarnation: r.incarnation, Seq: r.seq, Blank: r.blank, Epoch: r.epoch, NextStep: r.nextStep,
 		StepMicros: r.StepMicros, Loading: r.loading, Staged: r.staged, Armed: r.armed, ArmedStep: r.armedStep,
 		Decided: r.decided,
 	}
@@ -73,11 +74,11 @@
 		return
 	}
 	r.blank = false
-	r.epoch, r.settled = o.Epoch, o.Epoch
-	r.next = max(r.next, o.Step)
+	r.epoch, r.highestDecided = o.Epoch, o.Epoch
+	r.nextStep = max(r.nextStep, o.Step)
 }
 
-func (r *Rank) change(verb string, o *rollout.Order) string {
+func (r *Rank) dispatch(verb string, o *rollout.Order) string {
 	switch verb {
 	case rollout.VerbStage:
 		return r.stage(o)
@@ -93,7 +94,7 @@
 
 func (r *Rank) stage(o *rollout.Order) string {
 	switch {
-	case o.Epoch <= r.settled:
+	case o.Epoch <= r.highestDecided:
 		return "the map was decided before"
 	case o.Base != r.epoch || r.armed != 0 && r.armed != o.Epoch:
 		return "the map is based on another one"
@@ -103,7 +104,7 @@
 	return ""
 }
 
-// Loaded ends the loading of weights.
+// Loaded marks the map that is being loaded as staged.
 func (r *Rank) Loaded() {
 	if r.loading != 0 {
 		r.staged, r.loading = r.loading, 0
@@ -116,11 +117,11 @@
 func (r *Rank) arm(o *rollout.Order) string {
 	switch {
 	case r.armed == o.Epoch && r.armedStep == o.Step:
-	case o.Epoch <= r.settled:
+	case o.Epoch <= r.highestDecided:
 		return "the map was decided before"
 	case r.staged != o.Epoch || r.armed != 0:
 		return "the map isn't staged"
-	case r.next > o.Step:
+	case r.nextStep > o.Step:
 		return "the step has begun"
 	default:
 		r.armed, r.armedStep = o.Epoch, o.Step
@@ -136,7 +137,7 @@
 		return "the map isn't armed"
 	}
 	r.decided = true
-	r.settled = max(r.settled, o.Epoch)
+	r.highestDecided = max(r.highestDecided, o.Epoch)
 	return ""
 }
 
@@ -144,7 +145,7 @@
 	if r.epoch == o.Epoch || r.decided && r.armed == o.Epoch {
 		return "the map was committed"
 	}
-	r.settled = max(r.settled, o.Epoch)
+	r.highestDecided = max(r.highestDecided, o.Epoch)
 	if r.loading == o.Epoch {
 		r.loading = 0
 	}
@@ -157,27 +158,26 @@
 	return ""
 }
 
-// Blank says whether the rank waits to be told the map in force.
+// Blank reports whether the rank has not yet adopted a map.
 func (r *Rank) Blank() bool { return r.blank }
 
 // Next returns the number of the step that the rank will begin.
-func (r *Rank) Next() uint64 { return r.next }
+func (r *Rank) Next() uint64 { return r.nextStep }
 
-// MayBegin says whether the rank may begin its next step now.
+// MayBegin reports whether the rank may begin its next step.
 func (r *Rank) MayBegin() bool {
 	if r.blank {
 		return false
 	}
-	// Another rank may know the decision already and begin the step with the
-	// new map; beginning it with the old one would mix two maps in one step.
-	// Stopping is enough: no rank is told to switch before all have armed.
-	return r.armed == 0 || r.decided || r.next < r.armedStep
+	// Another rank may already know the decision and begin the step with the new
+	// map; beginning it here with the old one would mix two maps in one step.
+	// Waiting is enough, because no rank gets a commit before all are armed.
+	return r.armed == 0 || r.decided || r.nextStep < r.armedStep
 }
 
-// Begin begins the step that the group agreed on and returns the epoch of the
-// map that the rank uses in it.
+// Begin begins the agreed step and returns the epoch of the map used in it.
 func (r *Rank) Begin(step uint64) uint64 {
-	r.next = step + 1
+	r.nextStep = step + 1
 	if r.decided && step >= r.armedStep {
 		r.epoch = r.armed
 		r.armed, r.armedStep, r.staged, r.decided = 0, 0, 0, false
@@ -185,5 +185,5 @@
 	return r.epoch
 }
 
-// Join raises the rank's next step to what the group agreed on.
-func (r *Rank) Join(step uint64) { r.next = max(r.next, step) }
+// Join raises the rank's next step to the one that the group agreed on.
+func (r *Rank) Join(step uint64) { r.nextStep = max(r.nextStep, step) }
--- a/load/cli.go
+++ b/load/cli.go
@@ -14,25 +14,25 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// ErrWrong is returned for a run in which callers were told something wrong.
+// ErrWrong is returned for a run whose report is not clean.
 var ErrWrong = merry.Sentinel("answers, refusals or runs were wrong")
 
 const programName = "snipereach-load"
 
 type cliOptions struct {
-	Config     string        `long:"config" value-name:"FILE" description:"workload in TOML"`
-	Check      bool          `long:"check-config" description:"check the workload and exit"`
-	ServeFakes bool          `long:"serve-fakes" description:"run the workload's fake upstreams in this process and count their runs"`
-	Duration   time.Duration `long:"duration" description:"length of the run, in place of the workload's"`
-	JSON       string        `long:"json" value-name:"FILE" description:"file for the results as JSON"`
-	Plot       string        `long:"plot" value-name:"FILE" description:"file for the results over time as PNG"`
-	Quiet      bool          `long:"quiet" description:"print no progress"`
-	Any        bool          `long:"allow-any-address" description:"let load go to addresses that are not on the loopback"`
-	Version    bool          `long:"version" description:"print the version and exit"`
+	Config          string        `long:"config" value-name:"FILE" description:"workload in TOML"`
+	Check           bool          `long:"check-config" description:"check the workload and exit"`
+	ServeFakes      bool          `long:"serve-fakes" description:"run the workload's fake upstreams in this process and count their runs"`
+	Duration        time.Duration `long:"duration" description:"length of the run, in place of the workload's"`
+	JSON            string        `long:"json" value-name:"FILE" description:"file for the results as JSON"`
+	Plot            string        `long:"plot" value-name:"FILE" description:"file for the results over time as PNG"`
+	Quiet           bool          `long:"quiet" description:"print no progress"`
+	AllowAnyAddress bool          `long:"allow-any-address" description:"let load go to addresses that are not on the loopback"`
+	Version         bool          `long:"version" description:"print the version and exit"`
 }
 
-// Main runs the command line and returns the exit code: 0 if every answer, refusal
-// and run was right, 1 if one was wrong or the run failed, 2 for wrong settings.
+// Main runs the command and returns its exit code: 0 for a clean report, 1 if the
+// report is not clean or the run failed, 2 for invalid settings.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var o cliOptions
 	p := flags.NewNamedParser(programName, flags.HelpFlag|flags.PassDoubleDash)
@@ -65,7 +65,7 @@
 	return kernel.ExitFailed
 }
 
-// ReadWorkload reads and checks a workload file. An error names the file.
+// ReadWorkload reads and checks a workload file. Errors name the file.
 func ReadWorkload(path string) (*Settings, error) {
 	s := DefaultSettings()
 	if err := kernel.ReadSettings(path, s); err != nil {
@@ -91,7 +91,7 @@
 			return merry.Prepend(err, "--duration")
 		}
 	}
-	opts := Options{AnyAddress: o.Any}
+	opts := Options{AnyAddress: o.AllowAnyAddress}
 	if !o.Quiet {
 		opts.Progress = stderr
 	}
--- a/load/entries.go
+++ b/load/entries.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// listTimeout bounds one question for the list.
+	// listTimeout bounds one request for the list of entries.
 	listTimeout = 2 * time.Second
-	// maxList bounds the list, in bytes.
-	maxList = 1 << 20
-	// retryList is the wait after nobody gave the list.
-	retryList = 200 * time.Millisecond
+	// maxListBytes bounds the size of the list.
+	maxListBytes = 1 << 20
+	// fetchRetryDelay is the delay before the next fetch after a failed one.
+	fetchRetryDelay = 200 * time.Millisecond
 )
 
-// entries keeps the list of entries as long as the system lets callers keep it.
+// entries caches the list of entries for the time that the system allows
+// (keep_seconds).
 type entries struct {
 	client *http.Client
 	seeds  []string
 	allow  func(address string) error
 
-	mu       sync.Mutex
-	list     []string
-	until    time.Time
-	next     int
-	changes  int
-	fetching bool
+	mu         sync.Mutex
+	list       []string
+	freshUntil time.Time
+	next       int
+	fetches    int
+	fetching   bool
 }
 
 type entryList struct {
@@ -42,10 +43,11 @@
 	KeepSeconds int `json:"keep_seconds"`
 }
 
-// pick returns the next entry in turn that is not avoid, if there is another.
+// pick returns the next entry in round-robin order, other than avoid if there is
+// another one. It refreshes an expired list first.
 func (e *entries) pick(ctx context.Context, avoid string) (string, error) {
 	var err error
-	if e.stale() {
+	if e.claimFetch() {
 		err = e.fetch(ctx)
 	}
 	e.mu.Lock()
@@ -62,28 +64,29 @@
 	return e.list[0], nil
 }
 
-// stale says whether the caller is to fetch the list: one does it at a time, and
-// the others go on with the old list meanwhile, if there is one.
-func (e *entries) stale() bool {
+// claimFetch reports whether the caller must fetch the list because it has expired.
+// While one caller fetches it, the others use the old list if there is one.
+func (e *entries) claimFetch() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().Before(e.until) || e.fetching && len(e.list) > 0 {
+	if time.Now().Before(e.freshUntil) || e.fetching && len(e.list) > 0 {
 		return false
 	}
 	e.fetching = true
 	return true
 }
 
-// fetch asks the entries that are known, then those of the settings.
+// fetch refreshes the list from the first entry that returns it, trying the known
+// entries and then those of the settings.
 func (e *entries) fetch(ctx context.Context) error {
 	e.mu.Lock()
-	ask := append(append([]string(nil), e.list...), e.seeds...)
+	candidates := append(append([]string(nil), e.list...), e.seeds...)
 	e.mu.Unlock()
 	var last error
-	for _, a := range ask {
-		l, err := e.ask(ctx, a)
+	for _, a := range candidates {
+		l, err := e.fetchFrom(ctx, a)
 		if err == nil {
-			e.set(l)
+			e.update(l)
 			return nil
 		}
 		last = err
@@ -91,24 +94,24 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fetching = false
-	// An old list is better than none; the question is put again soon.
-	e.until = time.Now().Add(retryList)
+	// Keep the old list and fetch again after fetchRetryDelay.
+	e.freshUntil = time.Now().Add(fetchRetryDelay)
 	return merry.Prependf(ErrNoEntries, "%v", last)
 }
 
-func (e *entries) set(l *entryList) {
+func (e *entries) update(l *entryList) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fetching = false
-	e.changes++
-	e.until = time.Now().Add(time.Duration(l.KeepSeconds) * time.Second)
+	e.fetches++
+	e.freshUntil = time.Now().Add(time.Duration(l.KeepSeconds) * time.Second)
 	e.list = e.list[:0]
 	for _, x := range l.Entries {
 		e.list = append(e.list, x.Address)
 	}
 }
 
-func (e *entries) ask(ctx context.Context, address string) (*entryList, error) {
+func (e *entries) fetchFrom(ctx context.Context, address string) (*entryList, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entries", nil)
@@ -121,14 +124,14 @@
 	}
 	defer resp.Body.Close()
 	var l entryList
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&l); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&l); err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK || len(l.Entries) == 0 {
 		return nil, fmt.Errorf("%s: status %d, %d entries", address, resp.StatusCode, len(l.Entries))
 	}
 	for _, x := range l.Entries {
-		// The list may name addresses that the settings did not.
+		// The list may name addresses that are not in the settings.
 		if err := e.allow(x.Address); err != nil {
 			return nil, err
 		}
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -14,7 +14,7 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-func workload() *Settings {
+func testSettings() *Settings {
 	s := DefaultSettings()
 	s.Entries = []string{"127.0.0.1:1"}
 	s.Team = []Team{{Name: "one", Key: "k1"}, {Name: "two", Key: "k2"}}
@@ -25,7 +25,7 @@
 	return s
 }
 
-func TestFactorFollowsTheDay(t *testing.T) {
+func TestFactorInterpolatesLinearly(t *testing.T) {
 	day := []Point{{0.2, 1}, {0.4, 3}, {0.4, 0.5}, {0.8, 0.5}}
 	for at, want := range map[float64]float64{0: 1, 0.2: 1, 0.3: 2, 0.4: 0.5, 0.6: 0.5, 0.9: 0.5, 1: 0.5} {
 		assert.Assert(t, math.Abs(Factor(day, at)-want) < 1e-9, "at %g: %g", at, Factor(day, at))
@@ -33,9 +33,10 @@
 	assert.Equal(t, Factor(nil, 0.5), 1.0)
 }
 
-// The plan keeps rates, shape, teams and ranges, and is the same each time.
-func TestPlanIsTheWorkload(t *testing.T) {
-	s := workload()
+// A plan follows the rates, load curve, teams and ranges of the settings, and is
+// deterministic.
+func TestPlanMatchesSettings(t *testing.T) {
+	s := testSettings()
 	s.Duration = kernel.Duration(1000 * time.Second)
 	s.Day = []Point{{0, 0}, {0.5, 0}, {0.5, 2}, {1, 2}}
 	assert.NilError(t, s.Check())
@@ -59,15 +60,15 @@
 		}
 		assert.Assert(t, a.Tokens >= 2 && a.Tokens <= 5 && a.Prefix >= 0 && a.Prefix < 3)
 	}
-	// 500 s at twice the rates; five standard deviations are 870 and 500.
+	// 500 s at twice the rates. 870 and 500 are five standard deviations.
 	assert.Assert(t, math.Abs(float64(count["signals"])-30_000) < 870, "%v", count)
 	assert.Assert(t, math.Abs(float64(count["texts"])-10_000) < 500, "%v", count)
 	assert.Assert(t, math.Abs(float64(count["one"])-5_000) < 400, "%v", count)
 }
 
-// A workload with a mistake is refused with the file and the key, and with the
-// line where the file itself shows it.
-func TestWrongWorkloadsAreNamed(t *testing.T) {
+// The error for an invalid workload names the file and the key, and the line of
+// unknown keys and undecodable values.
+func TestInvalidWorkloadErrorNamesFileLineAndKey(t *testing.T) {
 	text, err := os.ReadFile("../examples/load-auction.toml")
 	assert.NilError(t, err)
 	for _, c := range []struct{ old, new, want string }{
@@ -97,8 +98,8 @@
 	}
 }
 
-func TestLoadStaysOnTheLoopback(t *testing.T) {
-	s := workload()
+func TestRunnerRejectsNonLoopbackEntries(t *testing.T) {
+	s := testSettings()
 	s.Entries = []string{"192.0.2.1:80"}
 	assert.NilError(t, s.Check())
 	_, err := NewRunner(s, Options{})
--- a/load/report.go
+++ b/load/report.go
@@ -12,25 +12,25 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the result of a run. Times are in microseconds; those of a request
-// count from its intended start.
+// Report is the result of a run. Latencies are in microseconds, from the intended
+// start of the request.
 type Report struct {
 	Started time.Time     `json:"started"`
 	Seconds float64       `json:"seconds"`
 	Lists   int           `json:"entry_lists_fetched"`
 	Classes []ClassReport `json:"classes"`
-	// Audit is nil where the upstreams' runs are not known.
+	// Audit is nil if the runs at the upstreams are not known.
 	Audit *Audit `json:"audit,omitempty"`
 
 	settings *Settings
 	stats    *stats
 }
 
-// ClassReport is the part of one class.
+// ClassReport is the result of one class.
 type ClassReport struct {
 	Name     string          `json:"name"`
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Reasons are keyed by outcome and reason.
+	// Reasons counts requests by outcome and reason, as in "not-run queue-full".
 	Reasons  map[string]int  `json:"reasons,omitempty"`
 	Verdicts map[Verdict]int `json:"verdicts,omitempty"`
 	Resent   int             `json:"resent"`
@@ -40,7 +40,7 @@
 	Gap      Quantiles       `json:"between_tokens_us"`
 }
 
-// Quantiles of a histogram.
+// Quantiles summarizes a histogram.
 type Quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -59,7 +59,7 @@
 
 func (r *Runner) report() *Report {
 	rep := &Report{
-		Started: r.began, Seconds: time.Since(r.began).Seconds(), Lists: r.entries.changes,
+		Started: r.began, Seconds: time.Since(r.began).Seconds(), Lists: r.entries.fetches,
 		settings: r.settings, stats: r.stats,
 	}
 	for i := range r.settings.Class {
@@ -68,28 +68,29 @@
 		rep.Classes = append(rep.Classes, ClassReport{
 			Name: c.Name, Outcomes: cs.outcomes, Reasons: cs.reasons, Verdicts: cs.verdicts,
 			Resent: cs.resent, Replayed: cs.replayed,
-			First: quantiles(cs.first), Whole: quantiles(cs.whole), Gap: quantiles(cs.gap),
+			First: quantiles(cs.first), Whole: quantiles(cs.whole), Gap: quantiles(cs.tokenGap),
 		})
 	}
 	if r.opts.Runs != nil {
-		rep.Audit = audit(r.calls, r.opts.Runs())
+		rep.Audit = audit(r.records, r.opts.Runs())
 	}
 	return rep
 }
 
-// Clean says whether every answer passed its check and the audit found nothing.
+// Clean reports whether every answer passed its check and the audit, if any, is
+// clean.
 func (r *Report) Clean() bool {
-	return r.stats.wrong() == 0 && (r.Audit == nil || r.Audit.Clean())
+	return r.stats.wrongAnswers() == 0 && (r.Audit == nil || r.Audit.Clean())
 }
 
-// WriteJSON writes the report as JSON.
+// WriteJSON writes the report as indented JSON.
 func (r *Report) WriteJSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(r)
 }
 
-// WriteTable writes the report for a terminal.
+// WriteTable writes the report as a text table.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tanswered\tnot run\tunknown\tunsent\tresent\treplayed\twrong\tfirst p50\tp99\twhole p50\tp99\tbetween tokens p95\t")
@@ -102,14 +103,14 @@
 		}
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", c.Name,
 			c.Outcomes[Answered], c.Outcomes[NotRun], c.Outcomes[Unknown], c.Outcomes[Unsent],
-			c.Resent, c.Replayed, wrong, ms(c.First.P50), ms(c.First.P99), ms(c.Whole.P50), ms(c.Whole.P99), ms(c.Gap.P95))
+			c.Resent, c.Replayed, wrong, formatMillis(c.First.P50), formatMillis(c.First.P99), formatMillis(c.Whole.P50), formatMillis(c.Whole.P99), formatMillis(c.Gap.P95))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	for _, c := range r.Classes {
 		printCounts(w, c.Name+" reasons", c.Reasons)
-		printCounts(w, c.Name+" answers", wrongOnly(c.Verdicts))
+		printCounts(w, c.Name+" answers", failedVerdicts(c.Verdicts))
 	}
 	if a := r.Audit; a != nil {
 		fmt.Fprintf(w, "runs: %d of %d requests; doubled %d, wrong \"not run\" %d, answered without a run %d, crossed %d, lost %d (%d of them ran), foreign %d\n",
@@ -118,7 +119,7 @@
 	return nil
 }
 
-func wrongOnly(v map[Verdict]int) map[string]int {
+func failedVerdicts(v map[Verdict]int) map[string]int {
 	m := map[string]int{}
 	for name, n := range v {
 		if name != Whole {
@@ -140,7 +141,7 @@
 	fmt.Fprintf(w, "%s: %s\n", title, strings.Join(list, ", "))
 }
 
-func ms(us int64) string {
+func formatMillis(us int64) string {
 	if us == 0 {
 		return "-"
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// resendPause is the wait before a request is sent again.
-	resendPause = 100 * time.Millisecond
-	// maxUnreachable bounds the entries that one request tries to connect to.
-	maxUnreachable   = 5
-	progressInterval = time.Second
-	dialTimeout      = 2 * time.Second
+	resendDelay = 100 * time.Millisecond
+	// maxConnectFailures bounds how often a request that cannot connect tries
+	// another entry.
+	maxConnectFailures = 5
+	progressInterval   = time.Second
+	dialTimeout        = 2 * time.Second
 )
 
 // Options of a run.
 type Options struct {
-	// Progress takes a line a second; nil is none.
+	// Progress receives a progress line per second; nil disables it.
 	Progress io.Writer
-	// AnyAddress lets load go to addresses that are not on the loopback.
+	// AnyAddress permits entries outside the loopback.
 	AnyAddress bool
-	// Runs returns how often the upstreams ran each request, by its key; nil if
-	// that is not known.
+	// Runs returns how often the upstreams ran each request, by run key. If it is
+	// nil, the report has no audit.
 	Runs func() map[string]int
 }
 
-// Runner sends a workload.
+// Runner sends a workload and collects its results.
 type Runner struct {
 	settings *Settings
 	opts     Options
@@ -45,19 +45,20 @@
 	inFlight atomic.Int64
 	wg       sync.WaitGroup
 
-	mu    sync.Mutex
-	calls []ended
+	mu      sync.Mutex
+	records []requestRecord
 }
 
-// ended is what is kept of a request for the audit of runs.
-type ended struct {
+// requestRecord is the data about a completed request that the audit needs.
+type requestRecord struct {
 	key        string
 	idempotent bool
 	outcome    Outcome
 	verdict    Verdict
 }
 
-// NewRunner makes a runner from checked settings.
+// NewRunner returns a runner for settings that have passed Check. It returns
+// ErrNotLoopback for an entry outside the loopback unless Options.AnyAddress is set.
 func NewRunner(s *Settings, o Options) (*Runner, error) {
 	allow := CheckLoopback
 	if o.AnyAddress {
@@ -73,7 +74,7 @@
 			MaxIdleConns: s.MaxInFlight, MaxIdleConnsPerHost: s.MaxInFlight, IdleConnTimeout: time.Minute,
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext, DisableCompression: true,
 		},
-		// A redirect could lead load away from the loopback.
+		// A redirect could lead outside the loopback.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return &Runner{
@@ -83,27 +84,28 @@
 	}, nil
 }
 
-// Run sends the workload and returns the report. It ends with the plan, or when
-// the context is done, and waits for answers as long as the settings let it.
+// Run sends the workload and returns the report. It stops sending at the end of the
+// plan or when ctx is done. After the plan it waits up to Settings.Drain for
+// outstanding answers; once ctx is done it cancels them.
 func (r *Runner) Run(ctx context.Context) (*Report, error) {
 	defer r.client.CloseIdleConnections()
 	if err := r.entries.fetch(ctx); err != nil {
 		return nil, err
 	}
-	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	r.began = time.Now()
 	stop := r.progress()
-	r.sendAll(ctx, work)
+	r.sendAll(ctx, workCtx)
 	r.drain(ctx, cancel)
 	stop()
 	return r.report(), nil
 }
 
-// sendAll starts each request at its time. It never waits for an answer: a system
-// that slows down gets no less load (open loop), and latency counts from the
-// intended start, also where the tool itself was late.
-func (r *Runner) sendAll(ctx, work context.Context) {
+// sendAll starts each request at its intended time without waiting for answers
+// (open loop), so that a slow system gets no less load. Latency is measured from
+// the intended start, even if the tool itself starts the request late.
+func (r *Runner) sendAll(ctx, workCtx context.Context) {
 	plan := NewPlan(r.settings)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -118,71 +120,73 @@
 			return
 		case <-timer.C:
 		}
-		r.start(work, a)
+		r.start(workCtx, a)
 	}
 }
 
-func (r *Runner) start(work context.Context, a Arrival) {
+func (r *Runner) start(workCtx context.Context, a Arrival) {
 	c := &call{Arrival: a, key: r.id + "-" + strconv.Itoa(a.Number), due: r.began.Add(a.Due)}
 	if int(r.inFlight.Add(1)) > r.settings.MaxInFlight {
 		r.inFlight.Add(-1)
-		r.stats.add(c, reply{outcome: Unsent}, 0, time.Now())
+		r.stats.add(c, attemptResult{outcome: Unsent}, 0, time.Now())
 		return
 	}
 	r.wg.Go(func() {
 		defer r.inFlight.Add(-1)
-		r.carry(work, c)
+		r.execute(workCtx, c)
 	})
 }
 
-// carry brings one request to its end.
-func (r *Runner) carry(ctx context.Context, c *call) {
-	rep, sendings := r.sendings(ctx, c)
-	r.stats.add(c, rep, sendings, time.Now())
+// execute sends one request until it is finished and records the result.
+func (r *Runner) execute(ctx context.Context, c *call) {
+	rep, attempts := r.sendWithRetries(ctx, c)
+	r.stats.add(c, rep, attempts, time.Now())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.calls = append(r.calls, ended{c.key, c.Class.Idempotent, rep.outcome, rep.verdict})
+	r.records = append(r.records, requestRecord{c.key, c.Class.Idempotent, rep.outcome, rep.verdict})
 }
 
-func (r *Runner) sendings(ctx context.Context, c *call) (rep reply, sendings int) {
-	entry, unreachable, doubt := "", 0, false
+func (r *Runner) sendWithRetries(ctx context.Context, c *call) (rep attemptResult, attempts int) {
+	entry, connectFailures, mayHaveRun := "", 0, false
 	for {
 		next, err := r.entries.pick(ctx, entry)
 		if err != nil {
-			return inDoubt(reply{outcome: NotRun, reason: reasonUnreachable}, doubt), sendings
+			return withdrawNotRun(attemptResult{outcome: NotRun, reason: reasonUnreachable}, mayHaveRun), attempts
 		}
 		entry = next
-		rep = c.send(ctx, r.client, entry)
-		if rep.reason == reasonUnreachable && unreachable < maxUnreachable && ctx.Err() == nil {
-			unreachable++
+		rep = c.attempt(ctx, r.client, entry)
+		if rep.reason == reasonUnreachable && connectFailures < maxConnectFailures && ctx.Err() == nil {
+			connectFailures++
 			continue
 		}
-		sendings++
-		if rep.outcome != Unknown || sendings > c.Class.Resends || !pause(ctx) {
-			// Of a request without a key, a "not run" speaks of one sending.
-			return inDoubt(rep, doubt && !c.Class.Keys), sendings
+		attempts++
+		if rep.outcome != Unknown || attempts > c.Class.Resends || !waitBeforeResend(ctx) {
+			// Without an idempotency key, NotRun covers only the last attempt.
+			return withdrawNotRun(rep, mayHaveRun && !c.Class.Keys), attempts
 		}
-		doubt = true
+		mayHaveRun = true
 	}
 }
 
-func inDoubt(rep reply, doubt bool) reply {
-	if doubt && rep.outcome == NotRun {
+// withdrawNotRun turns NotRun into Unknown if an earlier attempt may have run.
+func withdrawNotRun(rep attemptResult, mayHaveRun bool) attemptResult {
+	if mayHaveRun && rep.outcome == NotRun {
 		rep.outcome = Unknown
 	}
 	return rep
 }
 
-func pause(ctx context.Context) bool {
+func waitBeforeResend(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(resendPause):
+	case <-time.After(resendDelay):
 		return true
 	}
 }
 
-// drain waits for answers, then cancels what is left; those end as unknown.
+// drain waits for outstanding requests and cancels those that are left after
+// Settings.Drain or when ctx is done.
 func (r *Runner) drain(ctx context.Context, cancel context.CancelFunc) {
 	done := make(chan struct{})
 	go func() {
@@ -199,7 +203,7 @@
 	<-done
 }
 
-// progress prints a line a second until the returned function is called.
+// progress prints a line per progressInterval until stop is called.
 func (r *Runner) progress() (stop func()) {
 	if r.opts.Progress == nil {
 		return func() {}
@@ -228,5 +232,5 @@
 	t := r.stats.totals()
 	return fmt.Sprintf("%5.0fs of %.0fs  in flight %5d  answered %7d  not run %6d  unknown %5d  unsent %5d  wrong %d",
 		time.Since(r.began).Seconds(), r.settings.Duration.D().Seconds(), r.inFlight.Load(),
-		t[Answered], t[NotRun], t[Unknown], t[Unsent], r.stats.wrong())
+		t[Answered], t[NotRun], t[Unknown], t[Unsent], r.stats.wrongAnswers())
 }
--- a/load/send.go
+++ b/load/send.go
@@ -16,25 +16,26 @@
 	"github.com/snipereach/snipereach/refusal"
 )
 
-// maxAnswer bounds what is read of one answer.
-const maxAnswer = 64 << 20
+// maxAnswerBytes bounds how much of one answer is read.
+const maxAnswerBytes = 64 << 20
 
-// Outcome is what a caller knows of a request.
+// Outcome is a caller's knowledge of a request's result.
 type Outcome string
 
 // Outcomes.
 const (
-	// Answered is a whole answer, whatever the check of it found.
+	// Answered means that a response was read to its end, whatever its verdict.
 	Answered Outcome = "answered"
-	// NotRun is a refusal that says so, or no connection at all.
+	// NotRun means that the system refused the request as not run, or that no
+	// connection was made.
 	NotRun Outcome = "not-run"
-	// Unknown is everything else: it may have run.
+	// Unknown is any other result: the request may have run.
 	Unknown Outcome = "unknown"
-	// Unsent was due while the tool was at its bound of requests in flight.
+	// Unsent means that the request was due while MaxInFlight were in flight.
 	Unsent Outcome = "unsent"
 )
 
-// Reasons that the tool finds itself; the others are the system's.
+// Reasons assigned by the tool. All others come from the system's refusals.
 const (
 	reasonUnreachable = "entry-unreachable"
 	reasonConnection  = "connection-cut"
@@ -42,19 +43,19 @@
 	reasonStatus      = "status-"
 )
 
-// reply is what came of one sending.
-type reply struct {
+// attemptResult is the result of one attempt of a request.
+type attemptResult struct {
 	outcome  Outcome
 	reason   string
 	verdict  Verdict
 	replayed bool
-	// first is when the first byte (of a stream: the first token) came.
+	// first is when the response header was received; for a stream, the first token.
 	first time.Time
-	// gaps are the times between the tokens of a stream.
+	// gaps are the times between consecutive tokens of a stream.
 	gaps []time.Duration
 }
 
-// call is one request, whatever the number of its sendings.
+// call is one request with all its attempts.
 type call struct {
 	Arrival
 	key string
@@ -98,7 +99,7 @@
 	return body
 }
 
-// prefixText makes a prompt prefix: the same number gives the same text.
+// prefixText returns the prompt prefix of a number, chars bytes long.
 func prefixText(number, chars int) string {
 	word := "prefix " + strconv.Itoa(number) + " "
 	return strings.Repeat(word, chars/len(word)+1)[:chars]
@@ -110,8 +111,8 @@
 		url = "http://" + entry + "/services/" + c.Class.Target + c.path()
 	}
 	body := c.body()
-	// Without GetBody net/http sends nothing again by itself: a resend that the
-	// tool doesn't know of would look like a doubled run.
+	// Without GetBody net/http does not retry by itself. A retry that the tool does
+	// not know of would be reported as a doubled run.
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, err
@@ -132,25 +133,25 @@
 	return req, nil
 }
 
-// send makes one sending and waits for what comes of it.
-func (c *call) send(ctx context.Context, client *http.Client, entry string) reply {
+// attempt sends the request once to an entry and waits for the result.
+func (c *call) attempt(ctx context.Context, client *http.Client, entry string) attemptResult {
 	ctx, cancel := context.WithTimeout(ctx, c.Class.Timeout.D())
 	defer cancel()
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	req, err := c.request(httptrace.WithClientTrace(ctx, trace), entry)
 	if err != nil {
-		return reply{outcome: NotRun, reason: reasonUnreachable}
+		return attemptResult{outcome: NotRun, reason: reasonUnreachable}
 	}
 	resp, err := client.Do(req)
 	switch {
 	case err != nil && !connected:
-		return reply{outcome: NotRun, reason: reasonUnreachable}
+		return attemptResult{outcome: NotRun, reason: reasonUnreachable}
 	case err != nil:
-		return reply{outcome: Unknown, reason: brokenReason(ctx)}
+		return attemptResult{outcome: Unknown, reason: interruptReason(ctx)}
 	}
 	defer resp.Body.Close()
-	rep := reply{first: time.Now(), replayed: resp.Header.Get("Idempotent-Replayed") != ""}
+	rep := attemptResult{first: time.Now(), replayed: resp.Header.Get("Idempotent-Replayed") != ""}
 	kind := resp.Header.Get("Content-Type")
 	switch {
 	case strings.HasPrefix(kind, "application/problem+json"):
@@ -160,23 +161,23 @@
 	case strings.HasPrefix(kind, "text/event-stream"):
 		c.readStream(ctx, resp.Body, &rep)
 	default:
-		c.readWhole(ctx, resp.Body, &rep)
+		c.readBody(ctx, resp.Body, &rep)
 	}
 	return rep
 }
 
-func brokenReason(ctx context.Context) string {
+func interruptReason(ctx context.Context) string {
 	if ctx.Err() != nil {
 		return reasonTimeout
 	}
 	return reasonConnection
 }
 
-func (c *call) readRefusal(ctx context.Context, body io.Reader, rep *reply) {
+func (c *call) readRefusal(ctx context.Context, body io.Reader, rep *attemptResult) {
 	var p refusal.Problem
 	rep.outcome = Unknown
-	if err := json.NewDecoder(io.LimitReader(body, maxAnswer)).Decode(&p); err != nil {
-		rep.reason = brokenReason(ctx)
+	if err := json.NewDecoder(io.LimitReader(body, maxAnswerBytes)).Decode(&p); err != nil {
+		rep.reason = interruptReason(ctx)
 		return
 	}
 	rep.reason = p.Reason
@@ -185,15 +186,15 @@
 	}
 }
 
-func (c *call) readWhole(ctx context.Context, body io.Reader, rep *reply) {
-	text, err := io.ReadAll(io.LimitReader(body, maxAnswer))
+func (c *call) readBody(ctx context.Context, body io.Reader, rep *attemptResult) {
+	text, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes))
 	if err != nil {
-		rep.outcome, rep.reason = Unknown, brokenReason(ctx)
+		rep.outcome, rep.reason = Unknown, interruptReason(ctx)
 		return
 	}
 	rep.outcome, rep.verdict = Answered, Whole
 	switch {
-	case c.Class.Check == checkNone:
+	case c.Class.Check == checkModeNone:
 	case c.Class.Kind == KindEngine:
 		rep.verdict = checkCompletion(c.expected(), text)
 	default:
@@ -201,14 +202,14 @@
 	}
 }
 
-func (c *call) readStream(ctx context.Context, body io.Reader, rep *reply) {
+func (c *call) readStream(ctx context.Context, body io.Reader, rep *attemptResult) {
 	check := &streamCheck{want: c.expected()}
 	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, maxAnswer)
+	lines.Buffer(nil, maxAnswerBytes)
 	var last time.Time
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
-		if !ok || !check.event(data) {
+		if !ok || !check.addEvent(data) {
 			continue
 		}
 		now := time.Now()
@@ -220,15 +221,16 @@
 		last = now
 	}
 	if lines.Err() != nil {
-		// The cut shows. What came before it must still be the request's own.
-		rep.outcome, rep.reason = Unknown, brokenReason(ctx)
+		// The caller sees the interruption, so a Cut is no fault here. Tokens read
+		// before it must still belong to the request.
+		rep.outcome, rep.reason = Unknown, interruptReason(ctx)
 		if v := check.verdict(); v == Crossed || v == Doubled {
 			rep.verdict = v
 		}
 		return
 	}
 	rep.outcome, rep.verdict = Answered, check.verdict()
-	if c.Class.Check == checkNone {
+	if c.Class.Check == checkModeNone {
 		rep.verdict = Whole
 	}
 }
--- a/quickstart/drain_test.go
+++ b/quickstart/drain_test.go
@@ -13,10 +13,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Callers send one ping after another, each on a connection that it keeps, while the
-// entry is stopped as planned. Every ping is answered whole: the answers tell the
-// callers to connect anew, and they take another entry before connections are closed.
-func TestPlannedStopCutsNoRequestOfAKeptConnection(t *testing.T) {
+// A drained entry must answer with Connection: close on keep-alive connections
+// before it closes them, so that no request is cut.
+func TestEntryDrainCutsNoRequestOnKeepAliveConnections(t *testing.T) {
 	s, err := Start(context.Background(), Options{Log: log.NewNopLogger(), FakeDisks: true, Keep: time.Second})
 	assert.NilError(t, err)
 	t.Cleanup(s.Stop)
@@ -29,7 +28,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			errs <- pingUntilTold("http://" + leaving.CallerAddress())
+			errs <- pingUntilClosed("http://" + leaving.CallerAddress())
 		}()
 	}
 	assert.NilError(t, leaving.Drain(context.Background()))
@@ -39,12 +38,13 @@
 	}
 }
 
-// pingUntilTold pings on one connection until an answer says that it is closed.
-func pingUntilTold(base string) error {
+// pingUntilClosed sends requests on one connection until a response announces its
+// close. It returns an error if the connection breaks earlier.
+func pingUntilClosed(base string) error {
 	conn := &http.Transport{MaxConnsPerHost: 1}
 	defer conn.CloseIdleConnections()
 	for {
-		// A body that can't be sent again keeps net/http from hiding a cut.
+		// A body that cannot be replayed keeps net/http from retrying after a cut.
 		body := io.NopCloser(strings.NewReader("{}"))
 		req, err := http.NewRequest(http.MethodPost, base+"/services/clock-core/confirm", body)
 		if err != nil {
--- a/quickstart/failure_test.go
+++ b/quickstart/failure_test.go
@@ -17,13 +17,13 @@
 	"github.com/snipereach/snipereach/fake"
 )
 
-// A plain service dies after each byte of its answer in turn. The caller never
-// gets a part: it is told that the outcome is unknown, and each call ran once.
-func TestAnswerCutAtEveryByte(t *testing.T) {
+// A plain service's answer that is truncated at any byte must not reach the caller:
+// the outcome is unknown, and the request runs once.
+func TestTruncatedAnswerOutcomeIsUnknown(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{FakeDisks: true})
+	s := startSystem(t, Options{FakeDisks: true})
 	post := func(key string) reply {
-		return call(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: key})
+		return callFirstEntry(s, "POST", "/services/clock-core/bid", "{}", map[string]string{fake.HeaderRunKey: key})
 	}
 	whole := post("whole-xx")
 	assert.Equal(t, whole.status, 200)
@@ -38,15 +38,15 @@
 	}
 }
 
-// An engine dies after each byte of a streamed answer in turn. The caller sees
-// that the stream broke off: the connection ends without the end of the body.
-func TestStreamCutAtEveryByte(t *testing.T) {
+// An engine's stream that is truncated at any byte must not look complete to the
+// caller: reading the body fails, or the entry answers 502.
+func TestTruncatedStreamIsNotPassedAsComplete(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Engines: 1, FakeDisks: true})
+	s := startSystem(t, Options{Engines: 1, FakeDisks: true})
 	s.Engines[0].Step = 0
 	body := strings.Replace(modelBody, `"max_tokens":4`, `"max_tokens":2,"stream":true`, 1)
 	post := func() reply {
-		return call(s, "POST", "/v1/chat/completions", body, map[string]string{fake.HeaderRunKey: "k"})
+		return callFirstEntry(s, "POST", "/v1/chat/completions", body, map[string]string{fake.HeaderRunKey: "k"})
 	}
 	whole := post()
 	assert.NilError(t, whole.err)
@@ -59,13 +59,12 @@
 	}
 }
 
-// A caller reads the head of a long stream and then nothing. The engine is held
-// back, rather than the answer piled up in the system; other callers are served.
-// When it reads on, its stream is whole and in order.
-func TestSlowReaderHoldsBackOnlyItsOwnStream(t *testing.T) {
+// A caller that stops reading a long stream must cause backpressure on the engine,
+// without blocking other callers. When it continues, its stream is complete.
+func TestSlowReaderBlocksOnlyItsOwnStream(t *testing.T) {
 	t.Parallel()
 	const tokens = 100_000
-	s := start(t, Options{Engines: 1, FakeDisks: true})
+	s := startSystem(t, Options{Engines: 1, FakeDisks: true})
 	s.Engines[0].Step = 0
 	body := strings.Replace(modelBody, `"max_tokens":4`, fmt.Sprintf(`"max_tokens":%d,"stream":true`, tokens), 1)
 	req, err := http.NewRequest("POST", "http://"+s.Entries[0].CallerAddress()+"/v1/chat/completions", strings.NewReader(body))
@@ -77,7 +76,7 @@
 	defer resp.Body.Close()
 	for n := range 40 {
 		key := fmt.Sprintf("quick-%d", n)
-		r := served(func() reply {
+		r := retryUntilServed(func() reply {
 			return callEntry(s, n%3, "POST", "/v1/chat/completions", modelBody, map[string]string{fake.HeaderRunKey: key})
 		})
 		assert.Equal(t, r.status, 200, r.body)
@@ -95,15 +94,15 @@
 	assert.Equal(t, next, tokens)
 }
 
-// Callers leave while their calls run, streamed or not, repeatable or not. The
-// work at the upstream is cancelled.
-func TestLeavingCallerCancelsTheWork(t *testing.T) {
+// When a caller disconnects, its request must be cancelled at the engine and at the
+// plain service.
+func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	t.Parallel()
-	s := start(t, Options{Engines: 1, FakeDisks: true})
+	s := startSystem(t, Options{Engines: 1, FakeDisks: true})
 	stall := func(*http.Request) fake.Fault { return fake.FaultStall }
 	s.Engines[0].SetFault(stall)
 	s.Plains[0].SetFault(stall)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 2)
 	for _, path := range []string{"/v1/chat/completions", "/services/clock-core/bid"} {
 		req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.Entries[0].CallerAddress()+path, strings.NewReader(modelBody))
@@ -118,15 +117,15 @@
 		}()
 	}
 	waitFor(t, func() bool { return s.Engines[0].Running() == 1 && s.Plains[0].Running() == 1 })
-	leave()
+	cancel()
 	assert.Assert(t, <-done != nil)
 	assert.Assert(t, <-done != nil)
 	waitFor(t, func() bool { return s.Engines[0].Running() == 0 && s.Plains[0].Running() == 0 })
 }
 
-// Every daemon is stopped while requests run and links are open: no goroutine of
-// theirs is left, so an embedding program can start and stop them again and again.
-func TestStopLeavesNoGoroutine(t *testing.T) {
+// Stopping all daemons while requests run must not leak goroutines into an
+// embedding program.
+func TestStopLeaksNoGoroutines(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	for _, opts := range []Options{{}, {Controls: 3}} {
 		opts.Log, opts.FakeDisks = log.NewNopLogger(), true
