--- a/agent/agent.go
+++ b/agent/agent.go
@@ -34,32 +34,32 @@
 
 // Agent implements kernel.Daemon.
 type Agent struct {
-	settings  *Settings
-	log       log.Logger
-	up        upstream.Upstream
-	sec       transport.Security
-	certs     *transport.Certificates
-	srv       *transport.Server
-	pool      *transport.Pool
-	lis       net.Listener
-	ops       *http.Server
-	runner    *admit.Runner
-	queue     queueSettings
-	attempts  *attempts
-	tickets   *tickets
-	orders    *orders
-	life      *directory.Life
-	lives     upstreamLives
-	seq       atomic.Uint64
-	metrics   metrics.Registry
-	done      metrics.Counter
-	dumps     kernel.Dumps
-	cancel    context.CancelFunc
-	announcer *directory.Announcer
-	load      atomic.Pointer[wire.Load]
-	cache     cacheEvents
-	loadMu    sync.Mutex
-	loadSeq   uint64
+	settings       *Settings
+	log            log.Logger
+	upstream       upstream.Upstream
+	sec            transport.Security
+	certs          *transport.Certificates
+	srv            *transport.Server
+	pool           *transport.Pool
+	lis            net.Listener
+	operatorServer *http.Server
+	runner         *admit.Runner
+	queue          currentQueueConfig
+	attempts       *attemptRegistry
+	tickets        *ticketRegistry
+	orders         *orderFence
+	incarnation    *directory.Life
+	generations    upstreamGenerations
+	seq            atomic.Uint64
+	metrics        metrics.Registry
+	doneAttempts   metrics.Counter
+	dumps          kernel.Dumps
+	cancel         context.CancelFunc
+	announcer      *directory.Announcer
+	load           atomic.Pointer[wire.Load]
+	cache          cacheEventSource
+	loadMu         sync.Mutex
+	loadSeq        uint64
 }
 
 // New makes an agent from checked settings.
@@ -76,21 +76,21 @@
 		return nil, err
 	}
 	a := &Agent{
-		settings: s, log: kernel.PartLog(l, "agent"), up: up, sec: sec, certs: certs,
-		pool:     transport.NewPool(sec),
-		srv:      transport.NewServer(sec),
-		runner:   admit.NewRunner(startSettings(s).gate(), s.Now),
-		metrics:  metrics.NewRegistry(),
-		life:     directory.NewLife(s.ID, s.Now()),
-		attempts: newAttempts(),
-	}
-	a.tickets = newTickets(a.runner, time.AfterFunc)
+		settings: s, log: kernel.PartLog(l, "agent"), upstream: up, sec: sec, certs: certs,
+		pool:        transport.NewPool(sec),
+		srv:         transport.NewServer(sec),
+		runner:      admit.NewRunner(initialQueueConfig(s).admitSettings(), s.Now),
+		metrics:     metrics.NewRegistry(),
+		incarnation: directory.NewLife(s.ID, s.Now()),
+		attempts:    newAttemptRegistry(),
+	}
+	a.tickets = newTicketRegistry(a.runner, time.AfterFunc)
 	a.pool.SetDial(s.Dial)
-	a.cache.ask = up.Cache
+	a.cache.fetch = up.Cache
 	a.announcer = directory.NewAnnouncer(directory.NewTargets(s.ID, s.FailureDomain, s.AnnounceTo), a.pool.Conn, s.Now)
-	a.queue.current = startSettings(s)
-	a.done = metrics.GetOrRegisterCounter("agent.attempts."+refusal.OutcomeWord(wire.Outcome_OUTCOME_DONE), a.metrics)
-	a.orders = newOrders(control.NewClient(a.pool, s.AnnounceTo, s.ID))
+	a.queue.config = initialQueueConfig(s)
+	a.doneAttempts = metrics.GetOrRegisterCounter("agent.attempts."+refusal.OutcomeWord(wire.Outcome_OUTCOME_DONE), a.metrics)
+	a.orders = newOrderFence(control.NewClient(a.pool, s.AnnounceTo, s.ID))
 	a.dumps.Add("agent", a.dump)
 	a.registerGauges()
 	if err := a.dumps.Register(a.srv.Mux); err != nil {
@@ -110,12 +110,12 @@
 	go a.srv.Serve(ctx, lis)
 	go a.pollLoad(ctx)
 	go a.announceLoop(ctx)
-	go a.resolveLoop(ctx)
-	kernel.Info(a.log, "Listening.", "id", a.settings.ID, "addr", lis.Addr(), "kind", a.up.Kind())
-	return a.startOperators()
+	go a.resolveSwitchLoop(ctx)
+	kernel.Info(a.log, "Listening.", "id", a.settings.ID, "addr", lis.Addr(), "kind", a.upstream.Kind())
+	return a.serveOperators()
 }
 
-func (a *Agent) startOperators() error {
+func (a *Agent) serveOperators() error {
 	if a.settings.Operators == "" {
 		return nil
 	}
@@ -126,8 +126,8 @@
 	mux := http.NewServeMux()
 	mux.Handle("/debug/state", &a.dumps)
 	mux.Handle("/metrics", kernel.MetricsHandler(a.metrics))
-	a.ops = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = a.ops.Serve(lis) }()
+	a.operatorServer = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	go func() { _ = a.operatorServer.Serve(lis) }()
 	return nil
 }
 
@@ -162,7 +162,7 @@
 	defer tick.Stop()
 	for {
 		running, waiting := a.runner.Counts()
-		idle := running+waiting == 0 && a.attempts.active() == 0
+		idle := running+waiting == 0 && a.attempts.runningCount() == 0
 		if idle && time.Since(began) >= a.settings.LeaveMargin.D() {
 			a.announceAll(ctx, wire.Phase_PHASE_GONE)
 			return nil
@@ -177,20 +177,20 @@
 
 // Stop implements kernel.Daemon.
 func (a *Agent) Stop() int {
-	cut := a.attempts.active()
+	active := a.attempts.runningCount()
 	if a.cancel != nil {
 		a.cancel()
 	}
 	if a.lis != nil {
 		_ = a.lis.Close()
 	}
-	if a.ops != nil {
-		_ = a.ops.Close()
+	if a.operatorServer != nil {
+		_ = a.operatorServer.Close()
 	}
 	a.srv.Close()
 	a.pool.Close()
-	a.up.Close()
-	return cut
+	a.upstream.Close()
+	return active
 }
 
 // Reload implements kernel.Reloader.
@@ -202,26 +202,26 @@
 }
 
 type agentDump struct {
-	ID          string `json:"id"`
-	Incarnation uint64 `json:"incarnation"`
-	Leaving     bool   `json:"leaving"`
-	Running     int    `json:"running"`
-	Waiting     int    `json:"waiting"`
-	Remembered  int    `json:"remembered_attempts"`
+	ID               string `json:"id"`
+	Incarnation      uint64 `json:"incarnation"`
+	Leaving          bool   `json:"leaving"`
+	Running          int    `json:"running"`
+	Waiting          int    `json:"waiting"`
+	RetainedAttempts int    `json:"remembered_attempts"`
 	// Tickets wait here and elsewhere; Held slots were offered and not taken yet.
-	Tickets int `json:"tickets"`
-	Held    int `json:"held_slots"`
+	Tickets   int `json:"tickets"`
+	HeldSlots int `json:"held_slots"`
 	// Queue is what is in force, from the pool's row once one was heard.
-	Queue poolQueue  `json:"queue"`
-	Load  *wire.Load `json:"load"`
+	Queue queueConfig `json:"queue"`
+	Load  *wire.Load  `json:"load"`
 }
 
 func (a *Agent) dump() any {
 	running, waiting := a.runner.Counts()
 	tickets, held := a.tickets.counts()
 	return agentDump{
-		Tickets: tickets, Held: held,
-		ID: a.settings.ID, Incarnation: a.life.Number(), Leaving: a.attempts.isClosed(),
-		Running: running, Waiting: waiting, Remembered: a.attempts.size(), Queue: a.queue.get(), Load: a.load.Load(),
+		Tickets: tickets, HeldSlots: held,
+		ID: a.settings.ID, Incarnation: a.incarnation.Number(), Leaving: a.attempts.isClosed(),
+		Running: running, Waiting: waiting, RetainedAttempts: a.attempts.retainedCount(), Queue: a.queue.get(), Load: a.load.Load(),
 	}
 }
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -30,12 +30,12 @@
 // the others.
 func (a *Agent) announceAll(ctx context.Context, phase wire.Phase) {
 	for addr, reply := range a.announcer.Announce(ctx, a.announcement(phase)) {
-		a.followPools(reply.Pools)
+		a.applyPoolSettings(reply.Pools)
 		if !reply.Superseded {
 			continue
 		}
-		if a.life.Supersede(reply.KnownIncarnation) {
-			kernel.Warn(a.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "id", a.settings.ID, "incarnation", a.life.Number(), "told_by", addr)
+		if a.incarnation.Supersede(reply.KnownIncarnation) {
+			kernel.Warn(a.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "id", a.settings.ID, "incarnation", a.incarnation.Number(), "told_by", addr)
 			continue
 		}
 		kernel.Warn(a.log, "A later life of this ID is known. Is the ID used twice?", "id", a.settings.ID, "told_by", addr)
@@ -44,10 +44,10 @@
 
 func (a *Agent) announcement(phase wire.Phase) *wire.Announcement {
 	return &wire.Announcement{
-		Id: a.settings.ID, Incarnation: a.life.Number(), Seq: a.seq.Add(1),
+		Id: a.settings.ID, Incarnation: a.incarnation.Number(), Seq: a.seq.Add(1),
 		Role: wire.Role_ROLE_UPSTREAM, Phase: phase,
 		FailureDomain: a.settings.FailureDomain, Address: a.Address(),
-		Pools: a.settings.Pools, Kind: a.up.Kind(), Load: a.currentLoad(),
+		Pools: a.settings.Pools, Kind: a.upstream.Kind(), Load: a.currentLoad(),
 		Group: a.settings.Group, Rank: a.settings.Rank,
 		LeaseMs: uint32(a.settings.Lease.D().Milliseconds()),
 	}
@@ -58,7 +58,7 @@
 	tick := time.NewTicker(a.settings.AnnounceInterval.D())
 	defer tick.Stop()
 	for {
-		if l, err := a.up.Load(ctx); err == nil {
+		if l, err := a.upstream.Load(ctx); err == nil {
 			a.load.Store(l)
 		}
 		select {
--- a/agent/attempts.go
+++ b/agent/attempts.go
@@ -9,23 +9,23 @@
 
 // attemptMemory is how long an attempt ID is remembered after its deadline. No
 // frame of an attempt is in flight so long after its deadline has passed.
-const attemptMemory = time.Minute
+const attemptRetention = time.Minute
 
 // attempts remembers attempt IDs so that a doubled message runs nothing twice.
-type attempts struct {
-	mu      sync.Mutex
-	seen    map[string]time.Time
-	running int
-	swept   time.Time
-	closed  bool
+type attemptRegistry struct {
+	mu        sync.Mutex
+	seen      map[string]time.Time
+	running   int
+	lastSweep time.Time
+	closed    bool
 }
 
-func newAttempts() *attempts { return &attempts{seen: map[string]time.Time{}} }
+func newAttemptRegistry() *attemptRegistry { return &attemptRegistry{seen: map[string]time.Time{}} }
 
 // begin registers an attempt, or says why it may not run. Leaving is decided
 // under the same lock as the count of running attempts: a drain that has seen
 // none running can't miss one that is about to begin.
-func (a *attempts) begin(now time.Time, id string, deadline time.Time) wire.Reason {
+func (a *attemptRegistry) begin(now time.Time, id string, deadline time.Time) wire.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sweep(now)
@@ -35,51 +35,51 @@
 	if a.closed {
 		return wire.Reason_REASON_UPSTREAM_LEAVING
 	}
-	a.seen[id] = deadline.Add(attemptMemory)
+	a.seen[id] = deadline.Add(attemptRetention)
 	a.running++
 	return 0
 }
 
 // close lets no attempt begin from now on; it returns false if it was closed.
-func (a *attempts) close() bool {
+func (a *attemptRegistry) close() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	was := a.closed
+	wasClosed := a.closed
 	a.closed = true
-	return !was
+	return !wasClosed
 }
 
-func (a *attempts) isClosed() bool {
+func (a *attemptRegistry) isClosed() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.closed
 }
 
-func (a *attempts) end() {
+func (a *attemptRegistry) end() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.running--
 }
 
-func (a *attempts) sweep(now time.Time) {
-	if now.Sub(a.swept) < attemptMemory/4 {
+func (a *attemptRegistry) sweep(now time.Time) {
+	if now.Sub(a.lastSweep) < attemptRetention/4 {
 		return
 	}
-	a.swept = now
-	for id, forget := range a.seen {
-		if now.After(forget) {
+	a.lastSweep = now
+	for id, expiry := range a.seen {
+		if now.After(expiry) {
 			delete(a.seen, id)
 		}
 	}
 }
 
-func (a *attempts) active() int {
+func (a *attemptRegistry) runningCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.running
 }
 
-func (a *attempts) size() int {
+func (a *attemptRegistry) retainedCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.seen)
--- a/agent/cache_test.go
+++ b/agent/cache_test.go
@@ -17,12 +17,12 @@
 // for good, it would route by prompts that are gone. Each stream gets every event
 // once, in order, and none later than the age of an answer; the engine is asked
 // once in that time by those that know as much, not by each.
-func TestSharedAnswersBringEachEventOnce(t *testing.T) {
+func TestSharedCacheFetchDeliversEachEventOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, asked := time.Unix(1000, 0), 0
 		var published []*wire.CacheEvent
 		var when []time.Time
-		c := &cacheEvents{ask: func(_ context.Context, after uint64) ([]*wire.CacheEvent, error) {
+		c := &cacheEventSource{fetch: func(_ context.Context, after uint64) ([]*wire.CacheEvent, error) {
 			asked++
 			return published[after:], nil
 		}}
@@ -37,18 +37,18 @@
 			if rapid.IntRange(0, 19).Draw(t, "opened again") == 0 {
 				known[i] = 0
 			}
-			for _, e := range c.since(t.Context(), now, known[i]) {
+			for _, e := range c.eventsAfter(t.Context(), now, known[i]) {
 				assert.Equal(t, e.Seq, known[i]+1)
 				known[i] = e.Seq
 			}
 			for _, at := range when[known[i]:] {
-				assert.Assert(t, now.Sub(at) < cacheAnswerAge)
+				assert.Assert(t, now.Sub(at) < cacheEventsMaxAge)
 			}
 		}
 		before := asked
-		c.since(t.Context(), now.Add(time.Second), 0)
+		c.eventsAfter(t.Context(), now.Add(time.Second), 0)
 		for range 100 {
-			c.since(t.Context(), now.Add(time.Second+cacheAnswerAge/2), uint64(rapid.IntRange(0, len(published)).Draw(t, "known")))
+			c.eventsAfter(t.Context(), now.Add(time.Second+cacheEventsMaxAge/2), uint64(rapid.IntRange(0, len(published)).Draw(t, "known")))
 		}
 		assert.Equal(t, asked, before+1)
 	})
--- a/agent/leave_test.go
+++ b/agent/drain_test.go
@@ -18,8 +18,8 @@
 // sending it bids. Each bid is refused as not run for as long as an entry may not know,
 // so that it can go elsewhere; a connection that was closed at once would leave it in
 // doubt.
-func TestLeavingAgentRefusesUntilEntriesKnow(t *testing.T) {
-	r := newRelayWith(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
+func TestDrainRefusesAttemptsDuringLeaveMargin(t *testing.T) {
+	r := newRelayFixtureWith(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
 		func(s *agent.Settings) { s.LeaveMargin = kernel.Duration(time.Hour) })
 	_, res := r.call(context.Background(), "before", "/bid", nil)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_DONE)
@@ -28,7 +28,7 @@
 	drained := make(chan error, 1)
 	go func() { drained <- r.agent.Drain(ctx) }()
 	for n := range 200 {
-		r.forget(t)
+		r.resetForwarder(t)
 		_, res := r.call(context.Background(), "during-"+strconv.Itoa(n), "/bid", nil)
 		assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN, res.Detail)
 	}
--- a/agent/fuzz_test.go
+++ b/agent/fuzz_test.go
@@ -15,7 +15,7 @@
 const upstream = "lm-1"
 
 // start brings up a system for a fuzz target.
-func start(f *testing.F) *quickstart.System {
+func startSystem(f *testing.F) *quickstart.System {
 	f.Helper()
 	sys, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewNopLogger(), FakeDisks: true})
 	if err != nil {
@@ -31,7 +31,7 @@
 // A peer that knows the cluster secret sends malformed messages to an agent. It
 // goes on answering, and its memory stays bounded.
 func FuzzPeers(f *testing.F) {
-	sys := start(f)
+	sys := startSystem(f)
 	peers := surface.NewPeers(sys.Agent(upstream).Address(), quickstart.Secret, wire.DRPCAgentDescription{})
 	peers.Seed(f)
 	watch := &surface.Watch{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
@@ -44,7 +44,7 @@
 // Whoever reaches an agent's port for the state dump and the metrics sends
 // whatever it likes. The agent goes on answering there, and its memory stays bounded.
 func FuzzOperators(f *testing.F) {
-	address := start(f).OperatorAddress(upstream)
+	address := startSystem(f).OperatorAddress(upstream)
 	for _, r := range surface.Dumps() {
 		f.Add([]byte(r))
 	}
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -21,25 +21,25 @@
 
 // orders lets orders through to the upstream under the guard of their fencing
 // tokens. Engines that ignore tokens have no other guard.
-type orders struct {
+type orderFence struct {
 	// mu is held while an order is with the upstream. Two orders that were both
 	// admitted could otherwise overtake each other on their way: the older one
 	// would be carried out after the newer one's first.
-	mu     sync.Mutex
-	guard  *fence.Guard
-	tokens func(ctx context.Context, group string) (uint64, error)
+	mu           sync.Mutex
+	guard        *fence.Guard
+	currentToken func(ctx context.Context, group string) (uint64, error)
 	// states hands the group's state on each control replica to a function until
 	// that returns true.
-	states func(ctx context.Context, group string, f func(*wire.GroupState) bool)
+	eachGroupState func(ctx context.Context, group string, f func(*wire.GroupState) bool)
 	// doubt is the epoch that the engine was armed for, and not told the end of,
 	// when it was last looked at.
-	doubt uint64
+	undecidedEpoch uint64
 }
 
-func newOrders(client *control.Client) *orders {
-	return &orders{
+func newOrderFence(client *control.Client) *orderFence {
+	return &orderFence{
 		guard: fence.NewGuard(),
-		tokens: func(ctx context.Context, group string) (token uint64, err error) {
+		currentToken: func(ctx context.Context, group string) (token uint64, err error) {
 			err = client.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) error {
 				// A frozen replica keeps its connections and says nothing. Every
 				// order waits for the answer; another replica has it too.
@@ -53,8 +53,8 @@
 			})
 			return token, err
 		},
-		states: func(ctx context.Context, group string, f func(*wire.GroupState) bool) {
-			client.Each(ctx, stateTimeout, func(ctx context.Context, c wire.DRPCControlClient) bool {
+		eachGroupState: func(ctx context.Context, group string, f func(*wire.GroupState) bool) {
+			client.Each(ctx, groupStateTimeout, func(ctx context.Context, c wire.DRPCControlClient) bool {
 				state, err := c.GroupMaps(ctx, &wire.GroupsRequest{Group: group})
 				return err == nil && f(state)
 			})
@@ -64,9 +64,9 @@
 
 // admit says whether an order may pass; the caller holds mu. A guard that has
 // just started has forgotten which tokens it saw, so it asks a quorum first.
-func (o *orders) admit(ctx context.Context, order *wire.Order) (bool, string) {
+func (o *orderFence) admit(ctx context.Context, order *wire.Order) (bool, string) {
 	if !o.guard.Known(order.Group) {
-		token, err := o.tokens(ctx, order.Group)
+		token, err := o.currentToken(ctx, order.Group)
 		if err != nil {
 			return false, "the current fencing token can't be learned: " + err.Error()
 		}
@@ -89,7 +89,7 @@
 		kernel.Warn(a.log, "Refused an order.", "verb", order.Verb, "group", order.Group, "token", order.Token, "highest", highest, "detail", detail)
 		return &wire.OrderReply{Detail: detail, HighestToken: highest}, nil
 	}
-	reply, err := a.passOn(ctx, order)
+	reply, err := a.forwardOrder(ctx, order)
 	if err != nil {
 		return nil, err
 	}
@@ -100,11 +100,11 @@
 // passOn gives an order to the upstream, or collects its expert counters. The
 // counters start anew with each collection, so they go to the holder of the
 // lease only: a second collector would take half of them away.
-func (a *Agent) passOn(ctx context.Context, order *wire.Order) (*wire.OrderReply, error) {
+func (a *Agent) forwardOrder(ctx context.Context, order *wire.Order) (*wire.OrderReply, error) {
 	if order.Verb != rollout.VerbCounters {
-		return a.up.Give(ctx, order)
+		return a.upstream.Give(ctx, order)
 	}
-	counters, err := a.up.Counters(ctx)
+	counters, err := a.upstream.Counters(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/agent/orders_test.go
+++ b/agent/orders_test.go
@@ -19,21 +19,21 @@
 )
 
 // agentBeside makes an agent whose guard learns tokens from a function.
-func agentBeside(t *testing.T, e *fake.Engine, tokens func() (uint64, error)) *Agent {
+func newAgentForEngine(t *testing.T, e *fake.Engine, tokens func() (uint64, error)) *Agent {
 	t.Helper()
 	up, err := upstream.New("engine", map[string]any{"url": e.URL()})
 	assert.NilError(t, err)
 	t.Cleanup(up.Close)
 	return &Agent{
-		up: up, log: log.NewNopLogger(), metrics: metrics.NewRegistry(),
-		orders: &orders{
-			guard:  fence.NewGuard(),
-			tokens: func(context.Context, string) (uint64, error) { return tokens() },
+		upstream: up, log: log.NewNopLogger(), metrics: metrics.NewRegistry(),
+		orders: &orderFence{
+			guard:        fence.NewGuard(),
+			currentToken: func(context.Context, string) (uint64, error) { return tokens() },
 		},
 	}
 }
 
-func order(token uint64, verb string) *wire.Order {
+func newOrder(token uint64, verb string) *wire.Order {
 	return &wire.Order{Group: "g", Token: token, OrderId: verb, Verb: verb}
 }
 
@@ -41,14 +41,14 @@
 // its first one. No order of the old leader is carried out after it, by an
 // engine that checks tokens or by one that ignores them, and also not by an
 // agent that restarted in between and has forgotten what it saw.
-func TestOldLeadersOrdersAreNotCarriedOut(t *testing.T) {
+func TestOrdersWithStaleTokenAreRefused(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		e := &fake.Engine{Fencing: fencing}
 		assert.NilError(t, e.Start())
 		current := uint64(7)
-		a := agentBeside(t, e, func() (uint64, error) { return current, nil })
+		a := newAgentForEngine(t, e, func() (uint64, error) { return current, nil })
 		give := func(token uint64, verb string) bool {
-			r, err := a.Give(context.Background(), order(token, verb))
+			r, err := a.Give(context.Background(), newOrder(token, verb))
 			assert.NilError(t, err)
 			return r.Accepted
 		}
@@ -56,7 +56,7 @@
 		current = 9
 		assert.Assert(t, give(9, "new"))
 		assert.Assert(t, !give(7, "late"))
-		a = agentBeside(t, e, func() (uint64, error) { return current, nil })
+		a = newAgentForEngine(t, e, func() (uint64, error) { return current, nil })
 		assert.Assert(t, !give(7, "after-restart"))
 		assert.Assert(t, give(9, "new-again"))
 		var verbs []string
@@ -70,12 +70,12 @@
 
 // An agent restarts while no quorum can be reached. It lets no order through,
 // not even one that looks new: it can't know.
-func TestRestartedAgentWithoutAQuorumLetsNothingThrough(t *testing.T) {
+func TestRestartedAgentRefusesOrdersWithoutQuorum(t *testing.T) {
 	e := &fake.Engine{}
 	assert.NilError(t, e.Start())
 	defer e.Close()
-	a := agentBeside(t, e, func() (uint64, error) { return 0, errors.New("no leader") })
-	r, err := a.Give(context.Background(), order(99, "any"))
+	a := newAgentForEngine(t, e, func() (uint64, error) { return 0, errors.New("no leader") })
+	r, err := a.Give(context.Background(), newOrder(99, "any"))
 	assert.NilError(t, err)
 	assert.Assert(t, !r.Accepted)
 	assert.Equal(t, len(e.Orders()), 0)
@@ -85,7 +85,7 @@
 // replica doesn't know the decision yet, the next one does: the agent tells its rank,
 // so the group doesn't stand still until the network is back. Nothing is told while
 // no replica knows.
-func TestAgentTellsAnArmedRankTheDecision(t *testing.T) {
+func TestAgentResolvesSwitchOfArmedRank(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		g := &fake.Group{Name: "g", Shape: placement.Shape{Ranks: 1, Experts: 1, Layers: 1, Slots: 1}}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -93,7 +93,7 @@
 		g.Start(ctx)
 		e := &fake.Engine{Group: g, Fencing: fencing}
 		assert.NilError(t, e.Start())
-		a := agentBeside(t, e, func() (uint64, error) { return 7, nil })
+		a := newAgentForEngine(t, e, func() (uint64, error) { return 7, nil })
 		give := func(verb string, o rollout.Order) (s rollout.Status) {
 			o.Incarnation = 1
 			body, err := json.Marshal(o)
@@ -112,7 +112,7 @@
 
 		old := &wire.GroupState{Map: &wire.GroupMap{Epoch: 3}, Settled: 3}
 		known := []*wire.GroupState{old, {}}
-		a.orders.states = func(_ context.Context, _ string, f func(*wire.GroupState) bool) {
+		a.orders.eachGroupState = func(_ context.Context, _ string, f func(*wire.GroupState) bool) {
 			for _, st := range known {
 				if f(st) {
 					return
@@ -120,11 +120,11 @@
 			}
 		}
 		for range 3 {
-			a.resolve(context.Background(), "g", 0)
+			a.resolveSwitch(context.Background(), "g", 0)
 		}
 		assert.Assert(t, !give(rollout.VerbStatus, rollout.Order{}).Decided)
 		known = []*wire.GroupState{old, {Map: &wire.GroupMap{Epoch: 9, FromStep: 50}, Settled: 9}}
-		a.resolve(context.Background(), "g", 0)
+		a.resolveSwitch(context.Background(), "g", 0)
 		assert.Assert(t, give(rollout.VerbStatus, rollout.Order{}).Decided)
 		e.Close()
 	}
--- a/agent/queue.go
+++ b/agent/queue.go
@@ -9,7 +9,7 @@
 )
 
 // poolQueue is the settings of the agent's queue, and the row they come from.
-type poolQueue struct {
+type queueConfig struct {
 	Pool          string `json:"pool"`
 	Revision      uint64 `json:"revision"`
 	Slots         int    `json:"slots"`
@@ -17,11 +17,11 @@
 	UrgentPercent int    `json:"urgent_percent"`
 }
 
-func startSettings(s *Settings) poolQueue {
-	return poolQueue{Slots: s.Slots, MaxQueue: s.MaxQueue, UrgentPercent: s.UrgentPercent}
+func initialQueueConfig(s *Settings) queueConfig {
+	return queueConfig{Slots: s.Slots, MaxQueue: s.MaxQueue, UrgentPercent: s.UrgentPercent}
 }
 
-func (q poolQueue) gate() admit.Settings {
+func (q queueConfig) admitSettings() admit.Settings {
 	return admit.Settings{
 		Slots:    q.Slots,
 		Reserved: admit.ReservedSlots(q.Slots, q.UrgentPercent),
@@ -30,44 +30,44 @@
 }
 
 // queueSettings is what is in force now.
-type queueSettings struct {
-	mu      sync.Mutex
-	current poolQueue
+type currentQueueConfig struct {
+	mu     sync.Mutex
+	config queueConfig
 }
 
-func (s *queueSettings) get() poolQueue {
+func (s *currentQueueConfig) get() queueConfig {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.current
+	return s.config
 }
 
 // follow puts a row in force and returns true if that changed anything. Each
 // control replica answers by its own state: a row from one that lags would bring
 // the old settings back for a moment, so a lower revision is ignored. configure is
 // called under the lock, so that of two answers at once the later row stays.
-func (s *queueSettings) follow(row *wire.PoolSettings, configure func(admit.Settings)) (poolQueue, bool) {
+func (s *currentQueueConfig) apply(row *wire.PoolSettings, configure func(admit.Settings)) (queueConfig, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := poolQueue{
+	next := queueConfig{
 		Pool: row.Pool, Revision: row.Revision,
 		Slots: int(row.Slots), MaxQueue: int(row.MaxQueue), UrgentPercent: int(row.UrgentPercent),
 	}
-	if next.Revision <= s.current.Revision || next.Slots < 1 {
-		return s.current, false
+	if next.Revision <= s.config.Revision || next.Slots < 1 {
+		return s.config, false
 	}
-	s.current = next
-	configure(next.gate())
+	s.config = next
+	configure(next.admitSettings())
 	return next, true
 }
 
 // followPools takes the queue settings of the first of the agent's pools. What
 // waits and runs goes on: lowered slots are reached as work ends.
-func (a *Agent) followPools(rows []*wire.PoolSettings) {
+func (a *Agent) applyPoolSettings(rows []*wire.PoolSettings) {
 	for _, row := range rows {
 		if row.Pool != a.settings.Pools[0] {
 			continue
 		}
-		q, changed := a.queue.follow(row, a.runner.Configure)
+		q, changed := a.queue.apply(row, a.runner.Configure)
 		if !changed {
 			return
 		}
--- a/agent/queue_test.go
+++ b/agent/queue_test.go
@@ -11,12 +11,12 @@
 
 // Three control replicas answer each announcement by their own state, and one
 // lags. The settings in force never go back to its older row.
-func TestQueueSettingsNeverGoBack(t *testing.T) {
-	s := queueSettings{current: startSettings(DefaultSettings())}
+func TestQueueConfigIgnoresOlderRevisions(t *testing.T) {
+	s := currentQueueConfig{config: initialQueueConfig(DefaultSettings())}
 	var last admit.Settings
 	configure := func(c admit.Settings) { last = c }
 	follow := func(revision uint64, slots uint32) bool {
-		_, changed := s.follow(&wire.PoolSettings{Pool: "lm", Revision: revision, Slots: slots, MaxQueue: 5, UrgentPercent: 10}, configure)
+		_, changed := s.apply(&wire.PoolSettings{Pool: "lm", Revision: revision, Slots: slots, MaxQueue: 5, UrgentPercent: 10}, configure)
 		return changed
 	}
 	assert.Assert(t, follow(7, 20))
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -26,20 +26,20 @@
 const testSecret = "a secret of the tests"
 
 // relay is a forwarder, an agent and an upstream.
-type relay struct {
-	agent   *agent.Agent
-	conns   *transport.Pool
-	fwd     *forward.Forwarder
-	pool    *table.Pool
-	address string
+type relayFixture struct {
+	agent       *agent.Agent
+	connections *transport.Pool
+	forwarder   *forward.Forwarder
+	pool        *table.Pool
+	address     string
 }
 
-func newRelay(t *testing.T, upstream http.HandlerFunc) *relay {
+func newRelayFixture(t *testing.T, upstream http.HandlerFunc) *relayFixture {
 	t.Helper()
-	return newRelayWith(t, upstream, func(*agent.Settings) {})
+	return newRelayFixtureWith(t, upstream, func(*agent.Settings) {})
 }
 
-func newRelayWith(t *testing.T, upstream http.HandlerFunc, change func(*agent.Settings)) *relay {
+func newRelayFixtureWith(t *testing.T, upstream http.HandlerFunc, change func(*agent.Settings)) *relayFixture {
 	t.Helper()
 	srv := httptest.NewServer(upstream)
 	t.Cleanup(srv.Close)
@@ -54,33 +54,33 @@
 	t.Cleanup(func() { a.Stop() })
 	conns := transport.NewPool(transport.Security{Secret: []byte(testSecret)})
 	t.Cleanup(conns.Close)
-	r := &relay{
-		agent: a, conns: conns,
+	r := &relayFixture{
+		agent: a, connections: conns,
 		pool: &table.Pool{Name: "p", Route: "least-loaded"}, address: a.Address(),
 	}
-	r.forget(t)
+	r.resetForwarder(t)
 	return r
 }
 
 // forget takes a new forwarder, which knows nothing of earlier answers.
-func (r *relay) forget(t *testing.T) {
+func (r *relayFixture) resetForwarder(t *testing.T) {
 	t.Helper()
-	r.fwd = forward.New(r.conns, route.Place{Entry: "e", FailureDomain: "hall-a"}, time.Now)
-	r.set(t, route.Upstream{ID: "up-1", Address: r.address, FailureDomain: "hall-a"})
+	r.forwarder = forward.New(r.connections, route.Place{Entry: "e", FailureDomain: "hall-a"}, time.Now)
+	r.setUpstreams(t, route.Upstream{ID: "up-1", Address: r.address, FailureDomain: "hall-a"})
 }
 
-func (r *relay) set(t *testing.T, ups ...route.Upstream) {
+func (r *relayFixture) setUpstreams(t *testing.T, ups ...route.Upstream) {
 	t.Helper()
-	assert.NilError(t, r.fwd.Update(r.pool, ups))
+	assert.NilError(t, r.forwarder.Update(r.pool, ups))
 }
 
 // caller keeps what reaches it.
-type caller struct {
+type recordingCaller struct {
 	head *wire.RunReplyHead
 	body bytes.Buffer
 }
 
-func (c *caller) Begin(h *wire.RunReplyHead) error {
+func (c *recordingCaller) Begin(h *wire.RunReplyHead) error {
 	if c.head != nil {
 		return errors.New("second head")
 	}
@@ -88,21 +88,21 @@
 	return nil
 }
 
-func (c *caller) Write(b []byte) error {
+func (c *recordingCaller) Write(b []byte) error {
 	c.body.Write(b)
 	return nil
 }
 
-func (r *relay) call(ctx context.Context, id, path string, body []byte) (*caller, forward.Result) {
-	c := &caller{}
-	res := r.fwd.Do(ctx, &forward.Call{
+func (r *relayFixture) call(ctx context.Context, id, path string, body []byte) (*recordingCaller, forward.Result) {
+	c := &recordingCaller{}
+	res := r.forwarder.Do(ctx, &forward.Call{
 		Head: &wire.RunHead{RequestId: id, Team: "t", Service: "s", Method: http.MethodPost, Path: path},
 		Body: body, Pool: r.pool, Route: &route.Request{}, Deadline: time.Now().Add(time.Minute), MaxAnswer: 4 << 20,
 	}, c)
 	return c, res
 }
 
-func pattern(n int) []byte {
+func patternBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i * 7 / 3)
@@ -111,12 +111,12 @@
 }
 
 // sizes lie around the bounds of a frame, of drpc's buffer and of several frames.
-var sizes = []int{0, 1, 4095, 4096, 4097, transport.BodyFrame - 1, transport.BodyFrame, transport.BodyFrame + 1, 3*transport.BodyFrame + 17, 1 << 20}
+var bodySizes = []int{0, 1, 4095, 4096, 4097, transport.BodyFrame - 1, transport.BodyFrame, transport.BodyFrame + 1, 3*transport.BodyFrame + 17, 1 << 20}
 
 // Bodies of every size go out and come back whole, streamed or not, one after
 // another on the same connections.
-func TestBodiesOfAnySizeAreWhole(t *testing.T) {
-	r := newRelay(t, func(w http.ResponseWriter, q *http.Request) {
+func TestBodiesOfAnySizeAreRelayedIntact(t *testing.T) {
+	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
@@ -131,8 +131,8 @@
 		_, _ = w.Write(body[half:])
 	})
 	for _, path := range []string{"/whole", "/stream"} {
-		for _, n := range sizes {
-			want := pattern(n)
+		for _, n := range bodySizes {
+			want := patternBytes(n)
 			c, res := r.call(context.Background(), path+strconv.Itoa(n), path, want)
 			assert.Equal(t, res.Reason, wire.Reason(0), "%s %d: %s", path, n, res.Detail)
 			assert.Equal(t, c.head.Status, uint32(http.StatusCreated))
@@ -144,20 +144,20 @@
 // The upstream dies in the middle of its answer, wherever that is. The caller has
 // nothing of an unstreamed answer, and of a stream it is told that it was cut; the
 // next call on the connection is answered.
-func TestCutAnswerIsNeverWhole(t *testing.T) {
-	r := newRelay(t, func(w http.ResponseWriter, q *http.Request) {
+func TestTruncatedAnswerIsReported(t *testing.T) {
+	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		n, _ := strconv.Atoi(q.URL.Query().Get("n"))
 		if q.URL.Path == "/stream" {
 			w.Header().Set("Content-Type", "text/event-stream")
 		} else {
 			w.Header().Set("Content-Length", strconv.Itoa(n+1))
 		}
-		_, _ = w.Write(pattern(n))
+		_, _ = w.Write(patternBytes(n))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	})
 	for _, path := range []string{"/whole", "/stream"} {
-		for _, n := range sizes {
+		for _, n := range bodySizes {
 			c, res := r.call(context.Background(), path+strconv.Itoa(n), path+"?n="+strconv.Itoa(n), nil)
 			assert.Assert(t, res.Reason != 0, "%s %d", path, n)
 			assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_UNKNOWN, "%s %d", path, n)
@@ -165,16 +165,16 @@
 				assert.Assert(t, c.head == nil && c.body.Len() == 0 && !res.Begun, "%s %d", path, n)
 				continue
 			}
-			assert.Assert(t, bytes.HasPrefix(pattern(n), c.body.Bytes()), "%s %d", path, n)
+			assert.Assert(t, bytes.HasPrefix(patternBytes(n), c.body.Bytes()), "%s %d", path, n)
 		}
 	}
 }
 
 // A caller leaves while the upstream works: the upstream is told, and the
 // connection serves the next caller with its own answer.
-func TestCallerThatLeavesCancelsUpstream(t *testing.T) {
+func TestCallerCancellationReachesUpstream(t *testing.T) {
 	began, left := make(chan struct{}, 1), make(chan struct{})
-	r := newRelay(t, func(w http.ResponseWriter, q *http.Request) {
+	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		switch q.URL.Path {
 		case "/next":
 			_, _ = io.WriteString(w, "mine")
@@ -207,12 +207,12 @@
 // Agents have died and their leases have not ended, so calls still go to them. No
 // connection comes about, so nothing ran: each caller is answered by the agent that
 // is left, also calls that may not be repeated, and with no retry budget.
-func TestDeadAgentCostsNoAnswer(t *testing.T) {
-	r := newRelay(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "mine") })
+func TestDeadAgentIsSkipped(t *testing.T) {
+	r := newRelayFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "mine") })
 	dead, release, err := fake.HoldPort()
 	assert.NilError(t, err)
 	t.Cleanup(release)
-	r.set(t,
+	r.setUpstreams(t,
 		route.Upstream{ID: "dead-1", Address: dead, FailureDomain: "hall-a"},
 		route.Upstream{ID: "dead-2", Address: dead, FailureDomain: "hall-a"},
 		route.Upstream{ID: "up-1", Address: r.address, FailureDomain: "hall-a"},
@@ -225,7 +225,7 @@
 		met += len(res.Attempts)
 	}
 	assert.Assert(t, met > 0, "no call met a dead agent: the test shows nothing")
-	r.set(t, route.Upstream{ID: "dead-1", Address: dead, FailureDomain: "hall-a"})
+	r.setUpstreams(t, route.Upstream{ID: "dead-1", Address: dead, FailureDomain: "hall-a"})
 	_, res := r.call(context.Background(), "none", "/", nil)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
 	assert.Assert(t, res.Reason != 0)
--- a/agent/report.go
+++ b/agent/report.go
@@ -23,29 +23,29 @@
 
 // Reports is what one watcher was told. It is pure: time and reports go in.
 type Reports struct {
-	Rule ReportRule
-	sent *wire.Report
-	at   time.Time
+	Rule       ReportRule
+	lastSent   *wire.Report
+	lastSentAt time.Time
 }
 
 // Due says whether a report should be sent now. Cache events always go at once:
 // by their numbers a watcher sees a gap only when the next one comes.
 func (r *Reports) Due(now time.Time, next *wire.Report) bool {
-	if r.sent == nil || now.Sub(r.at) >= r.Rule.KeepAlive || len(next.Cache) > 0 || next.Leaving != r.sent.Leaving {
+	if r.lastSent == nil || now.Sub(r.lastSentAt) >= r.Rule.KeepAlive || len(next.Cache) > 0 || next.Leaving != r.lastSent.Leaving {
 		return true
 	}
-	l, old := next.Load, r.sent.Load
-	if l.Slots != old.Slots {
+	l, last := next.Load, r.lastSent.Load
+	if l.Slots != last.Slots {
 		return true
 	}
-	least := max(r.Rule.Change*float64(l.Slots), 1)
+	threshold := max(r.Rule.Change*float64(l.Slots), 1)
 	if next.Leaving {
 		// An operator who drains it looks at its last requests.
-		least = 1
+		threshold = 1
 	}
-	change := int(l.Running+l.Waiting) - int(old.Running+old.Waiting)
-	return float64(max(change, -change)) >= least
+	change := int(l.Running+l.Waiting) - int(last.Running+last.Waiting)
+	return float64(max(change, -change)) >= threshold
 }
 
 // Sent notes that a report was sent.
-func (r *Reports) Sent(now time.Time, sent *wire.Report) { r.sent, r.at = sent, now }
+func (r *Reports) Sent(now time.Time, sent *wire.Report) { r.lastSent, r.lastSentAt = sent, now }
--- a/agent/report_test.go
+++ b/agent/report_test.go
@@ -24,7 +24,7 @@
 // arrives it is off by less than its slots, and one comes at the latest
 // when the keep-alive has run out. Cache events never wait, nor does any
 // change of an upstream that is leaving.
-func TestReportsLeaveOutOnlySmallChanges(t *testing.T) {
+func TestReportsOmitOnlySmallChanges(t *testing.T) {
 	const step, keepAlive = 500 * time.Millisecond, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		r := Reports{Rule: ReportRule{Change: reportChange, KeepAlive: keepAlive}}
@@ -45,7 +45,7 @@
 			} else {
 				assert.Assert(t, len(next.Cache) == 0, "cache events wait")
 			}
-			if r.sent == known {
+			if r.lastSent == known {
 				off := int(next.Load.Running+next.Load.Waiting) - int(known.Load.Running+known.Load.Waiting)
 				least := 8
 				if next.Leaving {
@@ -61,8 +61,8 @@
 
 // A report is lost and the load doesn't change again. The next one comes with the
 // keep-alive and heals it.
-func TestKeepAliveHealsALostReport(t *testing.T) {
-	r := Reports{Rule: reportRule(&wire.WatchRequest{KeepAliveMs: 10_000})}
+func TestKeepAliveRepairsLostReport(t *testing.T) {
+	r := Reports{Rule: watchReportRule(&wire.WatchRequest{KeepAliveMs: 10_000})}
 	now := time.Unix(1000, 0)
 	r.Sent(now, report(8, 3, 8))
 	assert.Assert(t, !r.Due(now.Add(9999*time.Millisecond), report(8, 3, 8)))
@@ -71,8 +71,8 @@
 
 // An entry of an earlier version asks without a keep-alive, and takes an upstream
 // that says nothing for a lease as gone. It is told at each interval, as ever.
-func TestEarlierEntriesAreToldAtEachInterval(t *testing.T) {
-	r := Reports{Rule: reportRule(&wire.WatchRequest{IntervalMs: 500})}
+func TestWatchWithoutKeepAliveReportsAtEachInterval(t *testing.T) {
+	r := Reports{Rule: watchReportRule(&wire.WatchRequest{IntervalMs: 500})}
 	now := time.Unix(1000, 0)
 	r.Sent(now, report(1, 0, 8))
 	assert.Assert(t, r.Due(now.Add(500*time.Millisecond), report(1, 0, 8)))
@@ -81,7 +81,7 @@
 // Answers and reports take the agent's load at the same moment, and an entry keeps
 // the one with the higher number. That one must not hold older counts: the entry
 // would send work by them until the next report, half a minute later.
-func TestLoadsWithHigherNumbersAreLater(t *testing.T) {
+func TestLoadSequenceFollowsCounts(t *testing.T) {
 	const works, readers = 500, 4
 	set := DefaultSettings()
 	set.ID, set.FailureDomain, set.ClusterSecret = "up-1", "hall-a", "a secret of the tests"
--- a/agent/resolve.go
+++ b/agent/resolve.go
@@ -15,14 +15,14 @@
 const (
 	// resolveInterval is how often an agent looks whether its rank waits for a
 	// decision; the leader has one interval to tell it first.
-	resolveInterval = 500 * time.Millisecond
-	stateTimeout    = time.Second
+	resolveInterval   = 500 * time.Millisecond
+	groupStateTimeout = time.Second
 )
 
 // resolveLoop tells an armed rank the decision when the leader doesn't. A leader
 // that a partition keeps from this host alone goes on leading; its group would stand
 // still until the network heals, though any control replica knows the decision.
-func (a *Agent) resolveLoop(ctx context.Context) {
+func (a *Agent) resolveSwitchLoop(ctx context.Context) {
 	if a.settings.Group == "" {
 		return
 	}
@@ -33,30 +33,30 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			a.resolve(ctx, a.settings.Group, int(a.settings.Rank))
+			a.resolveSwitch(ctx, a.settings.Group, int(a.settings.Rank))
 		}
 	}
 }
 
 // resolve looks at the rank once. What a replica's state says of an ended switch is
 // true however old the state is, so any replica will do.
-func (a *Agent) resolve(ctx context.Context, group string, rank int) {
-	s, err := a.giveOwn(ctx, rollout.VerbStatus, rollout.Order{Group: group, Rank: rank})
+func (a *Agent) resolveSwitch(ctx context.Context, group string, rank int) {
+	status, err := a.sendAgentOrder(ctx, rollout.VerbStatus, rollout.Order{Group: group, Rank: rank})
 	if err != nil {
 		return
 	}
-	first := a.orders.doubt != s.Armed
-	a.orders.doubt = s.Armed
-	if s.Armed == 0 || s.Decided || first {
+	firstSeen := a.orders.undecidedEpoch != status.Armed
+	a.orders.undecidedEpoch = status.Armed
+	if status.Armed == 0 || status.Decided || firstSeen {
 		return
 	}
-	a.orders.states(ctx, group, func(state *wire.GroupState) bool {
-		verb, o, ok := rollout.Settle(state, s)
+	a.orders.eachGroupState(ctx, group, func(state *wire.GroupState) bool {
+		verb, o, ok := rollout.Settle(state, status)
 		if !ok {
 			return false
 		}
-		o.Group, o.Rank, o.Incarnation = group, rank, s.Incarnation
-		_, err := a.giveOwn(ctx, verb, o)
+		o.Group, o.Rank, o.Incarnation = group, rank, status.Incarnation
+		_, err := a.sendAgentOrder(ctx, verb, o)
 		kernel.Info(a.log, "Told the rank how a switch ended.", "group", group, "rank", rank, "epoch", o.Epoch, "verb", verb, "err", err)
 		return err == nil
 	})
@@ -64,7 +64,7 @@
 
 // giveOwn gives the upstream an order of the agent's own, under the highest token
 // that it knows: it must not look older to the engine than the leader's.
-func (a *Agent) giveOwn(ctx context.Context, verb string, o rollout.Order) (s rollout.Status, err error) {
+func (a *Agent) sendAgentOrder(ctx context.Context, verb string, o rollout.Order) (s rollout.Status, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return s, err
@@ -72,10 +72,10 @@
 	a.orders.mu.Lock()
 	defer a.orders.mu.Unlock()
 	order := &wire.Order{Group: o.Group, Token: a.orders.guard.Highest(o.Group), Verb: verb, Body: body, OrderId: "agent"}
-	if ok, detail := a.orders.admitOwn(ctx, order); !ok {
+	if ok, detail := a.orders.admitAgentOrder(ctx, order); !ok {
 		return s, merry.Prepend(ErrOrder, detail)
 	}
-	reply, err := a.up.Give(ctx, order)
+	reply, err := a.upstream.Give(ctx, order)
 	if err != nil {
 		return s, err
 	}
@@ -86,9 +86,9 @@
 }
 
 // admitOwn learns the current token first, if none is known; the caller holds mu.
-func (o *orders) admitOwn(ctx context.Context, order *wire.Order) (bool, string) {
+func (o *orderFence) admitAgentOrder(ctx context.Context, order *wire.Order) (bool, string) {
 	if !o.guard.Known(order.Group) {
-		token, err := o.tokens(ctx, order.Group)
+		token, err := o.currentToken(ctx, order.Group)
 		if err != nil {
 			return false, "the current fencing token can't be learned: " + err.Error()
 		}
--- a/agent/run.go
+++ b/agent/run.go
@@ -23,22 +23,22 @@
 
 // attempt is one Run call in progress.
 type attempt struct {
-	agent    *Agent
-	stream   wire.DRPCAgent_RunStream
-	head     *wire.RunHead
-	body     []byte
-	deadline time.Time
-	queued   time.Duration
+	agent     *Agent
+	stream    wire.DRPCAgent_RunStream
+	head      *wire.RunHead
+	body      []byte
+	deadline  time.Time
+	queuedFor time.Duration
 	// sentAt is when the attempt went to the upstream, and ended the life of the upstream that
 	// ended under it.
-	sentAt time.Time
-	ended  string
-	sent   uint64
+	sentAt         time.Time
+	exitedUpstream string
+	bodyBytesSent  uint64
 }
 
 // frames holds buffers for relayed answers. Send encodes a message before it
 // returns, so a buffer can be used again at once.
-var frames = sync.Pool{New: func() any {
+var frameBuffers = sync.Pool{New: func() any {
 	b := make([]byte, transport.BodyFrame)
 	return &b
 }}
@@ -46,28 +46,28 @@
 // Run implements the Agent service.
 func (a *Agent) Run(stream wire.DRPCAgent_RunStream) error {
 	now := a.settings.Now()
-	at, err := a.receive(stream, now)
+	at, err := a.receiveAttempt(stream, now)
 	if err != nil {
 		return err
 	}
 	// An attempt that was sent to an earlier life may have been run by it, and
 	// this life's memory of attempts is empty: it must not run again.
-	if h := at.head; h.Incarnation != 0 && h.Incarnation != a.life.Number() {
-		return at.end(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_NO_UPSTREAM, "meant for another incarnation of the agent")
+	if h := at.head; h.Incarnation != 0 && h.Incarnation != a.incarnation.Number() {
+		return at.finish(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_NO_UPSTREAM, "meant for another incarnation of the agent")
 	}
 	switch a.attempts.begin(now, at.head.AttemptId, at.deadline) {
 	case wire.Reason_REASON_DUPLICATE_ATTEMPT:
 		// The first message of this attempt may be running: only the stream
 		// that carries it can say what became of it.
-		return at.end(wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_DUPLICATE_ATTEMPT, "attempt was seen before")
+		return at.finish(wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_DUPLICATE_ATTEMPT, "attempt was seen before")
 	case wire.Reason_REASON_UPSTREAM_LEAVING:
-		return at.end(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_UPSTREAM_LEAVING, "upstream is leaving")
+		return at.finish(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_UPSTREAM_LEAVING, "upstream is leaving")
 	}
 	defer a.attempts.end()
 	return at.run()
 }
 
-func (a *Agent) receive(stream wire.DRPCAgent_RunStream, now time.Time) (*attempt, error) {
+func (a *Agent) receiveAttempt(stream wire.DRPCAgent_RunStream, now time.Time) (*attempt, error) {
 	frame, err := stream.Recv()
 	if err != nil {
 		return nil, err
@@ -99,26 +99,26 @@
 	ctx, cancel := context.WithDeadline(at.stream.Context(), at.deadline)
 	defer cancel()
 	began := at.agent.settings.Now()
-	release, err := at.enter(ctx)
-	at.queued = at.agent.settings.Now().Sub(began)
+	release, err := at.acquireSlot(ctx)
+	at.queuedFor = at.agent.settings.Now().Sub(began)
 	if err != nil {
-		return at.end(wire.Outcome_OUTCOME_NOT_RUN, queueReason(err), err.Error())
+		return at.finish(wire.Outcome_OUTCOME_NOT_RUN, admissionReason(err), err.Error())
 	}
 	defer release()
 	at.sentAt = at.agent.settings.Now()
-	answer, err := at.agent.up.Do(ctx, at.head, at.body)
+	answer, err := at.agent.upstream.Do(ctx, at.head, at.body)
 	if err != nil {
 		if errors.Is(err, upstream.ErrFailed) {
-			at.ended = at.endedUnder(ctx)
+			at.exitedUpstream = at.detectUpstreamExit(ctx)
 		}
-		return at.failed(err)
+		return at.finishWithError(err)
 	}
-	at.agent.lives.reached(at.sentAt)
+	at.agent.generations.recordContact(at.sentAt)
 	defer answer.Body.Close()
 	return at.relay(ctx, answer)
 }
 
-func queueReason(err error) wire.Reason {
+func admissionReason(err error) wire.Reason {
 	switch {
 	case errors.Is(err, admit.ErrQueueFull), errors.Is(err, admit.ErrBusy), errors.Is(err, ErrNoSlot):
 		return wire.Reason_REASON_QUEUE_FULL
@@ -128,7 +128,7 @@
 	return wire.Reason_REASON_DEADLINE
 }
 
-func (at *attempt) failed(err error) error {
+func (at *attempt) finishWithError(err error) error {
 	outcome, reason := wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_UPSTREAM_FAILED
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
@@ -138,20 +138,20 @@
 	case errors.Is(err, context.DeadlineExceeded) || at.agent.settings.Now().After(at.deadline):
 		reason = wire.Reason_REASON_DEADLINE
 	}
-	return at.end(outcome, reason, err.Error())
+	return at.finish(outcome, reason, err.Error())
 }
 
 // relay sends the answer on. The first reply of a stream is its head, at once;
 // the head of any other answer waits for the first frame of body, and the last
 // frame goes with the end: a small answer is one message.
 func (at *attempt) relay(ctx context.Context, answer *upstream.Answer) error {
-	frame := frames.Get().(*[]byte)
-	defer frames.Put(frame)
+	frame := frameBuffers.Get().(*[]byte)
+	defer frameBuffers.Put(frame)
 	reply := &wire.RunReply{Head: &wire.RunReplyHead{
 		RequestId: at.head.RequestId, AttemptId: at.head.AttemptId,
 		Status: uint32(answer.Status), Headers: answer.Headers, Streaming: answer.Streaming,
 	}}
-	read := fill
+	read := fillBuffer
 	if answer.Streaming {
 		if err := at.stream.Send(reply); err != nil {
 			return err
@@ -160,16 +160,16 @@
 	}
 	for {
 		n, err := read(answer.Body, *frame)
-		at.sent += uint64(n)
+		at.bodyBytesSent += uint64(n)
 		reply.Body = (*frame)[:n]
 		switch {
 		case err == io.EOF:
-			return at.sendEnd(reply, wire.Outcome_OUTCOME_DONE, 0, "")
+			return at.sendRunEnd(reply, wire.Outcome_OUTCOME_DONE, 0, "")
 		case err != nil:
 			// The upstream's answer was cut. It ran, but the caller must not
 			// take the part for the whole.
-			at.ended = at.endedUnder(ctx)
-			return at.sendEnd(reply, wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_ANSWER_INVALID, err.Error())
+			at.exitedUpstream = at.detectUpstreamExit(ctx)
+			return at.sendRunEnd(reply, wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_ANSWER_INVALID, err.Error())
 		case n == 0:
 			continue
 		}
@@ -183,7 +183,7 @@
 // fill reads until the buffer is full or the reader ends. io.ReadFull would do
 // it too, but says "unexpected end" both of an answer shorter than the buffer
 // and of one that the upstream cut.
-func fill(r io.Reader, buf []byte) (n int, err error) {
+func fillBuffer(r io.Reader, buf []byte) (n int, err error) {
 	for n < len(buf) && err == nil {
 		var m int
 		m, err = r.Read(buf[n:])
@@ -192,16 +192,16 @@
 	return n, err
 }
 
-func (at *attempt) end(o wire.Outcome, r wire.Reason, detail string) error {
-	return at.sendEnd(&wire.RunReply{}, o, r, detail)
+func (at *attempt) finish(o wire.Outcome, r wire.Reason, detail string) error {
+	return at.sendRunEnd(&wire.RunReply{}, o, r, detail)
 }
 
-func (at *attempt) sendEnd(reply *wire.RunReply, o wire.Outcome, r wire.Reason, detail string) error {
-	at.agent.count(o, r)
+func (at *attempt) sendRunEnd(reply *wire.RunReply, o wire.Outcome, r wire.Reason, detail string) error {
+	at.agent.countOutcome(o, r)
 	reply.End = &wire.RunEnd{
 		RequestId: at.head.RequestId, AttemptId: at.head.AttemptId,
 		Outcome: o, Reason: r, Detail: detail, Load: at.agent.currentLoad(),
-		BodyBytes: at.sent, QueuedUs: at.queued.Microseconds(), EndedUpstream: at.ended,
+		BodyBytes: at.bodyBytesSent, QueuedUs: at.queuedFor.Microseconds(), EndedUpstream: at.exitedUpstream,
 	}
 	transport.HoldFlush(at.stream)
 	return at.stream.Send(reply)
--- a/agent/services.go
+++ b/agent/services.go
@@ -14,9 +14,9 @@
 // minReportInterval bounds how often a watcher may ask to be told.
 const minReportInterval = 50 * time.Millisecond
 
-func (a *Agent) count(o wire.Outcome, r wire.Reason) {
+func (a *Agent) countOutcome(o wire.Outcome, r wire.Reason) {
 	if o == wire.Outcome_OUTCOME_DONE && r == 0 {
-		a.done.Inc(1)
+		a.doneAttempts.Inc(1)
 		return
 	}
 	name := "agent.attempts." + refusal.OutcomeWord(o)
@@ -31,16 +31,16 @@
 	interval := max(time.Duration(req.IntervalMs)*time.Millisecond, minReportInterval)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	reports := Reports{Rule: reportRule(req)}
+	reports := Reports{Rule: watchReportRule(req)}
 	var after uint64
 	for {
 		now := time.Now()
 		r := &wire.Report{
-			Upstream: a.settings.ID, Incarnation: a.life.Number(),
+			Upstream: a.settings.ID, Incarnation: a.incarnation.Number(),
 			Load: a.currentLoad(), Leaving: a.attempts.isClosed(),
 		}
 		if !req.NoCacheEvents {
-			r.Cache = a.cache.since(stream.Context(), now, after)
+			r.Cache = a.cache.eventsAfter(stream.Context(), now, after)
 		}
 		if n := len(r.Cache); n > 0 {
 			after = r.Cache[n-1].Seq
@@ -61,7 +61,7 @@
 
 // reportRule is what a watcher asked for. An entry of an earlier version names no
 // keep-alive and takes silence for death: it is told at each interval.
-func reportRule(req *wire.WatchRequest) ReportRule {
+func watchReportRule(req *wire.WatchRequest) ReportRule {
 	return ReportRule{Change: reportChange, KeepAlive: time.Duration(req.KeepAliveMs) * time.Millisecond}
 }
 
--- a/agent/waiting_test.go
+++ b/agent/ticket_forward_test.go
@@ -20,24 +20,24 @@
 
 // fleet is a forwarder before agents with one slot each. A call runs until the
 // test ends it, by the agent that it runs at.
-type fleet struct {
-	fwd    *forward.Forwarder
-	pool   *table.Pool
-	agents []*Agent
-	finish []chan struct{}
+type testCluster struct {
+	forwarder *forward.Forwarder
+	pool      *table.Pool
+	agents    []*Agent
+	finishRun []chan struct{}
 
 	mu sync.Mutex
 	// ran counts the runs of each path.
-	ran map[string]int
+	runCounts map[string]int
 }
 
-func newFleet(t *testing.T, n int) *fleet {
+func newTestCluster(t *testing.T, n int) *testCluster {
 	sec := transport.Security{Secret: []byte("a secret of the tests")}
 	conns := transport.NewPool(sec)
 	t.Cleanup(conns.Close)
-	f := &fleet{
-		fwd:  forward.New(conns, route.Place{Entry: "e", Seed: 1}, time.Now),
-		pool: &table.Pool{Name: "p", Route: "least-loaded"}, ran: map[string]int{},
+	f := &testCluster{
+		forwarder: forward.New(conns, route.Place{Entry: "e", Seed: 1}, time.Now),
+		pool:      &table.Pool{Name: "p", Route: "least-loaded"}, runCounts: map[string]int{},
 	}
 	ups := make([]route.Upstream, n)
 	over := make(chan struct{})
@@ -50,7 +50,7 @@
 				return
 			}
 			f.mu.Lock()
-			f.ran[q.URL.Path]++
+			f.runCounts[q.URL.Path]++
 			f.mu.Unlock()
 			select {
 			case <-finish:
@@ -66,44 +66,44 @@
 		assert.NilError(t, err)
 		assert.NilError(t, a.Start(context.Background()))
 		t.Cleanup(func() { a.Stop() })
-		f.agents, f.finish = append(f.agents, a), append(f.finish, finish)
+		f.agents, f.finishRun = append(f.agents, a), append(f.finishRun, finish)
 		ups[i] = route.Upstream{ID: set.ID, Address: a.Address(), FailureDomain: "hall-a"}
 	}
-	assert.NilError(t, f.fwd.Update(f.pool, ups))
+	assert.NilError(t, f.forwarder.Update(f.pool, ups))
 	return f
 }
 
-type nowhere struct{}
+type discardCaller struct{}
 
-func (nowhere) Begin(*wire.RunReplyHead) error { return nil }
-func (nowhere) Write([]byte) error             { return nil }
+func (discardCaller) Begin(*wire.RunReplyHead) error { return nil }
+func (discardCaller) Write([]byte) error             { return nil }
 
-func (f *fleet) call(ctx context.Context, path string) <-chan forward.Result {
+func (f *testCluster) call(ctx context.Context, path string) <-chan forward.Result {
 	done := make(chan forward.Result, 1)
 	go func() {
-		done <- f.fwd.Do(ctx, &forward.Call{
+		done <- f.forwarder.Do(ctx, &forward.Call{
 			Head: &wire.RunHead{RequestId: path, Team: "t", Service: "s", Method: http.MethodPost, Path: path},
 			Pool: f.pool, Route: &route.Request{}, Deadline: time.Now().Add(time.Minute), MaxAnswer: 4 << 20,
-		}, nowhere{})
+		}, discardCaller{})
 	}()
 	return done
 }
 
 // until polls for a state that must come.
-func (f *fleet) until(state func() bool) {
+func (f *testCluster) waitUntil(state func() bool) {
 	for !state() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (f *fleet) runs(path string) int {
+func (f *testCluster) runCount(path string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ran[path]
+	return f.runCounts[path]
 }
 
 // tickets is how many tickets are at each agent.
-func (f *fleet) tickets() []int {
+func (f *testCluster) ticketCounts() []int {
 	list := make([]int, len(f.agents))
 	for i, a := range f.agents {
 		waiting, held := a.tickets.counts()
@@ -112,63 +112,63 @@
 	return list
 }
 
-func (f *fleet) fill(ctx context.Context) {
+func (f *testCluster) fillSlots(ctx context.Context) {
 	for _, path := range []string{"/1", "/2", "/3"}[:len(f.agents)] {
 		f.call(ctx, path)
-		f.until(func() bool { return f.runs(path) == 1 })
+		f.waitUntil(func() bool { return f.runCount(path) == 1 })
 	}
 }
 
 // All upstreams are full. A request that may run once waits at each; a slot at one
 // becomes free. It runs there, once, and its tickets at the others are gone.
-func TestRequestFollowsTheFirstFreeSlot(t *testing.T) {
-	f := newFleet(t, 3)
+func TestRequestRunsOnceAtFirstFreeSlot(t *testing.T) {
+	f := newTestCluster(t, 3)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f.fill(ctx)
+	f.fillSlots(ctx)
 	done := f.call(ctx, "/x")
-	f.until(func() bool { n := f.tickets(); return n[0] == 1 && n[1] == 1 && n[2] == 1 })
-	assert.Equal(t, f.runs("/x"), 0)
-	f.finish[1] <- struct{}{}
-	f.until(func() bool { return f.runs("/x") == 1 })
-	f.until(func() bool { n := f.tickets(); return n[0] == 0 && n[1] == 0 && n[2] == 0 })
-	f.finish[1] <- struct{}{}
+	f.waitUntil(func() bool { n := f.ticketCounts(); return n[0] == 1 && n[1] == 1 && n[2] == 1 })
+	assert.Equal(t, f.runCount("/x"), 0)
+	f.finishRun[1] <- struct{}{}
+	f.waitUntil(func() bool { return f.runCount("/x") == 1 })
+	f.waitUntil(func() bool { n := f.ticketCounts(); return n[0] == 0 && n[1] == 0 && n[2] == 0 })
+	f.finishRun[1] <- struct{}{}
 	res := <-done
 	assert.Equal(t, res.Reason, wire.Reason(0), "%s", res.Detail)
-	assert.Equal(t, f.runs("/x"), 1)
+	assert.Equal(t, f.runCount("/x"), 1)
 }
 
 // The caller leaves, or its entry dies, while its request waits. The tickets would
 // hold slots for nobody, each for a while: they go with the connection.
-func TestTicketsGoWithTheirEntry(t *testing.T) {
-	f := newFleet(t, 2)
+func TestTicketsEndWhenCallerCancels(t *testing.T) {
+	f := newTestCluster(t, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f.fill(ctx)
+	f.fillSlots(ctx)
 	leaving, leave := context.WithCancel(ctx)
 	done := f.call(leaving, "/x")
-	f.until(func() bool { n := f.tickets(); return n[0] == 1 && n[1] == 1 })
+	f.waitUntil(func() bool { n := f.ticketCounts(); return n[0] == 1 && n[1] == 1 })
 	leave()
 	res := <-done
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
-	f.until(func() bool { n := f.tickets(); return n[0] == 0 && n[1] == 0 })
-	assert.Equal(t, f.runs("/x"), 0)
+	f.waitUntil(func() bool { n := f.ticketCounts(); return n[0] == 0 && n[1] == 0 })
+	assert.Equal(t, f.runCount("/x"), 0)
 }
 
 // An agent leaves while a request waits there and elsewhere. The request neither
 // holds up the stop nor is refused: it goes on waiting at the other.
-func TestLeavingAgentLetsGoOfWaitingRequests(t *testing.T) {
-	f := newFleet(t, 2)
+func TestRequestKeepsWaitingElsewhereWhenAgentLeaves(t *testing.T) {
+	f := newTestCluster(t, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f.fill(ctx)
+	f.fillSlots(ctx)
 	done := f.call(ctx, "/x")
-	f.until(func() bool { n := f.tickets(); return n[0] == 1 && n[1] == 1 })
+	f.waitUntil(func() bool { n := f.ticketCounts(); return n[0] == 1 && n[1] == 1 })
 	f.agents[0].tickets.close()
-	assert.Equal(t, f.tickets()[0], 0)
-	f.finish[1] <- struct{}{}
-	f.until(func() bool { return f.runs("/x") == 1 })
-	f.finish[1] <- struct{}{}
+	assert.Equal(t, f.ticketCounts()[0], 0)
+	f.finishRun[1] <- struct{}{}
+	f.waitUntil(func() bool { return f.runCount("/x") == 1 })
+	f.finishRun[1] <- struct{}{}
 	res := <-done
 	assert.Equal(t, res.Reason, wire.Reason(0), "%s", res.Detail)
 }
--- a/agent/tickets.go
+++ b/agent/tickets.go
@@ -27,23 +27,23 @@
 // holdTime is how long a slot is held for the Run of its ticket. It covers the
 // ways to the entry and back many times; what it costs when the entry has died,
 // or was cut off, is one slot for this long.
-const holdTime = 100 * time.Millisecond
+const slotHoldTimeout = 100 * time.Millisecond
 
 // maxTickets bounds at how many agents a request may say that it waits: it takes
 // so small a part of a place in the queue.
 const maxTickets = 16
 
 // stopper is a timer that can be stopped.
-type stopper interface{ Stop() bool }
+type stoppableTimer interface{ Stop() bool }
 
 // tickets are the places in this agent's queue that stand for requests which wait
 // at other agents as well. A ticket runs nothing: its turn holds a slot for a
 // short time, and a Run that names it takes the slot over, once. So whatever is
 // late, doubled or lost here, a request is run by one Run as without tickets, and
 // "not run" is as true as before.
-type tickets struct {
-	runner *admit.Runner
-	after  func(time.Duration, func()) stopper
+type ticketRegistry struct {
+	runner    *admit.Runner
+	afterFunc func(time.Duration, func()) stoppableTimer
 
 	mu     sync.Mutex
 	byID   map[string]*ticket
@@ -55,44 +55,44 @@
 
 type ticket struct {
 	// stop ends the wait.
-	stop context.CancelFunc
+	cancelWait context.CancelFunc
 	// work, release and timer are set while a slot is held.
 	work    *admit.Work
 	release func()
-	timer   stopper
+	timer   stoppableTimer
 }
 
 // newTickets makes the tickets of a runner; after is time.AfterFunc in production.
-func newTickets[T stopper](r *admit.Runner, after func(time.Duration, func()) T) *tickets {
-	return &tickets{
+func newTicketRegistry[T stoppableTimer](r *admit.Runner, afterFunc func(time.Duration, func()) T) *ticketRegistry {
+	return &ticketRegistry{
 		runner: r, byID: map[string]*ticket{}, expired: metrics.NewCounter(),
-		after: func(d time.Duration, f func()) stopper { return after(d, f) },
+		afterFunc: func(d time.Duration, f func()) stoppableTimer { return afterFunc(d, f) },
 	}
 }
 
 // wait waits for the ticket's turn. Without an error a slot is held for it.
-func (s *tickets) wait(ctx context.Context, id string, w *admit.Work) error {
+func (s *ticketRegistry) waitForSlot(ctx context.Context, id string, w *admit.Work) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	t := &ticket{stop: stop}
+	t := &ticket{cancelWait: stop}
 	if err := s.add(id, t); err != nil {
 		return err
 	}
 	release, err := s.runner.Enter(ctx, w)
-	if err != nil && s.remove(id, t) {
+	if err != nil && s.removeIfCurrent(id, t) {
 		return err
 	}
 	if err != nil {
 		return ErrTicketOver
 	}
-	if !s.hold(id, t, w, release) {
-		giveBack(w, release)
+	if !s.holdSlot(id, t, w, release) {
+		releaseUnused(w, release)
 		return ErrTicketOver
 	}
 	return nil
 }
 
-func (s *tickets) add(id string, t *ticket) error {
+func (s *ticketRegistry) add(id string, t *ticket) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -107,7 +107,7 @@
 }
 
 // hold keeps the slot for a ticket, unless it was withdrawn meanwhile.
-func (s *tickets) hold(id string, t *ticket, w *admit.Work, release func()) bool {
+func (s *ticketRegistry) holdSlot(id string, t *ticket, w *admit.Work, release func()) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byID[id] != t {
@@ -117,55 +117,55 @@
 	s.held++
 	// The entry may have died, or its Run may be lost: the slot would stay empty
 	// for ever. After this time it is another's.
-	t.timer = s.after(holdTime, func() { s.expire(id, t) })
+	t.timer = s.afterFunc(slotHoldTimeout, func() { s.expireHold(id, t) })
 	return true
 }
 
 // claim hands a held slot over to its Run. The slot can be claimed once.
-func (s *tickets) claim(id string) (release func(), err error) {
+func (s *ticketRegistry) claimSlot(id string) (release func(), err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.byID[id]
 	if t == nil || t.release == nil {
 		return nil, ErrNoSlot
 	}
-	s.forget(id, t)
+	s.removeLocked(id, t)
 	return t.release, nil
 }
 
 // withdraw ends a ticket: its wait, or the hold of its slot.
-func (s *tickets) withdraw(id string) {
+func (s *ticketRegistry) withdraw(id string) {
 	s.mu.Lock()
 	t := s.byID[id]
 	if t != nil {
-		s.forget(id, t)
+		s.removeLocked(id, t)
 	}
 	s.mu.Unlock()
 	if t != nil {
-		t.end()
+		t.cancel()
 	}
 }
 
-func (s *tickets) expire(id string, t *ticket) {
-	if s.remove(id, t) {
+func (s *ticketRegistry) expireHold(id string, t *ticket) {
+	if s.removeIfCurrent(id, t) {
 		s.expired.Inc(1)
-		t.end()
+		t.cancel()
 	}
 }
 
 // remove forgets a ticket if it is still the one of its ID.
-func (s *tickets) remove(id string, t *ticket) bool {
+func (s *ticketRegistry) removeIfCurrent(id string, t *ticket) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.byID[id] != t {
 		return false
 	}
-	s.forget(id, t)
+	s.removeLocked(id, t)
 	return true
 }
 
 // forget drops a ticket; the caller holds mu.
-func (s *tickets) forget(id string, t *ticket) {
+func (s *ticketRegistry) removeLocked(id string, t *ticket) {
 	delete(s.byID, id)
 	if t.timer != nil {
 		t.timer.Stop()
@@ -175,44 +175,44 @@
 
 // end stops the wait or gives the slot back, once the ticket is forgotten: no
 // other can end it too.
-func (t *ticket) end() {
-	t.stop()
+func (t *ticket) cancel() {
+	t.cancelWait()
 	if t.release != nil {
-		giveBack(t.work, t.release)
+		releaseUnused(t.work, t.release)
 	}
 }
 
-func giveBack(w *admit.Work, release func()) {
+func releaseUnused(w *admit.Work, release func()) {
 	w.Unused = true
 	release()
 }
 
 // close ends all tickets and takes no more: the agent leaves.
-func (s *tickets) close() {
+func (s *ticketRegistry) close() {
 	s.mu.Lock()
 	s.closed = true
-	over := make([]*ticket, 0, len(s.byID))
+	ended := make([]*ticket, 0, len(s.byID))
 	for id, t := range s.byID {
-		s.forget(id, t)
-		over = append(over, t)
+		s.removeLocked(id, t)
+		ended = append(ended, t)
 	}
 	s.mu.Unlock()
-	for _, t := range over {
-		t.end()
+	for _, t := range ended {
+		t.cancel()
 	}
 }
 
-func (s *tickets) counts() (waiting, held int) {
+func (s *ticketRegistry) counts() (waiting, held int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.byID) - s.held, s.held
 }
 
 // enter waits for a slot, or takes the one that the attempt's ticket holds.
-func (at *attempt) enter(ctx context.Context) (release func(), err error) {
+func (at *attempt) acquireSlot(ctx context.Context) (release func(), err error) {
 	h := at.head
 	if h.Ticket != "" {
-		return at.agent.tickets.claim(h.Ticket)
+		return at.agent.tickets.claimSlot(h.Ticket)
 	}
 	return at.agent.runner.Enter(ctx, &admit.Work{
 		Team: h.Team, Weight: int(h.Weight), Priority: h.Priority,
@@ -222,27 +222,27 @@
 
 // Wait implements the Agent service.
 func (s service) Wait(ctx context.Context, t *wire.Ticket) (*wire.Slot, error) {
-	if t.Incarnation != 0 && t.Incarnation != s.life.Number() {
-		return s.noSlot(wire.Reason_REASON_NO_UPSTREAM), nil
+	if t.Incarnation != 0 && t.Incarnation != s.incarnation.Number() {
+		return s.noSlotReply(wire.Reason_REASON_NO_UPSTREAM), nil
 	}
 	timeout := min(time.Duration(t.TimeoutUs)*time.Microsecond, maxTimeout)
-	err := s.tickets.wait(ctx, t.Id, &admit.Work{
+	err := s.tickets.waitForSlot(ctx, t.Id, &admit.Work{
 		Team: t.Team, Weight: int(t.Weight), Priority: t.Priority,
 		Cost: float64(max(t.Tokens, 1)), Deadline: s.settings.Now().Add(timeout),
 		Tickets: int(min(max(t.Tickets, 1), maxTickets)),
 	})
 	switch {
 	case errors.Is(err, ErrTicketTwice):
-		return s.noSlot(wire.Reason_REASON_DUPLICATE_ATTEMPT), nil
+		return s.noSlotReply(wire.Reason_REASON_DUPLICATE_ATTEMPT), nil
 	case errors.Is(err, ErrTicketOver) && s.attempts.isClosed():
-		return s.noSlot(wire.Reason_REASON_UPSTREAM_LEAVING), nil
+		return s.noSlotReply(wire.Reason_REASON_UPSTREAM_LEAVING), nil
 	case err != nil:
-		return s.noSlot(queueReason(err)), nil
+		return s.noSlotReply(admissionReason(err)), nil
 	}
 	return &wire.Slot{Held: true, Load: s.currentLoad()}, nil
 }
 
-func (s service) noSlot(r wire.Reason) *wire.Slot {
+func (s service) noSlotReply(r wire.Reason) *wire.Slot {
 	return &wire.Slot{Reason: r, Load: s.currentLoad()}
 }
 
--- a/agent/tokens_test.go
+++ b/agent/token_lookup_test.go
@@ -14,13 +14,13 @@
 )
 
 // replica answers for the token in force, or says nothing until it is given up.
-type replica struct {
+type tokenServer struct {
 	wire.DRPCControlUnimplementedServer
 	silent bool
 }
 
 // Token implements the Control service.
-func (r *replica) Token(ctx context.Context, _ *wire.TokenRequest) (*wire.TokenReply, error) {
+func (r *tokenServer) Token(ctx context.Context, _ *wire.TokenRequest) (*wire.TokenReply, error) {
 	if r.silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -28,7 +28,7 @@
 	return &wire.TokenReply{Token: 9}, nil
 }
 
-func serve(t *testing.T, sec transport.Security, r *replica) (address string) {
+func serveControl(t *testing.T, sec transport.Security, r *tokenServer) (address string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -49,16 +49,16 @@
 // with no caller that would give up; it holds every order back while it asks, so that
 // the new leader's orders would wait for as long as the host is frozen. It asks the
 // next replica instead.
-func TestAgentAsksTheNextReplicaWhenOneIsFrozen(t *testing.T) {
+func TestTokenLookupSkipsFrozenReplica(t *testing.T) {
 	sec := transport.Security{Secret: []byte("a secret of this test")}
 	pool := transport.NewPool(sec)
 	defer pool.Close()
-	addrs := []string{serve(t, sec, &replica{silent: true}), serve(t, sec, &replica{})}
+	addrs := []string{serveControl(t, sec, &tokenServer{silent: true}), serveControl(t, sec, &tokenServer{})}
 	const hangs = 45 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), hangs)
 	defer cancel()
 	for _, list := range [][]string{addrs, {addrs[1], addrs[0]}} {
-		token, err := newOrders(control.NewClient(pool, list, "agent")).tokens(ctx, "g")
+		token, err := newOrderFence(control.NewClient(pool, list, "agent")).currentToken(ctx, "g")
 		assert.NilError(t, err)
 		assert.Equal(t, token, uint64(9))
 	}
--- a/agent/ended.go
+++ b/agent/upstream_exit.go
@@ -16,48 +16,48 @@
 
 // upstreamLives numbers the lives of the upstream, so that entries count each end once however many
 // attempts it cut off.
-type upstreamLives struct {
+type upstreamGenerations struct {
 	mu     sync.Mutex
 	number int
 	// endedAt is when the end of that life was noticed; zero while it lives.
-	endedAt time.Time
+	exitedAt time.Time
 }
 
 // reached notes that an attempt that began at a time got to the upstream: if that was after an
 // end, it is another life.
-func (l *upstreamLives) reached(began time.Time) {
+func (l *upstreamGenerations) recordContact(began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.endedAt.IsZero() && began.After(l.endedAt) {
-		l.number, l.endedAt = l.number+1, time.Time{}
+	if !l.exitedAt.IsZero() && began.After(l.exitedAt) {
+		l.number, l.exitedAt = l.number+1, time.Time{}
 	}
 }
 
 // end notes an end, and returns the life's number.
-func (l *upstreamLives) end(now time.Time) int {
+func (l *upstreamGenerations) recordExit(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.endedAt.IsZero() {
-		l.endedAt = now
+	if l.exitedAt.IsZero() {
+		l.exitedAt = now
 	}
 	return l.number
 }
 
 // endedUnder names the life of the upstream that ended while it ran an attempt, after it broke that
 // off; empty if it lives on, or ends as planned.
-func (at *attempt) endedUnder(ctx context.Context) string {
+func (at *attempt) detectUpstreamExit(ctx context.Context) string {
 	a := at.agent
-	a.lives.reached(at.sentAt)
-	r, ok := a.up.(upstream.Refuser)
+	a.generations.recordContact(at.sentAt)
+	refuser, ok := a.upstream.(upstream.Refuser)
 	if !ok || ctx.Err() != nil || a.attempts.isClosed() {
 		return ""
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if !r.Refuses(ctx) {
+	if !refuser.Refuses(ctx) {
 		return ""
 	}
-	life := fmt.Sprintf("%s/%d/%d", a.settings.ID, a.life.Number(), a.lives.end(a.settings.Now()))
-	kernel.Info(a.log, "Upstream ended under an attempt.", "request", at.head.RequestId, "attempt", at.head.AttemptId, "life", life)
-	return life
+	generation := fmt.Sprintf("%s/%d/%d", a.settings.ID, a.incarnation.Number(), a.generations.recordExit(a.settings.Now()))
+	kernel.Info(a.log, "Upstream ended under an attempt.", "request", at.head.RequestId, "attempt", at.head.AttemptId, "life", generation)
+	return generation
 }
