--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the process beside each upstream. It announces the upstream,
-// queues work for it, runs an attempt at most once, says "not run" only when it
-// knows, and passes on load, cache events and orders.
+// Package agent implements the process that runs beside each upstream. It announces the
+// upstream to the control replicas, queues requests for it, runs each attempt at most
+// once, and relays the upstream's load, cache events and orders. It reports an attempt as
+// not run only if it is certain.
 package agent
 
 import (
@@ -25,10 +26,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
 var (
-	// ErrStart is returned when the agent can't come up.
-	ErrStart = merry.Sentinel("agent can't start")
+	// ErrStart is returned if the agent cannot open a listener.
+	ErrStart = merry.Sentinel("agent cannot start")
+	// ErrOrder is returned if the upstream or the fencing guard refuses an order.
 	ErrOrder = merry.Sentinel("order was not carried out")
 )
 
@@ -62,7 +63,7 @@
 	loadSeq        uint64
 }
 
-// New makes an agent from checked settings.
+// New creates an agent. It returns an error if the settings are invalid.
 func New(s *Settings, l log.Logger) (*Agent, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -139,22 +140,24 @@
 	return a.lis.Addr().String()
 }
 
-// Slots returns how many requests the agent runs at once now.
+// Slots returns the current concurrency limit, in requests.
 func (a *Agent) Slots() int { return a.queue.get().Slots }
 
-// Leave refuses new work from now on and says so to the directory.
+// Leave refuses new attempts and tickets from now on and announces the leaving phase to
+// the control replicas.
 func (a *Agent) Leave(ctx context.Context) {
 	if a.attempts.close() {
-		kernel.Info(a.log, "Leaving. No new work is taken.")
+		kernel.Info(a.log, "Leaving; new attempts are refused.")
 	}
 	a.tickets.close()
 	a.announceAll(ctx, wire.Phase_PHASE_LEAVING)
 }
 
-// Drain implements kernel.Daemon: it finishes what runs and waits, and refuses what
-// still comes for as long as an entry may not know that the upstream leaves. A request
-// on its way to a connection that is closed ends in doubt, and a bid must not be sent
-// again then; refused, it goes elsewhere.
+// Drain implements kernel.Daemon. It waits until nothing is running or queued, and refuses
+// new attempts for at least the leave margin, within which entries learn that the upstream
+// leaves. An attempt that arrives on a closed connection would have an unknown outcome,
+// and an unsafe request must not be retried after that; a refused attempt can go to
+// another upstream.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.Leave(ctx)
 	began := time.Now()
@@ -208,10 +211,11 @@
 	Running          int    `json:"running"`
 	Waiting          int    `json:"waiting"`
 	RetainedAttempts int    `json:"remembered_attempts"`
-	// Tickets wait here and elsewhere; Held slots were offered and not taken yet.
+	// Tickets counts the tickets that wait for a slot; HeldSlots counts the slots that are
+	// held for a ticket and not yet claimed.
 	Tickets   int `json:"tickets"`
 	HeldSlots int `json:"held_slots"`
-	// Queue is what is in force, from the pool's row once one was heard.
+	// Queue is the configuration in force: from the settings until a pool row is received.
 	Queue queueConfig `json:"queue"`
 	Load  *wire.Load  `json:"load"`
 }
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// announceAll announces to the control replicas that this agent uses; they tell
-// the others.
+// announceAll sends an announcement to the control replicas that this agent uses; these
+// forward it to the others. It applies the pool settings in their replies.
 func (a *Agent) announceAll(ctx context.Context, phase wire.Phase) {
 	for addr, reply := range a.announcer.Announce(ctx, a.announcement(phase)) {
 		a.applyPoolSettings(reply.Pools)
@@ -35,10 +35,10 @@
 			continue
 		}
 		if a.incarnation.Supersede(reply.KnownIncarnation) {
-			kernel.Warn(a.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "id", a.settings.ID, "incarnation", a.incarnation.Number(), "told_by", addr)
+			kernel.Warn(a.log, "The clock is behind the start time of an earlier incarnation; switched to a higher incarnation number.", "id", a.settings.ID, "incarnation", a.incarnation.Number(), "told_by", addr)
 			continue
 		}
-		kernel.Warn(a.log, "A later life of this ID is known. Is the ID used twice?", "id", a.settings.ID, "told_by", addr)
+		kernel.Warn(a.log, "A later incarnation of this ID exists; check that no other process uses the ID.", "id", a.settings.ID, "told_by", addr)
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// pollLoad asks the upstream for its load between announcements.
+// pollLoad queries the upstream for its load once per announce interval.
 func (a *Agent) pollLoad(ctx context.Context) {
 	tick := time.NewTicker(a.settings.AnnounceInterval.D())
 	defer tick.Stop()
@@ -69,13 +69,13 @@
 	}
 }
 
-// currentLoad joins the agent's own queue, which is exact, with what only the
-// upstream knows, which lags. What waits inside the upstream was handed to it by
-// this agent and stands in Running already.
+// currentLoad combines the agent's own queue counts, which are exact, with the values that
+// only the upstream knows, which lag. Requests that are queued inside the upstream were
+// sent by this agent and are included in Running.
 //
-// The number and the counts are taken together. If one call took its counts first
-// and its number last, entries would keep the older counts for the later ones, and
-// nothing puts that right before the next answer or the next report.
+// The sequence number and the counts are taken under one lock, so that a load with a
+// higher number never holds older counts. Entries keep the load with the highest number
+// until the next reply or report.
 func (a *Agent) currentLoad() *wire.Load {
 	a.loadMu.Lock()
 	defer a.loadMu.Unlock()
--- a/agent/attempts.go
+++ b/agent/attempts.go
@@ -7,11 +7,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// attemptMemory is how long an attempt ID is remembered after its deadline. No
-// frame of an attempt is in flight so long after its deadline has passed.
+// attemptRetention is how long an attempt ID is kept after its deadline. It exceeds the
+// time for which a duplicate message of the attempt can still be in flight.
 const attemptRetention = time.Minute
 
-// attempts remembers attempt IDs so that a doubled message runs nothing twice.
+// attemptRegistry records attempt IDs, so that a duplicate message runs nothing twice, and
+// counts the running attempts.
 type attemptRegistry struct {
 	mu        sync.Mutex
 	seen      map[string]time.Time
@@ -22,9 +23,9 @@
 
 func newAttemptRegistry() *attemptRegistry { return &attemptRegistry{seen: map[string]time.Time{}} }
 
-// begin registers an attempt, or says why it may not run. Leaving is decided
-// under the same lock as the count of running attempts: a drain that has seen
-// none running can't miss one that is about to begin.
+// begin registers an attempt and returns 0, or returns the reason for which it must not
+// run. The closed flag and the count of running attempts share one lock: a drain that has
+// seen no running attempt cannot miss one that is about to begin.
 func (a *attemptRegistry) begin(now time.Time, id string, deadline time.Time) wire.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -40,7 +41,7 @@
 	return 0
 }
 
-// close lets no attempt begin from now on; it returns false if it was closed.
+// close refuses all further attempts. It returns false if the registry was closed before.
 func (a *attemptRegistry) close() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/cache.go
+++ b/agent/cache.go
@@ -9,25 +9,27 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// cacheAnswerAge is how old an engine's answer about its cache events may be for
-// another watch to share it.
+// cacheEventsMaxAge is the age up to which a fetched list of cache events is shared with
+// other watches.
 const cacheEventsMaxAge = 50 * time.Millisecond
 
-// cacheEvents asks an upstream for its cache events on behalf of all watches. Each
-// asks twice a second; hundreds of them would keep the engine busy with the same
-// answer.
+// cacheEventSource fetches cache events from the upstream on behalf of all watches. Every
+// watch polls for them; sharing the result keeps the load on the engine independent of the
+// number of watches.
 type cacheEventSource struct {
 	fetch func(ctx context.Context, after uint64) ([]*wire.CacheEvent, error)
 
 	mu sync.Mutex
-	// after and events are the last question and its answer, at when it was asked.
+	// events holds the result of the last fetch, made at fetchedAt for sequence numbers
+	// above after.
 	after     uint64
 	events    []*wire.CacheEvent
 	fetchedAt time.Time
 }
 
-// since returns the events after a number. The answer to a question for the same
-// or earlier events holds them all.
+// eventsAfter returns the events with a sequence number above after, or nil if the
+// upstream cannot be queried. A recent result is reused if it was fetched for the same or
+// a lower number, as it then contains all of them.
 func (c *cacheEventSource) eventsAfter(ctx context.Context, now time.Time, after uint64) []*wire.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/agent/cache_test.go
+++ b/agent/cache_test.go
@@ -11,12 +11,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Entries watch one engine, open their streams at any time and ask in any order,
-// while the engine publishes. If a shared answer left an event out, an entry would
-// see a gap and drop all it knows of the engine's cache; if one came twice or late
-// for good, it would route by prompts that are gone. Each stream gets every event
-// once, in order, and none later than the age of an answer; the engine is asked
-// once in that time by those that know as much, not by each.
+// Many watches poll one upstream at any time and in any order, and start over at any time,
+// while it publishes cache events. Each watch must get every event once, in order and less
+// than cacheEventsMaxAge late; a gap would make the entry discard its knowledge of the
+// cache. Polls within that time must share one fetch.
 func TestSharedCacheFetchDeliversEachEventOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, asked := time.Unix(1000, 0), 0
--- a/agent/drain_test.go
+++ b/agent/drain_test.go
@@ -14,10 +14,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// An idle upstream is stopped as planned while an entry that hasn't heard of it goes on
-// sending it bids. Each bid is refused as not run for as long as an entry may not know,
-// so that it can go elsewhere; a connection that was closed at once would leave it in
-// doubt.
+// An entry that does not know of a planned stop keeps sending attempts. Each must be
+// refused as not run during the leave margin, so that it can go to another upstream; a
+// closed connection would leave its outcome unknown.
 func TestDrainRefusesAttemptsDuringLeaveMargin(t *testing.T) {
 	r := newRelayFixtureWith(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
 		func(s *agent.Settings) { s.LeaveMargin = kernel.Duration(time.Hour) })
--- a/agent/fuzz_test.go
+++ b/agent/fuzz_test.go
@@ -11,10 +11,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// upstream is the agent under test.
+// upstream is the ID of the agent under test.
 const upstream = "lm-1"
 
-// start brings up a system for a fuzz target.
+// startSystem starts a system for a fuzz target.
 func startSystem(f *testing.F) *quickstart.System {
 	f.Helper()
 	sys, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewNopLogger(), FakeDisks: true})
@@ -28,8 +28,8 @@
 	return sys
 }
 
-// A peer that knows the cluster secret sends malformed messages to an agent. It
-// goes on answering, and its memory stays bounded.
+// A peer that knows the cluster secret sends malformed messages. The agent must keep
+// answering, with bounded memory.
 func FuzzPeers(f *testing.F) {
 	sys := startSystem(f)
 	peers := surface.NewPeers(sys.Agent(upstream).Address(), quickstart.Secret, wire.DRPCAgentDescription{})
@@ -41,8 +41,8 @@
 	})
 }
 
-// Whoever reaches an agent's port for the state dump and the metrics sends
-// whatever it likes. The agent goes on answering there, and its memory stays bounded.
+// Arbitrary bytes are sent to the HTTP port for the state dump and the metrics. The agent
+// must keep answering there, with bounded memory.
 func FuzzOperators(f *testing.F) {
 	address := startSystem(f).OperatorAddress(upstream)
 	for _, r := range surface.Dumps() {
--- a/agent/gauges.go
+++ b/agent/gauges.go
@@ -2,7 +2,7 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// registerGauges adds what is read when the metrics are asked for.
+// registerGauges registers the metrics that are computed when they are read.
 func (a *Agent) registerGauges() {
 	gauge := func(name string, value func() int64) {
 		metrics.NewRegisteredFunctionalGauge(name, a.metrics, value)
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -16,23 +16,22 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// tokenTimeout is how long one replica may take to tell the token in force.
+// tokenTimeout bounds the query of one control replica for the current fencing token.
 const tokenTimeout = time.Second
 
-// orders lets orders through to the upstream under the guard of their fencing
-// tokens. Engines that ignore tokens have no other guard.
+// orderFence checks the fencing tokens of orders before they are sent to the upstream. It
+// is the only protection for engines that do not check tokens themselves.
 type orderFence struct {
-	// mu is held while an order is with the upstream. Two orders that were both
-	// admitted could otherwise overtake each other on their way: the older one
-	// would be carried out after the newer one's first.
+	// mu is held while an order is sent to the upstream. Otherwise two admitted orders
+	// could be reordered, and the older one applied after the newer one.
 	mu           sync.Mutex
 	guard        *fence.Guard
 	currentToken func(ctx context.Context, group string) (uint64, error)
-	// states hands the group's state on each control replica to a function until
-	// that returns true.
+	// eachGroupState calls a function with the group's state on each control replica until
+	// it returns true.
 	eachGroupState func(ctx context.Context, group string, f func(*wire.GroupState) bool)
-	// doubt is the epoch that the engine was armed for, and not told the end of,
-	// when it was last looked at.
+	// undecidedEpoch is the epoch for which the engine was armed at the last check; 0 if
+	// it was not armed.
 	undecidedEpoch uint64
 }
 
@@ -41,8 +40,9 @@
 		guard: fence.NewGuard(),
 		currentToken: func(ctx context.Context, group string) (token uint64, err error) {
 			err = client.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) error {
-				// A frozen replica keeps its connections and says nothing. Every
-				// order waits for the answer; another replica has it too.
+				// A frozen replica keeps its connections open and does not reply. Every
+				// order waits for this query, so it moves on to the next replica after a
+				// timeout.
 				ctx, cancel := context.WithTimeout(ctx, tokenTimeout)
 				defer cancel()
 				r, err := c.Token(ctx, &wire.TokenRequest{Group: group})
@@ -62,23 +62,25 @@
 	}
 }
 
-// admit says whether an order may pass; the caller holds mu. A guard that has
-// just started has forgotten which tokens it saw, so it asks a quorum first.
+// admit returns whether an order may be sent to the upstream and, if not, why. The caller
+// holds mu. A guard that has just started knows no token, so the current one, confirmed by
+// a quorum, is queried first.
 func (o *orderFence) admit(ctx context.Context, order *wire.Order) (bool, string) {
 	if !o.guard.Known(order.Group) {
 		token, err := o.currentToken(ctx, order.Group)
 		if err != nil {
-			return false, "the current fencing token can't be learned: " + err.Error()
+			return false, "cannot get the current fencing token: " + err.Error()
 		}
 		o.guard.Learn(order.Group, token)
 	}
 	if !o.guard.Admit(order.Group, order.Token) {
-		return false, fmt.Sprintf("fencing token %d is old", order.Token)
+		return false, fmt.Sprintf("fencing token %d is stale", order.Token)
 	}
 	return true, ""
 }
 
-// Give implements the Agent service.
+// Give implements the Agent service. It sends an order to the upstream if its fencing
+// token is current.
 func (a *Agent) Give(ctx context.Context, order *wire.Order) (*wire.OrderReply, error) {
 	a.orders.mu.Lock()
 	defer a.orders.mu.Unlock()
@@ -86,7 +88,7 @@
 	highest := a.orders.guard.Highest(order.Group)
 	if !ok {
 		metrics.GetOrRegisterCounter("agent.orders.refused", a.metrics).Inc(1)
-		kernel.Warn(a.log, "Refused an order.", "verb", order.Verb, "group", order.Group, "token", order.Token, "highest", highest, "detail", detail)
+		kernel.Warn(a.log, "Order refused.", "verb", order.Verb, "group", order.Group, "token", order.Token, "highest", highest, "detail", detail)
 		return &wire.OrderReply{Detail: detail, HighestToken: highest}, nil
 	}
 	reply, err := a.forwardOrder(ctx, order)
@@ -97,9 +99,9 @@
 	return reply, nil
 }
 
-// passOn gives an order to the upstream, or collects its expert counters. The
-// counters start anew with each collection, so they go to the holder of the
-// lease only: a second collector would take half of them away.
+// forwardOrder sends an order to the upstream, or collects the expert counters. A
+// collection resets the counters, so only the leaseholder may collect them: a second
+// collector would get part of the counts.
 func (a *Agent) forwardOrder(ctx context.Context, order *wire.Order) (*wire.OrderReply, error) {
 	if order.Verb != rollout.VerbCounters {
 		return a.upstream.Give(ctx, order)
--- a/agent/orders_test.go
+++ b/agent/orders_test.go
@@ -18,7 +18,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// agentBeside makes an agent whose guard learns tokens from a function.
+// newAgentForEngine creates an agent whose guard gets the current token from a function.
 func newAgentForEngine(t *testing.T, e *fake.Engine, tokens func() (uint64, error)) *Agent {
 	t.Helper()
 	up, err := upstream.New("engine", map[string]any{"url": e.URL()})
@@ -37,10 +37,9 @@
 	return &wire.Order{Group: "g", Token: token, OrderId: verb, Verb: verb}
 }
 
-// A leader is cut off, silently, and goes on giving orders. A new leader gives
-// its first one. No order of the old leader is carried out after it, by an
-// engine that checks tokens or by one that ignores them, and also not by an
-// agent that restarted in between and has forgotten what it saw.
+// A partitioned former leader keeps sending orders. None of them may be carried out after
+// the first order of the new leader, whether or not the engine checks tokens, and also not
+// by an agent that has restarted since.
 func TestOrdersWithStaleTokenAreRefused(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		e := &fake.Engine{Fencing: fencing}
@@ -68,8 +67,8 @@
 	}
 }
 
-// An agent restarts while no quorum can be reached. It lets no order through,
-// not even one that looks new: it can't know.
+// A restarted agent that cannot reach a quorum must refuse every order, as it cannot know
+// the current token.
 func TestRestartedAgentRefusesOrdersWithoutQuorum(t *testing.T) {
 	e := &fake.Engine{}
 	assert.NilError(t, e.Start())
@@ -81,10 +80,8 @@
 	assert.Equal(t, len(e.Orders()), 0)
 }
 
-// A rank is armed, and the network between the leader and this host goes. One
-// replica doesn't know the decision yet, the next one does: the agent tells its rank,
-// so the group doesn't stand still until the network is back. Nothing is told while
-// no replica knows.
+// The leader cannot reach the host of an armed rank. The agent must deliver the decision
+// to its rank as soon as one control replica knows it, and nothing before.
 func TestAgentResolvesSwitchOfArmedRank(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		g := &fake.Group{Name: "g", Shape: placement.Shape{Ranks: 1, Experts: 1, Layers: 1, Slots: 1}}
--- a/agent/queue.go
+++ b/agent/queue.go
@@ -8,7 +8,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// poolQueue is the settings of the agent's queue, and the row they come from.
+// queueConfig holds the queue settings, and the pool row and revision they come from.
 type queueConfig struct {
 	Pool          string `json:"pool"`
 	Revision      uint64 `json:"revision"`
@@ -29,7 +29,7 @@
 	}
 }
 
-// queueSettings is what is in force now.
+// currentQueueConfig holds the queue settings in force.
 type currentQueueConfig struct {
 	mu     sync.Mutex
 	config queueConfig
@@ -41,10 +41,11 @@
 	return s.config
 }
 
-// follow puts a row in force and returns true if that changed anything. Each
-// control replica answers by its own state: a row from one that lags would bring
-// the old settings back for a moment, so a lower revision is ignored. configure is
-// called under the lock, so that of two answers at once the later row stays.
+// apply puts a pool row in force and returns the settings in force and whether they
+// changed. Control replicas reply from their own state, which may lag, so a row with an
+// equal or lower revision is ignored, as is one without slots. configure is called under
+// the lock, so that of two concurrent rows the one with the higher revision stays in
+// force.
 func (s *currentQueueConfig) apply(row *wire.PoolSettings, configure func(admit.Settings)) (queueConfig, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +61,9 @@
 	return next, true
 }
 
-// followPools takes the queue settings of the first of the agent's pools. What
-// waits and runs goes on: lowered slots are reached as work ends.
+// applyPoolSettings applies the queue settings of the first of the agent's pools. Queued
+// and running work is unaffected: a lower concurrency limit is reached as running requests
+// finish.
 func (a *Agent) applyPoolSettings(rows []*wire.PoolSettings) {
 	for _, row := range rows {
 		if row.Pool != a.settings.Pools[0] {
@@ -71,7 +73,7 @@
 		if !changed {
 			return
 		}
-		kernel.Info(a.log, "Queue settings are in force.", "pool", q.Pool, "revision", q.Revision,
+		kernel.Info(a.log, "Queue settings applied.", "pool", q.Pool, "revision", q.Revision,
 			"slots", q.Slots, "max_queue", q.MaxQueue, "urgent_percent", q.UrgentPercent)
 	}
 }
--- a/agent/queue_test.go
+++ b/agent/queue_test.go
@@ -9,8 +9,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Three control replicas answer each announcement by their own state, and one
-// lags. The settings in force never go back to its older row.
+// A lagging control replica replies with an older pool row, which must not be applied.
 func TestQueueConfigIgnoresOlderRevisions(t *testing.T) {
 	s := currentQueueConfig{config: initialQueueConfig(DefaultSettings())}
 	var last admit.Settings
@@ -23,6 +22,6 @@
 	assert.DeepEqual(t, last, admit.Settings{Slots: 20, Reserved: 2, MaxQueue: 5})
 	assert.Assert(t, !follow(4, 8), "an older row")
 	assert.Assert(t, !follow(7, 20), "the same row")
-	assert.Assert(t, !follow(9, 0), "no slots is no settings")
+	assert.Assert(t, !follow(9, 0), "a row without slots")
 	assert.Equal(t, last.Slots, 20)
 }
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -25,7 +25,7 @@
 
 const testSecret = "a secret of the tests"
 
-// relay is a forwarder, an agent and an upstream.
+// relayFixture connects a forwarder to an agent and its upstream.
 type relayFixture struct {
 	agent       *agent.Agent
 	connections *transport.Pool
@@ -62,7 +62,7 @@
 	return r
 }
 
-// forget takes a new forwarder, which knows nothing of earlier answers.
+// resetForwarder replaces the forwarder by one without knowledge of earlier answers.
 func (r *relayFixture) resetForwarder(t *testing.T) {
 	t.Helper()
 	r.forwarder = forward.New(r.connections, route.Place{Entry: "e", FailureDomain: "hall-a"}, time.Now)
@@ -74,7 +74,7 @@
 	assert.NilError(t, r.forwarder.Update(r.pool, ups))
 }
 
-// caller keeps what reaches it.
+// recordingCaller records the answer it gets.
 type recordingCaller struct {
 	head *wire.RunReplyHead
 	body bytes.Buffer
@@ -110,11 +110,11 @@
 	return b
 }
 
-// sizes lie around the bounds of a frame, of drpc's buffer and of several frames.
+// bodySizes covers the limits of a frame, of drpc's buffer and of several frames.
 var bodySizes = []int{0, 1, 4095, 4096, 4097, transport.BodyFrame - 1, transport.BodyFrame, transport.BodyFrame + 1, 3*transport.BodyFrame + 17, 1 << 20}
 
-// Bodies of every size go out and come back whole, streamed or not, one after
-// another on the same connections.
+// Request and answer bodies of every size must arrive unchanged, streamed or not, on
+// reused connections.
 func TestBodiesOfAnySizeAreRelayedIntact(t *testing.T) {
 	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
@@ -141,9 +141,8 @@
 	}
 }
 
-// The upstream dies in the middle of its answer, wherever that is. The caller has
-// nothing of an unstreamed answer, and of a stream it is told that it was cut; the
-// next call on the connection is answered.
+// The upstream fails in the middle of its answer. The caller must get nothing of an
+// unstreamed answer and must be told that a stream is truncated.
 func TestTruncatedAnswerIsReported(t *testing.T) {
 	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		n, _ := strconv.Atoi(q.URL.Query().Get("n"))
@@ -170,8 +169,8 @@
 	}
 }
 
-// A caller leaves while the upstream works: the upstream is told, and the
-// connection serves the next caller with its own answer.
+// A caller cancels while the upstream works. The upstream's request must be canceled, and
+// the next call must get its own answer.
 func TestCallerCancellationReachesUpstream(t *testing.T) {
 	began, left := make(chan struct{}, 1), make(chan struct{})
 	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
@@ -181,7 +180,7 @@
 			return
 		case "/wait":
 		default:
-			// The agent asks for the load by itself; that is no request of a caller.
+			// The agent polls the load on its own; that is not a request of a caller.
 			http.NotFound(w, q)
 			return
 		}
@@ -204,9 +203,9 @@
 	assert.Equal(t, c.body.String(), "mine")
 }
 
-// Agents have died and their leases have not ended, so calls still go to them. No
-// connection comes about, so nothing ran: each caller is answered by the agent that
-// is left, also calls that may not be repeated, and with no retry budget.
+// Calls still go to failed agents whose leases have not expired. No connection is made, so
+// nothing ran: each call must be answered by the remaining agent, also if it is unsafe,
+// and without a retry budget.
 func TestDeadAgentIsSkipped(t *testing.T) {
 	r := newRelayFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "mine") })
 	dead, release, err := fake.HoldPort()
@@ -224,7 +223,7 @@
 		assert.Equal(t, c.body.String(), "mine")
 		met += len(res.Attempts)
 	}
-	assert.Assert(t, met > 0, "no call met a dead agent: the test shows nothing")
+	assert.Assert(t, met > 0, "no call was sent to a dead agent, so the test checks nothing")
 	r.setUpstreams(t, route.Upstream{ID: "dead-1", Address: dead, FailureDomain: "hall-a"})
 	_, res := r.call(context.Background(), "none", "/", nil)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
--- a/agent/report_test.go
+++ b/agent/report_test.go
@@ -19,11 +19,9 @@
 	return &wire.Report{Load: &wire.Load{Running: running, Waiting: waiting, Slots: slots}}
 }
 
-// An entry watches an upstream whose load goes up and down, and reports get lost.
-// What the entry then knows is wrong until the next report: with each report that
-// arrives it is off by less than its slots, and one comes at the latest
-// when the keep-alive has run out. Cache events never wait, nor does any
-// change of an upstream that is leaving.
+// The load changes and reports get lost. After each report that arrives, a watcher's count
+// must be off by less than the slots, and the next report must be sent within the
+// keep-alive. Cache events and any change of a leaving upstream must be sent at once.
 func TestReportsOmitOnlySmallChanges(t *testing.T) {
 	const step, keepAlive = 500 * time.Millisecond, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -43,7 +41,7 @@
 					known, heard = next, now
 				}
 			} else {
-				assert.Assert(t, len(next.Cache) == 0, "cache events wait")
+				assert.Assert(t, len(next.Cache) == 0, "cache events are delayed")
 			}
 			if r.lastSent == known {
 				off := int(next.Load.Running+next.Load.Waiting) - int(known.Load.Running+known.Load.Waiting)
@@ -59,8 +57,8 @@
 	})
 }
 
-// A report is lost and the load doesn't change again. The next one comes with the
-// keep-alive and heals it.
+// After a lost report, and with an unchanged load, the next report must be sent when the
+// keep-alive has passed.
 func TestKeepAliveRepairsLostReport(t *testing.T) {
 	r := Reports{Rule: watchReportRule(&wire.WatchRequest{KeepAliveMs: 10_000})}
 	now := time.Unix(1000, 0)
@@ -69,8 +67,8 @@
 	assert.Assert(t, r.Due(now.Add(10*time.Second), report(8, 3, 8)))
 }
 
-// An entry of an earlier version asks without a keep-alive, and takes an upstream
-// that says nothing for a lease as gone. It is told at each interval, as ever.
+// An entry of an earlier version sends no keep-alive and treats an upstream that is silent
+// for a lease as gone. It must get a report at each interval.
 func TestWatchWithoutKeepAliveReportsAtEachInterval(t *testing.T) {
 	r := Reports{Rule: watchReportRule(&wire.WatchRequest{IntervalMs: 500})}
 	now := time.Unix(1000, 0)
@@ -78,9 +76,8 @@
 	assert.Assert(t, r.Due(now.Add(500*time.Millisecond), report(1, 0, 8)))
 }
 
-// Answers and reports take the agent's load at the same moment, and an entry keeps
-// the one with the higher number. That one must not hold older counts: the entry
-// would send work by them until the next report, half a minute later.
+// Replies and reports read the load concurrently, and an entry keeps the one with the
+// highest sequence number. That one must not hold older counts.
 func TestLoadSequenceFollowsCounts(t *testing.T) {
 	const works, readers = 500, 4
 	set := DefaultSettings()
@@ -106,7 +103,7 @@
 			}
 		})
 	}
-	// Requests only come, so the counts only grow.
+	// Requests are only added, so the counts only grow.
 	for range works {
 		_, err := a.runner.Enter(t.Context(), &admit.Work{Team: "t", Weight: 1, Priority: wire.Priority_PRIORITY_URGENT, Cost: 1})
 		assert.NilError(t, err)
--- a/agent/resolve.go
+++ b/agent/resolve.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// resolveInterval is how often an agent looks whether its rank waits for a
-	// decision; the leader has one interval to tell it first.
+	// resolveInterval is the interval between two checks whether the rank is armed and
+	// undecided. The leader has one interval to deliver the decision first.
 	resolveInterval   = 500 * time.Millisecond
 	groupStateTimeout = time.Second
 )
 
-// resolveLoop tells an armed rank the decision when the leader doesn't. A leader
-// that a partition keeps from this host alone goes on leading; its group would stand
-// still until the network heals, though any control replica knows the decision.
+// resolveSwitchLoop delivers the decision on a map switch to an armed rank if the leader
+// does not. A leader that is partitioned from this host only remains the leader, and
+// without the decision the group would stall until the partition heals, although any
+// control replica knows the decision.
 func (a *Agent) resolveSwitchLoop(ctx context.Context) {
 	if a.settings.Group == "" {
 		return
@@ -38,8 +39,8 @@
 	}
 }
 
-// resolve looks at the rank once. What a replica's state says of an ended switch is
-// true however old the state is, so any replica will do.
+// resolveSwitch checks the rank once and delivers the decision if it is known. A finished
+// switch never changes again, so even the state of a lagging replica is sufficient.
 func (a *Agent) resolveSwitch(ctx context.Context, group string, rank int) {
 	status, err := a.sendAgentOrder(ctx, rollout.VerbStatus, rollout.Order{Group: group, Rank: rank})
 	if err != nil {
@@ -57,13 +58,14 @@
 		}
 		o.Group, o.Rank, o.Incarnation = group, rank, status.Incarnation
 		_, err := a.sendAgentOrder(ctx, verb, o)
-		kernel.Info(a.log, "Told the rank how a switch ended.", "group", group, "rank", rank, "epoch", o.Epoch, "verb", verb, "err", err)
+		kernel.Info(a.log, "Delivered the decision on a map switch to the rank.", "group", group, "rank", rank, "epoch", o.Epoch, "verb", verb, "err", err)
 		return err == nil
 	})
 }
 
-// giveOwn gives the upstream an order of the agent's own, under the highest token
-// that it knows: it must not look older to the engine than the leader's.
+// sendAgentOrder sends an order of the agent itself to the upstream. It uses the highest
+// known token, so that an engine which checks tokens does not refuse it as older than the
+// leader's orders.
 func (a *Agent) sendAgentOrder(ctx context.Context, verb string, o rollout.Order) (s rollout.Status, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -85,12 +87,13 @@
 	return s, json.Unmarshal(reply.Body, &s)
 }
 
-// admitOwn learns the current token first, if none is known; the caller holds mu.
+// admitAgentOrder gets the current token first, if none is known, and sets it in the
+// order. The caller holds mu.
 func (o *orderFence) admitAgentOrder(ctx context.Context, order *wire.Order) (bool, string) {
 	if !o.guard.Known(order.Group) {
 		token, err := o.currentToken(ctx, order.Group)
 		if err != nil {
-			return false, "the current fencing token can't be learned: " + err.Error()
+			return false, "cannot get the current fencing token: " + err.Error()
 		}
 		o.guard.Learn(order.Group, token)
 		order.Token = o.guard.Highest(order.Group)
--- a/agent/run.go
+++ b/agent/run.go
@@ -15,10 +15,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrBadFrame is returned for a stream that breaks the Run protocol.
+// ErrBadFrame is returned for a stream that violates the Run protocol.
 var ErrBadFrame = merry.Sentinel("malformed run frame")
 
-// maxTimeout bounds what an entry may ask for.
+// maxTimeout bounds the timeout that an entry may request for an attempt or a ticket.
 const maxTimeout = time.Hour
 
 // attempt is one Run call in progress.
@@ -29,15 +29,15 @@
 	body      []byte
 	deadline  time.Time
 	queuedFor time.Duration
-	// sentAt is when the attempt went to the upstream, and ended the life of the upstream that
-	// ended under it.
+	// sentAt is when the attempt was sent to the upstream. exitedUpstream identifies the
+	// upstream generation that exited while it ran the attempt; empty if none did.
 	sentAt         time.Time
 	exitedUpstream string
 	bodyBytesSent  uint64
 }
 
-// frames holds buffers for relayed answers. Send encodes a message before it
-// returns, so a buffer can be used again at once.
+// frameBuffers pools the buffers for relayed answers. Send encodes a message before it
+// returns, so a buffer may be reused at once.
 var frameBuffers = sync.Pool{New: func() any {
 	b := make([]byte, transport.BodyFrame)
 	return &b
@@ -50,16 +50,16 @@
 	if err != nil {
 		return err
 	}
-	// An attempt that was sent to an earlier life may have been run by it, and
-	// this life's memory of attempts is empty: it must not run again.
+	// An attempt that was sent to an earlier incarnation may have been run by it, and this
+	// incarnation's registry does not contain it, so it must not be run again.
 	if h := at.head; h.Incarnation != 0 && h.Incarnation != a.incarnation.Number() {
-		return at.finish(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_NO_UPSTREAM, "meant for another incarnation of the agent")
+		return at.finish(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_NO_UPSTREAM, "the attempt addresses another incarnation of the agent")
 	}
 	switch a.attempts.begin(now, at.head.AttemptId, at.deadline) {
 	case wire.Reason_REASON_DUPLICATE_ATTEMPT:
-		// The first message of this attempt may be running: only the stream
-		// that carries it can say what became of it.
-		return at.finish(wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_DUPLICATE_ATTEMPT, "attempt was seen before")
+		// The first message of this attempt may be running; only the stream that carried
+		// it can report the outcome.
+		return at.finish(wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_DUPLICATE_ATTEMPT, "duplicate attempt ID")
 	case wire.Reason_REASON_UPSTREAM_LEAVING:
 		return at.finish(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_UPSTREAM_LEAVING, "upstream is leaving")
 	}
@@ -74,13 +74,13 @@
 	}
 	h := frame.Head
 	if h == nil || h.AttemptId == "" || h.RequestId == "" || h.Method == "" || h.TimeoutUs <= 0 {
-		return nil, merry.Prepend(ErrBadFrame, "first frame lacks a complete head")
+		return nil, merry.Prepend(ErrBadFrame, "the head of the first frame is missing or incomplete")
 	}
 	timeout := min(time.Duration(h.TimeoutUs)*time.Microsecond, maxTimeout)
 	at := &attempt{agent: a, stream: stream, head: h, deadline: now.Add(timeout)}
 	for {
 		if int64(len(at.body)+len(frame.Body)) > a.settings.MaxBody {
-			return nil, merry.Prependf(ErrBadFrame, "body is over %d bytes", a.settings.MaxBody)
+			return nil, merry.Prependf(ErrBadFrame, "body exceeds %d bytes", a.settings.MaxBody)
 		}
 		at.body = append(at.body, frame.Body...)
 		if frame.Last {
@@ -90,7 +90,7 @@
 			return nil, err
 		}
 		if frame.Head != nil {
-			return nil, merry.Prepend(ErrBadFrame, "second head")
+			return nil, merry.Prepend(ErrBadFrame, "stream has a second head")
 		}
 	}
 }
@@ -141,9 +141,9 @@
 	return at.finish(outcome, reason, err.Error())
 }
 
-// relay sends the answer on. The first reply of a stream is its head, at once;
-// the head of any other answer waits for the first frame of body, and the last
-// frame goes with the end: a small answer is one message.
+// relay sends the upstream's answer to the entry. The head of a streaming answer is sent
+// at once; the head of any other answer is sent with the first frame of the body, and the
+// last frame with the end, so that a small answer is one message.
 func (at *attempt) relay(ctx context.Context, answer *upstream.Answer) error {
 	frame := frameBuffers.Get().(*[]byte)
 	defer frameBuffers.Put(frame)
@@ -166,8 +166,8 @@
 		case err == io.EOF:
 			return at.sendRunEnd(reply, wire.Outcome_OUTCOME_DONE, 0, "")
 		case err != nil:
-			// The upstream's answer was cut. It ran, but the caller must not
-			// take the part for the whole.
+			// The upstream's answer is truncated. The attempt ran, but the caller must not
+			// take the partial answer for the complete one.
 			at.exitedUpstream = at.detectUpstreamExit(ctx)
 			return at.sendRunEnd(reply, wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_ANSWER_INVALID, err.Error())
 		case n == 0:
@@ -180,9 +180,9 @@
 	}
 }
 
-// fill reads until the buffer is full or the reader ends. io.ReadFull would do
-// it too, but says "unexpected end" both of an answer shorter than the buffer
-// and of one that the upstream cut.
+// fillBuffer reads until the buffer is full or the reader returns an error. io.ReadFull
+// returns io.ErrUnexpectedEOF both for an answer shorter than the buffer and for one that
+// the upstream truncated, so it cannot be used here.
 func fillBuffer(r io.Reader, buf []byte) (n int, err error) {
 	for n < len(buf) && err == nil {
 		var m int
--- a/agent/services.go
+++ b/agent/services.go
@@ -11,7 +11,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// minReportInterval bounds how often a watcher may ask to be told.
+// minReportInterval is the shortest report interval that a watcher gets.
 const minReportInterval = 50 * time.Millisecond
 
 func (a *Agent) countOutcome(o wire.Outcome, r wire.Reason) {
@@ -59,18 +59,21 @@
 	}
 }
 
-// reportRule is what a watcher asked for. An entry of an earlier version names no
-// keep-alive and takes silence for death: it is told at each interval.
+// watchReportRule returns the report rule for a watch. An entry of an earlier version
+// sends no keep-alive and treats silence as a failure, so it gets a report at each
+// interval.
 func watchReportRule(req *wire.WatchRequest) ReportRule {
 	return ReportRule{Change: reportChange, KeepAlive: time.Duration(req.KeepAliveMs) * time.Millisecond}
 }
 
-// service is the agent as its peers call it.
+// service implements the Agent service. Its Drain replaces the Drain of Agent, which
+// implements kernel.Daemon.
 type service struct{ *Agent }
 
-// Drain implements the Agent service: an operator asks the upstream to leave.
+// Drain implements the Agent service. It refuses new work, as Agent.Leave does, and
+// returns how many requests are running and queued.
 func (s service) Drain(ctx context.Context, req *wire.DrainRequest) (*wire.DrainReply, error) {
-	kernel.Info(s.log, "Asked to leave.", "by", req.By)
+	kernel.Info(s.log, "Drain requested.", "by", req.By)
 	s.Leave(ctx)
 	running, waiting := s.runner.Counts()
 	return &wire.DrainReply{Running: uint32(running), Waiting: uint32(waiting)}, nil
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -7,50 +7,52 @@
 	"github.com/snipereach/snipereach/transport"
 )
 
-// Settings of an agent, as its TOML file gives them.
+// Settings configures an agent; it is read from a TOML file.
 type Settings struct {
-	// ID names the upstream; one agent stands beside each.
+	// ID identifies the upstream; each upstream has one agent.
 	ID            string `toml:"id"`
 	FailureDomain string `toml:"failure_domain"`
-	// Listen is the drpc address, IP:port; port 0 takes a free one.
+	// Listen is the drpc address as IP:port; port 0 selects a free port.
 	Listen string `toml:"listen"`
-	// Advertise is the drpc address that entries use; Listen if empty.
+	// Advertise is the drpc address that entries connect to; the listen address if empty.
 	Advertise     string                `toml:"advertise"`
 	ClusterSecret string                `toml:"cluster_secret"`
 	TLS           transport.TLSSettings `toml:"tls"`
-	// Pools that the upstream serves.
+	// Pools lists the pools that the upstream serves.
 	Pools []string `toml:"pools"`
-	// Kind of the upstream: engine or plain.
+	// Kind is the kind of the upstream: engine or plain.
 	Kind     string         `toml:"kind"`
 	Upstream map[string]any `toml:"upstream"`
-	// AnnounceTo lists drpc addresses of control replicas.
+	// AnnounceTo lists the drpc addresses of the control replicas.
 	AnnounceTo       []string        `toml:"announce_to"`
 	AnnounceInterval kernel.Duration `toml:"announce_interval"`
 	Lease            kernel.Duration `toml:"lease"`
-	// Slots, MaxQueue and UrgentPercent hold until a pool row says otherwise.
+	// Slots, MaxQueue and UrgentPercent apply until a pool row overrides them.
 	Slots         int   `toml:"slots"`
 	MaxQueue      int   `toml:"max_queue"`
 	UrgentPercent int   `toml:"urgent_percent"`
 	MaxBody       int64 `toml:"max_body_bytes"`
-	// StopLimit bounds a planned stop.
+	// StopLimit bounds the duration of a planned stop.
 	StopLimit kernel.Duration `toml:"stop_limit"`
-	// LeaveMargin is how long a planned stop goes on refusing work at least. Entries
-	// know within two seconds that an upstream leaves (docs/design/directory.md).
+	// LeaveMargin is the shortest time for which a planned stop refuses new attempts.
+	// Entries learn within two seconds that an upstream leaves; see
+	// docs/design/directory.md.
 	LeaveMargin kernel.Duration `toml:"leave_margin"`
-	// Group and Rank, for engines of an expert-parallel group.
+	// Group and Rank identify the rank of an engine in an expert-parallel group; Group is
+	// empty for other upstreams.
 	Group string `toml:"group"`
 	Rank  uint32 `toml:"rank"`
-	// Operators is the HTTP address of metrics and the state dump; empty is off.
+	// Operators is the HTTP address for metrics and the state dump; empty disables it.
 	Operators string `toml:"operators_listen"`
-	// Dial opens connections to other processes if set: who embeds an agent may
-	// want a network of its own.
+	// Dial opens connections to other processes; nil uses the default dialer. Embedders
+	// may supply their own network.
 	Dial transport.DialFunc `toml:"-"`
-	// Now is the clock, time.Now by default: who embeds an agent may want to hold
-	// its time, as that of a host that is frozen.
+	// Now is the clock; time.Now by default. Embedders may supply one that stops, to
+	// simulate a frozen host.
 	Now func() time.Time `toml:"-"`
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the settings that apply where a file sets none.
 func DefaultSettings() *Settings {
 	return &Settings{
 		Now:              time.Now,
@@ -67,7 +69,7 @@
 	}
 }
 
-// Check names the first key that is wrong.
+// Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
 	bad := kernel.BadKey
 	switch {
--- a/agent/ticket_forward_test.go
+++ b/agent/ticket_forward_test.go
@@ -18,8 +18,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// fleet is a forwarder before agents with one slot each. A call runs until the
-// test ends it, by the agent that it runs at.
+// testCluster connects a forwarder to agents with one slot each. A call runs until the
+// test ends it through finishRun of its agent.
 type testCluster struct {
 	forwarder *forward.Forwarder
 	pool      *table.Pool
@@ -27,7 +27,7 @@
 	finishRun []chan struct{}
 
 	mu sync.Mutex
-	// ran counts the runs of each path.
+	// runCounts is the number of runs by path.
 	runCounts map[string]int
 }
 
@@ -89,7 +89,7 @@
 	return done
 }
 
-// until polls for a state that must come.
+// waitUntil polls until a condition holds.
 func (f *testCluster) waitUntil(state func() bool) {
 	for !state() {
 		time.Sleep(time.Millisecond)
@@ -102,7 +102,7 @@
 	return f.runCounts[path]
 }
 
-// tickets is how many tickets are at each agent.
+// ticketCounts returns the number of tickets at each agent.
 func (f *testCluster) ticketCounts() []int {
 	list := make([]int, len(f.agents))
 	for i, a := range f.agents {
@@ -119,8 +119,8 @@
 	}
 }
 
-// All upstreams are full. A request that may run once waits at each; a slot at one
-// becomes free. It runs there, once, and its tickets at the others are gone.
+// All upstreams are full, so a request waits at each of them. It must run once, at the
+// first that has a free slot, and its other tickets must be withdrawn.
 func TestRequestRunsOnceAtFirstFreeSlot(t *testing.T) {
 	f := newTestCluster(t, 3)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -138,8 +138,8 @@
 	assert.Equal(t, f.runCount("/x"), 1)
 }
 
-// The caller leaves, or its entry dies, while its request waits. The tickets would
-// hold slots for nobody, each for a while: they go with the connection.
+// A caller cancels while its request waits. Its tickets must end with the connection, as
+// their slots would be held for nobody.
 func TestTicketsEndWhenCallerCancels(t *testing.T) {
 	f := newTestCluster(t, 2)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -155,8 +155,8 @@
 	assert.Equal(t, f.runCount("/x"), 0)
 }
 
-// An agent leaves while a request waits there and elsewhere. The request neither
-// holds up the stop nor is refused: it goes on waiting at the other.
+// A request waits at two agents, and one of them leaves. The request must neither delay
+// that agent's stop nor be refused, but keep waiting at the other.
 func TestRequestKeepsWaitingElsewhereWhenAgentLeaves(t *testing.T) {
 	f := newTestCluster(t, 2)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/agent/tickets.go
+++ b/agent/tickets.go
@@ -13,34 +13,33 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of tickets. Nothing was run.
+// Errors of tickets. Each of them implies that the request was not run.
 var (
-	// ErrNoSlot refuses an attempt whose ticket holds no slot: it was never heard
-	// of, given up, held for too long, or used.
+	// ErrNoSlot refuses an attempt whose ticket holds no slot: the ticket is unknown,
+	// withdrawn, still waiting or already used, or its hold has expired.
 	ErrNoSlot = merry.Sentinel("no slot is held for the ticket")
-	// ErrTicketOver ends the wait of a ticket that was withdrawn.
-	ErrTicketOver = merry.Sentinel("ticket is over")
-	// ErrTicketTwice refuses a ticket that is here already.
-	ErrTicketTwice = merry.Sentinel("ticket was seen before")
+	// ErrTicketOver ends the wait of a ticket that was withdrawn, or ended because the
+	// agent leaves.
+	ErrTicketOver = merry.Sentinel("ticket was withdrawn")
+	// ErrTicketTwice refuses a ticket whose ID is already registered.
+	ErrTicketTwice = merry.Sentinel("duplicate ticket ID")
 )
 
-// holdTime is how long a slot is held for the Run of its ticket. It covers the
-// ways to the entry and back many times; what it costs when the entry has died,
-// or was cut off, is one slot for this long.
+// slotHoldTimeout is how long a slot is held for the Run of its ticket. It is many times
+// the round trip to an entry; an entry that has failed or is partitioned keeps one slot
+// idle for this long.
 const slotHoldTimeout = 100 * time.Millisecond
 
-// maxTickets bounds at how many agents a request may say that it waits: it takes
-// so small a part of a place in the queue.
+// maxTickets bounds the number of agents at which a request may claim to wait. A ticket of
+// n takes 1/n of a queue place.
 const maxTickets = 16
 
-// stopper is a timer that can be stopped.
 type stoppableTimer interface{ Stop() bool }
 
-// tickets are the places in this agent's queue that stand for requests which wait
-// at other agents as well. A ticket runs nothing: its turn holds a slot for a
-// short time, and a Run that names it takes the slot over, once. So whatever is
-// late, doubled or lost here, a request is run by one Run as without tickets, and
-// "not run" is as true as before.
+// ticketRegistry holds the tickets in this agent's queue: the queue places of requests
+// that wait at other agents as well. A ticket runs nothing. When its turn comes, a slot is
+// held for it for a short time, and one Run that names the ticket takes the slot over.
+// Late, duplicated or lost ticket messages therefore never run a request.
 type ticketRegistry struct {
 	runner    *admit.Runner
 	afterFunc func(time.Duration, func()) stoppableTimer
@@ -54,7 +53,7 @@
 }
 
 type ticket struct {
-	// stop ends the wait.
+	// cancelWait ends the wait for a slot.
 	cancelWait context.CancelFunc
 	// work, release and timer are set while a slot is held.
 	work    *admit.Work
@@ -62,7 +61,8 @@
 	timer   stoppableTimer
 }
 
-// newTickets makes the tickets of a runner; after is time.AfterFunc in production.
+// newTicketRegistry creates the registry of a runner. afterFunc is time.AfterFunc except
+// in tests.
 func newTicketRegistry[T stoppableTimer](r *admit.Runner, afterFunc func(time.Duration, func()) T) *ticketRegistry {
 	return &ticketRegistry{
 		runner: r, byID: map[string]*ticket{}, expired: metrics.NewCounter(),
@@ -70,7 +70,7 @@
 	}
 }
 
-// wait waits for the ticket's turn. Without an error a slot is held for it.
+// waitForSlot waits for a slot. If it returns nil, a slot is held for the ticket.
 func (s *ticketRegistry) waitForSlot(ctx context.Context, id string, w *admit.Work) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -98,7 +98,7 @@
 	if s.closed {
 		return admit.ErrClosed
 	}
-	// A doubled message would hold a second slot for the one request.
+	// A duplicate message would hold a second slot for the same request.
 	if s.byID[id] != nil {
 		return ErrTicketTwice
 	}
@@ -106,7 +106,8 @@
 	return nil
 }
 
-// hold keeps the slot for a ticket, unless it was withdrawn meanwhile.
+// holdSlot holds the slot for a ticket. It returns false if the ticket was removed
+// meanwhile.
 func (s *ticketRegistry) holdSlot(id string, t *ticket, w *admit.Work, release func()) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,13 +116,13 @@
 	}
 	t.work, t.release = w, release
 	s.held++
-	// The entry may have died, or its Run may be lost: the slot would stay empty
-	// for ever. After this time it is another's.
+	// The entry may have failed, or its Run may be lost: without a timeout the slot would
+	// never be released.
 	t.timer = s.afterFunc(slotHoldTimeout, func() { s.expireHold(id, t) })
 	return true
 }
 
-// claim hands a held slot over to its Run. The slot can be claimed once.
+// claimSlot transfers a held slot to the Run of its ticket. A slot can be claimed once.
 func (s *ticketRegistry) claimSlot(id string) (release func(), err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +134,7 @@
 	return t.release, nil
 }
 
-// withdraw ends a ticket: its wait, or the hold of its slot.
+// withdraw ends the wait of a ticket or releases the slot that is held for it.
 func (s *ticketRegistry) withdraw(id string) {
 	s.mu.Lock()
 	t := s.byID[id]
@@ -153,7 +154,7 @@
 	}
 }
 
-// remove forgets a ticket if it is still the one of its ID.
+// removeIfCurrent removes a ticket if it is still the one registered under its ID.
 func (s *ticketRegistry) removeIfCurrent(id string, t *ticket) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +165,7 @@
 	return true
 }
 
-// forget drops a ticket; the caller holds mu.
+// removeLocked removes a ticket. The caller holds mu.
 func (s *ticketRegistry) removeLocked(id string, t *ticket) {
 	delete(s.byID, id)
 	if t.timer != nil {
@@ -173,8 +174,8 @@
 	}
 }
 
-// end stops the wait or gives the slot back, once the ticket is forgotten: no
-// other can end it too.
+// cancel ends the wait or releases the slot. The ticket must have been removed from the
+// registry before, so that it is called once.
 func (t *ticket) cancel() {
 	t.cancelWait()
 	if t.release != nil {
@@ -187,7 +188,7 @@
 	release()
 }
 
-// close ends all tickets and takes no more: the agent leaves.
+// close ends all tickets and refuses new ones.
 func (s *ticketRegistry) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -208,7 +209,8 @@
 	return len(s.byID) - s.held, s.held
 }
 
-// enter waits for a slot, or takes the one that the attempt's ticket holds.
+// acquireSlot waits for a slot, or claims the one that is held for the ticket of the
+// attempt.
 func (at *attempt) acquireSlot(ctx context.Context) (release func(), err error) {
 	h := at.head
 	if h.Ticket != "" {
--- a/agent/tickets_test.go
+++ b/agent/tickets_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// manualTimers fire when the test says.
+// manualTimers fire when fireAll is called.
 type manualTimers struct{ pending []*manualTimer }
 
 type manualTimer struct {
@@ -33,7 +33,7 @@
 	return t
 }
 
-// pass lets the hold time of all held slots pass.
+// fireAll fires all timers that were not stopped.
 func (m *manualTimers) fireAll() {
 	list := m.pending
 	m.pending = nil
@@ -66,7 +66,8 @@
 	assert.NilError(t, r.waitForSlot(context.Background(), id, &admit.Work{Team: "t"}))
 }
 
-// later waits in the background until the ticket is in the queue.
+// waitInBackground starts waitForSlot in a goroutine and returns once the ticket is
+// queued.
 func (r *ticketFixture) waitInBackground(t *testing.T, id string) <-chan error {
 	t.Helper()
 	before, _ := r.counts()
@@ -80,9 +81,8 @@
 	}
 }
 
-// The entry dies, or is cut off, while a slot is held for it. Its Run never comes.
-// Without a bound the slot would be lost for good; after the hold time the next in
-// the queue has it, and a Run that comes even later is refused as not run.
+// The Run for a held slot never arrives. After the timeout the slot must go to the next
+// ticket, and a later Run must be refused as not run.
 func TestUnclaimedSlotExpires(t *testing.T) {
 	r := newTicketFixture(1)
 	r.mustHoldSlot(t, "a")
@@ -98,9 +98,8 @@
 	assert.Equal(t, r.running(), 0)
 }
 
-// The message with a ticket is doubled, and so is the Run that uses its slot. Two
-// slots would be held for one request, or it would run twice: the second of each
-// gets nothing.
+// A ticket message and the Run that uses its slot are duplicated. The second of each must
+// be refused: it would hold two slots for one request, or run it twice.
 func TestDuplicateTicketHoldsOneSlot(t *testing.T) {
 	r := newTicketFixture(2)
 	r.mustHoldSlot(t, "a")
@@ -114,8 +113,8 @@
 	assert.Equal(t, r.running(), 1, "the slot is in use and not given back by the hold time")
 }
 
-// Another upstream was first, and the entry withdraws its tickets: one waits here
-// and one holds a slot. Left alone they would keep slots from work that needs them.
+// Withdrawn tickets must leave the queue or release their slot, also if they are withdrawn
+// twice.
 func TestWithdrawnTicketsReleaseSlots(t *testing.T) {
 	r := newTicketFixture(1)
 	r.mustHoldSlot(t, "a")
@@ -128,8 +127,8 @@
 	assert.Equal(t, len(r.byID), 0)
 }
 
-// The agent is told to leave while tickets wait and hold slots. It would wait for
-// requests that may never come: all tickets end, and new ones are refused.
+// Tickets that wait or hold slots must not delay a planned stop: close must end all of
+// them and refuse new ones.
 func TestCloseEndsTickets(t *testing.T) {
 	r := newTicketFixture(1)
 	r.mustHoldSlot(t, "a")
@@ -140,8 +139,8 @@
 	assert.Equal(t, r.running(), 0)
 }
 
-// Messages come late, doubled, crossed or not at all, in any order. A slot is
-// never used by two, and none is lost: after the last run and hold all are free.
+// Ticket messages arrive late, duplicated, reordered or not at all. No slot may be used by
+// two requests, and after the last run and timeout all must be free.
 func TestTicketsNeverLeakSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const slots = 3
@@ -152,7 +151,8 @@
 			id := fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "ticket"))
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
 			case 0:
-				// A test of one goroutine can't wait: only tickets whose turn it is come.
+				// The test has one goroutine and cannot wait, so it adds a ticket only if
+				// a slot is free.
 				if r.running() < slots {
 					_ = r.waitForSlot(context.Background(), id, &admit.Work{Team: "t"})
 				}
@@ -186,8 +186,8 @@
 	})
 }
 
-// Urgent work finds the one slot that is kept for it taken. Queued here, it would
-// wait for the end of a run: it is refused at once, as not run, and moves on.
+// The reserved slot is taken. An urgent attempt must be refused at once as not run, so
+// that it can go to another upstream, instead of waiting for the end of a run.
 func TestUrgentNoWaitAttemptIsRefusedWhenReservedSlotIsTaken(t *testing.T) {
 	runner := admit.NewRunner(admit.Settings{Slots: 3, Reserved: 1, MaxQueue: 8}, time.Now)
 	at := &attempt{agent: &Agent{runner: runner}, head: &wire.RunHead{
@@ -199,7 +199,7 @@
 		assert.NilError(t, err)
 	}
 	_, err := at.acquireSlot(ctx)
-	assert.NilError(t, err, "the reserved slot is free, whatever the other load")
+	assert.NilError(t, err, "the reserved slot is free despite the other load")
 	_, err = at.acquireSlot(ctx)
 	assert.ErrorIs(t, err, admit.ErrBusy)
 	assert.Equal(t, admissionReason(err), wire.Reason_REASON_QUEUE_FULL)
--- a/agent/token_lookup_test.go
+++ b/agent/token_lookup_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// replica answers for the token in force, or says nothing until it is given up.
+// tokenServer replies with the current token, or not at all until the call is canceled.
 type tokenServer struct {
 	wire.DRPCControlUnimplementedServer
 	silent bool
@@ -44,11 +44,8 @@
 	return lis.Addr().String()
 }
 
-// An agent restarts and asks for the token in force. The replica that it asks first
-// froze with the connection open and says nothing. The agent looks after its rank
-// with no caller that would give up; it holds every order back while it asks, so that
-// the new leader's orders would wait for as long as the host is frozen. It asks the
-// next replica instead.
+// A restarted agent asks a frozen replica for the current token and gets no reply. It must
+// ask the next replica, as it holds back every order meanwhile.
 func TestTokenLookupSkipsFrozenReplica(t *testing.T) {
 	sec := transport.Security{Secret: []byte("a secret of this test")}
 	pool := transport.NewPool(sec)
--- a/agent/upstream_exit.go
+++ b/agent/upstream_exit.go
@@ -10,21 +10,21 @@
 	"github.com/snipereach/snipereach/upstream"
 )
 
-// probeTimeout bounds the question whether the upstream is still there. It stands on the agent's
-// own host, which answers at once.
+// probeTimeout bounds the check whether the upstream still listens. The upstream runs on
+// the agent's own host, so a connection is accepted or refused at once.
 const probeTimeout = 150 * time.Millisecond
 
-// upstreamLives numbers the lives of the upstream, so that entries count each end once however many
-// attempts it cut off.
+// upstreamGenerations numbers the runs of the upstream process, so that entries count each
+// unplanned exit once, however many attempts it interrupted.
 type upstreamGenerations struct {
 	mu     sync.Mutex
 	number int
-	// endedAt is when the end of that life was noticed; zero while it lives.
+	// exitedAt is when the exit of the current generation was noticed; zero while it runs.
 	exitedAt time.Time
 }
 
-// reached notes that an attempt that began at a time got to the upstream: if that was after an
-// end, it is another life.
+// recordContact records that an attempt which was sent at the given time reached the
+// upstream. If that was after an exit, a new generation has started.
 func (l *upstreamGenerations) recordContact(began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,7 +33,7 @@
 	}
 }
 
-// end notes an end, and returns the life's number.
+// recordExit records an exit and returns the number of the generation that exited.
 func (l *upstreamGenerations) recordExit(now time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,8 +43,9 @@
 	return l.number
 }
 
-// endedUnder names the life of the upstream that ended while it ran an attempt, after it broke that
-// off; empty if it lives on, or ends as planned.
+// detectUpstreamExit returns an identifier of the upstream generation that exited while it
+// ran the attempt. It returns "" if the upstream still listens or cannot be probed, if it
+// is leaving as planned, or if the attempt was canceled or is past its deadline.
 func (at *attempt) detectUpstreamExit(ctx context.Context) string {
 	a := at.agent
 	a.generations.recordContact(at.sentAt)
@@ -58,6 +59,6 @@
 		return ""
 	}
 	generation := fmt.Sprintf("%s/%d/%d", a.settings.ID, a.incarnation.Number(), a.generations.recordExit(a.settings.Now()))
-	kernel.Info(a.log, "Upstream ended under an attempt.", "request", at.head.RequestId, "attempt", at.head.AttemptId, "life", generation)
+	kernel.Info(a.log, "The upstream exited while it ran an attempt.", "request", at.head.RequestId, "attempt", at.head.AttemptId, "life", generation)
 	return generation
 }
--- a/agent/upstream_exit_test.go
+++ b/agent/upstream_exit_test.go
@@ -7,15 +7,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// An upstream ends under three attempts, and starts again; a request ends it once more before any
-// other was answered. Entries must count two ends, not one and not four: the attempts of one life
-// name it alike, and an attempt that got to the upstream after an end names the next.
+// Several attempts may notice the same exit of the upstream. They must report the same
+// generation, and an attempt that reached the upstream after an exit must report the next
+// one, so that entries count each exit once.
 func TestEachUpstreamExitIsCountedOnce(t *testing.T) {
 	var l upstreamGenerations
 	at := func(ms int) time.Time { return time.UnixMilli(int64(ms)) }
 	l.recordContact(at(0))
 	assert.Equal(t, l.recordExit(at(100)), 0)
-	// Two that began before the end notice it later.
+	// Two attempts that were sent before the exit notice it later.
 	l.recordContact(at(50))
 	assert.Equal(t, l.recordExit(at(101)), 0)
 	l.recordContact(at(90))
