--- a/agent/cache_test.go
+++ b/agent/cache_test.go
@@ -17,11 +17,11 @@
 // cache. Polls within that time must share one fetch.
 func TestSharedCacheFetchDeliversEachEventOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, asked := time.Unix(1000, 0), 0
+		now, fetches := time.Unix(1000, 0), 0
 		var published []*wire.CacheEvent
-		var when []time.Time
+		var publishedAt []time.Time
 		c := &cacheEventSource{fetch: func(_ context.Context, after uint64) ([]*wire.CacheEvent, error) {
-			asked++
+			fetches++
 			return published[after:], nil
 		}}
 		known := make([]uint64, 10)
@@ -29,7 +29,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "wait")) * time.Millisecond)
 			if rapid.IntRange(0, 2).Draw(t, "publish") == 0 {
 				published = append(published, &wire.CacheEvent{Seq: uint64(len(published)) + 1})
-				when = append(when, now)
+				publishedAt = append(publishedAt, now)
 			}
 			i := rapid.IntRange(0, len(known)-1).Draw(t, "stream")
 			if rapid.IntRange(0, 19).Draw(t, "opened again") == 0 {
@@ -39,15 +39,15 @@
 				assert.Equal(t, e.Seq, known[i]+1)
 				known[i] = e.Seq
 			}
-			for _, at := range when[known[i]:] {
+			for _, at := range publishedAt[known[i]:] {
 				assert.Assert(t, now.Sub(at) < cacheEventsMaxAge)
 			}
 		}
-		before := asked
+		before := fetches
 		c.eventsAfter(t.Context(), now.Add(time.Second), 0)
 		for range 100 {
 			c.eventsAfter(t.Context(), now.Add(time.Second+cacheEventsMaxAge/2), uint64(rapid.IntRange(0, len(published)).Draw(t, "known")))
 		}
-		assert.Equal(t, asked, before+1)
+		assert.Equal(t, fetches, before+1)
 	})
 }
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -216,14 +216,14 @@
 		route.Upstream{ID: "dead-2", Address: dead, FailureDomain: "hall-a"},
 		route.Upstream{ID: "up-1", Address: r.address, FailureDomain: "hall-a"},
 	)
-	met := 0
+	deadAttempts := 0
 	for i := range 50 {
 		c, res := r.call(context.Background(), "q"+strconv.Itoa(i), "/", nil)
 		assert.Equal(t, res.Reason, wire.Reason(0), res.Detail)
 		assert.Equal(t, c.body.String(), "mine")
-		met += len(res.Attempts)
+		deadAttempts += len(res.Attempts)
 	}
-	assert.Assert(t, met > 0, "no call was sent to a dead agent, so the test checks nothing")
+	assert.Assert(t, deadAttempts > 0, "no call was sent to a dead agent, so the test checks nothing")
 	r.setUpstreams(t, route.Upstream{ID: "dead-1", Address: dead, FailureDomain: "hall-a"})
 	_, res := r.call(context.Background(), "none", "/", nil)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
--- a/agent/report_test.go
+++ b/agent/report_test.go
@@ -27,7 +27,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := Reports{Rule: ReportRule{Change: reportChange, KeepAlive: keepAlive}}
 		now := time.Unix(1000, 0)
-		known, heard := (*wire.Report)(nil), now
+		known, receivedAt := (*wire.Report)(nil), now
 		for range 60 {
 			next := report(rapid.Uint32Range(0, 8).Draw(t, "running"), rapid.Uint32Range(0, 20).Draw(t, "waiting"), 8)
 			next.Leaving = known != nil && known.Leaving || rapid.IntRange(0, 19).Draw(t, "leaving") == 0
@@ -38,19 +38,19 @@
 			if r.Due(now, next) {
 				r.Sent(now, next)
 				if lost = rapid.IntRange(0, 9).Draw(t, "lost") == 0; !lost {
-					known, heard = next, now
+					known, receivedAt = next, now
 				}
 			} else {
 				assert.Assert(t, len(next.Cache) == 0, "cache events are delayed")
 			}
 			if r.lastSent == known {
 				off := int(next.Load.Running+next.Load.Waiting) - int(known.Load.Running+known.Load.Waiting)
-				least := 8
+				threshold := 8
 				if next.Leaving {
-					least = 1
+					threshold = 1
 				}
-				assert.Assert(t, max(off, -off) < least && next.Leaving == known.Leaving, "off by %d", off)
-				assert.Assert(t, now.Sub(heard) < keepAlive)
+				assert.Assert(t, max(off, -off) < threshold && next.Leaving == known.Leaving, "off by %d", off)
+				assert.Assert(t, now.Sub(receivedAt) < keepAlive)
 			}
 			now = now.Add(step)
 		}
