--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,7 +1,7 @@
 // Package agent implements the process that runs beside each upstream. It announces the
 // upstream to the control replicas, queues requests for it, runs each attempt at most
 // once, and relays the upstream's load, cache events and orders. It reports an attempt as
-// not run only if it is certain.
+// not run only if the upstream certainly did not run it.
 package agent
 
 import (
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -79,8 +79,8 @@
 	return true, ""
 }
 
-// Give implements the Agent service. It sends an order to the upstream if its fencing
-// token is current.
+// Give implements the Agent service. It sends an order to the upstream unless its fencing
+// token is lower than the highest known one.
 func (a *Agent) Give(ctx context.Context, order *wire.Order) (*wire.OrderReply, error) {
 	a.orders.mu.Lock()
 	defer a.orders.mu.Unlock()
--- a/agent/resolve.go
+++ b/agent/resolve.go
@@ -20,9 +20,9 @@
 )
 
 // resolveSwitchLoop delivers the decision on a map switch to an armed rank if the leader
-// does not. A leader that is partitioned from this host only remains the leader, and
-// without the decision the group would stall until the partition heals, although any
-// control replica knows the decision.
+// does not. A leader that cannot reach this host, but reaches the other replicas, stays
+// the leader. Without the decision the group would stall until the network recovers,
+// although any control replica knows it.
 func (a *Agent) resolveSwitchLoop(ctx context.Context) {
 	if a.settings.Group == "" {
 		return
--- a/agent/tickets.go
+++ b/agent/tickets.go
@@ -39,7 +39,8 @@
 // ticketRegistry holds the tickets in this agent's queue: the queue places of requests
 // that wait at other agents as well. A ticket runs nothing. When its turn comes, a slot is
 // held for it for a short time, and one Run that names the ticket takes the slot over.
-// Late, duplicated or lost ticket messages therefore never run a request.
+// Late, duplicated or lost ticket messages therefore cannot make a request run twice or
+// make a "not run" outcome wrong.
 type ticketRegistry struct {
 	runner    *admit.Runner
 	afterFunc func(time.Duration, func()) stoppableTimer
