--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the process beside each upstream. It announces the upstream,
-// queues work for it, runs an attempt at most once, says "not run" only when it
-// knows, and passes on load, cache events and orders.
+// Package agent implements the process that runs beside each upstream. It announces the
+// upstream to the control replicas, queues requests for it, runs each attempt at most
+// once, and relays the upstream's load, cache events and orders. It reports an attempt as
+// not run only if the upstream certainly did not run it.
 package agent
 
 import (
@@ -25,44 +26,44 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors of this layer.
 var (
-	// ErrStart is returned when the agent can't come up.
-	ErrStart = merry.Sentinel("agent can't start")
+	// ErrStart is returned if the agent cannot open a listener.
+	ErrStart = merry.Sentinel("agent cannot start")
+	// ErrOrder is returned if the upstream or the fencing guard refuses an order.
 	ErrOrder = merry.Sentinel("order was not carried out")
 )
 
 // Agent implements kernel.Daemon.
 type Agent struct {
-	settings  *Settings
-	log       log.Logger
-	up        upstream.Upstream
-	sec       transport.Security
-	certs     *transport.Certificates
-	srv       *transport.Server
-	pool      *transport.Pool
-	lis       net.Listener
-	ops       *http.Server
-	runner    *admit.Runner
-	queue     queueSettings
-	attempts  *attempts
-	tickets   *tickets
-	orders    *orders
-	life      *directory.Life
-	lives     upstreamLives
-	seq       atomic.Uint64
-	metrics   metrics.Registry
-	done      metrics.Counter
-	dumps     kernel.Dumps
-	cancel    context.CancelFunc
-	announcer *directory.Announcer
-	load      atomic.Pointer[wire.Load]
-	cache     cacheEvents
-	loadMu    sync.Mutex
-	loadSeq   uint64
+	settings       *Settings
+	log            log.Logger
+	upstream       upstream.Upstream
+	sec            transport.Security
+	certs          *transport.Certificates
+	srv            *transport.Server
+	pool           *transport.Pool
+	lis            net.Listener
+	operatorServer *http.Server
+	runner         *admit.Runner
+	queue          currentQueueConfig
+	attempts       *attemptRegistry
+	tickets        *ticketRegistry
+	orders         *orderFence
+	incarnation    *directory.Life
+	generations    upstreamGenerations
+	seq            atomic.Uint64
+	metrics        metrics.Registry
+	doneAttempts   metrics.Counter
+	dumps          kernel.Dumps
+	cancel         context.CancelFunc
+	announcer      *directory.Announcer
+	load           atomic.Pointer[wire.Load]
+	cache          cacheEventSource
+	loadMu         sync.Mutex
+	loadSeq        uint64
 }
 
-// New makes an agent from checked settings.
+// New creates an agent. It returns an error if the settings are invalid.
 func New(s *Settings, l log.Logger) (*Agent, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -76,21 +77,21 @@
 		return nil, err
 	}
 	a := &Agent{
-		settings: s, log: kernel.PartLog(l, "agent"), up: up, sec: sec, certs: certs,
-		pool:     transport.NewPool(sec),
-		srv:      transport.NewServer(sec),
-		runner:   admit.NewRunner(startSettings(s).gate(), s.Now),
-		metrics:  metrics.NewRegistry(),
-		life:     directory.NewLife(s.ID, s.Now()),
-		attempts: newAttempts(),
-	}
-	a.tickets = newTickets(a.runner, time.AfterFunc)
+		settings: s, log: kernel.PartLog(l, "agent"), upstream: up, sec: sec, certs: certs,
+		pool:        transport.NewPool(sec),
+		srv:         transport.NewServer(sec),
+		runner:      admit.NewRunner(initialQueueConfig(s).admitSettings(), s.Now),
+		metrics:     metrics.NewRegistry(),
+		incarnation: directory.NewLife(s.ID, s.Now()),
+		attempts:    newAttemptRegistry(),
+	}
+	a.tickets = newTicketRegistry(a.runner, time.AfterFunc)
 	a.pool.SetDial(s.Dial)
-	a.cache.ask = up.Cache
+	a.cache.fetch = up.Cache
 	a.announcer = directory.NewAnnouncer(directory.NewTargets(s.ID, s.FailureDomain, s.AnnounceTo), a.pool.Conn, s.Now)
-	a.queue.current = startSettings(s)
-	a.done = metrics.GetOrRegisterCounter("agent.attempts."+refusal.OutcomeWord(wire.Outcome_OUTCOME_DONE), a.metrics)
-	a.orders = newOrders(control.NewClient(a.pool, s.AnnounceTo, s.ID))
+	a.queue.config = initialQueueConfig(s)
+	a.doneAttempts = metrics.GetOrRegisterCounter("agent.attempts."+refusal.OutcomeWord(wire.Outcome_OUTCOME_DONE), a.metrics)
+	a.orders = newOrderFence(control.NewClient(a.pool, s.AnnounceTo, s.ID))
 	a.dumps.Add("agent", a.dump)
 	a.registerGauges()
 	if err := a.dumps.Register(a.srv.Mux); err != nil {
@@ -110,12 +111,12 @@
 	go a.srv.Serve(ctx, lis)
 	go a.pollLoad(ctx)
 	go a.announceLoop(ctx)
-	go a.resolveLoop(ctx)
-	kernel.Info(a.log, "Listening.", "id", a.settings.ID, "addr", lis.Addr(), "kind", a.up.Kind())
-	return a.startOperators()
+	go a.resolveSwitchLoop(ctx)
+	kernel.Info(a.log, "Listening.", "id", a.settings.ID, "addr", lis.Addr(), "kind", a.upstream.Kind())
+	return a.serveOperators()
 }
 
-func (a *Agent) startOperators() error {
+func (a *Agent) serveOperators() error {
 	if a.settings.Operators == "" {
 		return nil
 	}
@@ -126,8 +127,8 @@
 	mux := http.NewServeMux()
 	mux.Handle("/debug/state", &a.dumps)
 	mux.Handle("/metrics", kernel.MetricsHandler(a.metrics))
-	a.ops = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = a.ops.Serve(lis) }()
+	a.operatorServer = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
+	go func() { _ = a.operatorServer.Serve(lis) }()
 	return nil
 }
 
@@ -139,22 +140,24 @@
 	return a.lis.Addr().String()
 }
 
-// Slots returns how many requests the agent runs at once now.
+// Slots returns the current concurrency limit, in requests.
 func (a *Agent) Slots() int { return a.queue.get().Slots }
 
-// Leave refuses new work from now on and says so to the directory.
+// Leave refuses new attempts and tickets from now on and announces the leaving phase to
+// the control replicas.
 func (a *Agent) Leave(ctx context.Context) {
 	if a.attempts.close() {
-		kernel.Info(a.log, "Leaving. No new work is taken.")
+		kernel.Info(a.log, "Leaving; new attempts are refused.")
 	}
 	a.tickets.close()
 	a.announceAll(ctx, wire.Phase_PHASE_LEAVING)
 }
 
-// Drain implements kernel.Daemon: it finishes what runs and waits, and refuses what
-// still comes for as long as an entry may not know that the upstream leaves. A request
-// on its way to a connection that is closed ends in doubt, and a bid must not be sent
-// again then; refused, it goes elsewhere.
+// Drain implements kernel.Daemon. It waits until nothing is running or queued, and refuses
+// new attempts for at least the leave margin, within which entries learn that the upstream
+// leaves. An attempt that arrives on a closed connection would have an unknown outcome,
+// and an unsafe request must not be retried after that; a refused attempt can go to
+// another upstream.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.Leave(ctx)
 	began := time.Now()
@@ -162,7 +165,7 @@
 	defer tick.Stop()
 	for {
 		running, waiting := a.runner.Counts()
-		idle := running+waiting == 0 && a.attempts.active() == 0
+		idle := running+waiting == 0 && a.attempts.runningCount() == 0
 		if idle && time.Since(began) >= a.settings.LeaveMargin.D() {
 			a.announceAll(ctx, wire.Phase_PHASE_GONE)
 			return nil
@@ -177,20 +180,20 @@
 
 // Stop implements kernel.Daemon.
 func (a *Agent) Stop() int {
-	cut := a.attempts.active()
+	active := a.attempts.runningCount()
 	if a.cancel != nil {
 		a.cancel()
 	}
 	if a.lis != nil {
 		_ = a.lis.Close()
 	}
-	if a.ops != nil {
-		_ = a.ops.Close()
+	if a.operatorServer != nil {
+		_ = a.operatorServer.Close()
 	}
 	a.srv.Close()
 	a.pool.Close()
-	a.up.Close()
-	return cut
+	a.upstream.Close()
+	return active
 }
 
 // Reload implements kernel.Reloader.
@@ -202,26 +205,27 @@
 }
 
 type agentDump struct {
-	ID          string `json:"id"`
-	Incarnation uint64 `json:"incarnation"`
-	Leaving     bool   `json:"leaving"`
-	Running     int    `json:"running"`
-	Waiting     int    `json:"waiting"`
-	Remembered  int    `json:"remembered_attempts"`
-	// Tickets wait here and elsewhere; Held slots were offered and not taken yet.
-	Tickets int `json:"tickets"`
-	Held    int `json:"held_slots"`
-	// Queue is what is in force, from the pool's row once one was heard.
-	Queue poolQueue  `json:"queue"`
-	Load  *wire.Load `json:"load"`
+	ID               string `json:"id"`
+	Incarnation      uint64 `json:"incarnation"`
+	Leaving          bool   `json:"leaving"`
+	Running          int    `json:"running"`
+	Waiting          int    `json:"waiting"`
+	RetainedAttempts int    `json:"remembered_attempts"`
+	// Tickets counts the tickets that wait for a slot; HeldSlots counts the slots that are
+	// held for a ticket and not yet claimed.
+	Tickets   int `json:"tickets"`
+	HeldSlots int `json:"held_slots"`
+	// Queue is the configuration in force: from the settings until a pool row is received.
+	Queue queueConfig `json:"queue"`
+	Load  *wire.Load  `json:"load"`
 }
 
 func (a *Agent) dump() any {
 	running, waiting := a.runner.Counts()
 	tickets, held := a.tickets.counts()
 	return agentDump{
-		Tickets: tickets, Held: held,
-		ID: a.settings.ID, Incarnation: a.life.Number(), Leaving: a.attempts.isClosed(),
-		Running: running, Waiting: waiting, Remembered: a.attempts.size(), Queue: a.queue.get(), Load: a.load.Load(),
+		Tickets: tickets, HeldSlots: held,
+		ID: a.settings.ID, Incarnation: a.incarnation.Number(), Leaving: a.attempts.isClosed(),
+		Running: running, Waiting: waiting, RetainedAttempts: a.attempts.retainedCount(), Queue: a.queue.get(), Load: a.load.Load(),
 	}
 }
--- a/agent/cache_test.go
+++ b/agent/cache_test.go
@@ -11,19 +11,17 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Entries watch one engine, open their streams at any time and ask in any order,
-// while the engine publishes. If a shared answer left an event out, an entry would
-// see a gap and drop all it knows of the engine's cache; if one came twice or late
-// for good, it would route by prompts that are gone. Each stream gets every event
-// once, in order, and none later than the age of an answer; the engine is asked
-// once in that time by those that know as much, not by each.
-func TestSharedAnswersBringEachEventOnce(t *testing.T) {
+// Many watches poll one upstream at any time and in any order, and start over at any time,
+// while it publishes cache events. Each watch must get every event once, in order and less
+// than cacheEventsMaxAge late; a gap would make the entry discard its knowledge of the
+// cache. Polls within that time must share one fetch.
+func TestSharedCacheFetchDeliversEachEventOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, asked := time.Unix(1000, 0), 0
+		now, fetches := time.Unix(1000, 0), 0
 		var published []*wire.CacheEvent
-		var when []time.Time
-		c := &cacheEvents{ask: func(_ context.Context, after uint64) ([]*wire.CacheEvent, error) {
-			asked++
+		var publishedAt []time.Time
+		c := &cacheEventSource{fetch: func(_ context.Context, after uint64) ([]*wire.CacheEvent, error) {
+			fetches++
 			return published[after:], nil
 		}}
 		known := make([]uint64, 10)
@@ -31,25 +29,25 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "wait")) * time.Millisecond)
 			if rapid.IntRange(0, 2).Draw(t, "publish") == 0 {
 				published = append(published, &wire.CacheEvent{Seq: uint64(len(published)) + 1})
-				when = append(when, now)
+				publishedAt = append(publishedAt, now)
 			}
 			i := rapid.IntRange(0, len(known)-1).Draw(t, "stream")
 			if rapid.IntRange(0, 19).Draw(t, "opened again") == 0 {
 				known[i] = 0
 			}
-			for _, e := range c.since(t.Context(), now, known[i]) {
+			for _, e := range c.eventsAfter(t.Context(), now, known[i]) {
 				assert.Equal(t, e.Seq, known[i]+1)
 				known[i] = e.Seq
 			}
-			for _, at := range when[known[i]:] {
-				assert.Assert(t, now.Sub(at) < cacheAnswerAge)
+			for _, at := range publishedAt[known[i]:] {
+				assert.Assert(t, now.Sub(at) < cacheEventsMaxAge)
 			}
 		}
-		before := asked
-		c.since(t.Context(), now.Add(time.Second), 0)
+		before := fetches
+		c.eventsAfter(t.Context(), now.Add(time.Second), 0)
 		for range 100 {
-			c.since(t.Context(), now.Add(time.Second+cacheAnswerAge/2), uint64(rapid.IntRange(0, len(published)).Draw(t, "known")))
+			c.eventsAfter(t.Context(), now.Add(time.Second+cacheEventsMaxAge/2), uint64(rapid.IntRange(0, len(published)).Draw(t, "known")))
 		}
-		assert.Equal(t, asked, before+1)
+		assert.Equal(t, fetches, before+1)
 	})
 }
--- a/agent/leave_test.go
+++ b/agent/drain_test.go
@@ -14,12 +14,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// An idle upstream is stopped as planned while an entry that hasn't heard of it goes on
-// sending it bids. Each bid is refused as not run for as long as an entry may not know,
-// so that it can go elsewhere; a connection that was closed at once would leave it in
-// doubt.
-func TestLeavingAgentRefusesUntilEntriesKnow(t *testing.T) {
-	r := newRelayWith(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
+// An entry that does not know of a planned stop keeps sending attempts. Each must be
+// refused as not run during the leave margin, so that it can go to another upstream; a
+// closed connection would leave its outcome unknown.
+func TestDrainRefusesAttemptsDuringLeaveMargin(t *testing.T) {
+	r := newRelayFixtureWith(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) },
 		func(s *agent.Settings) { s.LeaveMargin = kernel.Duration(time.Hour) })
 	_, res := r.call(context.Background(), "before", "/bid", nil)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_DONE)
@@ -28,7 +27,7 @@
 	drained := make(chan error, 1)
 	go func() { drained <- r.agent.Drain(ctx) }()
 	for n := range 200 {
-		r.forget(t)
+		r.resetForwarder(t)
 		_, res := r.call(context.Background(), "during-"+strconv.Itoa(n), "/bid", nil)
 		assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN, res.Detail)
 	}
--- a/agent/fuzz_test.go
+++ b/agent/fuzz_test.go
@@ -11,11 +11,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// upstream is the agent under test.
+// upstream is the ID of the agent under test.
 const upstream = "lm-1"
 
-// start brings up a system for a fuzz target.
-func start(f *testing.F) *quickstart.System {
+// startSystem starts a system for a fuzz target.
+func startSystem(f *testing.F) *quickstart.System {
 	f.Helper()
 	sys, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewNopLogger(), FakeDisks: true})
 	if err != nil {
@@ -28,10 +28,10 @@
 	return sys
 }
 
-// A peer that knows the cluster secret sends malformed messages to an agent. It
-// goes on answering, and its memory stays bounded.
+// A peer that knows the cluster secret sends malformed messages. The agent must keep
+// answering, with bounded memory.
 func FuzzPeers(f *testing.F) {
-	sys := start(f)
+	sys := startSystem(f)
 	peers := surface.NewPeers(sys.Agent(upstream).Address(), quickstart.Secret, wire.DRPCAgentDescription{})
 	peers.Seed(f)
 	watch := &surface.Watch{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
@@ -41,10 +41,10 @@
 	})
 }
 
-// Whoever reaches an agent's port for the state dump and the metrics sends
-// whatever it likes. The agent goes on answering there, and its memory stays bounded.
+// Arbitrary bytes are sent to the HTTP port for the state dump and the metrics. The agent
+// must keep answering there, with bounded memory.
 func FuzzOperators(f *testing.F) {
-	address := start(f).OperatorAddress(upstream)
+	address := startSystem(f).OperatorAddress(upstream)
 	for _, r := range surface.Dumps() {
 		f.Add([]byte(r))
 	}
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -25,21 +25,21 @@
 
 const testSecret = "a secret of the tests"
 
-// relay is a forwarder, an agent and an upstream.
-type relay struct {
-	agent   *agent.Agent
-	conns   *transport.Pool
-	fwd     *forward.Forwarder
-	pool    *table.Pool
-	address string
+// relayFixture connects a forwarder to an agent and its upstream.
+type relayFixture struct {
+	agent       *agent.Agent
+	connections *transport.Pool
+	forwarder   *forward.Forwarder
+	pool        *table.Pool
+	address     string
 }
 
-func newRelay(t *testing.T, upstream http.HandlerFunc) *relay {
+func newRelayFixture(t *testing.T, upstream http.HandlerFunc) *relayFixture {
 	t.Helper()
-	return newRelayWith(t, upstream, func(*agent.Settings) {})
+	return newRelayFixtureWith(t, upstream, func(*agent.Settings) {})
 }
 
-func newRelayWith(t *testing.T, upstream http.HandlerFunc, change func(*agent.Settings)) *relay {
+func newRelayFixtureWith(t *testing.T, upstream http.HandlerFunc, change func(*agent.Settings)) *relayFixture {
 	t.Helper()
 	srv := httptest.NewServer(upstream)
 	t.Cleanup(srv.Close)
@@ -54,33 +54,33 @@
 	t.Cleanup(func() { a.Stop() })
 	conns := transport.NewPool(transport.Security{Secret: []byte(testSecret)})
 	t.Cleanup(conns.Close)
-	r := &relay{
-		agent: a, conns: conns,
+	r := &relayFixture{
+		agent: a, connections: conns,
 		pool: &table.Pool{Name: "p", Route: "least-loaded"}, address: a.Address(),
 	}
-	r.forget(t)
+	r.resetForwarder(t)
 	return r
 }
 
-// forget takes a new forwarder, which knows nothing of earlier answers.
-func (r *relay) forget(t *testing.T) {
+// resetForwarder replaces the forwarder by one without knowledge of earlier answers.
+func (r *relayFixture) resetForwarder(t *testing.T) {
 	t.Helper()
-	r.fwd = forward.New(r.conns, route.Place{Entry: "e", FailureDomain: "hall-a"}, time.Now)
-	r.set(t, route.Upstream{ID: "up-1", Address: r.address, FailureDomain: "hall-a"})
+	r.forwarder = forward.New(r.connections, route.Place{Entry: "e", FailureDomain: "hall-a"}, time.Now)
+	r.setUpstreams(t, route.Upstream{ID: "up-1", Address: r.address, FailureDomain: "hall-a"})
 }
 
-func (r *relay) set(t *testing.T, ups ...route.Upstream) {
+func (r *relayFixture) setUpstreams(t *testing.T, ups ...route.Upstream) {
 	t.Helper()
-	assert.NilError(t, r.fwd.Update(r.pool, ups))
+	assert.NilError(t, r.forwarder.Update(r.pool, ups))
 }
 
-// caller keeps what reaches it.
-type caller struct {
+// recordingCaller records the answer it gets.
+type recordingCaller struct {
 	head *wire.RunReplyHead
 	body bytes.Buffer
 }
 
-func (c *caller) Begin(h *wire.RunReplyHead) error {
+func (c *recordingCaller) Begin(h *wire.RunReplyHead) error {
 	if c.head != nil {
 		return errors.New("second head")
 	}
@@ -88,21 +88,21 @@
 	return nil
 }
 
-func (c *caller) Write(b []byte) error {
+func (c *recordingCaller) Write(b []byte) error {
 	c.body.Write(b)
 	return nil
 }
 
-func (r *relay) call(ctx context.Context, id, path string, body []byte) (*caller, forward.Result) {
-	c := &caller{}
-	res := r.fwd.Do(ctx, &forward.Call{
+func (r *relayFixture) call(ctx context.Context, id, path string, body []byte) (*recordingCaller, forward.Result) {
+	c := &recordingCaller{}
+	res := r.forwarder.Do(ctx, &forward.Call{
 		Head: &wire.RunHead{RequestId: id, Team: "t", Service: "s", Method: http.MethodPost, Path: path},
 		Body: body, Pool: r.pool, Route: &route.Request{}, Deadline: time.Now().Add(time.Minute), MaxAnswer: 4 << 20,
 	}, c)
 	return c, res
 }
 
-func pattern(n int) []byte {
+func patternBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i * 7 / 3)
@@ -110,13 +110,13 @@
 	return b
 }
 
-// sizes lie around the bounds of a frame, of drpc's buffer and of several frames.
-var sizes = []int{0, 1, 4095, 4096, 4097, transport.BodyFrame - 1, transport.BodyFrame, transport.BodyFrame + 1, 3*transport.BodyFrame + 17, 1 << 20}
+// bodySizes covers the limits of a frame, of drpc's buffer and of several frames.
+var bodySizes = []int{0, 1, 4095, 4096, 4097, transport.BodyFrame - 1, transport.BodyFrame, transport.BodyFrame + 1, 3*transport.BodyFrame + 17, 1 << 20}
 
-// Bodies of every size go out and come back whole, streamed or not, one after
-// another on the same connections.
-func TestBodiesOfAnySizeAreWhole(t *testing.T) {
-	r := newRelay(t, func(w http.ResponseWriter, q *http.Request) {
+// Request and answer bodies of every size must arrive unchanged, streamed or not, on
+// reused connections.
+func TestBodiesOfAnySizeAreRelayedIntact(t *testing.T) {
+	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
@@ -131,8 +131,8 @@
 		_, _ = w.Write(body[half:])
 	})
 	for _, path := range []string{"/whole", "/stream"} {
-		for _, n := range sizes {
-			want := pattern(n)
+		for _, n := range bodySizes {
+			want := patternBytes(n)
 			c, res := r.call(context.Background(), path+strconv.Itoa(n), path, want)
 			assert.Equal(t, res.Reason, wire.Reason(0), "%s %d: %s", path, n, res.Detail)
 			assert.Equal(t, c.head.Status, uint32(http.StatusCreated))
@@ -141,23 +141,22 @@
 	}
 }
 
-// The upstream dies in the middle of its answer, wherever that is. The caller has
-// nothing of an unstreamed answer, and of a stream it is told that it was cut; the
-// next call on the connection is answered.
-func TestCutAnswerIsNeverWhole(t *testing.T) {
-	r := newRelay(t, func(w http.ResponseWriter, q *http.Request) {
+// The upstream fails in the middle of its answer. The caller must get nothing of an
+// unstreamed answer and must be told that a stream is truncated.
+func TestTruncatedAnswerIsReported(t *testing.T) {
+	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		n, _ := strconv.Atoi(q.URL.Query().Get("n"))
 		if q.URL.Path == "/stream" {
 			w.Header().Set("Content-Type", "text/event-stream")
 		} else {
 			w.Header().Set("Content-Length", strconv.Itoa(n+1))
 		}
-		_, _ = w.Write(pattern(n))
+		_, _ = w.Write(patternBytes(n))
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	})
 	for _, path := range []string{"/whole", "/stream"} {
-		for _, n := range sizes {
+		for _, n := range bodySizes {
 			c, res := r.call(context.Background(), path+strconv.Itoa(n), path+"?n="+strconv.Itoa(n), nil)
 			assert.Assert(t, res.Reason != 0, "%s %d", path, n)
 			assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_UNKNOWN, "%s %d", path, n)
@@ -165,23 +164,23 @@
 				assert.Assert(t, c.head == nil && c.body.Len() == 0 && !res.Begun, "%s %d", path, n)
 				continue
 			}
-			assert.Assert(t, bytes.HasPrefix(pattern(n), c.body.Bytes()), "%s %d", path, n)
+			assert.Assert(t, bytes.HasPrefix(patternBytes(n), c.body.Bytes()), "%s %d", path, n)
 		}
 	}
 }
 
-// A caller leaves while the upstream works: the upstream is told, and the
-// connection serves the next caller with its own answer.
-func TestCallerThatLeavesCancelsUpstream(t *testing.T) {
+// A caller cancels while the upstream works. The upstream's request must be canceled, and
+// the next call must get its own answer.
+func TestCallerCancellationReachesUpstream(t *testing.T) {
 	began, left := make(chan struct{}, 1), make(chan struct{})
-	r := newRelay(t, func(w http.ResponseWriter, q *http.Request) {
+	r := newRelayFixture(t, func(w http.ResponseWriter, q *http.Request) {
 		switch q.URL.Path {
 		case "/next":
 			_, _ = io.WriteString(w, "mine")
 			return
 		case "/wait":
 		default:
-			// The agent asks for the load by itself; that is no request of a caller.
+			// The agent polls the load on its own; that is not a request of a caller.
 			http.NotFound(w, q)
 			return
 		}
@@ -204,28 +203,28 @@
 	assert.Equal(t, c.body.String(), "mine")
 }
 
-// Agents have died and their leases have not ended, so calls still go to them. No
-// connection comes about, so nothing ran: each caller is answered by the agent that
-// is left, also calls that may not be repeated, and with no retry budget.
-func TestDeadAgentCostsNoAnswer(t *testing.T) {
-	r := newRelay(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "mine") })
+// Calls still go to failed agents whose leases have not expired. No connection is made, so
+// nothing ran: each call must be answered by the remaining agent, also if it is unsafe,
+// and without a retry budget.
+func TestDeadAgentIsSkipped(t *testing.T) {
+	r := newRelayFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "mine") })
 	dead, release, err := fake.HoldPort()
 	assert.NilError(t, err)
 	t.Cleanup(release)
-	r.set(t,
+	r.setUpstreams(t,
 		route.Upstream{ID: "dead-1", Address: dead, FailureDomain: "hall-a"},
 		route.Upstream{ID: "dead-2", Address: dead, FailureDomain: "hall-a"},
 		route.Upstream{ID: "up-1", Address: r.address, FailureDomain: "hall-a"},
 	)
-	met := 0
+	deadAttempts := 0
 	for i := range 50 {
 		c, res := r.call(context.Background(), "q"+strconv.Itoa(i), "/", nil)
 		assert.Equal(t, res.Reason, wire.Reason(0), res.Detail)
 		assert.Equal(t, c.body.String(), "mine")
-		met += len(res.Attempts)
+		deadAttempts += len(res.Attempts)
 	}
-	assert.Assert(t, met > 0, "no call met a dead agent: the test shows nothing")
-	r.set(t, route.Upstream{ID: "dead-1", Address: dead, FailureDomain: "hall-a"})
+	assert.Assert(t, deadAttempts > 0, "no call was sent to a dead agent, so the test checks nothing")
+	r.setUpstreams(t, route.Upstream{ID: "dead-1", Address: dead, FailureDomain: "hall-a"})
 	_, res := r.call(context.Background(), "none", "/", nil)
 	assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_NOT_RUN)
 	assert.Assert(t, res.Reason != 0)
--- a/agent/services.go
+++ b/agent/services.go
@@ -11,12 +11,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// minReportInterval bounds how often a watcher may ask to be told.
+// minReportInterval is the shortest report interval that a watcher gets.
 const minReportInterval = 50 * time.Millisecond
 
-func (a *Agent) count(o wire.Outcome, r wire.Reason) {
+func (a *Agent) countOutcome(o wire.Outcome, r wire.Reason) {
 	if o == wire.Outcome_OUTCOME_DONE && r == 0 {
-		a.done.Inc(1)
+		a.doneAttempts.Inc(1)
 		return
 	}
 	name := "agent.attempts." + refusal.OutcomeWord(o)
@@ -31,16 +31,16 @@
 	interval := max(time.Duration(req.IntervalMs)*time.Millisecond, minReportInterval)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	reports := Reports{Rule: reportRule(req)}
+	reports := Reports{Rule: watchReportRule(req)}
 	var after uint64
 	for {
 		now := time.Now()
 		r := &wire.Report{
-			Upstream: a.settings.ID, Incarnation: a.life.Number(),
+			Upstream: a.settings.ID, Incarnation: a.incarnation.Number(),
 			Load: a.currentLoad(), Leaving: a.attempts.isClosed(),
 		}
 		if !req.NoCacheEvents {
-			r.Cache = a.cache.since(stream.Context(), now, after)
+			r.Cache = a.cache.eventsAfter(stream.Context(), now, after)
 		}
 		if n := len(r.Cache); n > 0 {
 			after = r.Cache[n-1].Seq
@@ -59,18 +59,21 @@
 	}
 }
 
-// reportRule is what a watcher asked for. An entry of an earlier version names no
-// keep-alive and takes silence for death: it is told at each interval.
-func reportRule(req *wire.WatchRequest) ReportRule {
+// watchReportRule returns the report rule for a watch. An entry of an earlier version
+// sends no keep-alive and treats silence as a failure, so it gets a report at each
+// interval.
+func watchReportRule(req *wire.WatchRequest) ReportRule {
 	return ReportRule{Change: reportChange, KeepAlive: time.Duration(req.KeepAliveMs) * time.Millisecond}
 }
 
-// service is the agent as its peers call it.
+// service implements the Agent service. Its Drain replaces the Drain of Agent, which
+// implements kernel.Daemon.
 type service struct{ *Agent }
 
-// Drain implements the Agent service: an operator asks the upstream to leave.
+// Drain implements the Agent service. It refuses new work, as Agent.Leave does, and
+// returns how many requests are running and queued.
 func (s service) Drain(ctx context.Context, req *wire.DrainRequest) (*wire.DrainReply, error) {
-	kernel.Info(s.log, "Asked to leave.", "by", req.By)
+	kernel.Info(s.log, "Drain requested.", "by", req.By)
 	s.Leave(ctx)
 	running, waiting := s.runner.Counts()
 	return &wire.DrainReply{Running: uint32(running), Waiting: uint32(waiting)}, nil
--- a/agent/tokens_test.go
+++ b/agent/token_lookup_test.go
@@ -13,14 +13,14 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// replica answers for the token in force, or says nothing until it is given up.
-type replica struct {
+// tokenServer replies with the current token, or not at all until the call is canceled.
+type tokenServer struct {
 	wire.DRPCControlUnimplementedServer
 	silent bool
 }
 
 // Token implements the Control service.
-func (r *replica) Token(ctx context.Context, _ *wire.TokenRequest) (*wire.TokenReply, error) {
+func (r *tokenServer) Token(ctx context.Context, _ *wire.TokenRequest) (*wire.TokenReply, error) {
 	if r.silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -28,7 +28,7 @@
 	return &wire.TokenReply{Token: 9}, nil
 }
 
-func serve(t *testing.T, sec transport.Security, r *replica) (address string) {
+func serveControl(t *testing.T, sec transport.Security, r *tokenServer) (address string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -44,21 +44,18 @@
 	return lis.Addr().String()
 }
 
-// An agent restarts and asks for the token in force. The replica that it asks first
-// froze with the connection open and says nothing. The agent looks after its rank
-// with no caller that would give up; it holds every order back while it asks, so that
-// the new leader's orders would wait for as long as the host is frozen. It asks the
-// next replica instead.
-func TestAgentAsksTheNextReplicaWhenOneIsFrozen(t *testing.T) {
+// A restarted agent asks a frozen replica for the current token and gets no reply. It must
+// ask the next replica, as it holds back every order meanwhile.
+func TestTokenLookupSkipsFrozenReplica(t *testing.T) {
 	sec := transport.Security{Secret: []byte("a secret of this test")}
 	pool := transport.NewPool(sec)
 	defer pool.Close()
-	addrs := []string{serve(t, sec, &replica{silent: true}), serve(t, sec, &replica{})}
+	addrs := []string{serveControl(t, sec, &tokenServer{silent: true}), serveControl(t, sec, &tokenServer{})}
 	const hangs = 45 * time.Second
 	ctx, cancel := context.WithTimeout(context.Background(), hangs)
 	defer cancel()
 	for _, list := range [][]string{addrs, {addrs[1], addrs[0]}} {
-		token, err := newOrders(control.NewClient(pool, list, "agent")).tokens(ctx, "g")
+		token, err := newOrderFence(control.NewClient(pool, list, "agent")).currentToken(ctx, "g")
 		assert.NilError(t, err)
 		assert.Equal(t, token, uint64(9))
 	}
