--- a/ctl/quarantine.go
+++ b/ctl/quarantine.go
@@ -30,7 +30,7 @@
 
 // Execute implements flags.Commander.
 func (c *listSuspicions) Execute([]string) error {
-	var list operators.Suspicions
+	var list operators.SuspectedRequests
 	if err := c.get("/v1/quarantine", &list); err != nil {
 		return err
 	}
--- a/ctl/quarantine_test.go
+++ b/ctl/quarantine_test.go
@@ -65,7 +65,7 @@
 	var out string
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		_, out, _ = run(ts, []string{"quarantine", "-o", "json"}, "")
-		var list operators.Suspicions
+		var list operators.SuspectedRequests
 		if json.Unmarshal([]byte(out), &list) == nil && len(list.Requests) == 1 && list.Requests[0].Quarantined {
 			ts.Setenv(args[0], list.Requests[0].Key)
 			return
--- a/operators/groups.go
+++ b/operators/groups.go
@@ -12,41 +12,42 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Group is a group of ranks as operators see it.
+// Group is the state of a group of ranks and of its expert map.
 type Group struct {
 	Group   string `json:"group"`
 	Planner string `json:"planner"`
 	Paused  bool   `json:"paused"`
-	// Pinned is the epoch that an operator holds; 0 is none.
+	// Pinned is the epoch of the map that an operator has pinned; 0 is none.
 	Pinned   uint64 `json:"pinned,omitempty"`
 	PinnedBy string `json:"pinned_by,omitempty"`
-	// Epoch names the map in force, FromStep the first step that used it.
+	// Epoch identifies the current map, FromStep is the first step that used it.
 	Epoch    uint64 `json:"epoch"`
 	FromStep uint64 `json:"from_step"`
-	// Earlier are the epochs that can be pinned besides the one in force.
+	// Earlier holds the epochs of earlier maps that can be pinned.
 	Earlier []uint64 `json:"earlier,omitempty"`
-	// Skew is busiest rank over mean in the last window of counters; 0 is not
-	// known.
+	// Skew is the load of the busiest rank divided by the mean load, in the last
+	// window of counters; 0 is unknown.
 	Skew    float64 `json:"skew"`
 	Windows uint64  `json:"windows"`
-	// Switch is the change in progress.
+	// Switch is the change of map in progress, if any.
 	Switch *Switch `json:"switch,omitempty"`
-	// Last is what the planner came to last, also when it was to move nothing.
+	// Last is the planner's last decision, also if it was to move nothing.
 	Last *MapReason `json:"last,omitempty"`
-	// Error says why nothing is planned.
+	// Error says why no map is planned, if so.
 	Error   string         `json:"error,omitempty"`
 	Ranks   []Rank         `json:"ranks"`
 	Records []SwitchRecord `json:"records"`
 }
 
-// MapReason explains a map.
+// MapReason says who made a map and why. Repeats is the epoch of the earlier map
+// that it repeats; 0 is none.
 type MapReason struct {
 	By         string  `json:"by"`
 	Why        string  `json:"why"`
 	Moves      uint32  `json:"moves"`
 	SkewBefore float64 `json:"skew_before,omitempty"`
 	SkewAfter  float64 `json:"skew_after,omitempty"`
-	// Gain and Price are in seconds of group time, weighted by the row.
+	// Gain and Price are in seconds of group time, weighted by the group's row.
 	Gain    float64 `json:"gain_seconds,omitempty"`
 	Price   float64 `json:"price_seconds,omitempty"`
 	Repeats uint64  `json:"repeats,omitempty"`
@@ -61,7 +62,7 @@
 	Reason *MapReason `json:"reason"`
 }
 
-// SwitchRecord is one finished switch.
+// SwitchRecord is a finished change of map and its outcome.
 type SwitchRecord struct {
 	Epoch   uint64     `json:"epoch"`
 	Outcome string     `json:"outcome"`
@@ -70,56 +71,57 @@
 	Reason  *MapReason `json:"reason"`
 }
 
-// Rank is one rank of a group.
+// Rank is the state of one rank of a group.
 type Rank struct {
 	Rank     uint32 `json:"rank"`
 	Upstream string `json:"upstream,omitempty"`
 	Epoch    uint64 `json:"epoch"`
 	NextStep uint64 `json:"next_step"`
-	// Armed is the map before whose step the rank stops until it is decided.
+	// Armed is the epoch of the map before whose first step the rank stops until
+	// the switch is decided; 0 is none.
 	Armed  uint64 `json:"armed,omitempty"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Groups is the answer to a list.
+// Groups is the response to a list request.
 type Groups struct {
 	Groups []Group `json:"groups"`
 }
 
-// GroupChange is the body of a change, and its answer.
+// GroupChange is the body of a request to pin, unpin or undo a map, and of the
+// response.
 type GroupChange struct {
 	Epoch  uint64 `json:"epoch,omitempty"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// registerGroups adds the routes of groups.
 func (h *Handler) registerGroups(r *mux.Router) {
-	r.HandleFunc("/v1/groups", h.with(h.groups)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/groups/{group}", h.with(h.groups)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/groups/{group}/{verb:pin|unpin|undo}", h.with(h.changeGroup)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/groups", h.withAuth(h.getGroups)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/groups/{group}", h.withAuth(h.getGroups)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/groups/{group}/{verb:pin|unpin|undo}", h.withAuth(h.changeGroup)).Methods(http.MethodPost)
 }
 
-func (h *Handler) groups(c *call) {
-	only := mux.Vars(c.r)["group"]
+func (h *Handler) getGroups(c *call) {
+	name := mux.Vars(c.r)["group"]
 	var reply *wire.GroupsReply
 	err := h.client.Call(c.r.Context(), func(ctx context.Context, cc wire.DRPCControlClient) (err error) {
-		reply, err = cc.Groups(ctx, &wire.GroupsRequest{Group: only})
+		reply, err = cc.Groups(ctx, &wire.GroupsRequest{Group: name})
 		return err
 	})
 	if err != nil {
-		c.problem(http.StatusServiceUnavailable, "The groups can't be read now.", err.Error())
+		c.writeError(http.StatusServiceUnavailable, "The groups can't be read now.", err.Error())
 		return
 	}
 	out := Groups{Groups: []Group{}}
 	for _, v := range reply.Groups {
 		out.Groups = append(out.Groups, groupOf(v))
 	}
-	if only == "" {
+	if name == "" {
 		kernel.WriteJSON(c.w, http.StatusOK, out)
 		return
 	}
 	if len(out.Groups) == 0 {
-		c.problem(http.StatusNotFound, "No such group is led now.", only)
+		c.writeError(http.StatusNotFound, "No leader knows this group.", name)
 		return
 	}
 	kernel.WriteJSON(c.w, http.StatusOK, out.Groups[0])
@@ -128,7 +130,7 @@
 func (h *Handler) changeGroup(c *call) {
 	v := mux.Vars(c.r)
 	var body GroupChange
-	if v["verb"] == control.VerbPin && !c.decode(&body) {
+	if v["verb"] == control.VerbPin && !c.decodeBody(&body) {
 		return
 	}
 	var reply *wire.GroupChangeReply
@@ -137,11 +139,11 @@
 		return err
 	})
 	if err != nil {
-		c.problem(http.StatusServiceUnavailable, "No leader answers. The change may or may not be made.", err.Error())
+		c.writeError(http.StatusServiceUnavailable, "No leader answers. The change may or may not have been made.", err.Error())
 		return
 	}
 	if !reply.Accepted {
-		c.problem(http.StatusConflict, "The change is refused.", reply.Detail)
+		c.writeError(http.StatusConflict, "The change is refused.", reply.Detail)
 		return
 	}
 	kernel.WriteJSON(c.w, http.StatusOK, GroupChange{Detail: reply.Detail})
@@ -165,15 +167,15 @@
 		g.Earlier = append(g.Earlier, m.Epoch)
 	}
 	if sw := s.Switch; sw != nil {
-		g.Switch = &Switch{Epoch: sw.Map.Epoch, Phase: phaseWord(sw.Phase), Step: sw.Step, Reason: reasonOf(sw.Reason)}
+		g.Switch = &Switch{Epoch: sw.Map.Epoch, Phase: phaseName(sw.Phase), Step: sw.Step, Reason: reasonOf(sw.Reason)}
 	}
 	for _, r := range s.Records {
-		g.Records = append(g.Records, SwitchRecord{r.Epoch, r.Outcome, r.Detail, timeText(r.AtMs), reasonOf(r.Reason)})
+		g.Records = append(g.Records, SwitchRecord{r.Epoch, r.Outcome, r.Detail, formatTime(r.AtMs), reasonOf(r.Reason)})
 	}
 	return g
 }
 
-func phaseWord(p wire.SwitchPhase) string {
+func phaseName(p wire.SwitchPhase) string {
 	switch p {
 	case wire.SwitchPhase_SWITCH_PHASE_STAGING:
 		return "staging"
@@ -191,11 +193,11 @@
 	}
 	return &MapReason{
 		By: r.By, Why: r.Why, Moves: r.Moves, SkewBefore: r.SkewBefore, SkewAfter: r.SkewAfter,
-		Gain: r.Gain, Price: r.Price, Repeats: r.Repeats, At: timeText(r.AtMs),
+		Gain: r.Gain, Price: r.Price, Repeats: r.Repeats, At: formatTime(r.AtMs),
 	}
 }
 
-func timeText(ms int64) string {
+func formatTime(ms int64) string {
 	if ms == 0 {
 		return ""
 	}
--- a/operators/members.go
+++ b/operators/members.go
@@ -11,7 +11,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Member is a control replica as operators see it.
+// Member is the state of a control replica. Role is voter, leader or learner;
+// Index is the last log index known to be replicated to it.
 type Member struct {
 	ID            string `json:"id"`
 	Address       string `json:"address"`
@@ -24,25 +25,25 @@
 // Members is the state of the replicated log.
 type Members struct {
 	Health string `json:"health"`
-	// Detail says what an order has brought about so far.
+	// Detail describes the progress of a removal or replacement.
 	Detail  string   `json:"detail,omitempty"`
 	Members []Member `json:"members"`
 }
 
-func (h *Handler) members(c *call) {
-	h.askMembers(c, &wire.MembersRequest{Verb: control.VerbList})
+func (h *Handler) listMembers(c *call) {
+	h.changeMembers(c, &wire.MembersRequest{Verb: control.VerbList})
 }
 
 func (h *Handler) removeMember(c *call) {
 	id := mux.Vars(c.r)["id"]
-	kernel.Info(h.log, "Asked to remove a member.", "by", c.operator, "member", id)
-	h.askMembers(c, &wire.MembersRequest{Verb: control.VerbRemove, Member: &wire.Member{Id: id}})
+	kernel.Info(h.log, "Removal of a member requested.", "by", c.operator, "member", id)
+	h.changeMembers(c, &wire.MembersRequest{Verb: control.VerbRemove, Member: &wire.Member{Id: id}})
 }
 
 func (h *Handler) replaceMember(c *call) {
 	id := mux.Vars(c.r)["id"]
-	kernel.Info(h.log, "Asked to replace a member.", "by", c.operator, "member", id)
-	h.askMembers(c, &wire.MembersRequest{Verb: control.VerbReplace, Member: &wire.Member{Id: id}})
+	kernel.Info(h.log, "Replacement of a member requested.", "by", c.operator, "member", id)
+	h.changeMembers(c, &wire.MembersRequest{Verb: control.VerbReplace, Member: &wire.Member{Id: id}})
 }
 
 func (h *Handler) callMembers(ctx context.Context, req *wire.MembersRequest) (*wire.MembersReply, error) {
@@ -54,14 +55,14 @@
 	return reply, err
 }
 
-func (h *Handler) askMembers(c *call, req *wire.MembersRequest) {
+func (h *Handler) changeMembers(c *call, req *wire.MembersRequest) {
 	reply, err := h.callMembers(c.r.Context(), req)
 	if err != nil {
-		c.problem(http.StatusServiceUnavailable, "No leader answers. The log may have no quorum.", err.Error())
+		c.writeError(http.StatusServiceUnavailable, "No leader answers. The log may have no quorum.", err.Error())
 		return
 	}
 	if reply.Refused {
-		c.problem(http.StatusConflict, "The order is refused.", reply.Detail)
+		c.writeError(http.StatusConflict, "The membership change is refused.", reply.Detail)
 		return
 	}
 	kernel.WriteJSON(c.w, http.StatusOK, Members{Health: reply.Health, Detail: reply.Detail, Members: membersOf(reply)})
--- a/operators/operators.go
+++ b/operators/operators.go
@@ -1,5 +1,7 @@
-// Package operators is what operators reach over HTTP: the table, its history,
-// the members of the log, and one page to edit rows.
+// Package operators serves the HTTP interface for operators: the configuration
+// table and its history, expert maps of groups, members of the replicated log,
+// quarantined requests, status, drain and state dumps, and a web page to edit
+// rows.
 package operators
 
 import (
@@ -27,54 +29,55 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrSettings is returned for operators that can't be told apart.
+// ErrSettings is returned for operators with an invalid or duplicate name or key.
 var ErrSettings = merry.Sentinel("operator settings are invalid")
 
-// Times and bounds of the interface.
+// Time limits and size limits of requests.
 const (
-	callTimeout = 10 * time.Second
-	// forceWait is how long an edit's answer waits for the entries.
-	forceWait = 3 * time.Second
-	forcePoll = 10 * time.Millisecond
-	maxBody   = 4 << 20
-	// maxApply is how many rows one request may edit.
-	maxApply = 5000
-	// maxName bounds an operator's name, in bytes.
-	maxName = 64
+	requestTimeout = 10 * time.Second
+	// propagationWait is the longest time that the response to an edit is held
+	// back until the entries have applied it.
+	propagationWait         = 3 * time.Second
+	propagationPollInterval = 10 * time.Millisecond
+	maxBodyBytes            = 4 << 20
+	// maxEditRows is the most rows that one request may edit.
+	maxEditRows  = 5000
+	maxNameBytes = 64
 )
 
-// Operator is one person or program that may edit.
+// Operator is a person or program that may use the interface.
 type Operator struct {
 	Name string `toml:"name"`
-	// KeySHA256 is the digest of the operator's bearer key, in hex.
+	// KeySHA256 is the hexadecimal SHA-256 digest of the operator's bearer key.
 	KeySHA256 string `toml:"key_sha256"`
 }
 
-// Handler serves operators.
+// Handler serves the HTTP interface for operators.
 type Handler struct {
-	client *control.Client
-	system System
-	keys   map[[sha256.Size]byte]string
-	counts counts
-	log    log.Logger
+	client   *control.Client
+	system   System
+	names    map[[sha256.Size]byte]string
+	counters counters
+	log      log.Logger
 }
 
-// New makes a handler, which counts in a registry.
+// New returns a handler that registers its counters in r. It returns ErrSettings
+// for invalid operators.
 func New(ops []Operator, client *control.Client, system System, r metrics.Registry, l log.Logger) (*Handler, error) {
-	keys, err := keysOf(ops)
+	names, err := namesByKey(ops)
 	if err != nil {
 		return nil, err
 	}
-	return &Handler{client: client, system: system, keys: keys, counts: newCounts(r), log: kernel.PartLog(l, "operators")}, nil
+	return &Handler{client: client, system: system, names: names, counters: newCounters(r), log: kernel.PartLog(l, "operators")}, nil
 }
 
-// counts are of edits by how they ended, and of calls without a known key.
-type counts struct {
+// counters count edits by outcome, and requests without a known key.
+type counters struct {
 	accepted, conflicts, invalid, undecided, unauthenticated metrics.Counter
 }
 
-func newCounts(r metrics.Registry) counts {
-	return counts{
+func newCounters(r metrics.Registry) counters {
+	return counters{
 		accepted:        metrics.GetOrRegisterCounter("operators.edits.accepted", r),
 		conflicts:       metrics.GetOrRegisterCounter("operators.edits.conflicts", r),
 		invalid:         metrics.GetOrRegisterCounter("operators.edits.invalid", r),
@@ -83,71 +86,73 @@
 	}
 }
 
-// CheckOperators names the first operator that can't be told apart.
+// CheckOperators returns ErrSettings with the first operator whose name or key is
+// invalid or already in use.
 func CheckOperators(ops []Operator) error {
-	_, err := keysOf(ops)
+	_, err := namesByKey(ops)
 	return err
 }
 
-// keysOf maps key digests to names. Two operators with one name or one key would
-// be one in the history.
-func keysOf(ops []Operator) (map[[sha256.Size]byte]string, error) {
-	keys := map[[sha256.Size]byte]string{}
-	names := map[string]bool{}
+// namesByKey maps key digests to operator names. Names and keys must be unique:
+// the history identifies the author of an edit by name only.
+func namesByKey(ops []Operator) (map[[sha256.Size]byte]string, error) {
+	namesByDigest := map[[sha256.Size]byte]string{}
+	seen := map[string]bool{}
 	for i, o := range ops {
-		bad := func(key, detail string) error {
+		invalid := func(key, detail string) error {
 			return merry.Prependf(ErrSettings, "key \"operator.%s\": operator %d (%q): %s", key, i+1, o.Name, detail)
 		}
-		if o.Name == "" || len(o.Name) > maxName || strings.ContainsFunc(o.Name, unicode.IsControl) {
-			return nil, bad("name", "1 to "+strconv.Itoa(maxName)+" printable bytes are needed")
+		if o.Name == "" || len(o.Name) > maxNameBytes || strings.ContainsFunc(o.Name, unicode.IsControl) {
+			return nil, invalid("name", "1 to "+strconv.Itoa(maxNameBytes)+" printable bytes are needed")
 		}
-		if names[o.Name] {
-			return nil, bad("name", "the name stands twice")
+		if seen[o.Name] {
+			return nil, invalid("name", "the name is used twice")
 		}
-		names[o.Name] = true
+		seen[o.Name] = true
 		raw, err := hex.DecodeString(o.KeySHA256)
 		if err != nil || len(raw) != sha256.Size {
-			return nil, bad("key_sha256", "64 hexadecimal digits are needed")
+			return nil, invalid("key_sha256", "64 hexadecimal digits are needed")
 		}
 		digest := [sha256.Size]byte(raw)
-		if other, ok := keys[digest]; ok {
-			return nil, bad("key_sha256", "operator "+strconv.Quote(other)+" has the same key")
+		if other, ok := namesByDigest[digest]; ok {
+			return nil, invalid("key_sha256", "operator "+strconv.Quote(other)+" has the same key")
 		}
-		keys[digest] = o.Name
+		namesByDigest[digest] = o.Name
 	}
-	return keys, nil
+	return namesByDigest, nil
 }
 
-// Register adds the routes.
+// Register adds the routes of the interface to r.
 func (h *Handler) Register(r *mux.Router) {
 	registerPage(r)
-	r.HandleFunc("/v1/schema", h.with(h.schema)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/table", h.with(h.list)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/table", h.with(h.apply)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/table/{kind}", h.with(h.list)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/table/{kind}/{key:.+}", h.with(h.get)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/table/{kind}/{key:.+}", h.with(h.put)).Methods(http.MethodPut, http.MethodDelete)
-	r.HandleFunc("/v1/history/{kind}/{key:.+}", h.with(h.history)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/force/{revision:[0-9]+}", h.with(h.inForce)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/schema", h.withAuth(h.getSchema)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/table", h.withAuth(h.listRows)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/table", h.withAuth(h.applyRows)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/table/{kind}", h.withAuth(h.listRows)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/table/{kind}/{key:.+}", h.withAuth(h.getRow)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/table/{kind}/{key:.+}", h.withAuth(h.editRow)).Methods(http.MethodPut, http.MethodDelete)
+	r.HandleFunc("/v1/history/{kind}/{key:.+}", h.withAuth(h.getHistory)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/force/{revision:[0-9]+}", h.withAuth(h.getPropagation)).Methods(http.MethodGet)
 	h.registerGroups(r)
-	r.HandleFunc("/v1/members", h.with(h.members)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/members/{id:.+}", h.with(h.removeMember)).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/replace/{id:.+}", h.with(h.replaceMember)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/quarantine", h.with(h.suspicions)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/quarantine/{key}", h.with(h.liftQuarantine)).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/status", h.with(h.status)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/dump/{id:.+}", h.with(h.dump)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/drain/{id:.+}", h.with(h.drain)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/members", h.withAuth(h.listMembers)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/members/{id:.+}", h.withAuth(h.removeMember)).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/replace/{id:.+}", h.withAuth(h.replaceMember)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/quarantine", h.withAuth(h.listSuspected)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/quarantine/{key}", h.withAuth(h.liftQuarantine)).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/status", h.withAuth(h.getStatus)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/dump/{id:.+}", h.withAuth(h.dumpProcess)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/drain/{id:.+}", h.withAuth(h.drainProcess)).Methods(http.MethodPost)
 }
 
-// call is one authenticated request.
+// call is a request and its response writer. operator is the name of the
+// authenticated operator.
 type call struct {
 	w        http.ResponseWriter
 	r        *http.Request
 	operator string
 }
 
-// problem is an RFC 9457 answer.
+// problem is an RFC 9457 problem details object.
 type problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -155,11 +160,11 @@
 	Detail string `json:"detail,omitempty"`
 	Row    string `json:"row,omitempty"`
 	Column string `json:"column,omitempty"`
-	// InForce are the rows that an edit conflicted with.
+	// InForce holds the current rows that the edit conflicted with.
 	InForce []Row `json:"in_force,omitempty"`
 }
 
-func (c *call) problem(status int, title, detail string) {
+func (c *call) writeError(status int, title, detail string) {
 	c.writeProblem(&problem{Type: "about:blank", Title: title, Status: status, Detail: detail})
 }
 
@@ -169,43 +174,45 @@
 	_ = json.NewEncoder(c.w).Encode(p)
 }
 
-// with checks who calls and bounds the call.
-func (h *Handler) with(f func(*call)) http.HandlerFunc {
+// withAuth returns a handler that authenticates the operator and limits the
+// duration and the body size of the request.
+func (h *Handler) withAuth(f func(*call)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		// Rows are never kept by a cache: a stale one would be edited as if in force.
+		// A cached response would let an operator edit a stale row.
 		w.Header().Set("Cache-Control", "no-store")
 		w.Header().Set("X-Content-Type-Options", "nosniff")
 		c := &call{w: w, r: r}
-		c.operator = h.operator(r)
+		c.operator = h.authenticate(r)
 		if c.operator == "" {
-			h.counts.unauthenticated.Inc(1)
-			kernel.Debug(h.log, "Refused a call without a known key.", "from", r.RemoteAddr)
+			h.counters.unauthenticated.Inc(1)
+			kernel.Debug(h.log, "Request refused: missing or unknown operator key.", "from", r.RemoteAddr)
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			c.problem(http.StatusUnauthorized, "Operators identify themselves.", "header Authorization: Bearer KEY is needed")
+			c.writeError(http.StatusUnauthorized, "Operators identify themselves.", "header Authorization: Bearer KEY is needed")
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
-		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
+		r.Body = http.MaxBytesReader(w, r.Body, maxBodyBytes)
 		c.r = r.WithContext(ctx)
 		f(c)
 	}
 }
 
-// Authenticated guards a handler of the operators' address by the operators' keys.
+// Authenticated returns a handler that serves next only to authenticated
+// operators.
 func (h *Handler) Authenticated(next http.Handler) http.Handler {
-	return h.with(func(c *call) { next.ServeHTTP(c.w, c.r) })
+	return h.withAuth(func(c *call) { next.ServeHTTP(c.w, c.r) })
 }
 
-// operator returns the caller's name, or "". The digest is looked up, and then
-// compared in constant time.
-func (h *Handler) operator(r *http.Request) string {
+// authenticate returns the name of the operator whose bearer key the request
+// carries, or "". Digests of keys are compared in constant time.
+func (h *Handler) authenticate(r *http.Request) string {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
 	}
 	digest := sha256.Sum256([]byte(key))
-	for known, name := range h.keys {
+	for known, name := range h.names {
 		if subtle.ConstantTimeCompare(known[:], digest[:]) == 1 {
 			return name
 		}
@@ -213,7 +220,7 @@
 	return ""
 }
 
-// Row is a row as operators see it.
+// Row is the JSON form of a row of the table.
 type Row struct {
 	Kind      string            `json:"kind"`
 	Key       string            `json:"key"`
@@ -225,14 +232,14 @@
 	Deleted   bool              `json:"deleted,omitempty"`
 }
 
-// RowOf shows a row of the table.
+// RowOf converts a row of the table to its JSON form.
 func RowOf(r *wire.Row) Row {
 	row := Row{
 		Kind: r.Kind, Key: r.Key, Columns: r.Columns, Version: r.Version,
 		Revision: r.Revision, ChangedBy: r.ChangedBy, Deleted: r.Deleted,
 	}
 	if row.Columns == nil {
-		// A row of defaults only: clients expect an object, not null.
+		// Clients expect an object, not null, also if all columns have defaults.
 		row.Columns = map[string]string{}
 	}
 	if r.ChangedAtMs != 0 {
@@ -249,7 +256,8 @@
 	return rows
 }
 
-// Rows is a list of rows at one revision.
+// Rows is a list of rows. Revision is the revision of the table that they were
+// read at; 0 in a row's history.
 type Rows struct {
 	Revision uint64 `json:"revision"`
 	Rows     []Row  `json:"rows"`
@@ -262,7 +270,7 @@
 	Doc     string `json:"doc"`
 }
 
-func (h *Handler) schema(c *call) {
+func (h *Handler) getSchema(c *call) {
 	kinds := map[string][]column{}
 	for kind, cols := range table.Schema {
 		for _, col := range cols {
@@ -272,21 +280,21 @@
 	kernel.WriteJSON(c.w, http.StatusOK, kinds)
 }
 
-func (h *Handler) read(c *call, kind, key string) (*wire.ReadReply, bool) {
+func (h *Handler) readRows(c *call, kind, key string) (*wire.ReadReply, bool) {
 	if kind != "" && table.Schema[kind] == nil {
-		c.problem(http.StatusNotFound, "No such kind of rows.", "known kinds: "+strings.Join(table.Kinds(), ", "))
+		c.writeError(http.StatusNotFound, "Unknown row kind.", "known kinds: "+strings.Join(table.Kinds(), ", "))
 		return nil, false
 	}
 	reply, err := h.client.Read(c.r.Context(), &wire.ReadRequest{Kind: kind, Key: key, Linearizable: true})
 	if err != nil {
-		c.problem(http.StatusServiceUnavailable, "The table can't be read now.", err.Error())
+		c.writeError(http.StatusServiceUnavailable, "The table can't be read now.", err.Error())
 		return nil, false
 	}
 	return reply, true
 }
 
-func (h *Handler) list(c *call) {
-	reply, ok := h.read(c, mux.Vars(c.r)["kind"], "")
+func (h *Handler) listRows(c *call) {
+	reply, ok := h.readRows(c, mux.Vars(c.r)["kind"], "")
 	if !ok {
 		return
 	}
@@ -300,50 +308,51 @@
 
 func etag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
 
-func (h *Handler) get(c *call) {
+func (h *Handler) getRow(c *call) {
 	v := mux.Vars(c.r)
-	reply, ok := h.read(c, v["kind"], v["key"])
+	reply, ok := h.readRows(c, v["kind"], v["key"])
 	if !ok {
 		return
 	}
 	if len(reply.Rows) == 0 {
-		c.problem(http.StatusNotFound, "No such row.", v["kind"]+" "+v["key"])
+		c.writeError(http.StatusNotFound, "No such row.", v["kind"]+" "+v["key"])
 		return
 	}
 	c.w.Header().Set("ETag", etag(reply.Rows[0].Version))
 	kernel.WriteJSON(c.w, http.StatusOK, RowOf(reply.Rows[0]))
 }
 
-// errNoBase is returned for an edit that doesn't say what it is based on.
-var errNoBase = errors.New("header If-Match with the row's ETag is needed, or If-None-Match: * for a new row")
+// errNoPrecondition is returned for an edit with neither If-Match nor
+// If-None-Match.
+var errNoPrecondition = errors.New("header If-Match with the row's ETag is needed, or If-None-Match: * for a new row")
 
-func (c *call) decode(v any) bool {
+func (c *call) decodeBody(v any) bool {
 	dec := json.NewDecoder(c.r.Body)
 	dec.DisallowUnknownFields()
 	err := dec.Decode(v)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		c.problem(http.StatusRequestEntityTooLarge, "The body is too large.", "at most "+strconv.Itoa(maxBody)+" bytes are taken")
+		c.writeError(http.StatusRequestEntityTooLarge, "The body is too large.", "at most "+strconv.Itoa(maxBodyBytes)+" bytes are accepted")
 		return false
 	}
 	if err != nil {
-		c.problem(http.StatusBadRequest, "The body is not what is expected.", err.Error())
+		c.writeError(http.StatusBadRequest, "The body is malformed.", err.Error())
 		return false
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		c.problem(http.StatusBadRequest, "The body is not what is expected.", "more follows the JSON value")
+		c.writeError(http.StatusBadRequest, "The body is malformed.", "unexpected data after the JSON value")
 		return false
 	}
 	return true
 }
 
-func (h *Handler) history(c *call) {
+func (h *Handler) getHistory(c *call) {
 	v := mux.Vars(c.r)
 	req := &wire.HistoryRequest{Kind: v["kind"], Key: v["key"]}
 	if at := c.r.URL.Query().Get("at_revision"); at != "" {
 		n, err := strconv.ParseUint(at, 10, 64)
 		if err != nil {
-			c.problem(http.StatusBadRequest, "Not a revision.", err.Error())
+			c.writeError(http.StatusBadRequest, "The revision is malformed.", err.Error())
 			return
 		}
 		req.AtRevision = n
@@ -354,7 +363,7 @@
 		return err
 	})
 	if err != nil {
-		c.problem(http.StatusServiceUnavailable, "The history can't be read now.", err.Error())
+		c.writeError(http.StatusServiceUnavailable, "The history can't be read now.", err.Error())
 		return
 	}
 	kernel.WriteJSON(c.w, http.StatusOK, Rows{Rows: rowsOf(reply.Rows)})
--- a/operators/operators_test.go
+++ b/operators/operators_test.go
@@ -30,8 +30,8 @@
 	return s
 }
 
-// answer holds every member that an answer of the interface may have.
-type answer struct {
+// response holds every JSON member that a response may have.
+type response struct {
 	status int
 	header http.Header
 	body   string
@@ -47,8 +47,9 @@
 	Force    operators.Force `json:"force"`
 }
 
-// send calls the first entry's operators' address. Headers are NAME, VALUE pairs.
-func send(t *testing.T, s *quickstart.System, method, path, body string, headers ...string) answer {
+// sendRequest sends a request to the operators' address of the first entry.
+// headers are NAME, VALUE pairs.
+func sendRequest(t *testing.T, s *quickstart.System, method, path, body string, headers ...string) response {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.Entries[0].OperatorAddress()+path, strings.NewReader(body))
 	assert.NilError(t, err)
@@ -61,14 +62,14 @@
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
-	a := answer{status: resp.StatusCode, header: resp.Header, body: string(text)}
+	a := response{status: resp.StatusCode, header: resp.Header, body: string(text)}
 	if strings.Contains(resp.Header.Get("Content-Type"), "json") && !strings.HasPrefix(path, "/v1/force/") {
 		assert.NilError(t, json.Unmarshal(text, &a), "%s", text)
 	}
 	return a
 }
 
-func columns(cells ...string) string {
+func columnsBody(cells ...string) string {
 	m := map[string]string{}
 	for _, c := range cells {
 		name, value, _ := strings.Cut(c, "=")
@@ -78,25 +79,24 @@
 	return string(text)
 }
 
-// Two operators edit a row that both read at version 1. The first is accepted.
-// The second is told 412 with the row now in force, by whom and when, and
-// nothing of its edit is in force; based on the new version it is accepted.
-func TestOperatorsRaceWithEqualVersions(t *testing.T) {
+// Of two edits based on the same version, the second must be refused with status
+// 412 and the current row, and must change nothing.
+func TestSecondEditOfSameVersionConflicts(t *testing.T) {
 	s := start(t)
 	const path = "/v1/table/pool/lm"
-	read := send(t, s, "GET", path, "")
+	read := sendRequest(t, s, "GET", path, "")
 	assert.Equal(t, read.status, 200)
 	tag := read.header.Get("ETag")
 	assert.Equal(t, tag, `"1"`)
 
-	first := send(t, s, "PUT", path, columns("slots=9"), "If-Match", tag)
+	first := sendRequest(t, s, "PUT", path, columnsBody("slots=9"), "If-Match", tag)
 	assert.Equal(t, first.status, 200, first.body)
 	assert.Equal(t, first.header.Get("ETag"), `"2"`)
 	assert.Equal(t, first.Rows[0].ChangedBy, "quickstart")
 	assert.Equal(t, first.Force.Entries, 3)
 	assert.Equal(t, first.Force.InForce, 3)
 
-	second := send(t, s, "PUT", path, columns("slots=10"), "If-Match", tag)
+	second := sendRequest(t, s, "PUT", path, columnsBody("slots=10"), "If-Match", tag)
 	assert.Equal(t, second.status, 412)
 	assert.Equal(t, len(second.InForce), 1)
 	now := second.InForce[0]
@@ -104,41 +104,41 @@
 	assert.Equal(t, now.ChangedBy, "quickstart")
 	assert.Equal(t, now.ChangedAt, first.Rows[0].ChangedAt)
 	assert.Assert(t, now.ChangedAt != "")
-	assert.Equal(t, send(t, s, "GET", path, "").Columns["slots"], "9")
+	assert.Equal(t, sendRequest(t, s, "GET", path, "").Columns["slots"], "9")
 
-	again := send(t, s, "PUT", path, columns("slots=10"), "If-Match", `"2"`)
+	again := sendRequest(t, s, "PUT", path, columnsBody("slots=10"), "If-Match", `"2"`)
 	assert.Equal(t, again.status, 200, again.body)
-	gone := send(t, s, "DELETE", path, "", "If-Match", `"1"`)
+	gone := sendRequest(t, s, "DELETE", path, "", "If-Match", `"1"`)
 	assert.Equal(t, gone.status, 412)
 }
 
-func TestNewRowIsMadeOnlyOnce(t *testing.T) {
+func TestSecondCreationOfRowConflicts(t *testing.T) {
 	s := start(t)
 	const path = "/v1/table/pool/repair"
-	assert.Equal(t, send(t, s, "GET", path, "").status, 404)
-	made := send(t, s, "PUT", path, columns("slots=3"), "If-None-Match", "*")
+	assert.Equal(t, sendRequest(t, s, "GET", path, "").status, 404)
+	made := sendRequest(t, s, "PUT", path, columnsBody("slots=3"), "If-None-Match", "*")
 	assert.Equal(t, made.status, 200, made.body)
-	defaults := send(t, s, "PUT", "/v1/table/pool/defaults", columns(), "If-None-Match", "*")
+	defaults := sendRequest(t, s, "PUT", "/v1/table/pool/defaults", columnsBody(), "If-None-Match", "*")
 	assert.Assert(t, strings.Contains(defaults.body, `"columns": {}`), defaults.body)
-	twice := send(t, s, "PUT", path, columns("slots=4"), "If-None-Match", "*")
+	twice := sendRequest(t, s, "PUT", path, columnsBody("slots=4"), "If-None-Match", "*")
 	assert.Equal(t, twice.status, 412)
 	assert.Equal(t, twice.InForce[0].Columns["slots"], "3")
-	deleted := send(t, s, "DELETE", path, "", "If-Match", `"1"`)
+	deleted := sendRequest(t, s, "DELETE", path, "", "If-Match", `"1"`)
 	assert.Equal(t, deleted.status, 200, deleted.body)
-	assert.Equal(t, send(t, s, "GET", path, "").status, 404)
-	history := send(t, s, "GET", "/v1/history/pool/repair", "")
+	assert.Equal(t, sendRequest(t, s, "GET", path, "").status, 404)
+	history := sendRequest(t, s, "GET", "/v1/history/pool/repair", "")
 	assert.Equal(t, len(history.Rows), 2)
 	assert.Assert(t, history.Rows[0].Deleted)
 }
 
-// The answer to an edit is lost, another operator changes the row, and the first
-// sends the edit again with its ID. The operator gets the first answer, and the
-// other's row stays in force. The same ID with another edit is refused.
-func TestResentEditGetsTheFirstAnswer(t *testing.T) {
+// An edit that is retried with its idempotency key must get the first response and
+// must not overwrite a later edit. A key that is reused for another edit must be
+// refused.
+func TestRetriedEditGetsFirstResponse(t *testing.T) {
 	s := start(t)
 	const path = "/v1/table/pool/lm"
-	put := func(slots, tag, id string) answer {
-		return send(t, s, "PUT", path, columns("slots="+slots), "If-Match", tag, "Idempotency-Key", id)
+	put := func(slots, tag, id string) response {
+		return sendRequest(t, s, "PUT", path, columnsBody("slots="+slots), "If-Match", tag, "Idempotency-Key", id)
 	}
 	first := put("9", `"1"`, "edit-a")
 	assert.Equal(t, first.status, 200, first.body)
@@ -147,12 +147,12 @@
 	assert.Equal(t, again.status, 200, again.body)
 	assert.Assert(t, again.Replayed)
 	assert.DeepEqual(t, again.Rows, first.Rows)
-	assert.Equal(t, send(t, s, "GET", path, "").Columns["slots"], "20")
+	assert.Equal(t, sendRequest(t, s, "GET", path, "").Columns["slots"], "20")
 	assert.Equal(t, put("11", `"3"`, "edit-a").status, 422)
-	assert.Equal(t, send(t, s, "GET", path, "").Columns["slots"], "20")
+	assert.Equal(t, sendRequest(t, s, "GET", path, "").Columns["slots"], "20")
 }
 
-func TestMalformedEditsAreRefused(t *testing.T) {
+func TestMalformedRequestsAreRefused(t *testing.T) {
 	s := start(t)
 	many := `{"rows":[` + strings.Repeat(`{"kind":"pool","key":"a","base_version":0},`, 5000) + `{"kind":"pool","key":"b","base_version":0}]}`
 	for _, c := range []struct {
@@ -161,47 +161,46 @@
 		status                   int
 		column                   string
 	}{
-		{"bad cell", "PUT", "/v1/table/pool/lm", columns("slots=many"), []string{"If-Match", `"1"`}, 422, "slots"},
-		{"unknown column", "PUT", "/v1/table/pool/lm", columns("slotz=1"), []string{"If-Match", `"1"`}, 422, "slotz"},
-		{"no such pool", "PUT", "/v1/table/service/x", columns("kind=plain", "pool=none"), []string{"If-None-Match", "*"}, 422, "pool"},
+		{"bad cell", "PUT", "/v1/table/pool/lm", columnsBody("slots=many"), []string{"If-Match", `"1"`}, 422, "slots"},
+		{"unknown column", "PUT", "/v1/table/pool/lm", columnsBody("slotz=1"), []string{"If-Match", `"1"`}, 422, "slotz"},
+		{"no such pool", "PUT", "/v1/table/service/x", columnsBody("kind=plain", "pool=none"), []string{"If-None-Match", "*"}, 422, "pool"},
 		{"referred to", "DELETE", "/v1/table/pool/lm", "", []string{"If-Match", `"1"`}, 422, ""},
-		{"long edit ID", "PUT", "/v1/table/pool/lm", columns("slots=1"), []string{"If-Match", `"1"`, "Idempotency-Key", strings.Repeat("k", 129)}, 422, "edit_id"},
-		{"no base", "PUT", "/v1/table/pool/lm", columns("slots=1"), nil, 428, ""},
+		{"long edit ID", "PUT", "/v1/table/pool/lm", columnsBody("slots=1"), []string{"If-Match", `"1"`, "Idempotency-Key", strings.Repeat("k", 129)}, 422, "edit_id"},
+		{"no base", "PUT", "/v1/table/pool/lm", columnsBody("slots=1"), nil, 428, ""},
 		{"no base of a delete", "DELETE", "/v1/table/pool/lm", "", nil, 428, ""},
-		{"not an ETag", "PUT", "/v1/table/pool/lm", columns("slots=1"), []string{"If-Match", "W/x"}, 400, ""},
-		{"both bases", "PUT", "/v1/table/pool/lm", columns("slots=1"), []string{"If-Match", `"1"`, "If-None-Match", "*"}, 400, ""},
+		{"not an ETag", "PUT", "/v1/table/pool/lm", columnsBody("slots=1"), []string{"If-Match", "W/x"}, 400, ""},
+		{"both bases", "PUT", "/v1/table/pool/lm", columnsBody("slots=1"), []string{"If-Match", `"1"`, "If-None-Match", "*"}, 400, ""},
 		{"unknown kind", "GET", "/v1/table/teams", "", nil, 404, ""},
-		{"unknown kind of an edit", "PUT", "/v1/table/teams/x", columns(), []string{"If-None-Match", "*"}, 422, ""},
+		{"unknown kind of an edit", "PUT", "/v1/table/teams/x", columnsBody(), []string{"If-None-Match", "*"}, 422, ""},
 		{"no JSON", "PUT", "/v1/table/pool/lm", "slots=1", []string{"If-Match", `"1"`}, 400, ""},
-		{"more after the JSON", "PUT", "/v1/table/pool/lm", columns("slots=1") + "{}", []string{"If-Match", `"1"`}, 400, ""},
+		{"more after the JSON", "PUT", "/v1/table/pool/lm", columnsBody("slots=1") + "{}", []string{"If-Match", `"1"`}, 400, ""},
 		{"unknown member", "PUT", "/v1/table/pool/lm", `{"cells":{}}`, []string{"If-Match", `"1"`}, 400, ""},
 		{"no rows", "POST", "/v1/table", `{"rows":[]}`, nil, 400, ""},
 		{"too many rows", "POST", "/v1/table", many, nil, 400, ""},
 		{"body too large", "POST", "/v1/table", `{"rows":[{"kind":"` + strings.Repeat("x", 4<<20) + `"}]}`, nil, 413, ""},
 		{"not a revision", "GET", "/v1/history/pool/lm?at_revision=x", "", nil, 400, ""},
 	} {
-		a := send(t, s, c.method, c.path, c.body, c.headers...)
+		a := sendRequest(t, s, c.method, c.path, c.body, c.headers...)
 		assert.Equal(t, a.status, c.status, "%s: %s", c.name, a.body)
 		assert.Equal(t, a.Column, c.column, "%s: %s", c.name, a.body)
 		assert.Equal(t, a.header.Get("Content-Type"), "application/problem+json", c.name)
 	}
-	row := send(t, s, "GET", "/v1/table/pool/lm", "")
+	row := sendRequest(t, s, "GET", "/v1/table/pool/lm", "")
 	assert.Equal(t, row.Row.Version, uint64(1))
 }
 
-// An edit of two rows has one that conflicts. None of them is in force, and the
-// answer has the row that it conflicted with.
-func TestAnEditOfSeveralRowsIsWholeOrNothing(t *testing.T) {
+// An edit of several rows must change none of them if one conflicts.
+func TestEditOfSeveralRowsIsAtomic(t *testing.T) {
 	s := start(t)
-	edit := func(version int) answer {
+	edit := func(version int) response {
 		body := fmt.Sprintf(`{"rows":[{"kind":"pool","key":"new","columns":{"slots":"2"},"base_version":0},
 			{"kind":"pool","key":"lm","columns":{"slots":"9"},"base_version":%d}]}`, version)
-		return send(t, s, "POST", "/v1/table", body)
+		return sendRequest(t, s, "POST", "/v1/table", body)
 	}
 	bad := edit(7)
 	assert.Equal(t, bad.status, 412)
 	assert.Equal(t, bad.InForce[0].Key, "lm")
-	assert.Equal(t, send(t, s, "GET", "/v1/table/pool/new", "").status, 404)
+	assert.Equal(t, sendRequest(t, s, "GET", "/v1/table/pool/new", "").status, 404)
 	good := edit(1)
 	assert.Equal(t, good.status, 200, good.body)
 	assert.Equal(t, len(good.Rows), 2)
@@ -209,12 +208,13 @@
 
 var pathVariable = regexp.MustCompile(`\{([a-z]+)[^}]*\}`)
 
-// registered lists every route of the handler but the page's, as METHOD PATH.
-func registered(t *testing.T) []string {
+// registeredRoutes returns every route of the handler as METHOD PATH, without
+// those of the page.
+func registeredRoutes(t *testing.T) []string {
 	t.Helper()
 	values := map[string]string{"kind": "pool", "key": "lm", "revision": "1", "verb": "pin"}
 	var list []string
-	err := alone(t, fixed{}).Walk(func(route *mux.Route, _ *mux.Router, _ []*mux.Route) error {
+	err := routerWithoutReplicas(t, staticSystem{}).Walk(func(route *mux.Route, _ *mux.Router, _ []*mux.Route) error {
 		path, err := route.GetPathTemplate()
 		if err != nil || path == "/" || strings.HasPrefix(path, "/page/") {
 			return err
@@ -232,40 +232,39 @@
 	return list
 }
 
-func TestEveryRouteNeedsAnOperatorsKey(t *testing.T) {
+func TestEveryRouteRequiresOperatorKey(t *testing.T) {
 	s := start(t)
-	for _, route := range registered(t) {
+	for _, route := range registeredRoutes(t) {
 		method, path, _ := strings.Cut(route, " ")
 		for _, key := range []string{"", "Bearer ", "Bearer wrong", "Bearer " + quickstart.TeamKey, "Basic " + quickstart.OperatorKey} {
-			a := send(t, s, method, path, columns("slots=1"), "Authorization", key, "If-Match", `"1"`)
+			a := sendRequest(t, s, method, path, columnsBody("slots=1"), "Authorization", key, "If-Match", `"1"`)
 			assert.Equal(t, a.status, 401, "%s %q: %s", route, key, a.body)
 			assert.Equal(t, a.header.Get("WWW-Authenticate"), "Bearer")
 		}
 	}
-	assert.Equal(t, send(t, s, "GET", "/v1/table/pool/lm", "").Row.Version, uint64(1))
+	assert.Equal(t, sendRequest(t, s, "GET", "/v1/table/pool/lm", "").Row.Version, uint64(1))
 }
 
-// One of three entries dies without a word. The next edit is accepted; its
-// answer says that it is in force on 2 of 3 and names the dead one, which may
-// as well be alive behind a partition and serve the old row.
-func TestAnEntryThatLagsIsNamed(t *testing.T) {
+// An edit must be accepted while an entry is silent, and must list that entry as
+// lagging: behind a partition it may still serve the old row.
+func TestSilentEntryIsListedAsLagging(t *testing.T) {
 	s := start(t)
 	s.Entries[2].Stop()
-	a := send(t, s, "PUT", "/v1/table/pool/lm", columns("slots=9"), "If-Match", `"1"`)
+	a := sendRequest(t, s, "PUT", "/v1/table/pool/lm", columnsBody("slots=9"), "If-Match", `"1"`)
 	assert.Equal(t, a.status, 200, a.body)
 	assert.Equal(t, a.Force.Entries, 3)
 	assert.Equal(t, a.Force.InForce, 2)
 	assert.DeepEqual(t, a.Force.Lagging, []string{"entry-3"})
-	later := send(t, s, "GET", fmt.Sprintf("/v1/force/%d", a.Force.Revision), "")
+	later := sendRequest(t, s, "GET", fmt.Sprintf("/v1/force/%d", a.Force.Revision), "")
 	assert.Assert(t, strings.Contains(later.body, `"entry-3"`), later.body)
 }
 
-func TestOperatorsWhoCantBeToldApartAreRefused(t *testing.T) {
+func TestInvalidAndDuplicateOperatorsAreRefused(t *testing.T) {
 	digest, other := strings.Repeat("ab", 32), strings.Repeat("cd", 32)
 	for want, ops := range map[string][]operators.Operator{
 		`"operator.name": operator 1`:             {{KeySHA256: digest}},
 		`operator 1 ("a\nb")`:                     {{Name: "a\nb", KeySHA256: digest}},
-		`operator 2 ("asha"): the name stands`:    {{Name: "asha", KeySHA256: digest}, {Name: "asha", KeySHA256: other}},
+		`operator 2 ("asha"): the name is used`:   {{Name: "asha", KeySHA256: digest}, {Name: "asha", KeySHA256: other}},
 		`64 hexadecimal digits`:                   {{Name: "asha", KeySHA256: digest[2:]}},
 		`operator "asha" has the same key`:        {{Name: "asha", KeySHA256: digest}, {Name: "bela", KeySHA256: strings.ToUpper(digest)}},
 		`"operator.key_sha256": operator 1 ("a")`: {{Name: "a", KeySHA256: "zz"}},
@@ -277,7 +276,7 @@
 	assert.NilError(t, operators.CheckOperators([]operators.Operator{{Name: "a", KeySHA256: digest}, {Name: "b", KeySHA256: other}}))
 }
 
-// lockedBuffer collects log lines of several goroutines.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -295,9 +294,9 @@
 	return b.text.String()
 }
 
-// The log says who changed which row to which version, once for an edit that is
-// sent twice; the cells, which may hold digests of keys, stay out of it.
-func TestLogSaysWhoChangedWhat(t *testing.T) {
+// Each accepted edit must be logged once, also if it is sent twice, and without
+// column values, which may hold digests of keys.
+func TestEditsAreLoggedOnceWithoutValues(t *testing.T) {
 	logged := &lockedBuffer{}
 	s, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewLogfmtLogger(logged)})
 	assert.NilError(t, err)
@@ -305,12 +304,12 @@
 	assert.NilError(t, s.WaitReady(context.Background()))
 	digest := strings.Repeat("ab", 32)
 	for range 2 {
-		a := send(t, s, "PUT", "/v1/table/team/buyers", columns("key_sha256="+digest), "If-None-Match", "*", "Idempotency-Key", "e1")
+		a := sendRequest(t, s, "PUT", "/v1/table/team/buyers", columnsBody("key_sha256="+digest), "If-None-Match", "*", "Idempotency-Key", "e1")
 		assert.Equal(t, a.status, 200, a.body)
 	}
 	const line = `msg="Changed a row." by=quickstart row="team buyers" version=1`
 	assert.Equal(t, strings.Count(logged.String(), line), 1)
-	assert.Equal(t, send(t, s, "DELETE", "/v1/table/team/buyers", "", "If-Match", `"1"`).status, 200)
+	assert.Equal(t, sendRequest(t, s, "DELETE", "/v1/table/team/buyers", "", "If-Match", `"1"`).status, 200)
 	assert.Assert(t, strings.Contains(logged.String(), `msg="Deleted a row." by=quickstart row="team buyers" version=2`))
 	assert.Assert(t, !strings.Contains(logged.String(), digest))
 }
--- a/operators/page.go
+++ b/operators/page.go
@@ -11,16 +11,17 @@
 //go:embed page
 var pageFiles embed.FS
 
-// pagePolicy lets the page load its own script and style and talk to its own
-// address. Text in a row that looks like script or markup is not run.
-const pagePolicy = "default-src 'none'; script-src 'self'; style-src 'self'; connect-src 'self'; " +
+// contentSecurityPolicy lets the page load scripts and styles from and connect to
+// its own origin only. It blocks inline scripts, so that text of a row can't be run
+// as one.
+const contentSecurityPolicy = "default-src 'none'; script-src 'self'; style-src 'self'; connect-src 'self'; " +
 	"base-uri 'none'; form-action 'none'; frame-ancestors 'none'"
 
-// registerPage adds the page: a grid of the table's rows by kind.
+// registerPage adds the routes of the web page that edits the rows of the table.
 func registerPage(r *mux.Router) {
 	files := http.FileServerFS(pageFiles)
 	r.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		pageHeaders(w)
+		setPageHeaders(w)
 		http.ServeFileFS(w, r, pageFiles, "page/table.html")
 	}).Methods(http.MethodGet)
 	r.HandleFunc("/page/{file}", func(w http.ResponseWriter, r *http.Request) {
@@ -28,14 +29,14 @@
 			http.NotFound(w, r)
 			return
 		}
-		pageHeaders(w)
+		setPageHeaders(w)
 		files.ServeHTTP(w, r)
 	}).Methods(http.MethodGet)
 }
 
-func pageHeaders(w http.ResponseWriter) {
+func setPageHeaders(w http.ResponseWriter) {
 	h := w.Header()
-	h.Set("Content-Security-Policy", pagePolicy)
+	h.Set("Content-Security-Policy", contentSecurityPolicy)
 	h.Set("X-Content-Type-Options", "nosniff")
 	h.Set("Referrer-Policy", "no-referrer")
 	h.Set("Cache-Control", "no-store")
--- a/operators/page_test.go
+++ b/operators/page_test.go
@@ -8,12 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// The page must not be kept by a cache, shown in another page's frame, or load
-// anything from elsewhere; text in a row must not become script or markup.
-func TestPageIsGuarded(t *testing.T) {
+// The page must not be cached, shown in a frame, or load anything from another
+// origin, and text of a row must not become script or markup.
+func TestPageSecurityHeaders(t *testing.T) {
 	s := start(t)
 	for _, path := range []string{"/", "/page/table.css", "/page/table.js"} {
-		page := send(t, s, "GET", path, "", "Authorization", "")
+		page := sendRequest(t, s, "GET", path, "", "Authorization", "")
 		assert.Equal(t, page.status, 200, path)
 		policy := page.header.Get("Content-Security-Policy")
 		for _, want := range []string{"default-src 'none'", "script-src 'self'", "connect-src 'self'", "frame-ancestors 'none'"} {
@@ -26,16 +26,16 @@
 			assert.Assert(t, !strings.Contains(page.body, forbidden), "%s: %s", path, forbidden)
 		}
 	}
-	assert.Equal(t, send(t, s, "GET", "/page/none.js", "").status, 404)
-	assert.Equal(t, send(t, s, "GET", "/page/", "").status, 404)
-	assert.Equal(t, send(t, s, "GET", "/v1/table", "").header.Get("Cache-Control"), "no-store")
+	assert.Equal(t, sendRequest(t, s, "GET", "/page/none.js", "").status, 404)
+	assert.Equal(t, sendRequest(t, s, "GET", "/page/", "").status, 404)
+	assert.Equal(t, sendRequest(t, s, "GET", "/v1/table", "").header.Get("Cache-Control"), "no-store")
 }
 
-// The script finds what it needs: every element that it looks up stands in the
-// page, and every path that it calls is answered.
-func TestPageAndScriptFitTogether(t *testing.T) {
+// Every element ID that the script looks up must exist in the page, and every
+// path that it requests must exist.
+func TestPageScriptUsesExistingElementsAndPaths(t *testing.T) {
 	s := start(t)
-	page, script := send(t, s, "GET", "/", "").body, send(t, s, "GET", "/page/table.js", "").body
+	page, script := sendRequest(t, s, "GET", "/", "").body, sendRequest(t, s, "GET", "/page/table.js", "").body
 	ids := regexp.MustCompile(`\$\('([a-z]+)'\)`).FindAllStringSubmatch(script, -1)
 	assert.Assert(t, len(ids) > 0)
 	for _, id := range ids {
@@ -48,6 +48,6 @@
 		if p[2] == "/" {
 			path += map[string]string{"/v1/table": "/pool", "/v1/force": "/1"}[p[1]]
 		}
-		assert.Equal(t, send(t, s, "GET", path, "").status, 200, path)
+		assert.Equal(t, sendRequest(t, s, "GET", path, "").status, 200, path)
 	}
 }
--- a/operators/quarantine.go
+++ b/operators/quarantine.go
@@ -11,32 +11,34 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Suspicions is what one control replica holds against requests.
-type Suspicions struct {
+// SuspectedRequests lists the requests under which upstreams ended, as known to
+// one control replica.
+type SuspectedRequests struct {
 	Requests []quarantine.Shown `json:"requests"`
 }
 
-func (h *Handler) suspicions(c *call) {
+func (h *Handler) listSuspected(c *call) {
 	var reply *wire.ListSuspicionsReply
 	err := h.client.CallQuarantine(c.r.Context(), func(ctx context.Context, q wire.DRPCQuarantineClient) (err error) {
 		reply, err = q.List(ctx, &wire.ListSuspicionsRequest{})
 		return err
 	})
 	if err != nil {
-		c.problem(http.StatusServiceUnavailable, "No control replica answers.", err.Error())
+		c.writeError(http.StatusServiceUnavailable, "No control replica answers.", err.Error())
 		return
 	}
-	kernel.WriteJSON(c.w, http.StatusOK, Suspicions{Requests: quarantine.Show(reply.Suspicions)})
+	kernel.WriteJSON(c.w, http.StatusOK, SuspectedRequests{Requests: quarantine.Show(reply.Suspicions)})
 }
 
-// liftQuarantine has a request sent to upstreams again, with nothing held against it.
+// liftQuarantine allows a quarantined request to be sent to upstreams again, and
+// clears its record.
 func (h *Handler) liftQuarantine(c *call) {
 	key, err := quarantine.ParseKey(mux.Vars(c.r)["key"])
 	if err != nil {
-		c.problem(http.StatusBadRequest, "Not the key of a request.", err.Error())
+		c.writeError(http.StatusBadRequest, "Not the key of a request.", err.Error())
 		return
 	}
-	kernel.Info(h.log, "Asked to lift a quarantine.", "by", c.operator, "key", key)
+	kernel.Info(h.log, "Lift of a quarantine requested.", "by", c.operator, "key", key)
 	var reply *wire.LiftQuarantineReply
 	err = h.client.CallQuarantine(c.r.Context(), func(ctx context.Context, q wire.DRPCQuarantineClient) (err error) {
 		reply, err = q.Lift(ctx, &wire.LiftQuarantineRequest{Key: key[:]})
@@ -44,9 +46,9 @@
 	})
 	switch {
 	case err != nil:
-		c.problem(http.StatusServiceUnavailable, "No leader answers. The log may have no quorum.", err.Error())
+		c.writeError(http.StatusServiceUnavailable, "No leader answers. The log may have no quorum.", err.Error())
 	case !reply.Found:
-		c.problem(http.StatusNotFound, "No such request is in quarantine.", key.String())
+		c.writeError(http.StatusNotFound, "No such request is in quarantine.", key.String())
 	default:
 		c.w.WriteHeader(http.StatusNoContent)
 	}
--- a/operators/system.go
+++ b/operators/system.go
@@ -14,29 +14,32 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Errors that a System returns.
+// Errors returned by the methods of a System.
 var (
 	ErrUnknownProcess = merry.Sentinel("no such process is known")
 	ErrNotReached     = merry.Sentinel("the process can't be reached")
 )
 
-// PhaseSilent is the phase of an instance whose lease ran out without a word.
+// PhaseSilent is the phase of an instance whose lease ran out without an
+// announcement that it is gone.
 const PhaseSilent = "silent"
 
-// EntryState is an entry as the asked one knows it.
+// EntryState is the state of an entry, as known to the entry that serves the
+// request.
 type EntryState struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	Address       string `json:"address"`
 	// Phase is up, leaving or silent.
 	Phase string `json:"phase"`
-	// Revision of the table that it has in force.
+	// Revision is the revision of the table that the entry has applied.
 	Revision uint64 `json:"revision"`
-	// Listed says whether callers are told of it.
+	// Listed says whether the entry is in the list of entries given to callers.
 	Listed bool `json:"listed"`
 }
 
-// UpstreamState is an upstream as the asked entry knows it.
+// UpstreamState is the state of an upstream, as known to the entry that serves the
+// request.
 type UpstreamState struct {
 	ID            string   `json:"id"`
 	FailureDomain string   `json:"failure_domain"`
@@ -45,33 +48,35 @@
 	Pools         []string `json:"pools"`
 	// Phase is up, leaving or silent.
 	Phase string `json:"phase"`
-	// Running and Waiting are requests, Slots how many run at once.
+	// Running and Waiting count requests. Slots is the concurrency limit.
 	Running uint32 `json:"running"`
 	Waiting uint32 `json:"waiting"`
 	Slots   uint32 `json:"slots"`
 }
 
-// Drained says what a process that was told to leave still has to do.
+// Drained counts the requests that a draining process still runs and queues.
 type Drained struct {
 	ID      string `json:"id"`
 	Running uint32 `json:"running"`
 	Waiting uint32 `json:"waiting"`
 }
 
-// System is what the handler asks of the entry that it stands in.
+// System gives access to the processes of the system. The entry that runs the
+// handler implements it.
 type System interface {
 	Entries() []EntryState
 	Upstreams() []UpstreamState
-	// Dump returns the state of a process as JSON; an address stands in for an
-	// ID that is in no directory.
+	// Dump returns the state of a process as JSON. The address is used if the
+	// directory doesn't contain the ID.
 	Dump(ctx context.Context, id, address string) (json.RawMessage, error)
-	// Drain makes an upstream or an entry leave.
+	// Drain starts to drain an upstream or an entry on behalf of the operator by.
 	Drain(ctx context.Context, id, by string) (Drained, error)
 }
 
-// Status is the whole system as the asked entry knows it.
+// Status is the state of the whole system, as known to the entry that serves the
+// request.
 type Status struct {
-	// Health of the replicated log; HealthUnknown if no leader answers.
+	// Health is that of the replicated log; HealthUnknown if no leader answers.
 	Health    string          `json:"health"`
 	Detail    string          `json:"detail,omitempty"`
 	Replicas  []Member        `json:"replicas"`
@@ -82,7 +87,7 @@
 // HealthUnknown is the health of a log whose leader doesn't answer.
 const HealthUnknown = "no-leader"
 
-func (h *Handler) status(c *call) {
+func (h *Handler) getStatus(c *call) {
 	s := Status{Replicas: []Member{}, Entries: h.system.Entries(), Upstreams: h.system.Upstreams()}
 	reply, err := h.callMembers(c.r.Context(), &wire.MembersRequest{Verb: control.VerbList})
 	if err != nil {
@@ -93,29 +98,29 @@
 	kernel.WriteJSON(c.w, http.StatusOK, s)
 }
 
-func (h *Handler) drain(c *call) {
+func (h *Handler) drainProcess(c *call) {
 	id := mux.Vars(c.r)["id"]
 	d, err := h.system.Drain(c.r.Context(), id, c.operator)
 	if err != nil {
-		c.systemProblem(err)
+		c.writeSystemError(err)
 		return
 	}
-	kernel.Info(h.log, "Told a process to leave.", "by", c.operator, "id", id, "running", d.Running, "waiting", d.Waiting)
+	kernel.Info(h.log, "Started to drain a process.", "by", c.operator, "id", id, "running", d.Running, "waiting", d.Waiting)
 	kernel.WriteJSON(c.w, http.StatusOK, d)
 }
 
-func (h *Handler) dump(c *call) {
+func (h *Handler) dumpProcess(c *call) {
 	id := mux.Vars(c.r)["id"]
 	state, err := h.system.Dump(c.r.Context(), id, h.replicaAddress(c.r.Context(), id))
 	if err != nil {
-		c.systemProblem(err)
+		c.writeSystemError(err)
 		return
 	}
 	kernel.WriteJSON(c.w, http.StatusOK, state)
 }
 
-// replicaAddress finds a control replica by its name or its whole ID. Replicas
-// that are no entries stand in no directory.
+// replicaAddress returns the address of the control replica with a name or full
+// ID, or "". The directory doesn't contain replicas that run outside entries.
 func (h *Handler) replicaAddress(ctx context.Context, id string) string {
 	reply, err := h.callMembers(ctx, &wire.MembersRequest{Verb: control.VerbList})
 	if err != nil {
@@ -129,10 +134,10 @@
 	return ""
 }
 
-func (c *call) systemProblem(err error) {
+func (c *call) writeSystemError(err error) {
 	if errors.Is(err, ErrUnknownProcess) {
-		c.problem(http.StatusNotFound, "No such process is known here.", err.Error())
+		c.writeError(http.StatusNotFound, "No such process is known here.", err.Error())
 		return
 	}
-	c.problem(http.StatusServiceUnavailable, "The process can't be reached.", err.Error())
+	c.writeError(http.StatusServiceUnavailable, "The process can't be reached.", err.Error())
 }
