--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -27,10 +27,10 @@
 	if err != nil {
 		return err
 	}
-	if err := a.addGroups(p); err != nil {
+	if err := a.addGroupCommands(p); err != nil {
 		return err
 	}
-	if err := a.addQuarantine(p); err != nil {
+	if err := a.addQuarantineCommands(p); err != nil {
 		return err
 	}
 	for _, c := range []struct {
@@ -38,21 +38,21 @@
 		name, short string
 		data        any
 	}{
-		{t, "get", "show rows", &tableGet{app: a}},
-		{t, "set", "change columns of one row, or make it", &tableSet{app: a}},
-		{t, "delete", "delete one row", &tableDelete{app: a}},
-		{t, "history", "show the versions of one row", &tableHistory{app: a}},
-		{t, "apply", "make the rows of a TSV file those in force", &tableApply{app: a}},
-		{t, "export", "write all rows as TSV", &tableExport{app: a}},
-		{p.Command, "status", "show health, control replicas, entries and upstreams", &status{app: a}},
-		{p.Command, "members", "show the control replicas", &members{app: a}},
-		{p.Command, "replace", "replace a lost control replica by one that has caught up", &replace{app: a}},
-		{p.Command, "remove", "remove a control replica from the log", &remove{app: a}},
-		{p.Command, "drain", "make an upstream or an entry leave; nothing in progress is cut", &drain{app: a}},
-		{p.Command, "explain", "explain a refusal from its token", &explain{app: a}},
-		{p.Command, "dump", "show a process's state as JSON", &dump{app: a}},
-		{p.Command, "trace", "show the lines of one request from logs, and its cause", &trace{app: a}},
-		{p.Command, "losses", "count from logs what became of requests, by cause and time", &losses{app: a}},
+		{t, "get", "show rows", &tableGetCommand{app: a}},
+		{t, "set", "change columns of one row, or create it", &tableSetCommand{app: a}},
+		{t, "delete", "delete one row", &tableDeleteCommand{app: a}},
+		{t, "history", "show the versions of one row", &tableHistoryCommand{app: a}},
+		{t, "apply", "apply the rows of a TSV file", &tableApplyCommand{app: a}},
+		{t, "export", "write all rows as TSV", &tableExportCommand{app: a}},
+		{p.Command, "status", "show health, control replicas, entries and upstreams", &statusCommand{app: a}},
+		{p.Command, "members", "show the control replicas", &membersCommand{app: a}},
+		{p.Command, "replace", "replace a lost control replica by one that has caught up", &replaceCommand{app: a}},
+		{p.Command, "remove", "remove a control replica from the log", &removeCommand{app: a}},
+		{p.Command, "drain", "drain an upstream or an entry; requests in progress are completed", &drainCommand{app: a}},
+		{p.Command, "explain", "explain a refusal from its token", &explainCommand{app: a}},
+		{p.Command, "dump", "show the state of a process as JSON", &dumpCommand{app: a}},
+		{p.Command, "trace", "show the log lines and the outcome of one request", &traceCommand{app: a}},
+		{p.Command, "losses", "count the outcomes of requests in logs, by cause and time window", &lossesCommand{app: a}},
 	} {
 		if _, err := c.parent.AddCommand(c.name, c.short, "", c.data); err != nil {
 			return err
@@ -69,13 +69,12 @@
 	return root + "/" + url.PathEscape(kind) + "/" + strings.Join(parts, "/")
 }
 
-// rowArgs name one row.
 type rowArgs struct {
 	Kind string `positional-arg-name:"KIND" required:"yes"`
 	Key  string `positional-arg-name:"KEY" required:"yes"`
 }
 
-type tableGet struct {
+type tableGetCommand struct {
 	*app `no-flag:"yes"`
 	Args struct {
 		Kind string `positional-arg-name:"KIND"`
@@ -84,42 +83,42 @@
 }
 
 // Execute implements flags.Commander.
-func (c *tableGet) Execute([]string) error {
+func (c *tableGetCommand) Execute([]string) error {
 	if c.Args.Key != "" {
 		var r operators.Row
-		if err := c.get(rowPath("/v1/table", c.Args.Kind, c.Args.Key), &r); err != nil {
+		if err := c.getJSON(rowPath("/v1/table", c.Args.Kind, c.Args.Key), &r); err != nil {
 			return err
 		}
-		return c.show(r, rowSheet([]operators.Row{r}))
+		return c.show(r, rowTable([]operators.Row{r}))
 	}
-	rows, err := c.rows(c.Args.Kind)
+	rows, err := c.getRows(c.Args.Kind)
 	if err != nil {
 		return err
 	}
-	return c.show(rows, rowSheet(rows.Rows))
+	return c.show(rows, rowTable(rows.Rows))
 }
 
-func (a *app) rows(kind string) (*operators.Rows, error) {
+func (a *app) getRows(kind string) (*operators.Rows, error) {
 	path := "/v1/table"
 	if kind != "" {
 		path += "/" + url.PathEscape(kind)
 	}
 	var rows operators.Rows
-	return &rows, a.get(path, &rows)
+	return &rows, a.getJSON(path, &rows)
 }
 
-// base returns the row that an edit is based on, or nil: the one in force, or the
-// version that the operator names. An edit that is sent again with its ID and
-// version is then the same edit, also when the row has changed meanwhile.
-func (a *app) base(kind, key string, version *uint64) (*operators.Row, error) {
+// baseRow returns the row that an edit is based on, or nil for a new row: the
+// given version, or the current one if version is nil. With the version given, a
+// retry builds the same edit also if the row has changed since.
+func (a *app) baseRow(kind, key string, version *uint64) (*operators.Row, error) {
 	if version == nil {
-		return a.current(kind, key)
+		return a.currentRow(kind, key)
 	}
 	if *version == 0 {
 		return nil, nil
 	}
 	var rows operators.Rows
-	if err := a.get(rowPath("/v1/history", kind, key), &rows); err != nil {
+	if err := a.getJSON(rowPath("/v1/history", kind, key), &rows); err != nil {
 		return nil, err
 	}
 	for _, r := range rows.Rows {
@@ -130,9 +129,9 @@
 	return nil, merry.Prependf(ErrRefused, "%s %s has no version %d in its history", kind, key, *version)
 }
 
-// current returns the row in force, or nil.
-func (a *app) current(kind, key string) (*operators.Row, error) {
-	rows, err := a.rows(kind)
+// currentRow returns the current version of a row, or nil if there is none.
+func (a *app) currentRow(kind, key string) (*operators.Row, error) {
+	rows, err := a.getRows(kind)
 	if err != nil {
 		return nil, err
 	}
@@ -151,8 +150,8 @@
 )
 
 type editOptions struct {
-	Version *uint64 `long:"version" description:"version the edit is based on, 0 for a new row; the one in force if not given" value-name:"N"`
-	EditID  string  `long:"edit-id" description:"ID of the edit; give the same one, and the same --version, if an answer was lost: the edit is made once" value-name:"ID"`
+	Version *uint64 `long:"version" description:"version the edit is based on, 0 for a new row; default: the current version" value-name:"N"`
+	EditID  string  `long:"edit-id" description:"idempotency key; to retry an edit without making it twice, give the same key and the same --version" value-name:"ID"`
 }
 
 func (o *editOptions) header(version uint64) map[string]string {
@@ -167,11 +166,12 @@
 	return h
 }
 
-// sendEdit makes an edit and tells where it is in force.
+// sendEdit sends an edit, shows the changed rows, and prints to standard error
+// which entries have applied it.
 func (a *app) sendEdit(r request) error {
-	text, err := a.call(r)
+	text, err := a.sendRequest(r)
 	if errors.Is(err, ErrServer) || errors.Is(err, ErrUnavailable) {
-		return merry.Append(err, resendHint(r))
+		return merry.Append(err, retryHint(r))
 	}
 	if err != nil {
 		return err
@@ -180,15 +180,15 @@
 	if err := json.Unmarshal(text, &e); err != nil {
 		return merry.Prepend(ErrServer, err.Error())
 	}
-	if err := a.show(e, rowSheet(e.Rows)); err != nil {
+	if err := a.show(e, rowTable(e.Rows)); err != nil {
 		return err
 	}
-	fmt.Fprintln(a.stderr, forceText(e.Force))
+	fmt.Fprintln(a.stderr, propagationText(e.Force))
 	return nil
 }
 
-// resendHint tells how to send an edit again whose answer was lost.
-func resendHint(r request) string {
+// retryHint says how to retry an edit whose outcome is unknown.
+func retryHint(r request) string {
 	hint := "the edit may have been made; send it again with --edit-id " + r.header[headerEditID]
 	if r.method == http.MethodPost {
 		return hint
@@ -200,7 +200,7 @@
 	return hint + " --version " + version
 }
 
-type tableSet struct {
+type tableSetCommand struct {
 	*app `no-flag:"yes"`
 	editOptions
 	Args struct {
@@ -211,12 +211,12 @@
 }
 
 // Execute implements flags.Commander.
-func (c *tableSet) Execute([]string) error {
-	cells, err := parseCells(c.Args.Cells)
+func (c *tableSetCommand) Execute([]string) error {
+	changes, err := parseColumns(c.Args.Cells)
 	if err != nil {
 		return err
 	}
-	old, err := c.base(c.Args.Kind, c.Args.Key, c.Version)
+	old, err := c.baseRow(c.Args.Kind, c.Args.Key, c.Version)
 	if err != nil {
 		return err
 	}
@@ -226,35 +226,35 @@
 		version = old.Version
 		maps.Copy(columns, old.Columns)
 	}
-	maps.Copy(columns, cells)
+	maps.Copy(columns, changes)
 	return c.sendEdit(request{
 		method: http.MethodPut, path: rowPath("/v1/table", c.Args.Kind, c.Args.Key),
 		header: c.header(version), body: map[string]any{"columns": columns},
 	})
 }
 
-// parseCells reads COLUMN=VALUE words.
-func parseCells(words []string) (map[string]string, error) {
+// parseColumns parses arguments of the form COLUMN=VALUE.
+func parseColumns(args []string) (map[string]string, error) {
 	parsed := map[string]string{}
-	for _, word := range words {
-		name, value, ok := strings.Cut(word, "=")
+	for _, arg := range args {
+		name, value, ok := strings.Cut(arg, "=")
 		if !ok {
-			return nil, merry.Prependf(ErrUsage, "%q is not COLUMN=VALUE", word)
+			return nil, merry.Prependf(ErrUsage, "%q is not COLUMN=VALUE", arg)
 		}
 		parsed[name] = value
 	}
 	return parsed, nil
 }
 
-type tableDelete struct {
+type tableDeleteCommand struct {
 	*app `no-flag:"yes"`
 	editOptions
 	Args rowArgs `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *tableDelete) Execute([]string) error {
-	old, err := c.base(c.Args.Kind, c.Args.Key, c.Version)
+func (c *tableDeleteCommand) Execute([]string) error {
+	old, err := c.baseRow(c.Args.Kind, c.Args.Key, c.Version)
 	if err != nil {
 		return err
 	}
@@ -266,32 +266,32 @@
 	})
 }
 
-type tableHistory struct {
+type tableHistoryCommand struct {
 	*app       `no-flag:"yes"`
-	AtRevision uint64  `long:"at-revision" description:"only the version that was in force at a revision"`
+	AtRevision uint64  `long:"at-revision" description:"show only the version that was in force at this revision"`
 	Args       rowArgs `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *tableHistory) Execute([]string) error {
+func (c *tableHistoryCommand) Execute([]string) error {
 	path := rowPath("/v1/history", c.Args.Kind, c.Args.Key)
 	if c.AtRevision != 0 {
 		path += "?at_revision=" + strconv.FormatUint(c.AtRevision, 10)
 	}
 	var rows operators.Rows
-	if err := c.get(path, &rows); err != nil {
+	if err := c.getJSON(path, &rows); err != nil {
 		return err
 	}
-	return c.show(rows, rowSheet(rows.Rows))
+	return c.show(rows, rowTable(rows.Rows))
 }
 
-type tableExport struct {
+type tableExportCommand struct {
 	*app `no-flag:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *tableExport) Execute([]string) error {
-	text, err := c.call(request{
+func (c *tableExportCommand) Execute([]string) error {
+	text, err := c.sendRequest(request{
 		method: http.MethodGet, path: "/v1/table", header: map[string]string{"Accept": "text/tab-separated-values"},
 	})
 	if err != nil {
@@ -301,32 +301,32 @@
 	return err
 }
 
-type tableApply struct {
+type tableApplyCommand struct {
 	*app   `no-flag:"yes"`
-	Yes    bool   `long:"yes" description:"don't ask"`
-	Prune  bool   `long:"prune" description:"delete rows in force that the file lacks"`
-	EditID string `long:"edit-id" description:"give the same ID again when an answer was lost: the edit is made once"`
+	Yes    bool   `long:"yes" description:"don't ask for confirmation"`
+	Prune  bool   `long:"prune" description:"delete rows that are not in the file"`
+	EditID string `long:"edit-id" description:"idempotency key; to retry an edit without making it twice, give the same key"`
 	Args   struct {
 		File string `positional-arg-name:"FILE" required:"yes"`
 	} `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *tableApply) Execute([]string) error {
+func (c *tableApplyCommand) Execute([]string) error {
 	f, err := os.Open(c.Args.File)
 	if err != nil {
 		return merry.Prepend(ErrUsage, err.Error())
 	}
 	defer f.Close()
-	wanted, err := table.ReadTSV(f)
+	desired, err := table.ReadTSV(f)
 	if err != nil {
 		return merry.Prependf(ErrUsage, "%s: %v", c.Args.File, err)
 	}
-	inForce, err := c.rows("")
+	inForce, err := c.getRows("")
 	if err != nil {
 		return err
 	}
-	edits := plan(wanted, inForce.Rows, c.Prune)
+	edits := planEdits(desired, inForce.Rows, c.Prune)
 	if len(edits) == 0 {
 		fmt.Fprintln(c.stderr, "Nothing to change.")
 		return nil
@@ -343,14 +343,15 @@
 	})
 }
 
-// plan lists the edits that lead from the rows in force to those wanted.
-func plan(wanted []*wire.Row, inForce []operators.Row, prune bool) []operators.RowEdit {
+// planEdits returns the edits that turn the current rows into the desired ones.
+// Rows that are not desired are deleted only with prune.
+func planEdits(desired []*wire.Row, inForce []operators.Row, prune bool) []operators.RowEdit {
 	var edits []operators.RowEdit
-	for _, w := range wanted {
+	for _, w := range desired {
 		i := slices.IndexFunc(inForce, func(r operators.Row) bool { return r.Kind == w.Kind && r.Key == w.Key })
 		e := operators.RowEdit{Kind: w.Kind, Key: w.Key, Columns: w.Columns}
 		if i >= 0 {
-			if cells(inForce[i].Columns) == cells(w.Columns) {
+			if formatColumns(inForce[i].Columns) == formatColumns(w.Columns) {
 				continue
 			}
 			e.BaseVersion = inForce[i].Version
@@ -361,7 +362,7 @@
 		return edits
 	}
 	for _, r := range inForce {
-		kept := slices.ContainsFunc(wanted, func(w *wire.Row) bool { return r.Kind == w.Kind && r.Key == w.Key })
+		kept := slices.ContainsFunc(desired, func(w *wire.Row) bool { return r.Kind == w.Kind && r.Key == w.Key })
 		if !kept {
 			edits = append(edits, operators.RowEdit{Kind: r.Kind, Key: r.Key, BaseVersion: r.Version, Delete: true})
 		}
@@ -369,17 +370,17 @@
 	return edits
 }
 
-// confirm shows the plan and asks.
-func (c *tableApply) confirm(edits []operators.RowEdit, inForce []operators.Row) bool {
+// confirm shows the edits and asks for confirmation, unless --yes is given.
+func (c *tableApplyCommand) confirm(edits []operators.RowEdit, inForce []operators.Row) bool {
 	for _, e := range edits {
 		i := slices.IndexFunc(inForce, func(r operators.Row) bool { return r.Kind == e.Kind && r.Key == e.Key })
 		switch {
 		case e.Delete:
 			fmt.Fprintf(c.stderr, "- %s %s\n", e.Kind, e.Key)
 		case i < 0:
-			fmt.Fprintf(c.stderr, "+ %s %s  %s\n", e.Kind, e.Key, cells(e.Columns))
+			fmt.Fprintf(c.stderr, "+ %s %s  %s\n", e.Kind, e.Key, formatColumns(e.Columns))
 		default:
-			fmt.Fprintf(c.stderr, "~ %s %s  %s  (was %s)\n", e.Kind, e.Key, cells(e.Columns), cells(inForce[i].Columns))
+			fmt.Fprintf(c.stderr, "~ %s %s  %s  (was %s)\n", e.Kind, e.Key, formatColumns(e.Columns), formatColumns(inForce[i].Columns))
 		}
 	}
 	if c.Yes {
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command line: it reads logs, and speaks HTTP to an entry's
-// operators' address.
+// Package ctl implements snipereachctl, the operators' command line. It reads log
+// files and calls the operators' HTTP interface of an entry.
 package ctl
 
 import (
@@ -21,41 +21,43 @@
 	"github.com/snipereach/snipereach/operators"
 )
 
-// Errors of this layer.
+// Errors returned by commands.
 var (
 	ErrRefused = merry.Sentinel("refused")
 	ErrServer  = merry.Sentinel("server can't be reached")
 	ErrUsage   = merry.Sentinel("usage")
-	// ErrUnavailable is returned when nobody could decide.
+	// ErrUnavailable is returned for status 503, e.g. if no leader answers. An edit
+	// may have been made nevertheless.
 	ErrUnavailable = merry.Sentinel("unavailable")
 )
 
-const timeout = 30 * time.Second
+const requestTimeout = 30 * time.Second
 
-// global are the options that every command takes.
-type global struct {
-	Server  string `long:"server" env:"SNIPEREACH_SERVER" default:"http://127.0.0.1:8081" description:"an entry's operators' address" value-name:"URL"`
-	Key     string `long:"key" env:"SNIPEREACH_KEY" description:"operator's bearer key; better given in the environment" value-name:"KEY"`
-	CA      string `long:"ca" env:"SNIPEREACH_CA" description:"file with the CA of the server's certificate, PEM; the system's if not given" value-name:"FILE"`
-	Output  string `long:"output" short:"o" choice:"table" choice:"json" choice:"tsv" default:"table" description:"form of the output"`
+// globalOptions are the options that every command accepts.
+type globalOptions struct {
+	Server  string `long:"server" env:"SNIPEREACH_SERVER" default:"http://127.0.0.1:8081" description:"operators' address of an entry" value-name:"URL"`
+	Key     string `long:"key" env:"SNIPEREACH_KEY" description:"operator's bearer key; safer in the environment variable" value-name:"KEY"`
+	CA      string `long:"ca" env:"SNIPEREACH_CA" description:"PEM file with the CA of the server's certificate; default: the system's CAs" value-name:"FILE"`
+	Output  string `long:"output" short:"o" choice:"table" choice:"json" choice:"tsv" default:"table" description:"output format"`
 	Version bool   `long:"version" description:"print the version and exit"`
 }
 
-// app carries a command's surroundings.
+// app holds the global options, the standard streams and the HTTP client, which
+// all commands share.
 type app struct {
-	global
+	globalOptions
 	stdin          io.Reader
 	stdout, stderr io.Writer
 	http           *http.Client
 }
 
-// Main runs a command and returns the exit code.
+// Main runs the command line and returns the exit code.
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
-	a := &app{stdin: stdin, stdout: stdout, stderr: stderr, http: &http.Client{Timeout: timeout, CheckRedirect: noRedirect}}
+	a := &app{stdin: stdin, stdout: stdout, stderr: stderr, http: &http.Client{Timeout: requestTimeout, CheckRedirect: noRedirect}}
 	p := flags.NewNamedParser("snipereachctl", flags.HelpFlag|flags.PassDoubleDash)
 	p.SubcommandsOptional = true
 	p.CommandHandler = runCommand
-	if _, err := p.AddGroup("Options", "", &a.global); err != nil {
+	if _, err := p.AddGroup("Options", "", &a.globalOptions); err != nil {
 		fmt.Fprintln(stderr, err)
 		return kernel.ExitFailed
 	}
@@ -87,13 +89,12 @@
 	return kernel.ExitOK
 }
 
-// noRedirect makes a redirect an answer like any other. The interface sends none;
-// following one would turn a PUT into a GET, and its answer would look like the
-// edit's.
+// noRedirect keeps the client from following redirects: it would follow some with
+// a GET, whose response would be taken for that of the edit.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// runCommand runs a command, and refuses words that it doesn't take: an order
-// would otherwise be carried out for the first of several hosts without a word.
+// runCommand runs a command. It refuses surplus arguments: a command given several
+// hosts would otherwise apply to the first one only.
 func runCommand(c flags.Commander, rest []string) error {
 	if c == nil {
 		return nil
@@ -104,14 +105,14 @@
 	return c.Execute(nil)
 }
 
-// request is one call to the server.
+// request is an HTTP request to the server; body is encoded as JSON.
 type request struct {
 	method, path string
 	header       map[string]string
 	body         any
 }
 
-// problem is the part of an RFC 9457 answer that is shown.
+// problem holds the members of an RFC 9457 problem details object that are shown.
 type problem struct {
 	Title   string          `json:"title"`
 	Detail  string          `json:"detail"`
@@ -120,7 +121,7 @@
 	InForce []operators.Row `json:"in_force"`
 }
 
-func (p *problem) text() string {
+func (p *problem) message() string {
 	parts := []string{p.Title}
 	if p.Row != "" {
 		parts = append(parts, p.Row)
@@ -137,8 +138,10 @@
 	return strings.Join(parts, " ")
 }
 
-// call sends a request and returns the body of a successful answer.
-func (a *app) call(r request) ([]byte, error) {
+// sendRequest sends a request and returns the response body. It returns
+// ErrUnavailable for status 503, ErrRefused for other statuses of 300 and above,
+// and ErrServer if the server can't be reached.
+func (a *app) sendRequest(r request) ([]byte, error) {
 	var body io.Reader
 	if r.body != nil {
 		text, err := json.Marshal(r.body)
@@ -173,14 +176,14 @@
 			p.Title = resp.Status
 		}
 		if resp.StatusCode == http.StatusServiceUnavailable {
-			return nil, merry.Prepend(ErrUnavailable, p.text())
+			return nil, merry.Prepend(ErrUnavailable, p.message())
 		}
-		return nil, merry.Prepend(ErrRefused, p.text())
+		return nil, merry.Prepend(ErrRefused, p.message())
 	}
 	return text, nil
 }
 
-// trustCA lets the client accept certificates of the CA that was given.
+// trustCA makes the client accept only certificates of the given CA, if any.
 func (a *app) trustCA() error {
 	if a.CA == "" || a.http.Transport != nil {
 		return nil
@@ -197,9 +200,9 @@
 	return nil
 }
 
-// get reads a JSON answer.
-func (a *app) get(path string, v any) error {
-	text, err := a.call(request{method: http.MethodGet, path: path})
+// getJSON requests a path and decodes the JSON response into v.
+func (a *app) getJSON(path string, v any) error {
+	text, err := a.sendRequest(request{method: http.MethodGet, path: path})
 	if err != nil {
 		return err
 	}
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -12,7 +12,7 @@
 	"github.com/snipereach/snipereach/operators"
 )
 
-type explain struct {
+type explainCommand struct {
 	*app `no-flag:"yes"`
 	Args struct {
 		Token string `positional-arg-name:"TOKEN" required:"yes" description:"explanation_token of a refusal, or its instance path"`
@@ -20,21 +20,21 @@
 }
 
 // Execute implements flags.Commander.
-func (c *explain) Execute([]string) error {
+func (c *explainCommand) Execute([]string) error {
 	var x operators.Explanation
 	token := strings.TrimPrefix(c.Args.Token, "/v1/refusals/")
-	if err := c.get("/v1/refusals/"+url.PathEscape(token), &x); err != nil {
+	if err := c.getJSON("/v1/refusals/"+url.PathEscape(token), &x); err != nil {
 		return err
 	}
-	return c.show(x, explainSheet(&x))
+	return c.show(x, explanationTable(&x))
 }
 
-// explainSheet has a line for each thing that is known of a refusal.
-func explainSheet(x *operators.Explanation) sheet {
-	s := sheet{head: []string{"what", "is"}}
-	add := func(what, is string) {
-		if is != "" {
-			s.rows = append(s.rows, []string{what, is})
+// explanationTable lists the known facts about a refusal, one a line.
+func explanationTable(x *operators.Explanation) textTable {
+	s := textTable{header: []string{"field", "value"}}
+	add := func(field, value string) {
+		if value != "" {
+			s.rows = append(s.rows, []string{field, value})
 		}
 	}
 	add("reason", x.Reason+": "+x.Title)
@@ -51,7 +51,7 @@
 	}
 	add("row that decided", x.Row)
 	add("row then", rowText(x.RowThen))
-	add("row now", nowText(x))
+	add("row now", currentRowText(x))
 	add("note", x.RowNote)
 	for i, a := range x.Attempts {
 		add(fmt.Sprintf("attempt %d", i+1), strings.TrimSpace(fmt.Sprintf("%s: %s %s %s", a.Upstream, a.Outcome, a.Reason, a.Detail)))
@@ -70,7 +70,7 @@
 	if r == nil {
 		return ""
 	}
-	text := fmt.Sprintf("version %d: %s", r.Version, cells(r.Columns))
+	text := fmt.Sprintf("version %d: %s", r.Version, formatColumns(r.Columns))
 	if r.Deleted {
 		text = fmt.Sprintf("version %d: deleted", r.Version)
 	}
@@ -80,7 +80,7 @@
 	return text
 }
 
-func nowText(x *operators.Explanation) string {
+func currentRowText(x *operators.Explanation) string {
 	if x.RowThen != nil && x.RowNow != nil && x.RowThen.Version == x.RowNow.Version {
 		return "the same"
 	}
--- a/ctl/groups.go
+++ b/ctl/groups.go
@@ -12,9 +12,8 @@
 	"github.com/snipereach/snipereach/operators"
 )
 
-// addGroups adds the command of groups of ranks.
-func (a *app) addGroups(p *flags.Parser) error {
-	g, err := p.AddCommand("groups", "show groups of ranks and their expert maps", "", &groups{app: a})
+func (a *app) addGroupCommands(p *flags.Parser) error {
+	g, err := p.AddCommand("groups", "show groups of ranks and their expert maps", "", &groupsCommand{app: a})
 	if err != nil {
 		return err
 	}
@@ -23,11 +22,11 @@
 		name, short string
 		data        any
 	}{
-		{"ranks", "show the ranks of a group", &groupRanks{app: a}},
-		{"log", "show why each map of a group was made, newest first", &groupLog{app: a}},
-		{"pin", "hold a map, by its epoch or the one in force", &groupPin{app: a}},
-		{"unpin", "let the planner change the map again", &groupChange{app: a, verb: "unpin"}},
-		{"undo", "go back to the map before, and hold it", &groupChange{app: a, verb: "undo"}},
+		{"ranks", "show the ranks of a group", &groupRanksCommand{app: a}},
+		{"log", "show the reason for each map of a group, newest first", &groupLogCommand{app: a}},
+		{"pin", "pin a map: the current one, or an earlier one by its epoch", &groupPinCommand{app: a}},
+		{"unpin", "let the planner change the map again", &groupChangeCommand{app: a, verb: "unpin"}},
+		{"undo", "go back to the previous map and pin it", &groupChangeCommand{app: a, verb: "undo"}},
 	} {
 		if _, err := g.AddCommand(c.name, c.short, "", c.data); err != nil {
 			return err
@@ -40,27 +39,27 @@
 	Group string `positional-arg-name:"GROUP" required:"yes"`
 }
 
-type groups struct {
+type groupsCommand struct {
 	*app `no-flag:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *groups) Execute([]string) error {
+func (c *groupsCommand) Execute([]string) error {
 	var g operators.Groups
-	if err := c.get("/v1/groups", &g); err != nil {
+	if err := c.getJSON("/v1/groups", &g); err != nil {
 		return err
 	}
-	s := sheet{head: []string{"group", "epoch", "skew", "state", "last moves", "by", "why"}}
+	s := textTable{header: []string{"group", "epoch", "skew", "state", "last moves", "by", "why"}}
 	for _, v := range g.Groups {
-		moves, by, why := lastOf(v)
-		s.rows = append(s.rows, []string{v.Group, fmt.Sprint(v.Epoch), ratio(v.Skew), groupState(v), moves, by, why})
+		moves, by, why := latestDecision(v)
+		s.rows = append(s.rows, []string{v.Group, fmt.Sprint(v.Epoch), formatSkew(v.Skew), groupState(v), moves, by, why})
 	}
 	return c.show(g, s)
 }
 
-// lastOf is the newest decision: the switch in progress, else what the planner
-// or an operator came to last.
-func lastOf(g operators.Group) (moves, by, why string) {
+// latestDecision describes the newest decision about a group's map: the switch in
+// progress, else the last finished switch or the planner's last decision.
+func latestDecision(g operators.Group) (moves, by, why string) {
 	r := g.Last
 	switch {
 	case g.Switch != nil && g.Switch.Reason != nil:
@@ -74,7 +73,7 @@
 	return fmt.Sprint(r.Moves), r.By, r.Why
 }
 
-func ratio(f float64) string {
+func formatSkew(f float64) string {
 	if f == 0 {
 		return "unknown"
 	}
@@ -95,23 +94,23 @@
 	return "planning"
 }
 
-func (a *app) group(name string) (*operators.Group, error) {
+func (a *app) getGroup(name string) (*operators.Group, error) {
 	var g operators.Group
-	return &g, a.get("/v1/groups/"+url.PathEscape(name), &g)
+	return &g, a.getJSON("/v1/groups/"+url.PathEscape(name), &g)
 }
 
-type groupRanks struct {
+type groupRanksCommand struct {
 	*app `no-flag:"yes"`
 	Args groupArgs `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *groupRanks) Execute([]string) error {
-	g, err := c.group(c.Args.Group)
+func (c *groupRanksCommand) Execute([]string) error {
+	g, err := c.getGroup(c.Args.Group)
 	if err != nil {
 		return err
 	}
-	s := sheet{head: []string{"rank", "upstream", "epoch", "next step", "armed", "detail"}}
+	s := textTable{header: []string{"rank", "upstream", "epoch", "next step", "armed", "detail"}}
 	for _, r := range g.Ranks {
 		s.rows = append(s.rows, []string{
 			fmt.Sprint(r.Rank), r.Upstream, fmt.Sprint(r.Epoch), fmt.Sprint(r.NextStep), fmt.Sprint(r.Armed), r.Detail,
@@ -120,55 +119,55 @@
 	return c.show(g.Ranks, s)
 }
 
-type groupLog struct {
+type groupLogCommand struct {
 	*app `no-flag:"yes"`
 	Args groupArgs `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *groupLog) Execute([]string) error {
-	g, err := c.group(c.Args.Group)
+func (c *groupLogCommand) Execute([]string) error {
+	g, err := c.getGroup(c.Args.Group)
 	if err != nil {
 		return err
 	}
-	s := sheet{head: []string{"epoch", "at", "outcome", "moves", "skew before", "skew after", "gain s", "price s", "by", "why", "detail"}}
+	s := textTable{header: []string{"epoch", "at", "outcome", "moves", "skew before", "skew after", "gain s", "price s", "by", "why", "detail"}}
 	for _, r := range g.Records {
 		m := r.Reason
 		if m == nil {
 			m = &operators.MapReason{}
 		}
 		s.rows = append(s.rows, []string{
-			fmt.Sprint(r.Epoch), r.At, r.Outcome, fmt.Sprint(m.Moves), ratio(m.SkewBefore), ratio(m.SkewAfter),
+			fmt.Sprint(r.Epoch), r.At, r.Outcome, fmt.Sprint(m.Moves), formatSkew(m.SkewBefore), formatSkew(m.SkewAfter),
 			fmt.Sprintf("%.2f", m.Gain), fmt.Sprintf("%.2f", m.Price), m.By, m.Why, r.Detail,
 		})
 	}
 	return c.show(g.Records, s)
 }
 
-type groupPin struct {
+type groupPinCommand struct {
 	*app  `no-flag:"yes"`
-	Epoch uint64    `long:"epoch" description:"epoch of an earlier map; the one in force if not given"`
+	Epoch uint64    `long:"epoch" description:"epoch of an earlier map; default: the current one"`
 	Args  groupArgs `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *groupPin) Execute([]string) error {
+func (c *groupPinCommand) Execute([]string) error {
 	return c.changeGroup(c.Args.Group, "pin", operators.GroupChange{Epoch: c.Epoch})
 }
 
-type groupChange struct {
+type groupChangeCommand struct {
 	*app `no-flag:"yes"`
 	verb string
 	Args groupArgs `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *groupChange) Execute([]string) error {
+func (c *groupChangeCommand) Execute([]string) error {
 	return c.changeGroup(c.Args.Group, c.verb, operators.GroupChange{})
 }
 
 func (a *app) changeGroup(group, verb string, body operators.GroupChange) error {
-	text, err := a.call(request{method: http.MethodPost, path: "/v1/groups/" + url.PathEscape(group) + "/" + verb, body: body})
+	text, err := a.sendRequest(request{method: http.MethodPost, path: "/v1/groups/" + url.PathEscape(group) + "/" + verb, body: body})
 	if err != nil {
 		return err
 	}
--- a/ctl/logs.go
+++ b/ctl/logs.go
@@ -13,8 +13,8 @@
 	"github.com/snipereach/snipereach/logread"
 )
 
-// readLogs reads the lines of files, one after the other; "-" is the standard input. It says on
-// standard error how much was no line of a process.
+// readLogs calls f for the log lines of files, one file after the other; "-" is standard input.
+// It prints the number of unreadable lines to standard error.
 func (a *app) readLogs(files []string, f func(logread.Line)) error {
 	skipped := 0
 	for _, name := range files {
@@ -25,7 +25,7 @@
 		skipped += n
 	}
 	if skipped > 0 {
-		fmt.Fprintf(a.stderr, "%d line(s) that no process has written were left out\n", skipped)
+		fmt.Fprintf(a.stderr, "%d line(s) skipped: not in the log format\n", skipped)
 	}
 	return nil
 }
@@ -42,7 +42,7 @@
 	return logread.Read(name, file, f)
 }
 
-type trace struct {
+type traceCommand struct {
 	*app `no-flag:"yes"`
 	Args struct {
 		Request string   `positional-arg-name:"REQUEST" required:"yes"`
@@ -50,21 +50,21 @@
 	} `positional-args:"yes"`
 }
 
-// traced is what is shown of one request.
-type traced struct {
-	Request string       `json:"request"`
-	Cause   string       `json:"cause"`
-	Lines   []tracedLine `json:"lines"`
+// requestTrace holds the log lines of a request and its outcome.
+type requestTrace struct {
+	Request string             `json:"request"`
+	Cause   string             `json:"cause"`
+	Lines   []requestTraceLine `json:"lines"`
 }
 
-type tracedLine struct {
+type requestTraceLine struct {
 	At   time.Time `json:"at"`
 	File string    `json:"file"`
 	Text string    `json:"text"`
 }
 
 // Execute implements flags.Commander.
-func (c *trace) Execute([]string) error {
+func (c *traceCommand) Execute([]string) error {
 	var lines []logread.Line
 	err := c.readLogs(c.Args.Files, func(l logread.Line) {
 		if l.Get("request") == c.Args.Request {
@@ -75,45 +75,44 @@
 		return err
 	}
 	if len(lines) == 0 {
-		return merry.Errorf("no line of request %q in %d file(s); lines are bounded, see lines_left_out", c.Args.Request, len(c.Args.Files))
+		return merry.Errorf("no line of request %q in %d file(s); the rate of log lines is limited, see lines_left_out", c.Args.Request, len(c.Args.Files))
 	}
 	slices.SortStableFunc(lines, func(a, b logread.Line) int { return a.At.Compare(b.At) })
-	found := traced{Request: c.Args.Request, Cause: causeOf(lines)}
-	s := sheet{head: []string{"file", "line"}}
+	found := requestTrace{Request: c.Args.Request, Cause: requestOutcome(lines)}
+	s := textTable{header: []string{"file", "line"}}
 	for _, l := range lines {
-		found.Lines = append(found.Lines, tracedLine{At: l.At, File: l.Source, Text: l.Text})
+		found.Lines = append(found.Lines, requestTraceLine{At: l.At, File: l.Source, Text: l.Text})
 		s.rows = append(s.rows, []string{l.Source, l.Text})
 	}
 	s.rows = append(s.rows, []string{"", found.Cause})
 	return c.show(found, s)
 }
 
-// causeOf is what became of a request, by the last of its lines that tells.
-func causeOf(lines []logread.Line) string {
+// requestOutcome describes the outcome of a request, by its last line that has one.
+func requestOutcome(lines []logread.Line) string {
 	for i := len(lines) - 1; i >= 0; i-- {
 		if e, ok := logread.ParseEnded(&lines[i]); ok {
 			return e.Sentence()
 		}
 	}
-	return "Its end stands in none of these files."
+	return "No line in these files records the end of the request."
 }
 
-type losses struct {
+type lossesCommand struct {
 	*app    `no-flag:"yes"`
-	Window  time.Duration `long:"window" default:"5s" description:"time that one row is of" value-name:"TIME"`
+	Window  time.Duration `long:"window" default:"5s" description:"length of the time window of each row" value-name:"TIME"`
 	Service string        `long:"service" description:"count requests of this service only" value-name:"NAME"`
 	Args    struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
 	} `positional-args:"yes"`
 }
 
-// leastWindow is the shortest time that a row may be of.
-const leastWindow = 100 * time.Millisecond
+const minWindow = 100 * time.Millisecond
 
 // Execute implements flags.Commander.
-func (c *losses) Execute([]string) error {
-	if c.Window < leastWindow {
-		return merry.Prependf(ErrUsage, "--window %v is under %v", c.Window, leastWindow)
+func (c *lossesCommand) Execute([]string) error {
+	if c.Window < minWindow {
+		return merry.Prependf(ErrUsage, "--window %v is under %v", c.Window, minWindow)
 	}
 	sum := logread.NewLosses(c.Window)
 	err := c.readLogs(c.Args.Files, func(l logread.Line) {
@@ -124,23 +123,23 @@
 	if err != nil {
 		return err
 	}
-	return c.show(sum.Windows(), lossSheet(sum))
+	return c.show(sum.Windows(), lossTable(sum))
 }
 
-// lossSheet has a row for each window and one for all, and a column for each cause.
-func lossSheet(sum *logread.Losses) sheet {
+// lossTable has a row for each time window and one for the total, and a column for each cause.
+func lossTable(sum *logread.Losses) textTable {
 	total := sum.Total()
 	causes := total.ByNumber()
-	s := sheet{head: []string{"from", "ended", "left out"}}
+	s := textTable{header: []string{"from", "ended", "left out"}}
 	for _, cause := range causes {
-		s.head = append(s.head, string(cause))
+		s.header = append(s.header, string(cause))
 	}
 	row := func(name string, w *logread.Window) {
-		cells := []string{name, strconv.Itoa(w.Ended), strconv.FormatInt(w.LeftOut, 10)}
+		values := []string{name, strconv.Itoa(w.Ended), strconv.FormatInt(w.LeftOut, 10)}
 		for _, cause := range causes {
-			cells = append(cells, strconv.Itoa(w.Causes[cause]))
+			values = append(values, strconv.Itoa(w.Causes[cause]))
 		}
-		s.rows = append(s.rows, cells)
+		s.rows = append(s.rows, values)
 	}
 	for _, w := range sum.Windows() {
 		row(w.From.Format("15:04:05.0"), w)
--- a/ctl/output.go
+++ b/ctl/output.go
@@ -10,31 +10,31 @@
 	"github.com/snipereach/snipereach/operators"
 )
 
-// sheet is something to show as a table.
-type sheet struct {
-	head []string
-	rows [][]string
+// textTable is a table to print.
+type textTable struct {
+	header []string
+	rows   [][]string
 }
 
-// show writes a value in the form that was asked for: as JSON, or as sheets.
-func (a *app) show(v any, sheets ...sheet) error {
+// show prints v as JSON, or else the tables in the format of the option --output.
+func (a *app) show(v any, tables ...textTable) error {
 	if a.Output == "json" {
 		enc := json.NewEncoder(a.stdout)
 		enc.SetIndent("", "  ")
 		return enc.Encode(v)
 	}
-	for i, s := range sheets {
+	for i, s := range tables {
 		if i > 0 {
 			fmt.Fprintln(a.stdout)
 		}
-		if err := a.showSheet(s); err != nil {
+		if err := a.showTable(s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (a *app) showSheet(s sheet) error {
+func (a *app) showTable(s textTable) error {
 	if a.Output == "tsv" {
 		for _, r := range s.rows {
 			fmt.Fprintln(a.stdout, strings.Join(r, "\t"))
@@ -42,15 +42,15 @@
 		return nil
 	}
 	w := tabwriter.NewWriter(a.stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, strings.ToUpper(strings.Join(s.head, "\t")))
+	fmt.Fprintln(w, strings.ToUpper(strings.Join(s.header, "\t")))
 	for _, r := range s.rows {
 		fmt.Fprintln(w, strings.Join(r, "\t"))
 	}
 	return w.Flush()
 }
 
-// cells writes a row's columns as name=value, sorted.
-func cells(columns map[string]string) string {
+// formatColumns returns the columns that have a value as NAME=VALUE, sorted.
+func formatColumns(columns map[string]string) string {
 	var list []string
 	for name, value := range columns {
 		if value != "" {
@@ -61,10 +61,10 @@
 	return strings.Join(list, " ")
 }
 
-func rowSheet(rows []operators.Row) sheet {
-	s := sheet{head: []string{"kind", "key", "version", "columns", "changed by", "changed at"}}
+func rowTable(rows []operators.Row) textTable {
+	s := textTable{header: []string{"kind", "key", "version", "columns", "changed by", "changed at"}}
 	for _, r := range rows {
-		text := cells(r.Columns)
+		text := formatColumns(r.Columns)
 		if r.Deleted {
 			text = "(deleted)"
 		}
@@ -73,7 +73,7 @@
 	return s
 }
 
-func forceText(f operators.Force) string {
+func propagationText(f operators.Force) string {
 	text := fmt.Sprintf("revision %d, in force on %d of %d entries", f.Revision, f.InForce, f.Entries)
 	if len(f.Lagging) > 0 {
 		text += "; waiting for " + strings.Join(f.Lagging, ", ")
--- a/ctl/quarantine.go
+++ b/ctl/quarantine.go
@@ -13,48 +13,47 @@
 	"github.com/snipereach/snipereach/quarantine"
 )
 
-// addQuarantine adds the command of requests that end upstreams.
-func (a *app) addQuarantine(p *flags.Parser) error {
-	q, err := p.AddCommand("quarantine", "show requests under which upstreams ended", "", &listSuspicions{app: a})
+func (a *app) addQuarantineCommands(p *flags.Parser) error {
+	q, err := p.AddCommand("quarantine", "show requests during which upstreams ended", "", &quarantineCommand{app: a})
 	if err != nil {
 		return err
 	}
 	q.SubcommandsOptional = true
-	_, err = q.AddCommand("lift", "have a request sent to upstreams again", "", &liftQuarantine{app: a})
+	_, err = q.AddCommand("lift", "allow a request to be sent to upstreams again", "", &quarantineLiftCommand{app: a})
 	return err
 }
 
-type listSuspicions struct {
+type quarantineCommand struct {
 	*app `no-flag:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *listSuspicions) Execute([]string) error {
+func (c *quarantineCommand) Execute([]string) error {
 	var list operators.SuspectedRequests
-	if err := c.get("/v1/quarantine", &list); err != nil {
+	if err := c.getJSON("/v1/quarantine", &list); err != nil {
 		return err
 	}
-	s := sheet{head: []string{"key", "team", "route", "state", "ended", "last", "upstreams"}}
+	s := textTable{header: []string{"key", "team", "route", "state", "ended", "last", "upstreams"}}
 	for _, r := range list.Requests {
 		s.rows = append(s.rows, []string{
-			r.Key, r.Team, r.Route, quarantineState(r), fmt.Sprint(len(r.Upstreams)), inSeconds(r.AgeMS) + " ago", strings.Join(r.Upstreams, " "),
+			r.Key, r.Team, r.Route, suspicionState(r), fmt.Sprint(len(r.Upstreams)), formatSeconds(r.AgeMS) + " ago", strings.Join(r.Upstreams, " "),
 		})
 	}
 	return c.show(list, s)
 }
 
-func quarantineState(s quarantine.Shown) string {
+func suspicionState(s quarantine.Shown) string {
 	if !s.Quarantined {
 		return "suspected"
 	}
-	return "quarantined for " + inSeconds(int64(s.LeftMS))
+	return "quarantined for " + formatSeconds(int64(s.LeftMS))
 }
 
-func inSeconds(ms int64) string {
+func formatSeconds(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(time.Second).String()
 }
 
-type liftQuarantine struct {
+type quarantineLiftCommand struct {
 	*app `no-flag:"yes"`
 	Args struct {
 		Key string `positional-arg-name:"KEY" required:"yes"`
@@ -62,7 +61,7 @@
 }
 
 // Execute implements flags.Commander.
-func (c *liftQuarantine) Execute([]string) error {
-	_, err := c.call(request{method: http.MethodDelete, path: "/v1/quarantine/" + url.PathEscape(c.Args.Key)})
+func (c *quarantineLiftCommand) Execute([]string) error {
+	_, err := c.sendRequest(request{method: http.MethodDelete, path: "/v1/quarantine/" + url.PathEscape(c.Args.Key)})
 	return err
 }
--- a/ctl/system.go
+++ b/ctl/system.go
@@ -15,24 +15,24 @@
 	"github.com/snipereach/snipereach/operators"
 )
 
-type status struct {
+type statusCommand struct {
 	*app `no-flag:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *status) Execute([]string) error {
+func (c *statusCommand) Execute([]string) error {
 	var s operators.Status
-	if err := c.get("/v1/status", &s); err != nil {
+	if err := c.getJSON("/v1/status", &s); err != nil {
 		return err
 	}
-	if err := c.show(s, memberSheet(s.Replicas), entrySheet(s.Entries), upstreamSheet(s.Upstreams)); err != nil {
+	if err := c.show(s, memberTable(s.Replicas), entryTable(s.Entries), upstreamTable(s.Upstreams)); err != nil {
 		return err
 	}
-	c.health(s.Health, s.Detail)
+	c.printHealth(s.Health, s.Detail)
 	return nil
 }
 
-func (a *app) health(health, detail string) {
+func (a *app) printHealth(health, detail string) {
 	text := "health: " + health
 	if detail != "" {
 		text += " (" + detail + ")"
@@ -40,24 +40,24 @@
 	fmt.Fprintln(a.stderr, text)
 }
 
-func memberSheet(list []operators.Member) sheet {
-	s := sheet{head: []string{"replica", "role", "caught up", "index", "failure domain", "address"}}
+func memberTable(list []operators.Member) textTable {
+	s := textTable{header: []string{"replica", "role", "caught up", "index", "failure domain", "address"}}
 	for _, r := range list {
 		s.rows = append(s.rows, []string{r.ID, r.Role, strconv.FormatBool(r.CaughtUp), fmt.Sprint(r.Index), r.FailureDomain, r.Address})
 	}
 	return s
 }
 
-func entrySheet(list []operators.EntryState) sheet {
-	s := sheet{head: []string{"entry", "phase", "listed", "revision", "failure domain", "address"}}
+func entryTable(list []operators.EntryState) textTable {
+	s := textTable{header: []string{"entry", "phase", "listed", "revision", "failure domain", "address"}}
 	for _, e := range list {
 		s.rows = append(s.rows, []string{e.ID, e.Phase, strconv.FormatBool(e.Listed), fmt.Sprint(e.Revision), e.FailureDomain, e.Address})
 	}
 	return s
 }
 
-func upstreamSheet(list []operators.UpstreamState) sheet {
-	s := sheet{head: []string{"upstream", "phase", "pools", "running", "waiting", "slots", "failure domain", "address"}}
+func upstreamTable(list []operators.UpstreamState) textTable {
+	s := textTable{header: []string{"upstream", "phase", "pools", "running", "waiting", "slots", "failure domain", "address"}}
 	for _, u := range list {
 		s.rows = append(s.rows, []string{
 			u.ID, u.Phase, strings.Join(u.Pools, ","), fmt.Sprint(u.Running), fmt.Sprint(u.Waiting), fmt.Sprint(u.Slots),
@@ -67,26 +67,25 @@
 	return s
 }
 
-type members struct {
+type membersCommand struct {
 	*app `no-flag:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *members) Execute([]string) error {
+func (c *membersCommand) Execute([]string) error {
 	var m operators.Members
-	if err := c.get("/v1/members", &m); err != nil {
+	if err := c.getJSON("/v1/members", &m); err != nil {
 		return err
 	}
-	if err := c.show(m, memberSheet(m.Members)); err != nil {
+	if err := c.show(m, memberTable(m.Members)); err != nil {
 		return err
 	}
-	c.health(m.Health, m.Detail)
+	c.printHealth(m.Health, m.Detail)
 	return nil
 }
 
-// replicaArgs name one control replica.
 type replicaArgs struct {
-	ID string `positional-arg-name:"REPLICA" required:"yes" description:"NAME/INCARNATION, as members shows it"`
+	ID string `positional-arg-name:"REPLICA" required:"yes" description:"NAME/INCARNATION, as shown by the command members"`
 }
 
 func (r replicaArgs) path(root string) string {
@@ -94,19 +93,20 @@
 	return root + "/" + url.PathEscape(name) + "/" + url.PathEscape(incarnation)
 }
 
-type remove struct {
+type removeCommand struct {
 	*app `no-flag:"yes"`
 	Args replicaArgs `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *remove) Execute([]string) error {
-	return c.order(request{method: http.MethodDelete, path: c.Args.path("/v1/members")}, &operators.Members{})
+func (c *removeCommand) Execute([]string) error {
+	return c.changeMembers(request{method: http.MethodDelete, path: c.Args.path("/v1/members")}, &operators.Members{})
 }
 
-// order sends an order and tells what it has brought about.
-func (a *app) order(r request, m *operators.Members) error {
-	text, err := a.call(r)
+// changeMembers sends a membership change, decodes the response into m, and prints
+// its detail to standard error.
+func (a *app) changeMembers(r request, m *operators.Members) error {
+	text, err := a.sendRequest(r)
 	if err != nil {
 		return err
 	}
@@ -119,26 +119,27 @@
 	return nil
 }
 
-// Steps of a replacement: the newcomer votes, then the lost one goes.
+// Limits of a replacement. Each request takes one step: a replica that has caught
+// up is made a voter, then the lost one is removed.
 const (
-	maxReplaceSteps = 60
-	replaceInterval = 500 * time.Millisecond
+	maxReplaceRequests = 60
+	replaceInterval    = 500 * time.Millisecond
 )
 
-type replace struct {
+type replaceCommand struct {
 	*app `no-flag:"yes"`
 	Args replicaArgs `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *replace) Execute([]string) error {
-	for range maxReplaceSteps {
+func (c *replaceCommand) Execute([]string) error {
+	for range maxReplaceRequests {
 		var m operators.Members
-		if err := c.order(request{method: http.MethodPost, path: c.Args.path("/v1/replace")}, &m); err != nil {
+		if err := c.changeMembers(request{method: http.MethodPost, path: c.Args.path("/v1/replace")}, &m); err != nil {
 			return err
 		}
 		if !slices.ContainsFunc(m.Members, func(r operators.Member) bool { return r.ID == c.Args.ID }) {
-			c.health(m.Health, "")
+			c.printHealth(m.Health, "")
 			return nil
 		}
 		time.Sleep(replaceInterval)
@@ -146,7 +147,7 @@
 	return merry.Prependf(ErrRefused, "%s is still a member; see status", c.Args.ID)
 }
 
-type drain struct {
+type drainCommand struct {
 	*app `no-flag:"yes"`
 	Args struct {
 		ID string `positional-arg-name:"HOST" required:"yes" description:"ID of an upstream or an entry"`
@@ -154,8 +155,8 @@
 }
 
 // Execute implements flags.Commander.
-func (c *drain) Execute([]string) error {
-	text, err := c.call(request{method: http.MethodPost, path: "/v1/drain/" + url.PathEscape(c.Args.ID)})
+func (c *drainCommand) Execute([]string) error {
+	text, err := c.sendRequest(request{method: http.MethodPost, path: "/v1/drain/" + url.PathEscape(c.Args.ID)})
 	if err != nil {
 		return err
 	}
@@ -163,26 +164,26 @@
 	if err := json.Unmarshal(text, &d); err != nil {
 		return merry.Prepend(ErrServer, err.Error())
 	}
-	return c.show(d, sheet{
-		head: []string{"leaving", "running", "waiting"},
-		rows: [][]string{{d.ID, fmt.Sprint(d.Running), fmt.Sprint(d.Waiting)}},
+	return c.show(d, textTable{
+		header: []string{"leaving", "running", "waiting"},
+		rows:   [][]string{{d.ID, fmt.Sprint(d.Running), fmt.Sprint(d.Waiting)}},
 	})
 }
 
-type dump struct {
+type dumpCommand struct {
 	*app `no-flag:"yes"`
 	Args struct {
-		ID string `positional-arg-name:"HOST" description:"ID of an upstream, an entry or a control replica; the entry that is asked if not given"`
+		ID string `positional-arg-name:"HOST" description:"ID of an upstream, an entry or a control replica; default: the entry at --server"`
 	} `positional-args:"yes"`
 }
 
 // Execute implements flags.Commander.
-func (c *dump) Execute([]string) error {
+func (c *dumpCommand) Execute([]string) error {
 	path := "/debug/state"
 	if c.Args.ID != "" {
 		path = "/v1/dump/" + url.PathEscape(c.Args.ID)
 	}
-	text, err := c.call(request{method: http.MethodGet, path: path})
+	text, err := c.sendRequest(request{method: http.MethodGet, path: path})
 	if err != nil {
 		return err
 	}
