--- a/operators/page/table.js
+++ b/operators/page/table.js
@@ -1,9 +1,9 @@
 'use strict';
 
 // Times in milliseconds.
-const refreshEvery = 5000;
-const forcePoll = 500;
-const forcePolls = 20;
+const refreshInterval = 5000;
+const propagationPollInterval = 500;
+const maxPropagationPolls = 20;
 
 const $ = id => document.getElementById(id);
 let schema = {}, kind = '';
@@ -16,54 +16,54 @@
   return { ok: r.ok, status: r.status, value };
 }
 
-// get reads a value, or says in the page's state why it can't and returns null.
-async function get(path) {
+// getJSON returns the JSON value at a path, or shows the error in the status line and returns null.
+async function getJSON(path) {
   try {
     const r = await call('GET', path);
     if (r.ok) return r.value;
-    say(problem(r.value));
+    setStatus(problemText(r.value));
   } catch {
-    say('The server does not answer.');
+    setStatus('The server does not answer.');
   }
   return null;
 }
 
-const say = text => { $('state').textContent = text; };
+const setStatus = text => { $('state').textContent = text; };
 const rowPath = (kind, key) => '/v1/table/' + encodeURIComponent(kind) + '/' + key.split('/').map(encodeURIComponent).join('/');
-const problem = v => [v.title, v.column && 'Column ' + v.column + ':', v.detail].filter(Boolean).join(' ');
-const who = row => row.changed_by ? ' by ' + row.changed_by + ' at ' + row.changed_at : '';
-const force = f => 'In force on ' + f.in_force + ' of ' + f.entries + (f.lagging ? '; waiting for ' + f.lagging.join(', ') : '') + '.';
+const problemText = v => [v.title, v.column && 'Column ' + v.column + ':', v.detail].filter(Boolean).join(' ');
+const author = row => row.changed_by ? ' by ' + row.changed_by + ' at ' + row.changed_at : '';
+const propagationText = f => 'In force on ' + f.in_force + ' of ' + f.entries + (f.lagging ? '; waiting for ' + f.lagging.join(', ') : '') + '.';
 
 async function start() {
-  if (!$('key').value) { say('Give your operator key.'); return; }
-  const s = await get('/v1/schema');
+  if (!$('key').value) { setStatus('Give your operator key.'); return; }
+  const s = await getJSON('/v1/schema');
   if (!s) return;
   schema = s;
-  $('kinds').replaceChildren(...Object.keys(schema).sort().map(k => button(k, () => choose(k))));
-  await show(kind || Object.keys(schema).sort()[0]);
+  $('kinds').replaceChildren(...Object.keys(schema).sort().map(k => button(k, () => selectKind(k))));
+  await showKind(kind || Object.keys(schema).sort()[0]);
 }
 
-// choose shows another kind; what is not saved is not dropped without a question.
-function choose(k) {
-  if (trs().some(tr => tr.className) && !confirm('Drop the changes that are not saved?')) return;
-  show(k);
+// selectKind shows the rows of another kind. It asks before it discards unsaved changes.
+function selectKind(k) {
+  if (rowElements().some(tr => tr.className) && !confirm('Discard unsaved changes?')) return;
+  showKind(k);
 }
 
-async function show(k) {
-  const list = await get('/v1/table/' + encodeURIComponent(k));
+async function showKind(k) {
+  const list = await getJSON('/v1/table/' + encodeURIComponent(k));
   if (!list) return;
   kind = k;
   for (const b of $('kinds').children) b.setAttribute('aria-current', b.textContent === k);
-  $('head').replaceChildren(headLine());
-  $('rows').replaceChildren(...list.rows.map(line), line(empty()));
-  counted(list);
+  $('head').replaceChildren(createHead());
+  $('rows').replaceChildren(...list.rows.map(createRow), createRow(emptyRow()));
+  showCount(list);
 }
 
-const counted = list => say(list.rows.length + ' rows at revision ' + list.revision);
-const empty = () => ({ kind, key: '', columns: {}, version: 0 });
-const trs = () => [...$('rows').children];
+const showCount = list => setStatus(list.rows.length + ' rows at revision ' + list.revision);
+const emptyRow = () => ({ kind, key: '', columns: {}, version: 0 });
+const rowElements = () => [...$('rows').children];
 
-function headLine() {
+function createHead() {
   const tr = document.createElement('tr');
   const columns = [{ name: 'key' }, ...schema[kind], { name: 'save' }, { name: 'state' }];
   for (const c of columns) {
@@ -78,16 +78,16 @@
   return tr;
 }
 
-function line(row) {
+function createRow(row) {
   const tr = document.createElement('tr');
   tr.row = row;
-  fill(tr);
+  renderRow(tr);
   return tr;
 }
 
-// fill writes a row's cells as they are in force. The field that had the focus
-// keeps it: who works by keyboard goes on where they were.
-function fill(tr) {
+// renderRow renders the saved cells of a row and discards typed ones. The field that
+// had the focus keeps it, for editing by keyboard.
+function renderRow(tr) {
   const focused = Object.keys(tr.fields || {}).find(n => tr.fields[n] === document.activeElement);
   const row = tr.row;
   tr.className = '';
@@ -99,15 +99,15 @@
     td.append(field(tr, c.name, c.default || '', row.columns[c.name] || ''));
     tr.append(td);
   }
-  const does = document.createElement('td');
-  does.className = 'does';
-  does.append(button('Save', () => save(tr), 'Save ' + row.key));
-  if (row.version) does.append(button('Delete', () => remove(tr), 'Delete ' + row.key));
-  tr.says = document.createElement('td');
-  tr.says.className = 'says';
-  tr.says.setAttribute('role', 'status');
-  if (row.version) tr.says.textContent = 'Version ' + row.version + who(row) + '.';
-  tr.append(does, tr.says);
+  const actions = document.createElement('td');
+  actions.className = 'actions';
+  actions.append(button('Save', () => save(tr), 'Save ' + row.key));
+  if (row.version) actions.append(button('Delete', () => remove(tr), 'Delete ' + row.key));
+  tr.message = document.createElement('td');
+  tr.message.className = 'message';
+  tr.message.setAttribute('role', 'status');
+  if (row.version) tr.message.textContent = 'Version ' + row.version + author(row) + '.';
+  tr.append(actions, tr.message);
   if (focused) (tr.fields[focused] || Object.values(tr.fields)[0]).focus();
 }
 
@@ -125,46 +125,46 @@
   i.value = value;
   i.setAttribute('aria-label', (tr.row.key || 'new row') + ' ' + (name === '$key' ? 'key' : name));
   i.addEventListener('input', () => { tr.className = 'changed'; tr.edit = null; i.removeAttribute('aria-invalid'); });
-  i.addEventListener('keydown', e => keys(e, tr, name));
+  i.addEventListener('keydown', e => handleKey(e, tr, name));
   tr.fields[name] = i;
   return i;
 }
 
-function button(text, act, label) {
+function button(text, onClick, label) {
   const b = document.createElement('button');
   b.type = 'button';
   b.textContent = text;
   if (label) b.setAttribute('aria-label', label);
-  b.addEventListener('click', act);
+  b.addEventListener('click', onClick);
   return b;
 }
 
-function keys(e, tr, name) {
+function handleKey(e, tr, name) {
   if (e.key === 'Enter') { e.preventDefault(); save(tr); }
-  if (e.key === 'Escape') { e.preventDefault(); fill(tr); }
+  if (e.key === 'Escape') { e.preventDefault(); renderRow(tr); }
   if (!e.altKey || (e.key !== 'ArrowDown' && e.key !== 'ArrowUp')) return;
   e.preventDefault();
   const next = e.key === 'ArrowDown' ? tr.nextElementSibling : tr.previousElementSibling;
   if (next) (next.fields[name] || Object.values(next.fields)[0]).focus();
 }
 
-// editID stays the same until the row is changed, so that an edit that is sent
-// again after a lost answer is made once.
+// editID returns the idempotency key of a row's edit. It stays the same until a
+// cell changes, so that a retry after a lost response doesn't make the edit twice.
 function editID(tr) {
   if (!tr.edit) tr.edit = Array.from(crypto.getRandomValues(new Uint32Array(4)), n => n.toString(36)).join('-');
   return tr.edit;
 }
 
-const based = row => row.version ? { 'If-Match': '"' + row.version + '"' } : { 'If-None-Match': '*' };
+const precondition = row => row.version ? { 'If-Match': '"' + row.version + '"' } : { 'If-None-Match': '*' };
 
 async function send(tr, method, key, body) {
   const id = editID(tr);
-  tr.says.textContent = 'Sending…';
+  tr.message.textContent = 'Sending…';
   try {
-    return { id, ...await call(method, rowPath(kind, key), { ...based(tr.row), 'Idempotency-Key': id }, body) };
+    return { id, ...await call(method, rowPath(kind, key), { ...precondition(tr.row), 'Idempotency-Key': id }, body) };
   } catch {
     tr.className = 'bad';
-    tr.says.textContent = 'The server did not answer; the edit may have been made. Send it again: it is made once.';
+    tr.message.textContent = 'The server did not answer; the edit may have been made. It is safe to send it again.';
     return null;
   }
 }
@@ -173,101 +173,102 @@
   const row = tr.row, columns = {};
   for (const c of schema[kind]) if (tr.fields[c.name].value !== '') columns[c.name] = tr.fields[c.name].value;
   const key = row.version ? row.key : tr.fields.$key.value.trim();
-  if (!key) { tr.says.textContent = 'Give the new row a key.'; tr.fields.$key.focus(); return; }
+  if (!key) { tr.message.textContent = 'Give the new row a key.'; tr.fields.$key.focus(); return; }
   const r = await send(tr, 'PUT', key, JSON.stringify({ columns }));
-  if (r && r.ok) accepted(tr, r); else if (r) refused(tr, r);
+  if (r && r.ok) showAccepted(tr, r); else if (r) showRefusal(tr, r);
 }
 
 async function remove(tr) {
   if (!confirm('Delete ' + kind + ' ' + tr.row.key + '?')) return;
   const r = await send(tr, 'DELETE', tr.row.key);
   if (!r) return;
-  if (!r.ok) { refused(tr, r); return; }
+  if (!r.ok) { showRefusal(tr, r); return; }
   const next = tr.nextElementSibling;
   tr.remove();
   if (next) Object.values(next.fields)[0].focus();
-  say('Deleted. ' + force(r.value.force));
+  setStatus('Deleted. ' + propagationText(r.value.force));
 }
 
-function accepted(tr, r) {
-  const made = !tr.row.version;
+function showAccepted(tr, r) {
+  const created = !tr.row.version;
   tr.row = r.value.rows[0];
-  // What was typed while the edit was on its way stays, as a further change.
-  if (tr.edit === r.id) fill(tr);
-  if (made) tr.after(line(empty()));
-  const text = 'Version ' + tr.row.version + who(tr.row) + '.\n';
-  tr.says.textContent = text + force(r.value.force);
-  if (r.value.force.lagging) follow(tr, r.value.force.revision, text);
+  // Cells typed while the request was in flight stay as unsaved changes.
+  if (tr.edit === r.id) renderRow(tr);
+  if (created) tr.after(createRow(emptyRow()));
+  const text = 'Version ' + tr.row.version + author(tr.row) + '.\n';
+  tr.message.textContent = text + propagationText(r.value.force);
+  if (r.value.force.lagging) pollPropagation(tr, r.value.force.revision, text);
 }
 
-function refused(tr, r) {
+function showRefusal(tr, r) {
   tr.className = 'bad';
-  if (r.status === 412 && r.value.in_force) { conflict(tr, r.value.in_force[0]); return; }
-  tr.says.textContent = problem(r.value);
+  if (r.status === 412 && r.value.in_force) { showConflict(tr, r.value.in_force[0]); return; }
+  tr.message.textContent = problemText(r.value);
   const wrong = tr.fields[r.value.column];
   if (!wrong) return;
   wrong.setAttribute('aria-invalid', 'true');
   wrong.focus();
 }
 
-// conflict shows the row in force beside what was typed, and lets the operator
-// choose.
-function conflict(tr, now) {
-  if (now.deleted) {
-    tr.says.textContent = 'Deleted' + who(now) + '.\n';
-    tr.says.append(button('Make it again', () => { tr.row = { ...tr.row, version: 0 }; tr.edit = null; remake(tr); }));
+// showConflict shows the current row next to the typed cells, and lets the operator
+// choose between them.
+function showConflict(tr, current) {
+  if (current.deleted) {
+    tr.message.textContent = 'Deleted' + author(current) + '.\n';
+    tr.message.append(button('Create it again', () => { tr.row = { ...tr.row, version: 0 }; tr.edit = null; recreate(tr); }));
   } else {
-    const cells = Object.entries(now.columns).map(([n, v]) => n + '=' + v).join(' ') || 'defaults only';
-    tr.says.textContent = 'Changed' + who(now) + ' to version ' + now.version + ': ' + cells + '\n';
-    tr.says.append(button('Take theirs', () => { tr.row = now; fill(tr); firstField(tr).focus(); }),
-      button('Put mine over it', () => { tr.row = now; tr.edit = null; tr.className = 'changed'; save(tr); firstField(tr).focus(); }));
+    const cells = Object.entries(current.columns).map(([n, v]) => n + '=' + v).join(' ') || 'defaults only';
+    tr.message.textContent = 'Changed' + author(current) + ' to version ' + current.version + ': ' + cells + '\n';
+    tr.message.append(button('Use theirs', () => { tr.row = current; renderRow(tr); firstField(tr).focus(); }),
+      button('Overwrite with mine', () => { tr.row = current; tr.edit = null; tr.className = 'changed'; save(tr); firstField(tr).focus(); }));
   }
-  tr.says.querySelector('button').focus();
+  tr.message.querySelector('button').focus();
 }
 
 const firstField = tr => Object.values(tr.fields)[0];
 
-// remake turns a row that somebody deleted into a new one with the same cells.
-function remake(tr) {
+// recreate creates a deleted row again with the typed cells.
+function recreate(tr) {
   const values = Object.fromEntries(Object.entries(tr.fields).map(([n, f]) => [n, f.value]));
-  fill(tr);
+  renderRow(tr);
   for (const n of Object.keys(values)) tr.fields[n].value = values[n];
   firstField(tr).focus();
   save(tr);
 }
 
-// follow shows on how many entries a revision is in force until it is on all.
-async function follow(tr, revision, text) {
+// pollPropagation polls and shows how many entries have applied a revision, until all have
+// or maxPropagationPolls is reached.
+async function pollPropagation(tr, revision, text) {
   const row = tr.row;
-  for (let i = 0; i < forcePolls; i++) {
-    await new Promise(done => setTimeout(done, forcePoll));
+  for (let i = 0; i < maxPropagationPolls; i++) {
+    await new Promise(done => setTimeout(done, propagationPollInterval));
     const r = await call('GET', '/v1/force/' + revision).catch(() => null);
     if (!r || !r.ok || tr.row !== row || tr.className) return;
-    tr.says.textContent = text + force(r.value);
+    tr.message.textContent = text + propagationText(r.value);
     if (!r.value.lagging) return;
   }
 }
 
-// refresh takes over what others have changed, but for rows that are being edited:
-// those are told of it when they are saved.
+// refresh shows changes made by others. It skips rows with unsaved changes: saving
+// them reports the conflict.
 async function refresh() {
   if (!kind || document.hidden) return;
   const shown = kind;
-  const list = await get('/v1/table/' + encodeURIComponent(shown));
+  const list = await getJSON('/v1/table/' + encodeURIComponent(shown));
   if (!list || kind !== shown) return;
   const inForce = new Map(list.rows.map(r => [r.key, r]));
-  for (const tr of trs()) {
+  for (const tr of rowElements()) {
     if (!tr.row.version) continue;
-    const now = inForce.get(tr.row.key);
+    const current = inForce.get(tr.row.key);
     inForce.delete(tr.row.key);
-    if (tr.className || now && now.version <= tr.row.version) continue;
-    if (now) { tr.row = now; fill(tr); } else if (list.revision > tr.row.revision) tr.remove();
+    if (tr.className || current && current.version <= tr.row.version) continue;
+    if (current) { tr.row = current; renderRow(tr); } else if (list.revision > tr.row.revision) tr.remove();
   }
-  $('rows').lastElementChild.before(...[...inForce.values()].map(line));
-  counted(list);
+  $('rows').lastElementChild.before(...[...inForce.values()].map(createRow));
+  showCount(list);
 }
 
 $('key').value = sessionStorage.getItem('key') || '';
 $('key').addEventListener('change', () => { sessionStorage.setItem('key', $('key').value); start(); });
-setInterval(refresh, refreshEvery);
+setInterval(refresh, refreshInterval);
 start();
