--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -150,8 +150,8 @@
 )
 
 type editOptions struct {
-	Version *uint64 `long:"version" description:"version the edit is based on, 0 for a new row; default: the current version" value-name:"N"`
-	EditID  string  `long:"edit-id" description:"idempotency key; to retry an edit without making it twice, give the same key and the same --version" value-name:"ID"`
+	Version *uint64 `long:"version" description:"version the edit is based on, 0 for a new row; the one in force if not given" value-name:"N"`
+	EditID  string  `long:"edit-id" description:"ID of the edit; give the same one, and the same --version, if an answer was lost: the edit is made once" value-name:"ID"`
 }
 
 func (o *editOptions) header(version uint64) map[string]string {
@@ -268,7 +268,7 @@
 
 type tableHistoryCommand struct {
 	*app       `no-flag:"yes"`
-	AtRevision uint64  `long:"at-revision" description:"show only the version that was in force at this revision"`
+	AtRevision uint64  `long:"at-revision" description:"only the version that was in force at a revision"`
 	Args       rowArgs `positional-args:"yes"`
 }
 
@@ -303,9 +303,9 @@
 
 type tableApplyCommand struct {
 	*app   `no-flag:"yes"`
-	Yes    bool   `long:"yes" description:"don't ask for confirmation"`
-	Prune  bool   `long:"prune" description:"delete rows that are not in the file"`
-	EditID string `long:"edit-id" description:"idempotency key; to retry an edit without making it twice, give the same key"`
+	Yes    bool   `long:"yes" description:"don't ask"`
+	Prune  bool   `long:"prune" description:"delete rows in force that the file lacks"`
+	EditID string `long:"edit-id" description:"give the same ID again when an answer was lost: the edit is made once"`
 	Args   struct {
 		File string `positional-arg-name:"FILE" required:"yes"`
 	} `positional-args:"yes"`
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -35,10 +35,10 @@
 
 // globalOptions are the options that every command accepts.
 type globalOptions struct {
-	Server  string `long:"server" env:"SNIPEREACH_SERVER" default:"http://127.0.0.1:8081" description:"operators' address of an entry" value-name:"URL"`
-	Key     string `long:"key" env:"SNIPEREACH_KEY" description:"operator's bearer key; safer in the environment variable" value-name:"KEY"`
-	CA      string `long:"ca" env:"SNIPEREACH_CA" description:"PEM file with the CA of the server's certificate; default: the system's CAs" value-name:"FILE"`
-	Output  string `long:"output" short:"o" choice:"table" choice:"json" choice:"tsv" default:"table" description:"output format"`
+	Server  string `long:"server" env:"SNIPEREACH_SERVER" default:"http://127.0.0.1:8081" description:"an entry's operators' address" value-name:"URL"`
+	Key     string `long:"key" env:"SNIPEREACH_KEY" description:"operator's bearer key; better given in the environment" value-name:"KEY"`
+	CA      string `long:"ca" env:"SNIPEREACH_CA" description:"file with the CA of the server's certificate, PEM; the system's if not given" value-name:"FILE"`
+	Output  string `long:"output" short:"o" choice:"table" choice:"json" choice:"tsv" default:"table" description:"form of the output"`
 	Version bool   `long:"version" description:"print the version and exit"`
 }
 
--- a/ctl/groups.go
+++ b/ctl/groups.go
@@ -146,7 +146,7 @@
 
 type groupPinCommand struct {
 	*app  `no-flag:"yes"`
-	Epoch uint64    `long:"epoch" description:"epoch of an earlier map; default: the current one"`
+	Epoch uint64    `long:"epoch" description:"epoch of an earlier map; the one in force if not given"`
 	Args  groupArgs `positional-args:"yes"`
 }
 
--- a/ctl/logs.go
+++ b/ctl/logs.go
@@ -100,7 +100,7 @@
 
 type lossesCommand struct {
 	*app    `no-flag:"yes"`
-	Window  time.Duration `long:"window" default:"5s" description:"length of the time window of each row" value-name:"TIME"`
+	Window  time.Duration `long:"window" default:"5s" description:"time that one row is of" value-name:"TIME"`
 	Service string        `long:"service" description:"count requests of this service only" value-name:"NAME"`
 	Args    struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
--- a/ctl/system.go
+++ b/ctl/system.go
@@ -85,7 +85,7 @@
 }
 
 type replicaArgs struct {
-	ID string `positional-arg-name:"REPLICA" required:"yes" description:"NAME/INCARNATION, as shown by the command members"`
+	ID string `positional-arg-name:"REPLICA" required:"yes" description:"NAME/INCARNATION, as members shows it"`
 }
 
 func (r replicaArgs) path(root string) string {
@@ -173,7 +173,7 @@
 type dumpCommand struct {
 	*app `no-flag:"yes"`
 	Args struct {
-		ID string `positional-arg-name:"HOST" description:"ID of an upstream, an entry or a control replica; default: the entry at --server"`
+		ID string `positional-arg-name:"HOST" description:"ID of an upstream, an entry or a control replica; the entry that is asked if not given"`
 	} `positional-args:"yes"`
 }
 
