--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -370,7 +370,7 @@
 	return edits
 }
 
-// confirm shows the edits and asks for confirmation, unless --yes is given.
+// confirm shows the edits and, without --yes, asks for confirmation.
 func (c *tableApplyCommand) confirm(edits []operators.RowEdit, inForce []operators.Row) bool {
 	for _, e := range edits {
 		i := slices.IndexFunc(inForce, func(r operators.Row) bool { return r.Kind == e.Kind && r.Key == e.Key })
--- a/ctl/groups.go
+++ b/ctl/groups.go
@@ -58,7 +58,8 @@
 }
 
 // latestDecision describes the newest decision about a group's map: the switch in
-// progress, else the last finished switch or the planner's last decision.
+// progress, else the last finished switch or the planner's last decision, whichever
+// is newer.
 func latestDecision(g operators.Group) (moves, by, why string) {
 	r := g.Last
 	switch {
