--- a/kernel/asyncwriter.go
+++ b/kernel/asyncwriter.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// logQueue is how many records wait for a reader of the log: two seconds of all that
-// a busy process may write.
-const logQueue = 1024
+// logQueueSize is the number of records that may wait to be written. Further ones are
+// dropped.
+const logQueueSize = 1024
 
-// AsyncWriter writes records in the background and drops them while nobody reads:
-// a process whose standard output is a full pipe must go on answering. What was
-// dropped is counted in a record of its own.
+// AsyncWriter writes log records in the background. It drops records while its queue
+// is full, so that a process whose standard output is a blocked pipe goes on serving
+// requests, and logs the number dropped before the next record.
 type AsyncWriter struct {
 	out     io.Writer
 	queue   chan []byte
@@ -23,10 +23,10 @@
 	once    sync.Once
 }
 
-// NewAsyncWriter makes a writer that passes records on to out.
+// NewAsyncWriter returns a writer that writes records to out and starts its goroutine.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	w := &AsyncWriter{out: out, queue: make(chan []byte, logQueue), done: make(chan struct{})}
-	go w.run()
+	w := &AsyncWriter{out: out, queue: make(chan []byte, logQueueSize), done: make(chan struct{})}
+	go w.writeRecords()
 	return w
 }
 
@@ -41,33 +41,35 @@
 	return len(p), nil
 }
 
-func (w *AsyncWriter) run() {
+func (w *AsyncWriter) writeRecords() {
 	defer close(w.done)
 	for record := range w.queue {
 		if record == nil {
 			return
 		}
 		if n := w.dropped.Swap(0); n > 0 {
-			// There is no other place to say that the log can't be written.
+			// Errors are ignored: there is nowhere else to report that the log can't be written.
 			_, _ = fmt.Fprintf(w.out, "level=warn part=kernel msg=\"Log records were dropped.\" count=%d\n", n)
 		}
 		_, _ = w.out.Write(record)
 	}
 }
 
-// Close waits a little until the records that are queued have been written.
+// Close stops the writer. It waits for the queued records to be written, at most
+// closeTimeout to queue the end marker and closeTimeout for the writer to finish.
 func (w *AsyncWriter) Close() {
 	w.once.Do(func() {
 		select {
 		case w.queue <- nil:
-		case <-time.After(closePatience):
+		case <-time.After(closeTimeout):
 		}
 	})
 	select {
 	case <-w.done:
-	case <-time.After(closePatience):
+	case <-time.After(closeTimeout):
 	}
 }
 
-// closePatience bounds the wait of a process that ends while nobody reads its log.
-const closePatience = 200 * time.Millisecond
+// closeTimeout bounds each wait in Close, so that a process whose output is blocked
+// can still exit.
+const closeTimeout = 200 * time.Millisecond
--- a/kernel/clock.go
+++ b/kernel/clock.go
@@ -6,22 +6,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootClock returns a clock that also counts the time in which the host was
-// suspended, and that no change of the time of day moves.
+// BootClock returns a clock that includes the time in which the host was suspended and
+// is not affected by changes of the wall clock. It falls back to time.Now where
+// CLOCK_BOOTTIME is not available.
 //
-// The monotonic clock of the Go runtime stands still while a host is frozen: a
-// leader that was frozen for seconds would find its lease still live beside the
-// leader that was elected meanwhile, and answer a read with what is no longer in
-// force. CLOCK_BOOTTIME counts those seconds. Its times compare only with others
-// of the same process; as a time of day they are that of the process's start plus
-// what has passed.
+// The monotonic clock of the Go runtime stops while a host is suspended: a leader that
+// was suspended for seconds would still consider its lease valid although another
+// leader had been elected, and serve stale reads. CLOCK_BOOTTIME includes those
+// seconds. Its times are comparable only within one process; they are the wall-clock
+// time of the call to BootClock plus the time elapsed since.
 func BootClock() func() time.Time {
 	base, ok := bootTime()
 	if !ok {
 		return time.Now
 	}
-	// Round drops the monotonic reading, so that differences are those of the
-	// times themselves.
+	// Round strips the monotonic reading, which Sub would otherwise use.
 	start := time.Now().Round(0)
 	return func() time.Time {
 		now, _ := bootTime()
--- a/kernel/clock_test.go
+++ b/kernel/clock_test.go
@@ -9,13 +9,13 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// A time with a reading of the runtime's monotonic clock would be compared by it,
-// and the seconds of a freeze would be lost again.
-func TestBootClockCarriesNoMonotonicReading(t *testing.T) {
+// Times with a monotonic reading are compared by it, which would exclude the time in
+// which the host was suspended.
+func TestBootClockHasNoMonotonicReading(t *testing.T) {
 	clock := kernel.BootClock()
 	first := clock()
 	assert.Equal(t, first, first.Round(0))
 	time.Sleep(time.Millisecond)
 	assert.Assert(t, clock().Sub(first) >= time.Millisecond)
-	assert.Assert(t, time.Since(first).Abs() < time.Minute, "it starts at the time of day")
+	assert.Assert(t, time.Since(first).Abs() < time.Minute, "the clock starts at the wall-clock time")
 }
--- a/kernel/dump.go
+++ b/kernel/dump.go
@@ -8,15 +8,15 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Dumps collects the state dumps of a process's parts. The zero value is
-// ready for use.
+// Dumps collects the state dumps of a process's components. The zero value is
+// ready to use.
 type Dumps struct {
 	mu    sync.Mutex
 	parts map[string]func() any
 }
 
-// Add registers a part's dump. The function returns a value that encodes as
-// JSON and must be safe to call at any time.
+// Add registers a component's dump function. It must return a value that encodes as
+// JSON and be safe for concurrent use.
 func (d *Dumps) Add(part string, dump func() any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -26,7 +26,7 @@
 	d.parts[part] = dump
 }
 
-// State returns every part's dump by name.
+// State returns the current dump of every component, by name.
 func (d *Dumps) State() map[string]any {
 	d.mu.Lock()
 	parts := make(map[string]func() any, len(d.parts))
@@ -46,14 +46,14 @@
 	WriteJSON(w, http.StatusOK, d.State())
 }
 
-// MetricsHandler writes a registry as JSON.
+// MetricsHandler returns a handler that writes all metrics of a registry as JSON.
 func MetricsHandler(r metrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, r.GetAll())
 	})
 }
 
-// WriteJSON writes v with a status code.
+// WriteJSON writes v as an indented JSON response with a status code.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/kernel/dumprpc.go
+++ b/kernel/dumprpc.go
@@ -10,11 +10,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrDump is returned for a state that can't be written as JSON.
+// ErrDump is returned if the state can't be encoded as JSON.
 var ErrDump = merry.Sentinel("state can't be dumped")
 
-// Register adds the Process service, which gives the dumps to other processes of
-// the cluster. The server behind the mux checks who calls.
+// Register registers the Process service, which serves the dumps to other processes of
+// the cluster. The server that owns mux authenticates the callers.
 func (d *Dumps) Register(mux drpc.Mux) error {
 	return wire.DRPCRegisterProcess(mux, dumpService{d})
 }
--- a/kernel/kernel_test.go
+++ b/kernel/kernel_test.go
@@ -16,21 +16,21 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// daemon records its life; drained is closed to let Drain return.
-type daemon struct {
-	calls    []string
-	startErr error
-	cut      int
-	reload   error
-	drained  chan struct{}
+// fakeDaemon records the calls of its methods. Drain returns once drained is closed.
+type fakeDaemon struct {
+	calls     []string
+	startErr  error
+	aborted   int
+	reloadErr error
+	drained   chan struct{}
 }
 
-func (d *daemon) Start(context.Context) error {
+func (d *fakeDaemon) Start(context.Context) error {
 	d.calls = append(d.calls, "start")
 	return d.startErr
 }
 
-func (d *daemon) Drain(ctx context.Context) error {
+func (d *fakeDaemon) Drain(ctx context.Context) error {
 	d.calls = append(d.calls, "drain")
 	select {
 	case <-d.drained:
@@ -40,18 +40,18 @@
 	}
 }
 
-func (d *daemon) Stop() int {
+func (d *fakeDaemon) Stop() int {
 	d.calls = append(d.calls, "stop")
-	return d.cut
+	return d.aborted
 }
 
-func (d *daemon) Reload() error {
+func (d *fakeDaemon) Reload() error {
 	d.calls = append(d.calls, "reload")
-	return d.reload
+	return d.reloadErr
 }
 
-func TestFirstSignalDrainsAndReloadDoesNotStop(t *testing.T) {
-	d := &daemon{drained: make(chan struct{}), reload: errors.New("broken file")}
+func TestFailedReloadDoesNotStopAndSIGTERMDrains(t *testing.T) {
+	d := &fakeDaemon{drained: make(chan struct{}), reloadErr: errors.New("broken file")}
 	close(d.drained)
 	signals := make(chan os.Signal, 3)
 	signals <- syscall.SIGHUP
@@ -60,10 +60,9 @@
 	assert.DeepEqual(t, d.calls, []string{"start", "reload", "drain", "stop"})
 }
 
-// A request doesn't end. A second signal ends the wait, and the log counts what
-// was cut.
-func TestSecondSignalCutsAndTheLogCounts(t *testing.T) {
-	d := &daemon{drained: make(chan struct{}), cut: 3}
+// A request that never finishes must not keep the process alive after a second signal.
+func TestSecondSignalAbortsRequestsAndLogsTheirNumber(t *testing.T) {
+	d := &fakeDaemon{drained: make(chan struct{}), aborted: 3}
 	signals := make(chan os.Signal, 2)
 	signals <- syscall.SIGTERM
 	signals <- syscall.SIGTERM
@@ -72,35 +71,35 @@
 	assert.Assert(t, bytes.Contains(buf.Bytes(), []byte("requests_cut=3")), buf.String())
 }
 
-func TestFailedStartIsStopped(t *testing.T) {
-	d := &daemon{startErr: errors.New("port in use")}
+func TestFailedStartStopsDaemon(t *testing.T) {
+	d := &fakeDaemon{startErr: errors.New("port in use")}
 	assert.ErrorContains(t, kernel.Serve(d, nil, time.Hour, log.NewNopLogger()), "port in use")
 	assert.DeepEqual(t, d.calls, []string{"start", "stop"})
 }
 
-type plugin struct {
+type testPlugin struct {
 	Size    int `toml:"size"`
 	cleaned *bool
 }
 
-func (p *plugin) Validate() error {
+func (p *testPlugin) Validate() error {
 	if p.Size < 1 {
 		return errors.New(`key "size": must be at least 1`)
 	}
 	return nil
 }
 
-func (p *plugin) Cleanup() error {
+func (p *testPlugin) Cleanup() error {
 	*p.cleaned = true
 	return nil
 }
 
-func TestPlugInLifeCycle(t *testing.T) {
+func TestLoadValidatesAndCleansUp(t *testing.T) {
 	cleaned := false
-	kernel.Register(kernel.Module{ID: "test.sized", New: func() any { return &plugin{Size: 7, cleaned: &cleaned} }})
+	kernel.Register(kernel.Module{ID: "test.sized", New: func() any { return &testPlugin{Size: 7, cleaned: &cleaned} }})
 	v, err := kernel.Load("test.sized", nil)
 	assert.NilError(t, err)
-	assert.Equal(t, v.(*plugin).Size, 7)
+	assert.Equal(t, v.(*testPlugin).Size, 7)
 	_, err = kernel.Load("test.sized", map[string]any{"sise": 1})
 	assert.ErrorContains(t, err, `unknown key "sise"`)
 	_, err = kernel.Load("test.sized", map[string]any{"size": 0})
@@ -111,14 +110,14 @@
 	assert.ErrorContains(t, err, "test.sized")
 }
 
-func TestCommandLine(t *testing.T) {
+func TestMainExitCodesAndOutput(t *testing.T) {
 	valid := filepath.Join(t.TempDir(), "a.toml")
 	assert.NilError(t, os.WriteFile(valid, []byte("size = 3\n"), 0o600))
 	p := kernel.Program{
 		Name:        "snipereach-test",
-		NewSettings: func() any { return &plugin{} },
+		NewSettings: func() any { return &testPlugin{} },
 		Build: func(v any, _ log.Logger) (kernel.Daemon, time.Duration, error) {
-			return &daemon{}, time.Second, v.(*plugin).Validate()
+			return &fakeDaemon{}, time.Second, v.(*testPlugin).Validate()
 		},
 	}
 	for _, c := range []struct {
--- a/kernel/linebudget.go
+++ b/kernel/linebudget.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// LineBudget bounds the records of one kind to so many a second, and counts those
-// that were left out until one is written again.
+// LineBudget limits the rate of one kind of log record. It counts the records dropped
+// since the last one that was written.
 type LineBudget struct {
 	limit int
 	now   func() time.Time
@@ -17,13 +17,14 @@
 	dropped int
 }
 
-// NewLineBudget allows limit records a second.
+// NewLineBudget returns a LineBudget that allows limit records a second.
 func NewLineBudget(limit int, now func() time.Time) *LineBudget {
 	return &LineBudget{limit: limit, now: now}
 }
 
-// Take says whether a record may be written now, and how many were left out before it.
-func (b *LineBudget) Take() (ok bool, leftOut int) {
+// Take reports whether a record may be written now and, if so, how many were dropped
+// before it.
+func (b *LineBudget) Take() (ok bool, droppedBefore int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.now().Unix(); s != b.second {
@@ -34,6 +35,6 @@
 		return false, 0
 	}
 	b.used++
-	leftOut, b.dropped = b.dropped, 0
-	return true, leftOut
+	droppedBefore, b.dropped = b.dropped, 0
+	return true, droppedBefore
 }
--- a/kernel/observe_test.go
+++ b/kernel/observe_test.go
@@ -12,35 +12,35 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// stuck is a pipe that nobody reads until it is opened.
-type stuck struct {
-	open chan struct{}
-	buf  bytes.Buffer
+// blockedWriter blocks writes until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	buf     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.open
-	return s.buf.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
+	return w.buf.Write(p)
 }
 
-// Nobody reads standard output. Whoever logs goes on at once; when somebody reads again,
-// a record tells how many were dropped.
-func TestLogThatNobodyReadsBlocksNobody(t *testing.T) {
-	out := &stuck{open: make(chan struct{})}
+// Logging must not block while standard output is blocked. Once it is writable again, a
+// record reports the dropped ones.
+func TestAsyncWriterDropsRecordsInsteadOfBlocking(t *testing.T) {
+	out := &blockedWriter{unblock: make(chan struct{})}
 	w := kernel.NewAsyncWriter(out)
 	l := kernel.NewLog(w, "info")
 	for i := range 5000 {
 		kernel.Info(l, "Something was decided.", "n", i)
 	}
-	close(out.open)
+	close(out.unblock)
 	kernel.Info(l, "Read again.")
 	w.Close()
 	text := out.buf.String()
-	assert.Assert(t, strings.Contains(text, "n=0\n"), "what came first is kept")
+	assert.Assert(t, strings.Contains(text, "n=0\n"), "the first records are kept")
 	assert.Assert(t, strings.Contains(text, "Log records were dropped."))
 }
 
-func TestLineBudget(t *testing.T) {
+func TestLineBudgetLimitsRateAndCountsDropped(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := kernel.NewLineBudget(3, func() time.Time { return now })
 	for range 3 {
@@ -52,12 +52,12 @@
 		assert.Assert(t, !ok)
 	}
 	now = now.Add(time.Second)
-	ok, leftOut := b.Take()
+	ok, droppedBefore := b.Take()
 	assert.Assert(t, ok)
-	assert.Equal(t, leftOut, 7)
+	assert.Equal(t, droppedBefore, 7)
 }
 
-func TestMetricsAsText(t *testing.T) {
+func TestMetricsTextFormat(t *testing.T) {
 	m := kernel.NewMetrics()
 	m.Count("gateway.refused.upstreams-busy")
 	m.Count("gateway.refused.upstreams-busy")
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -1,6 +1,6 @@
-// Package kernel is the small core of every process: the registry of
-// plug-ins, the life cycle of a daemon, its settings, log, metrics and state
-// dump. It knows nothing of what the daemons do.
+// Package kernel holds what all daemons share: the plug-in registry, the daemon
+// life cycle, settings, logging, metrics and state dumps. It doesn't depend on any
+// daemon.
 package kernel
 
 import (
@@ -13,30 +13,31 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Errors of this layer.
+// Errors returned by this package.
 var (
 	ErrUnknownModule = merry.Sentinel("no plug-in with this ID")
 	ErrSettings      = merry.Sentinel("settings are invalid")
 	ErrStopLimit     = merry.Sentinel("stop limit reached")
 )
 
-// Module describes a plug-in. Its ID is dotted: the namespace, then the name
-// (route.least-loaded).
+// Module describes a plug-in. Its ID is NAMESPACE.NAME, for example
+// route.least-loaded.
 type Module struct {
 	ID  string
 	Doc string
-	// New returns a pointer to a fresh value with defaults set; settings are
-	// decoded into it.
+	// New returns a pointer to a new value with its defaults set. Load decodes the
+	// settings into it.
 	New func() any
 }
 
-// Provisioner is a plug-in that prepares itself once its settings are known.
+// Provisioner is implemented by plug-ins that need setup after their settings have
+// been decoded.
 type Provisioner interface{ Provision() error }
 
-// Validator is a plug-in that checks its settings.
+// Validator is implemented by plug-ins that check their settings.
 type Validator interface{ Validate() error }
 
-// CleanerUp is a plug-in that releases what it holds.
+// CleanerUp is implemented by plug-ins that hold resources to be released.
 type CleanerUp interface{ Cleanup() error }
 
 var (
@@ -44,8 +45,8 @@
 	registry   = map[string]Module{}
 )
 
-// Register adds a plug-in; it is called from init functions. It panics on a
-// second plug-in with the same ID, which is a fault of the build.
+// Register adds a plug-in. It is called from init functions and panics if the module
+// is malformed or its ID is already registered.
 func Register(m Module) {
 	registryMu.Lock()
 	defer registryMu.Unlock()
@@ -58,7 +59,7 @@
 	registry[m.ID] = m
 }
 
-// Modules lists the plug-ins of a namespace, sorted by ID; all if it is empty.
+// Modules returns the plug-ins of a namespace, or all if it is empty, sorted by ID.
 func Modules(namespace string) []Module {
 	registryMu.RLock()
 	defer registryMu.RUnlock()
@@ -72,8 +73,9 @@
 	return mods
 }
 
-// Load makes a plug-in, decodes its settings strictly, provisions it and
-// validates it. A nil map keeps the defaults.
+// Load creates a plug-in, decodes its settings, provisions and validates it. Unknown
+// keys are errors; an empty map keeps the defaults. A plug-in that fails validation is
+// cleaned up.
 func Load(id string, settings map[string]any) (any, error) {
 	registryMu.RLock()
 	m, ok := registry[id]
--- a/kernel/run.go
+++ b/kernel/run.go
@@ -14,25 +14,25 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Version is set at link time.
+// Version is the release version, set by the linker.
 var Version = "dev"
 
 // Daemon is a long-running process.
 type Daemon interface {
-	// Start brings everything up and returns.
+	// Start starts the daemon and returns.
 	Start(ctx context.Context) error
-	// Drain takes no new work and returns when nothing is in progress, or with
-	// the context's error.
+	// Drain stops accepting work and returns once all requests in flight have
+	// finished, or with the context's error.
 	Drain(ctx context.Context) error
-	// Stop releases everything; what is still in progress is cut. It returns
-	// how many requests were cut.
+	// Stop releases all resources and aborts the requests still in flight. It
+	// returns the number of aborted requests.
 	Stop() int
 }
 
-// Reloader is a daemon that reads its certificates again on SIGHUP.
+// Reloader is implemented by daemons that reload their certificates on SIGHUP.
 type Reloader interface{ Reload() error }
 
-// Options are the command-line options that every daemon takes.
+// Options are the command-line options of every daemon.
 type Options struct {
 	Config  string `long:"config" short:"c" description:"settings file (TOML)" value-name:"FILE"`
 	Check   bool   `long:"check-config" description:"check the settings file and exit: 0 if it is valid"`
@@ -47,17 +47,18 @@
 	ExitSettings = 2
 )
 
-// Program is what a daemon's main hands to Main.
+// Program describes a daemon to Main.
 type Program struct {
 	Name string
-	// NewSettings returns a pointer to settings with defaults set.
+	// NewSettings returns a pointer to settings with their defaults set.
 	NewSettings func() any
-	// Build checks the settings and makes the daemon.
+	// Build checks the settings and returns the daemon and its stop limit, the
+	// longest time that it may drain.
 	Build func(settings any, l log.Logger) (Daemon, time.Duration, error)
 }
 
-// Main parses arguments, reads settings and runs the daemon until a signal.
-// It returns the exit code.
+// Main parses the arguments, reads the settings and runs the daemon until a signal
+// stops it. It returns the exit code.
 func Main(p Program, args []string, stdout, stderr io.Writer) int {
 	var opts Options
 	parser := flags.NewNamedParser(p.Name, flags.HelpFlag|flags.PassDoubleDash)
@@ -81,9 +82,9 @@
 		fmt.Fprintln(stderr, p.Name+": "+err.Error())
 		return ExitSettings
 	}
-	records := NewAsyncWriter(stdout)
-	defer records.Close()
-	l := NewLog(records, opts.Log)
+	logWriter := NewAsyncWriter(stdout)
+	defer logWriter.Close()
+	l := NewLog(logWriter, opts.Log)
 	d, stopLimit, err := p.Build(settings, l)
 	if err != nil {
 		fmt.Fprintln(stderr, p.Name+": "+opts.Config+": "+err.Error())
@@ -117,8 +118,9 @@
 	return ExitSettings
 }
 
-// Serve runs a daemon until a signal. The first SIGTERM or SIGINT drains it
-// within stopLimit; a second one, or the limit, cuts what is left.
+// Serve runs a daemon until a signal stops it. The first SIGTERM or SIGINT drains it;
+// after stopLimit or a second signal the remaining requests are aborted. SIGHUP before
+// that reloads a Reloader.
 func Serve(d Daemon, signals <-chan os.Signal, stopLimit time.Duration, l log.Logger) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -150,13 +152,13 @@
 
 func drain(ctx context.Context, d Daemon, signals <-chan os.Signal, limit time.Duration, l log.Logger) error {
 	Info(l, "Draining.", "limit", limit)
-	dctx, cancel := context.WithTimeout(ctx, limit)
+	drainCtx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	go cancelOnSignal(dctx, cancel, signals)
-	err := d.Drain(dctx)
-	cut := d.Stop()
-	if err != nil || cut > 0 {
-		Warn(l, "Stopped before all work was done.", "requests_cut", cut, "err", err)
+	go cancelOnSignal(drainCtx, cancel, signals)
+	err := d.Drain(drainCtx)
+	aborted := d.Stop()
+	if err != nil || aborted > 0 {
+		Warn(l, "Stopped before all work was done.", "requests_cut", aborted, "err", err)
 		return nil
 	}
 	Info(l, "Stopped.", "requests_cut", 0)
--- a/kernel/settings.go
+++ b/kernel/settings.go
@@ -12,10 +12,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time.Duration written as text in settings ("250ms", "5s").
+// Duration is a time.Duration that settings files write as text ("250ms", "5s").
 type Duration time.Duration
 
-// UnmarshalText parses a Go duration.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -25,20 +25,20 @@
 	return nil
 }
 
-// MarshalText writes a Go duration.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// D returns the time.Duration.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Defaulter is settings with a part that stands in the file or not: what is left
-// out of a part that stands there takes its default after the file was read.
+// Defaulter is implemented by settings with optional sections. SetDefaults is called
+// after the file has been read and fills in the keys missing from the sections present.
 type Defaulter interface{ SetDefaults() }
 
-// ReadSettings decodes a TOML file strictly into v. The error names the file,
-// the line and the key.
+// ReadSettings decodes a TOML file into v. Unknown keys are errors. A decoding error
+// names the file, the line and the key.
 func ReadSettings(path string, v any) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -54,23 +54,23 @@
 	return nil
 }
 
-// decodeStrict refuses unknown keys: a misspelt key would otherwise leave a
-// default in force without a word.
+// decodeStrict returns an error for unknown keys: a misspelt key would otherwise
+// silently keep the default.
 func decodeStrict(r io.Reader, v any) error {
 	err := toml.NewDecoder(r).DisallowUnknownFields().Decode(v)
 	if err == nil {
 		return nil
 	}
-	var missing *toml.StrictMissingError
-	if errors.As(err, &missing) && len(missing.Errors) > 0 {
-		first := missing.Errors[0]
-		line, _ := first.Position()
-		return merry.Prepend(ErrSettings, fmt.Sprintf("line %d: unknown key %q", line, strings.Join(first.Key(), ".")))
+	var strictErr *toml.StrictMissingError
+	if errors.As(err, &strictErr) && len(strictErr.Errors) > 0 {
+		firstUnknown := strictErr.Errors[0]
+		line, _ := firstUnknown.Position()
+		return merry.Prepend(ErrSettings, fmt.Sprintf("line %d: unknown key %q", line, strings.Join(firstUnknown.Key(), ".")))
 	}
-	var decode *toml.DecodeError
-	if errors.As(err, &decode) {
-		line, _ := decode.Position()
-		return merry.Prepend(ErrSettings, fmt.Sprintf("line %d: key %q: %s", line, strings.Join(decode.Key(), "."), decode.Error()))
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		return merry.Prepend(ErrSettings, fmt.Sprintf("line %d: key %q: %s", line, strings.Join(decodeErr.Key(), "."), decodeErr.Error()))
 	}
 	return merry.Prepend(ErrSettings, err.Error())
 }
--- a/kernel/textmetrics.go
+++ b/kernel/textmetrics.go
@@ -13,38 +13,38 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Bounds of a Latency: from a tenth of a millisecond to a minute, to two digits.
+// Range of a Latency, in microseconds (0.1 ms to 1 min), and its significant digits.
 const (
-	latencyLeast  = 100
-	latencyMost   = 60_000_000
-	latencyDigits = 2
+	minLatencyMicros         = 100
+	maxLatencyMicros         = 60_000_000
+	latencySignificantDigits = 2
 )
 
-// quantiles that a Latency shows.
+// quantiles are the percentiles that a Latency reports.
 var quantiles = []float64{50, 90, 99, 99.9}
 
-// Latency is a histogram of times since the process's start. It is safe for use by
-// several goroutines.
+// Latency is a histogram of durations recorded since the process started. It is safe
+// for concurrent use.
 type Latency struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
-// NewLatency makes an empty histogram.
+// NewLatency returns an empty histogram.
 func NewLatency() *Latency {
-	return &Latency{h: hdrhistogram.New(latencyLeast, latencyMost, latencyDigits)}
+	return &Latency{h: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificantDigits)}
 }
 
-// Record takes one time; what is out of bounds counts as the bound.
+// Record adds a duration, clamped to the histogram's range.
 func (l *Latency) Record(d time.Duration) {
-	us := min(max(d.Microseconds(), latencyLeast), latencyMost)
+	us := min(max(d.Microseconds(), minLatencyMicros), maxLatencyMicros)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// It fails only for values out of bounds.
+	// RecordValue fails only for values out of range.
 	_ = l.h.RecordValue(us)
 }
 
-// Metrics are the counters, gauges and histograms of one process.
+// Metrics holds the counters, gauges and histograms of one process.
 type Metrics struct {
 	Registry metrics.Registry
 
@@ -52,17 +52,17 @@
 	latencies map[string]*Latency
 }
 
-// NewMetrics makes an empty set.
+// NewMetrics returns an empty set.
 func NewMetrics() *Metrics {
 	return &Metrics{Registry: metrics.NewRegistry(), latencies: map[string]*Latency{}}
 }
 
-// Count adds one to a counter.
+// Count increments a counter.
 func (m *Metrics) Count(name string) {
 	metrics.GetOrRegisterCounter(name, m.Registry).Inc(1)
 }
 
-// Latency returns the histogram of a name; it is made at first use.
+// Latency returns the histogram of a name and creates it at first use.
 func (m *Metrics) Latency(name string) *Latency {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +74,7 @@
 	return l
 }
 
-// OneIf is a gauge's value for what is so or not.
+// OneIf returns 1 if b is true, else 0, as a gauge value.
 func OneIf(b bool) int64 {
 	if b {
 		return 1
@@ -82,8 +82,8 @@
 	return 0
 }
 
-// ServeHTTP writes one line for each value: the name, a space and the number.
-// Histograms are in seconds, with a count and quantiles.
+// ServeHTTP writes one line for each value: the name, a space and the number. For a
+// histogram it writes the count and the quantiles in seconds.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	var lines []string
@@ -99,15 +99,15 @@
 	})
 	m.mu.Lock()
 	for name, l := range m.latencies {
-		lines = append(lines, l.lines(name)...)
+		lines = append(lines, l.formatLines(name)...)
 	}
 	m.mu.Unlock()
 	sort.Strings(lines)
-	// A reader that has left needs nothing more.
+	// An error means that the client has disconnected.
 	_, _ = io.WriteString(w, strings.Join(lines, "\n")+"\n")
 }
 
-func (l *Latency) lines(name string) []string {
+func (l *Latency) formatLines(name string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := []string{fmt.Sprintf("%s{count} %d", name, l.h.TotalCount())}
--- a/kernel/watchers.go
+++ b/kernel/watchers.go
@@ -2,34 +2,35 @@
 
 import "sync"
 
-// Watchers are those that wait for something to change. The zero value has none. Each is woken at
-// least once after a change; several changes in a row may wake it once.
+// Watchers notifies subscribers of changes. The zero value is ready to use. Each
+// subscriber is notified at least once after a change; several changes in a row may be
+// merged into one notification.
 type Watchers struct {
-	mu   sync.Mutex
-	open map[chan struct{}]struct{}
+	mu       sync.Mutex
+	channels map[chan struct{}]struct{}
 }
 
-// Subscribe adds a watcher; cancel removes it.
+// Subscribe adds a subscriber; cancel removes it.
 func (w *Watchers) Subscribe() (changed <-chan struct{}, cancel func()) {
 	ch := make(chan struct{}, 1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.open == nil {
-		w.open = map[chan struct{}]struct{}{}
+	if w.channels == nil {
+		w.channels = map[chan struct{}]struct{}{}
 	}
-	w.open[ch] = struct{}{}
+	w.channels[ch] = struct{}{}
 	return ch, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		delete(w.open, ch)
+		delete(w.channels, ch)
 	}
 }
 
-// Wake wakes all watchers, and waits for none.
+// Wake notifies all subscribers without blocking.
 func (w *Watchers) Wake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for ch := range w.open {
+	for ch := range w.channels {
 		select {
 		case ch <- struct{}{}:
 		default:
@@ -37,9 +38,9 @@
 	}
 }
 
-// Len is how many watchers there are.
+// Len returns the number of subscribers.
 func (w *Watchers) Len() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.open)
+	return len(w.channels)
 }
--- a/kernel/watchers_test.go
+++ b/kernel/watchers_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A watcher that is slow is woken once for several changes, and holds nobody up; one that has left
-// is woken no more.
-func TestWatchersAreWokenOnceForSeveralChanges(t *testing.T) {
+// A slow subscriber must not block Wake and gets one notification for several changes;
+// a cancelled one gets none.
+func TestWatchersMergeSeveralChanges(t *testing.T) {
 	var w Watchers
 	w.Wake()
 	first, cancelFirst := w.Subscribe()
