--- a/transport/dial.go
+++ b/transport/dial.go
@@ -11,87 +11,85 @@
 	"golang.org/x/sys/unix"
 )
 
-// Detection of connections that are silent for good: a host without power or
-// behind a partition answers nothing, and a forgotten connection is not reset. A
-// writer would wait for minutes for the kernel's own limit, a reader for ever.
+// Detection of dead peers. A host that lost power or is partitioned sends no reset;
+// without these limits a writer would block for minutes, until the kernel's own
+// timeout, and a reader forever.
 const (
-	// userTimeout bounds how long sent data may stay without an acknowledgement.
-	// It is longer than the kernel's first retransmissions (0.2 and 0.6 s) on a
-	// link that loses a packet.
-	userTimeout = 1500 * time.Millisecond
-	// probeAfter, probeEvery and probes find a silent peer of an idle connection
-	// within two seconds and a half.
-	probeAfter = time.Second
-	probeEvery = 500 * time.Millisecond
-	probes     = 3
+	// tcpUserTimeout bounds how long sent data may stay unacknowledged. It allows for
+	// the kernel's first two retransmissions (after 0.2 and 0.6 s).
+	tcpUserTimeout = 1500 * time.Millisecond
+	// The keep-alive settings detect a dead peer of an idle connection within 2.5 s.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 3
 )
 
 const (
-	// firstTry is how long the first try to open a connection may take: a connection
-	// within a region opens in a few milliseconds, and to another one in some tens. The
-	// kernel sends a lost packet again after a second only, and so it does for a host that
-	// was still starting: after a loss of power all entries heard of the others a second
-	// after their start, 0.4 s later than the others were there.
-	firstTry = 200 * time.Millisecond
-	// tryGrowth is how much longer each further try may take, for a link whose round trip
-	// is longer.
-	tryGrowth = 2
+	// firstAttemptTimeout bounds the first attempt to open a connection. It is shorter
+	// than the one second after which the kernel retransmits a lost SYN, so that a host
+	// that has just started is reached sooner.
+	firstAttemptTimeout = 200 * time.Millisecond
+	// attemptTimeoutGrowth is the factor by which the timeout of each further attempt
+	// grows, for links with a longer round trip.
+	attemptTimeoutGrowth = 2
 )
 
-// Dialer opens connections that break within seconds when the peer falls silent.
+// Dialer opens TCP connections that fail within seconds once the peer stops responding.
 type Dialer struct {
-	// open makes one try.
-	open DialFunc
-	// limit bounds the opening, over all tries.
-	limit time.Duration
+	// dial makes one attempt.
+	dial DialFunc
+	// timeout bounds all attempts of one DialContext together.
+	timeout time.Duration
 }
 
-// NewDialer returns a dialer. timeout bounds the opening.
+// NewDialer returns a dialer. The timeout bounds all attempts of one DialContext
+// together.
 func NewDialer(timeout time.Duration) *Dialer {
 	d := &net.Dialer{
-		KeepAliveConfig: keepAlive(),
+		KeepAliveConfig: keepAliveConfig(),
 		Control:         func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw) },
 	}
-	return &Dialer{open: d.DialContext, limit: timeout}
+	return &Dialer{dial: d.DialContext, timeout: timeout}
 }
 
-// DialContext opens a connection; it tries again where the peer says nothing, and gives
-// up at once where it refuses.
+// DialContext opens a connection. It retries attempts that time out; other errors, such
+// as a refused connection, are returned at once.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, d.limit)
+	ctx, cancel := context.WithTimeout(ctx, d.timeout)
 	defer cancel()
 	deadline, _ := ctx.Deadline()
-	for try := firstTry; ; try *= tryGrowth {
-		last := time.Until(deadline) <= try
-		conn, err := d.tryOnce(ctx, try, network, address)
-		var silent net.Error
-		if err == nil || last || ctx.Err() != nil || !errors.As(err, &silent) || !silent.Timeout() {
+	for attemptTimeout := firstAttemptTimeout; ; attemptTimeout *= attemptTimeoutGrowth {
+		last := time.Until(deadline) <= attemptTimeout
+		conn, err := d.dialOnce(ctx, attemptTimeout, network, address)
+		var netErr net.Error
+		if err == nil || last || ctx.Err() != nil || !errors.As(err, &netErr) || !netErr.Timeout() {
 			return conn, err
 		}
 	}
 }
 
-func (d *Dialer) tryOnce(ctx context.Context, limit time.Duration, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (d *Dialer) dialOnce(ctx context.Context, timeout time.Duration, network, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return d.open(ctx, network, address)
+	return d.dial(ctx, network, address)
 }
 
-// Listen listens for connections that break as those of NewDialer do.
+// Listen returns a TCP listener whose connections detect dead peers as those of a
+// Dialer do.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	cfg := net.ListenConfig{
-		KeepAliveConfig: keepAlive(),
+		KeepAliveConfig: keepAliveConfig(),
 		Control:         func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw) },
 	}
 	return cfg.Listen(ctx, "tcp", addr)
 }
 
-func keepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes}
+func keepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// WithPort returns addresses with another port, where hosts are known by an address
-// of another service; 0 leaves them as they are.
+// WithPort returns the addresses with their port replaced. Port 0 leaves them unchanged,
+// and so are addresses that aren't of the form HOST:PORT.
 func WithPort(addresses []string, port int) []string {
 	out := append([]string(nil), addresses...)
 	if port == 0 {
@@ -105,9 +103,9 @@
 	return out
 }
 
-// setUserTimeout is best effort: a socket that isn't TCP doesn't take the option.
+// setUserTimeout sets TCP_USER_TIMEOUT. It ignores the error of sockets that aren't TCP.
 func setUserTimeout(raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 }
--- a/transport/dial_test.go
+++ b/transport/dial_test.go
@@ -10,42 +10,41 @@
 	"gotest.tools/v3/assert"
 )
 
-// A process dials a host that is still starting: its first packet is lost without a
-// word, and the host is there some tenths of a second later. The connection opens then,
-// and not when the kernel sends that packet again. A host that refuses is told at once.
-func TestDialTriesAgainWhereThePeerIsSilent(t *testing.T) {
-	tries := 0
-	d := &Dialer{limit: 2 * time.Second, open: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		tries++
-		if tries < 3 {
+// Attempts that time out are retried before the kernel would retransmit the SYN, up to
+// the overall timeout; a refused connection is an error at once.
+func TestDialRetriesTimeoutsAndReturnsOtherErrors(t *testing.T) {
+	attempts := 0
+	d := &Dialer{timeout: 2 * time.Second, dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		attempts++
+		if attempts < 3 {
 			<-ctx.Done()
 			return nil, &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
 		}
 		a, _ := net.Pipe()
 		return a, nil
 	}}
-	began := time.Now()
+	start := time.Now()
 	conn, err := d.DialContext(context.Background(), "tcp", "x")
 	assert.NilError(t, err)
 	assert.NilError(t, conn.Close())
-	assert.Equal(t, tries, 3)
-	assert.Assert(t, time.Since(began) < firstTry+tryGrowth*firstTry+300*time.Millisecond)
+	assert.Equal(t, attempts, 3)
+	assert.Assert(t, time.Since(start) < firstAttemptTimeout+attemptTimeoutGrowth*firstAttemptTimeout+300*time.Millisecond)
 
-	tries = 10
-	refused := &Dialer{limit: 2 * time.Second, open: func(context.Context, string, string) (net.Conn, error) {
-		tries++
+	attempts = 10
+	refused := &Dialer{timeout: 2 * time.Second, dial: func(context.Context, string, string) (net.Conn, error) {
+		attempts++
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	}}
 	_, err = refused.DialContext(context.Background(), "tcp", "x")
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-	assert.Equal(t, tries, 11)
+	assert.Equal(t, attempts, 11)
 
-	silent := &Dialer{limit: 300 * time.Millisecond, open: func(ctx context.Context, _, _ string) (net.Conn, error) {
+	unresponsive := &Dialer{timeout: 300 * time.Millisecond, dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
 	}}
-	began = time.Now()
-	_, err = silent.DialContext(context.Background(), "tcp", "x")
+	start = time.Now()
+	_, err = unresponsive.DialContext(context.Background(), "tcp", "x")
 	assert.Assert(t, err != nil)
-	assert.Assert(t, time.Since(began) < time.Second, "the limit holds over all tries")
+	assert.Assert(t, time.Since(start) < time.Second, "the timeout covers all attempts")
 }
--- a/transport/fuzz_test.go
+++ b/transport/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/snipereach/snipereach/transport"
 )
 
-// A stranger sends any bytes in place of the handshake. It gets the server's
-// nonce and nothing else, and the server goes on.
+// A client that sends arbitrary bytes in place of the handshake gets no more than the
+// server's nonce.
 func FuzzHandshake(f *testing.F) {
 	const nonce = 32
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
--- a/transport/handshake.go
+++ b/transport/handshake.go
@@ -11,53 +11,53 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// The handshake is a mutual challenge and response with HMAC-SHA256 (RFC 2104)
-// over both sides' nonces. The secret never crosses the wire, and a recorded
-// handshake is of no use, because each side's nonce is new.
+// nonceLen is the length of a handshake nonce, in bytes. The handshake is a mutual
+// challenge-response with HMAC-SHA256 (RFC 2104) over both sides' nonces. The secret is
+// never sent, and fresh nonces prevent replay.
 const nonceLen = 32
 
-func handshakeMAC(secret []byte, side string, server, client []byte) []byte {
+func handshakeMAC(secret []byte, side string, serverNonce, clientNonce []byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	m.Write([]byte(side))
-	m.Write(server)
-	m.Write(client)
+	m.Write(serverNonce)
+	m.Write(clientNonce)
 	return m.Sum(nil)
 }
 
-func answerHandshake(conn net.Conn, secret []byte) error {
+func serverHandshake(conn net.Conn, secret []byte) error {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
-	server := make([]byte, nonceLen)
-	if _, err := rand.Read(server); err != nil {
+	serverNonce := make([]byte, nonceLen)
+	if _, err := rand.Read(serverNonce); err != nil {
 		return merry.Prepend(ErrHandshake, err.Error())
 	}
-	if _, err := conn.Write(server); err != nil {
+	if _, err := conn.Write(serverNonce); err != nil {
 		return merry.Prepend(ErrHandshake, err.Error())
 	}
 	hello := make([]byte, nonceLen+sha256.Size)
 	if _, err := io.ReadFull(conn, hello); err != nil {
 		return merry.Prepend(ErrHandshake, err.Error())
 	}
-	client, mac := hello[:nonceLen], hello[nonceLen:]
-	if !hmac.Equal(mac, handshakeMAC(secret, "client", server, client)) {
+	clientNonce, mac := hello[:nonceLen], hello[nonceLen:]
+	if !hmac.Equal(mac, handshakeMAC(secret, "client", serverNonce, clientNonce)) {
 		return ErrHandshake
 	}
-	if _, err := conn.Write(handshakeMAC(secret, "server", server, client)); err != nil {
+	if _, err := conn.Write(handshakeMAC(secret, "server", serverNonce, clientNonce)); err != nil {
 		return merry.Prepend(ErrHandshake, err.Error())
 	}
 	return conn.SetDeadline(time.Time{})
 }
 
-func startHandshake(conn net.Conn, secret []byte) error {
+func clientHandshake(conn net.Conn, secret []byte) error {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
-	server := make([]byte, nonceLen)
-	if _, err := io.ReadFull(conn, server); err != nil {
+	serverNonce := make([]byte, nonceLen)
+	if _, err := io.ReadFull(conn, serverNonce); err != nil {
 		return merry.Prepend(ErrDial, err.Error())
 	}
-	client := make([]byte, nonceLen)
-	if _, err := rand.Read(client); err != nil {
+	clientNonce := make([]byte, nonceLen)
+	if _, err := rand.Read(clientNonce); err != nil {
 		return merry.Prepend(ErrDial, err.Error())
 	}
-	hello := append(client[:nonceLen:nonceLen], handshakeMAC(secret, "client", server, client)...)
+	hello := append(clientNonce[:nonceLen:nonceLen], handshakeMAC(secret, "client", serverNonce, clientNonce)...)
 	if _, err := conn.Write(hello); err != nil {
 		return merry.Prepend(ErrDial, err.Error())
 	}
@@ -65,7 +65,7 @@
 	if _, err := io.ReadFull(conn, mac); err != nil {
 		return merry.Prepend(ErrHandshake, err.Error())
 	}
-	if !hmac.Equal(mac, handshakeMAC(secret, "server", server, client)) {
+	if !hmac.Equal(mac, handshakeMAC(secret, "server", serverNonce, clientNonce)) {
 		return ErrHandshake
 	}
 	return conn.SetDeadline(time.Time{})
--- a/transport/hopbyhop.go
+++ b/transport/hopbyhop.go
@@ -7,6 +7,6 @@
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// HopByHop says whether a header field belongs to one connection only (RFC 9110,
-// 7.6.1) and is not passed on.
+// HopByHop reports whether a header field applies to a single connection (RFC 9110,
+// section 7.6.1) and must not be forwarded.
 func HopByHop(name string) bool { return hopByHop[http.CanonicalHeaderKey(name)] }
--- a/transport/settings.go
+++ b/transport/settings.go
@@ -10,36 +10,36 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrSettings is returned for TLS or secret settings that can't be used.
+// ErrSettings is returned for invalid TLS or secret settings.
 var ErrSettings = merry.Sentinel("transport settings are invalid")
 
-// minSecret is the shortest cluster secret that is taken, in bytes.
-const minSecret = 16
+// minSecretLen is the minimum length of the cluster secret, in bytes.
+const minSecretLen = 16
 
-// TLSSettings name certificate files; all empty turns TLS off.
+// TLSSettings names certificate files. TLS is off if all are empty.
 type TLSSettings struct {
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 	CA          string `toml:"ca"`
 }
 
-// On says whether TLS is set.
+// On reports whether TLS is enabled.
 func (t TLSSettings) On() bool { return t.Certificate != "" || t.Key != "" || t.CA != "" }
 
-// Certificates holds a TLS key pair that can be read again while in use.
+// Certificates holds a TLS key pair and CA pool that can be reloaded while in use.
 type Certificates struct {
 	settings TLSSettings
-	pair     atomic.Pointer[tls.Certificate]
-	pool     atomic.Pointer[x509.CertPool]
+	keyPair  atomic.Pointer[tls.Certificate]
+	caPool   atomic.Pointer[x509.CertPool]
 }
 
-// LoadCertificates reads the files once.
+// LoadCertificates returns the certificates of the files that s names.
 func LoadCertificates(s TLSSettings) (*Certificates, error) {
 	c := &Certificates{settings: s}
 	return c, c.Reload()
 }
 
-// Reload reads the files again; on an error the old ones stay in force.
+// Reload reads the files again. On an error the previous key pair and CA pool stay in use.
 func (c *Certificates) Reload() error {
 	pair, err := tls.LoadX509KeyPair(c.settings.Certificate, c.settings.Key)
 	if err != nil {
@@ -54,42 +54,42 @@
 		if !pool.AppendCertsFromPEM(text) {
 			return merry.Prependf(ErrSettings, "key \"ca\": %s holds no certificate", c.settings.CA)
 		}
-		c.pool.Store(pool)
+		c.caPool.Store(pool)
 	}
-	c.pair.Store(&pair)
+	c.keyPair.Store(&pair)
 	return nil
 }
 
-func (c *Certificates) certificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-	return c.pair.Load(), nil
+func (c *Certificates) getCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+	return c.keyPair.Load(), nil
 }
 
-// Public is a server's configuration that asks for no client certificate.
+// Public returns a server configuration that requests no client certificate.
 func (c *Certificates) Public() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: c.certificate}
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: c.getCertificate}
 }
 
-// Mutual is the pair of configurations between processes: both sides show a
-// certificate of the cluster's CA.
+// Mutual returns the configurations for mutual TLS between processes: each side
+// presents a certificate of the cluster's CA.
 func (c *Certificates) Mutual() (server, client *tls.Config) {
 	server = &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			return &tls.Config{
 				MinVersion:     tls.VersionTLS13,
-				GetCertificate: c.certificate,
+				GetCertificate: c.getCertificate,
 				ClientAuth:     tls.RequireAndVerifyClientCert,
-				ClientCAs:      c.pool.Load(),
+				ClientCAs:      c.caPool.Load(),
 			}, nil
 		},
 	}
 	client = &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return c.pair.Load(), nil
+			return c.keyPair.Load(), nil
 		},
-		// The CA may be read again, so the check is made against the one in
-		// force at the handshake; the host name is checked there as well.
+		// VerifyConnection checks the chain and the host name against the CA pool
+		// loaded at the time of the handshake; RootCAs couldn't be reloaded.
 		InsecureSkipVerify: true,
 		VerifyConnection:   c.verifyServer,
 	}
@@ -97,7 +97,7 @@
 }
 
 func (c *Certificates) verifyServer(cs tls.ConnectionState) error {
-	opts := x509.VerifyOptions{Roots: c.pool.Load(), DNSName: cs.ServerName, Intermediates: x509.NewCertPool()}
+	opts := x509.VerifyOptions{Roots: c.caPool.Load(), DNSName: cs.ServerName, Intermediates: x509.NewCertPool()}
 	for _, cert := range cs.PeerCertificates[1:] {
 		opts.Intermediates.AddCert(cert)
 	}
@@ -105,12 +105,12 @@
 	return err
 }
 
-// NewSecurity makes the security between processes from settings. Plain text
-// with a secret is used only where no TLS is set. The secret is needed in both
-// cases: explanation tokens are signed with it.
+// NewSecurity returns the Security between processes and, with TLS, its certificates.
+// Without TLS, connections are plain text and peers prove that they know the secret.
+// The secret is required in both cases: explanation tokens are signed with it.
 func NewSecurity(secret string, t TLSSettings) (Security, *Certificates, error) {
-	if len(strings.TrimSpace(secret)) < minSecret {
-		return Security{}, nil, merry.Prependf(ErrSettings, "key \"cluster_secret\": at least %d characters are needed", minSecret)
+	if len(strings.TrimSpace(secret)) < minSecretLen {
+		return Security{}, nil, merry.Prependf(ErrSettings, "key \"cluster_secret\": at least %d characters are needed", minSecretLen)
 	}
 	if t.On() {
 		if t.CA == "" {
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,10 +1,10 @@
-// Package transport carries drpc between the system's processes: a listener
-// and a connection pool, both with TLS or, where that is off, with a handshake
-// that proves knowledge of the cluster secret.
+// Package transport carries drpc between the processes of a cluster: a server and a
+// connection pool, both with TLS or, where that is off, with a handshake that proves
+// knowledge of the cluster secret.
 //
-// drpc carries one call at a time on a connection, so a pool gives each call a
-// connection of its own: a cut or crossed answer can only hurt the call that it
-// belongs to, and one slow reader doesn't hold up the others.
+// A drpc connection carries one call at a time, so the pool gives each concurrent call
+// a connection of its own: a broken connection fails only its own call, and a slow
+// reader doesn't block other calls.
 package transport
 
 import (
@@ -28,32 +28,33 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// Errors of this layer.
+// Errors returned by this package.
 var (
 	ErrDial      = merry.Sentinel("peer can't be reached")
 	ErrHandshake = merry.Sentinel("peer doesn't know the cluster secret")
 	ErrHandler   = merry.Sentinel("call can't be served")
 )
 
-// Bounds of a connection.
+// Limits of connections and of the pool.
 const (
-	// MaxMessage bounds one drpc message; bodies are cut into frames far below it.
+	// MaxMessage is the maximum size of a drpc message, in bytes.
 	MaxMessage = 4 << 20
-	// BodyFrame is the largest piece of a body in one frame.
+	// BodyFrame is the maximum size of the part of a body in one frame, in bytes.
 	BodyFrame = 64 << 10
 
-	dialTimeout      = 2 * time.Second
-	handshakeTimeout = 2 * time.Second
-	idleExpiry       = 30 * time.Second
-	poolPerAddress   = 1024
-	poolCapacity     = 4096
+	dialTimeout            = 2 * time.Second
+	handshakeTimeout       = 2 * time.Second
+	idleTimeout            = 30 * time.Second
+	poolCapacityPerAddress = 1024
+	poolCapacity           = 4096
 )
 
-// Security says how peers know each other. With TLS set, the secret is not used.
+// Security configures how peers authenticate each other. With TLS, the secret is not
+// used for that.
 type Security struct {
 	// Secret is shared by the processes of one cluster.
 	Secret []byte
-	// Server and Client are set together, or not at all.
+	// Server and Client are the TLS configurations; both are nil if TLS is off.
 	Server *tls.Config
 	Client *tls.Config
 }
@@ -73,37 +74,37 @@
 	sec Security
 	srv *drpcserver.Server
 
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	done  bool
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
+	closed bool
 }
 
-// NewServer makes a server; services are registered on its Mux.
+// NewServer returns a server. Services are registered on its Mux.
 func NewServer(sec Security) *Server {
 	mux := drpcmux.New()
 	return &Server{
 		Mux:   mux,
 		sec:   sec,
-		srv:   drpcserver.NewWithOptions(guarded{mux}, drpcserver.Options{Manager: managerOptions()}),
+		srv:   drpcserver.NewWithOptions(recoveringHandler{mux}, drpcserver.Options{Manager: managerOptions()}),
 		conns: map[net.Conn]struct{}{},
 	}
 }
 
-// guarded ends a call whose handler panics, and its connection. A message that a
-// handler did not expect would otherwise end the process with all that it carries.
-type guarded struct{ drpc.Handler }
+// recoveringHandler turns a panic of a handler into an error of its call, so that one
+// unexpected message doesn't end the process.
+type recoveringHandler struct{ drpc.Handler }
 
 // HandleRPC implements drpc.Handler.
-func (g guarded) HandleRPC(stream drpc.Stream, rpc string) (err error) {
+func (h recoveringHandler) HandleRPC(stream drpc.Stream, rpc string) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
-			// The stack is for the operator of this process, not for the peer, who
-			// may pass the error on to a caller.
+			// The stack trace is only logged: the peer may return the error to an
+			// external caller.
 			fmt.Fprintf(os.Stderr, "transport: %s: panic: %v\n%s", rpc, v, debug.Stack())
 			err = merry.Prepend(ErrHandler, rpc)
 		}
 	}()
-	return g.Handler.HandleRPC(stream, rpc)
+	return h.Handler.HandleRPC(stream, rpc)
 }
 
 // Serve accepts connections until the listener is closed.
@@ -113,7 +114,7 @@
 		if err != nil {
 			return
 		}
-		if !s.track(conn) {
+		if !s.trackConn(conn) {
 			_ = conn.Close()
 			return
 		}
@@ -122,43 +123,43 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) {
-	defer s.untrack(conn)
-	secured, err := s.secure(conn)
+	defer s.untrackConn(conn)
+	secured, err := s.secureConn(conn)
 	if err != nil {
 		return
 	}
 	_ = s.srv.ServeOne(ctx, secured)
 }
 
-func (s *Server) secure(conn net.Conn) (net.Conn, error) {
+func (s *Server) secureConn(conn net.Conn) (net.Conn, error) {
 	if s.sec.Server != nil {
 		return tls.Server(conn, s.sec.Server), nil
 	}
-	return conn, answerHandshake(conn, s.sec.Secret)
+	return conn, serverHandshake(conn, s.sec.Secret)
 }
 
-func (s *Server) track(conn net.Conn) bool {
+func (s *Server) trackConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.done {
+	if s.closed {
 		return false
 	}
 	s.conns[conn] = struct{}{}
 	return true
 }
 
-func (s *Server) untrack(conn net.Conn) {
+func (s *Server) untrackConn(conn net.Conn) {
 	_ = conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// Close cuts every connection. The listener is the caller's to close.
+// Close closes every connection. The caller closes the listener.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.done = true
+	s.closed = true
 	for c := range s.conns {
 		_ = c.Close()
 	}
@@ -167,31 +168,31 @@
 // DialFunc opens a network connection; net.Dialer.DialContext is one.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Pool dials peers and keeps idle connections.
+// Pool dials peers and reuses idle connections.
 type Pool struct {
-	sec     Security
-	pool    *drpcpool.Pool[string, drpcpool.Conn]
-	calls   *drpcpool.Pool[string, drpcpool.Conn]
-	dialNet DialFunc
+	sec       Security
+	conns     *drpcpool.Pool[string, drpcpool.Conn]
+	callConns *drpcpool.Pool[string, drpcpool.Conn]
+	dialNet   DialFunc
 }
 
-// NewPool makes a pool.
+// NewPool returns a pool that authenticates its connections with sec.
 func NewPool(sec Security) *Pool {
 	opts := drpcpool.Options{
-		Expiration:  idleExpiry,
+		Expiration:  idleTimeout,
 		Capacity:    poolCapacity,
-		KeyCapacity: poolPerAddress,
+		KeyCapacity: poolCapacityPerAddress,
 	}
 	return &Pool{
-		sec:     sec,
-		dialNet: NewDialer(dialTimeout).DialContext,
-		pool:    drpcpool.New[string, drpcpool.Conn](opts),
-		calls:   drpcpool.New[string, drpcpool.Conn](opts),
+		sec:       sec,
+		dialNet:   NewDialer(dialTimeout).DialContext,
+		conns:     drpcpool.New[string, drpcpool.Conn](opts),
+		callConns: drpcpool.New[string, drpcpool.Conn](opts),
 	}
 }
 
-// SetDial makes the pool open its connections with f, if f is not nil: who
-// embeds a process may want a network of its own. It is called before first use.
+// SetDial replaces the function that opens connections, if f is not nil; programs that
+// embed a process can supply their own network. It must be called before first use.
 func (p *Pool) SetDial(f DialFunc) {
 	if f != nil {
 		p.dialNet = f
@@ -200,21 +201,21 @@
 
 // Conn returns a connection to an address that dials when a call needs one.
 func (p *Pool) Conn(ctx context.Context, addr string) drpc.Conn {
-	return p.pool.Get(ctx, addr, p.dial)
+	return p.conns.Get(ctx, addr, p.dial)
 }
 
-// CallConn is like Conn, but what a stream sends may be kept back until the
-// caller receives from it or closes its sending side: a request and the end of
-// its sending leave in one write. A stream that only sends must not use it.
+// CallConn is like Conn, but messages sent on a stream may be buffered until the caller
+// receives from it or closes its sending side, so that a request and its end are sent
+// in one write. It must not be used for streams that only send.
 func (p *Pool) CallConn(ctx context.Context, addr string) drpc.Conn {
-	return p.calls.Get(ctx, addr, p.dialCalls)
+	return p.callConns.Get(ctx, addr, p.dialCallConn)
 }
 
 func (p *Pool) dial(ctx context.Context, addr string) (drpcpool.Conn, error) {
 	return p.dialWith(ctx, addr, managerOptions())
 }
 
-func (p *Pool) dialCalls(ctx context.Context, addr string) (drpcpool.Conn, error) {
+func (p *Pool) dialCallConn(ctx context.Context, addr string) (drpcpool.Conn, error) {
 	opts := managerOptions()
 	opts.Stream.ManualFlush = true
 	return p.dialWith(ctx, addr, opts)
@@ -228,9 +229,9 @@
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: opts}), nil
 }
 
-// HoldFlush keeps what a server's stream sends from now on until the handler
-// returns, so that an answer's last message and the end of the stream leave in
-// one write. It may not be called while another goroutine uses the stream.
+// HoldFlush buffers what a server's stream sends from now on until the handler returns,
+// so that the last message and the end of the stream are sent in one write. It must not
+// be called while another goroutine uses the stream.
 func HoldFlush(stream drpc.Stream) {
 	if w, ok := stream.(interface{ GetStream() drpc.Stream }); ok {
 		stream = w.GetStream()
@@ -240,7 +241,7 @@
 	}
 }
 
-// Dial opens one connection and proves who we are.
+// Dial opens a connection and authenticates both sides.
 func (p *Pool) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	conn, err := p.dialNet(ctx, "tcp", addr)
 	if err != nil {
@@ -249,7 +250,7 @@
 	if p.sec.Client != nil {
 		return p.dialTLS(ctx, conn, addr)
 	}
-	if err := startHandshake(conn, p.sec.Secret); err != nil {
+	if err := clientHandshake(conn, p.sec.Secret); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
@@ -269,8 +270,8 @@
 	return tc, nil
 }
 
-// Close drops every idle connection.
+// Close closes the idle connections.
 func (p *Pool) Close() {
-	_ = p.pool.Close()
-	_ = p.calls.Close()
+	_ = p.conns.Close()
+	_ = p.callConns.Close()
 }
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -22,43 +22,42 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-type echo struct {
+type echoService struct {
 	wire.DRPCDirectoryUnimplementedServer
 }
 
-func (*echo) Announce(_ context.Context, a *wire.Announcement) (*wire.AnnounceReply, error) {
+func (*echoService) Announce(_ context.Context, a *wire.Announcement) (*wire.AnnounceReply, error) {
 	if a.Id == "unexpected" {
 		panic("unexpected message")
 	}
 	return &wire.AnnounceReply{LeaseMs: a.LeaseMs}, nil
 }
 
-// A peer sends what a handler did not expect, and the handler panics. The peer
-// gets an error; the process goes on and answers others.
-func TestPanickingHandlerEndsItsCallOnly(t *testing.T) {
-	sec := secret("one cluster's secret")
-	addr := serve(t, sec)
+// A handler that panics fails its own call; the server goes on serving others.
+func TestPanickingHandlerFailsItsCallOnly(t *testing.T) {
+	sec := secretOnly("one cluster's secret")
+	addr := startServer(t, sec)
 	p := transport.NewPool(sec)
 	defer p.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	_, err := wire.NewDRPCDirectoryClient(p.Conn(ctx, addr)).Announce(ctx, &wire.Announcement{Id: "unexpected"})
 	assert.Assert(t, err != nil)
-	assert.NilError(t, call(t, sec, addr))
+	assert.NilError(t, callServer(t, sec, addr))
 }
 
-func serve(t *testing.T, sec transport.Security) string {
+func startServer(t *testing.T, sec transport.Security) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := transport.NewServer(sec)
-	assert.NilError(t, wire.DRPCRegisterDirectory(s.Mux, &echo{}))
+	assert.NilError(t, wire.DRPCRegisterDirectory(s.Mux, &echoService{}))
 	go s.Serve(context.Background(), lis)
 	t.Cleanup(func() { _ = lis.Close(); s.Close() })
 	return lis.Addr().String()
 }
 
-func call(t *testing.T, sec transport.Security, addr string) error {
+func callServer(t *testing.T, sec transport.Security, addr string) error {
 	t.Helper()
 	p := transport.NewPool(sec)
 	defer p.Close()
@@ -71,21 +70,20 @@
 	return err
 }
 
-func secret(s string) transport.Security { return transport.Security{Secret: []byte(s)} }
+func secretOnly(s string) transport.Security { return transport.Security{Secret: []byte(s)} }
 
-// A process of another cluster, or a stranger, dials. Neither side takes the
-// other for its own, and nothing is answered.
-func TestOnlyPeersWithTheSecretAreAnswered(t *testing.T) {
-	addr := serve(t, secret("one cluster's secret"))
-	assert.NilError(t, call(t, secret("one cluster's secret"), addr))
-	assert.Assert(t, call(t, secret("another cluster's one"), addr) != nil)
+// A client with the secret of another cluster gets no reply.
+func TestClientWithAnotherSecretIsRefused(t *testing.T) {
+	addr := startServer(t, secretOnly("one cluster's secret"))
+	assert.NilError(t, callServer(t, secretOnly("one cluster's secret"), addr))
+	assert.Assert(t, callServer(t, secretOnly("another cluster's one"), addr) != nil)
 }
 
-// A stranger that sends garbage, or nothing, or half a handshake, is dropped; the
-// server goes on answering its peers.
-func TestGarbageOnTheWireIsDropped(t *testing.T) {
-	sec := secret("one cluster's secret")
-	addr := serve(t, sec)
+// A client that sends garbage, nothing or an invalid handshake is disconnected; the
+// server goes on serving its peers.
+func TestGarbageInPlaceOfHandshakeIsDropped(t *testing.T) {
+	sec := secretOnly("one cluster's secret")
+	addr := startServer(t, sec)
 	for _, garbage := range []string{"", "GET / HTTP/1.1\r\n\r\n", string(make([]byte, 64)), string(make([]byte, 100_000))} {
 		conn, err := net.Dial("tcp", addr)
 		assert.NilError(t, err)
@@ -94,17 +92,17 @@
 		_, _ = io.Copy(io.Discard, conn)
 		_ = conn.Close()
 	}
-	assert.NilError(t, call(t, sec, addr))
+	assert.NilError(t, callServer(t, sec, addr))
 }
 
-// authority signs certificates for the tests.
-type authority struct {
+// testCA issues certificates and writes them to dir.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	dir  string
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -117,20 +115,20 @@
 	assert.NilError(t, err)
 	cert, err := x509.ParseCertificate(der)
 	assert.NilError(t, err)
-	a := &authority{cert, key, t.TempDir()}
-	a.write(t, "ca.pem", "CERTIFICATE", der)
+	a := &testCA{cert, key, t.TempDir()}
+	a.writePEM(t, "ca.pem", "CERTIFICATE", der)
 	return a
 }
 
-func (a *authority) write(t *testing.T, name, kind string, der []byte) string {
+func (a *testCA) writePEM(t *testing.T, name, kind string, der []byte) string {
 	t.Helper()
 	path := filepath.Join(a.dir, name)
 	assert.NilError(t, os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 	return path
 }
 
-// issue writes a key pair for 127.0.0.1 and returns settings that name it.
-func (a *authority) issue(t *testing.T, name string) transport.TLSSettings {
+// issue writes a key pair for 127.0.0.1 and returns TLS settings that name its files.
+func (a *testCA) issue(t *testing.T, name string) transport.TLSSettings {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(t, err)
@@ -145,57 +143,56 @@
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	assert.NilError(t, err)
 	return transport.TLSSettings{
-		Certificate: a.write(t, name+".pem", "CERTIFICATE", der),
-		Key:         a.write(t, name+".key", "EC PRIVATE KEY", keyDER),
+		Certificate: a.writePEM(t, name+".pem", "CERTIFICATE", der),
+		Key:         a.writePEM(t, name+".key", "EC PRIVATE KEY", keyDER),
 		CA:          filepath.Join(a.dir, "ca.pem"),
 	}
 }
 
-func security(t *testing.T, s transport.TLSSettings) (transport.Security, *transport.Certificates) {
+func newSecurity(t *testing.T, s transport.TLSSettings) (transport.Security, *transport.Certificates) {
 	t.Helper()
 	sec, certs, err := transport.NewSecurity("a secret of the tests", s)
 	assert.NilError(t, err)
 	return sec, certs
 }
 
-// With TLS on, a process with a certificate of another CA is refused in both
-// directions, and so is one in plain text.
-func TestOnlyCertificatesOfTheClusterAreAccepted(t *testing.T) {
-	ours, theirs := newAuthority(t), newAuthority(t)
-	server, _ := security(t, ours.issue(t, "server"))
-	client, _ := security(t, ours.issue(t, "client"))
-	stranger, _ := security(t, theirs.issue(t, "stranger"))
-	addr := serve(t, server)
-	assert.NilError(t, call(t, client, addr))
-	assert.Assert(t, call(t, stranger, addr) != nil)
-	assert.Assert(t, call(t, secret("in plain text, with some secret"), addr) != nil)
-	assert.Assert(t, call(t, client, serve(t, stranger)) != nil)
+// With TLS, clients and servers with a certificate of another CA are refused, and so
+// are clients in plain text.
+func TestOnlyCertificatesOfTheClusterCAAreAccepted(t *testing.T) {
+	clusterCA, otherCA := newTestCA(t), newTestCA(t)
+	server, _ := newSecurity(t, clusterCA.issue(t, "server"))
+	client, _ := newSecurity(t, clusterCA.issue(t, "client"))
+	stranger, _ := newSecurity(t, otherCA.issue(t, "stranger"))
+	addr := startServer(t, server)
+	assert.NilError(t, callServer(t, client, addr))
+	assert.Assert(t, callServer(t, stranger, addr) != nil)
+	assert.Assert(t, callServer(t, secretOnly("in plain text, with some secret"), addr) != nil)
+	assert.Assert(t, callServer(t, client, startServer(t, stranger)) != nil)
 }
 
-// The CA and all certificates are replaced while the processes run. After a
-// reload new connections use them; a reload of files that are broken changes
-// nothing.
+// After a reload, new connections use the new CA and certificate; a reload of invalid
+// files keeps the previous ones.
 func TestReloadedCertificatesAreUsed(t *testing.T) {
-	old, next := newAuthority(t), newAuthority(t)
-	settings := old.issue(t, "server")
-	server, certs := security(t, settings)
-	addr := serve(t, server)
-	client, _ := security(t, next.issue(t, "client"))
-	assert.Assert(t, call(t, client, addr) != nil)
-	fresh := next.issue(t, "server")
+	oldCA, newCA := newTestCA(t), newTestCA(t)
+	settings := oldCA.issue(t, "server")
+	server, certs := newSecurity(t, settings)
+	addr := startServer(t, server)
+	client, _ := newSecurity(t, newCA.issue(t, "client"))
+	assert.Assert(t, callServer(t, client, addr) != nil)
+	fresh := newCA.issue(t, "server")
 	for from, to := range map[string]string{fresh.Certificate: settings.Certificate, fresh.Key: settings.Key, fresh.CA: settings.CA} {
 		text, err := os.ReadFile(from)
 		assert.NilError(t, err)
 		assert.NilError(t, os.WriteFile(to, text, 0o600))
 	}
 	assert.NilError(t, certs.Reload())
-	assert.NilError(t, call(t, client, addr))
+	assert.NilError(t, callServer(t, client, addr))
 	assert.NilError(t, os.WriteFile(settings.Certificate, []byte("broken"), 0o600))
 	assert.ErrorIs(t, certs.Reload(), transport.ErrSettings)
-	assert.NilError(t, call(t, client, addr))
+	assert.NilError(t, callServer(t, client, addr))
 }
 
-func TestSettingsThatProveNothingAreRefused(t *testing.T) {
+func TestNewSecurityRefusesIncompleteSettings(t *testing.T) {
 	_, _, err := transport.NewSecurity("short", transport.TLSSettings{})
 	assert.ErrorContains(t, err, "cluster_secret")
 	_, _, err = transport.NewSecurity("a secret of the tests", transport.TLSSettings{Certificate: "a", Key: "b"})
