--- a/internal/deflate/deflate.go
+++ b/internal/deflate/deflate.go
@@ -1,4 +1,4 @@
-// Package deflate packs encoded messages that are sent or stored many times.
+// Package deflate compresses encoded messages that are sent or stored many times.
 package deflate
 
 import (
@@ -9,11 +9,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrPacked is returned for bytes that can't be unpacked, or unpack to too many.
-var ErrPacked = merry.Sentinel("packed message can't be read")
+// ErrPacked is returned for data that can't be decompressed or exceeds the size limit.
+var ErrPacked = merry.Sentinel("compressed message is invalid")
 
-// Pack deflates data at the fastest level: documents of hundreds of routes fall to a
-// tenth, and the slower levels win little more.
+// Pack compresses data with DEFLATE at the fastest level.
 func Pack(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -29,16 +28,16 @@
 	return out.Bytes(), nil
 }
 
-// Unpack inflates what Pack made, up to a number of bytes: a few damaged ones could
-// otherwise fill the memory.
-func Unpack(packed []byte, most int) ([]byte, error) {
+// Unpack decompresses the output of Pack. It returns ErrPacked if the result is larger
+// than maxSize bytes, so that corrupt or hostile input can't exhaust memory.
+func Unpack(packed []byte, maxSize int) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
-	data, err := io.ReadAll(io.LimitReader(r, int64(most)+1))
+	data, err := io.ReadAll(io.LimitReader(r, int64(maxSize)+1))
 	if err != nil {
 		return nil, merry.Prepend(ErrPacked, err.Error())
 	}
-	if len(data) > most {
-		return nil, merry.Prependf(ErrPacked, "more than %d bytes", most)
+	if len(data) > maxSize {
+		return nil, merry.Prependf(ErrPacked, "decompressed size exceeds %d bytes", maxSize)
 	}
 	return data, nil
 }
--- a/internal/deflate/deflate_test.go
+++ b/internal/deflate/deflate_test.go
@@ -8,22 +8,22 @@
 	"pgregory.net/rapid"
 )
 
-func TestUnpackGivesBackWhatWasPacked(t *testing.T) {
+func TestUnpackInvertsPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data := rapid.SliceOf(rapid.Byte()).Draw(t, "data")
 		packed, err := Pack(data)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := Unpack(packed, len(data))
-		if err != nil || !bytes.Equal(back, data) {
-			t.Fatalf("%x, not %x: %v", back, data, err)
+		unpacked, err := Unpack(packed, len(data))
+		if err != nil || !bytes.Equal(unpacked, data) {
+			t.Fatalf("%x, not %x: %v", unpacked, data, err)
 		}
 	})
 }
 
-// A damaged or hostile message must not fill the memory, or pass for a shorter one.
-func TestUnpackRefusesWhatIsDamagedOrTooLong(t *testing.T) {
+// Corrupt or oversized input must be an error, not a truncated message.
+func TestUnpackRejectsCorruptOrOversizedInput(t *testing.T) {
 	packed, err := Pack(make([]byte, 1<<20))
 	assert.NilError(t, err)
 	_, err = Unpack(packed, 1<<20-1)
--- a/internal/docscheck/days_test.go
+++ b/internal/docscheck/days_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// trouble is one entry of a day that is played against the system.
-type trouble struct {
+// event is one entry of a day file, a scripted run of load and faults.
+type event struct {
 	Kind    string  `toml:"kind"`
 	At      float64 `toml:"at"`
 	For     float64 `toml:"for_s"`
@@ -27,21 +27,21 @@
 }
 
 type day struct {
-	Name   string    `toml:"name"`
-	Plan   []trouble `toml:"plan"`
-	Faults []trouble `toml:"faults"`
+	Name   string  `toml:"name"`
+	Plan   []event `toml:"plan"`
+	Faults []event `toml:"faults"`
 }
 
-// A day of our own that names a deployment's service or zone is left out everywhere else,
-// and one with a field that nobody reads plays something other than it says.
-func TestDaysOfOurOwnFitEveryDeployment(t *testing.T) {
+// The day files must not name the services or zones of one deployment, since others
+// would skip them, and must not have unknown fields, which would be ignored.
+func TestDayFilesFitEveryDeployment(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join(root, "deploy", "days", "*.toml"))
 	assert.NilError(t, err)
 	assert.Assert(t, len(paths) > 0)
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		assert.NilError(t, err)
-		assert.Assert(t, strings.HasPrefix(string(text), "# "), "%s doesn't say what it is for", path)
+		assert.Assert(t, strings.HasPrefix(string(text), "# "), "%s doesn't start with a comment on its purpose", path)
 		var file struct {
 			Days []day `toml:"day"`
 		}
@@ -51,8 +51,8 @@
 			assert.Assert(t, d.Name != "" && len(d.Faults) > 0, path)
 			for _, e := range append(d.Plan, d.Faults...) {
 				assert.Assert(t, e.Kind != "" && e.At > 0, "%s: %+v", path, e)
-				for _, place := range []string{e.Service, e.Class, e.Zone} {
-					assert.Assert(t, place == "" || strings.HasPrefix(place, "@"), "%s names %s", path, place)
+				for _, name := range []string{e.Service, e.Class, e.Zone} {
+					assert.Assert(t, name == "" || strings.HasPrefix(name, "@"), "%s names %s", path, name)
 				}
 			}
 		}
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -1,4 +1,4 @@
-// Package docscheck tests that pages and code agree.
+// Package docscheck tests that the documentation agrees with the code.
 package docscheck
 
 import (
@@ -14,8 +14,9 @@
 
 const root = "../.."
 
-// files calls f with the text of each file of a suffix.
-func files(t *testing.T, suffix string, f func(path, text string)) {
+// walkFiles calls f with the path and text of each file with the suffix, except in the
+// build folder.
+func walkFiles(t *testing.T, suffix string, f func(path, text string)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, suffix) || strings.HasPrefix(path, filepath.Join(root, "build")) {
@@ -28,33 +29,32 @@
 	assert.NilError(t, err)
 }
 
-var link = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
 
-func TestLinksOfOperatorsPagesLeadSomewhere(t *testing.T) {
-	n := 0
-	files(t, ".md", func(path, text string) {
+func TestOperationsPageLinksExist(t *testing.T) {
+	links := 0
+	walkFiles(t, ".md", func(path, text string) {
 		if filepath.Base(filepath.Dir(path)) != "operations" {
 			return
 		}
-		for _, m := range link.FindAllStringSubmatch(text, -1) {
+		for _, m := range linkPattern.FindAllStringSubmatch(text, -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), m[1]))
 			assert.NilError(t, err, "%s: %s", path, m[1])
-			n++
+			links++
 		}
 	})
-	assert.Assert(t, n > 0)
+	assert.Assert(t, links > 0)
 }
 
 var (
-	// metricLiteral is a metric's name in code, or the start of one that is put
-	// together from words.
+	// metricLiteral matches a metric name in code, or the prefix of one that is
+	// completed at run time.
 	metricLiteral = regexp.MustCompile(`"((?:entry|agent|operators|control|group|gateway|lockstep)\.[a-z0-9_.]+)"`)
 	metricRow     = regexp.MustCompile("(?m)^\\| `([^`]+)` \\|")
 )
 
-// Every metric that the code names stands in the page, and the page has none
-// that the code doesn't name.
-func TestMetricsPageIsWhole(t *testing.T) {
+// The metrics page must list exactly the metrics that the code names.
+func TestMetricsPageListsAllMetrics(t *testing.T) {
 	page, err := os.ReadFile(root + "/docs/operations/metrics.md")
 	assert.NilError(t, err)
 	var documented []string
@@ -62,7 +62,7 @@
 		documented = append(documented, m[1])
 	}
 	used := map[string]bool{}
-	files(t, ".go", func(path, text string) {
+	walkFiles(t, ".go", func(path, text string) {
 		if strings.HasSuffix(path, "_test.go") || !strings.Contains(text, "rcrowley/go-metrics") && !strings.Contains(text, ".count(") && !strings.Contains(text, ".Count(") {
 			return
 		}
@@ -70,27 +70,27 @@
 			used[m[1]] = true
 		}
 	})
-	stands := func(name, in string) bool {
+	matches := func(name, in string) bool {
 		return name == in || strings.HasSuffix(name, ".") && strings.HasPrefix(in, name)
 	}
 	for name := range used {
 		found := false
 		for _, d := range documented {
-			found = found || stands(name, d)
+			found = found || matches(name, d)
 		}
 		assert.Assert(t, found, "metric %s is not in metrics.md", name)
 	}
 	for _, d := range documented {
 		found := false
 		for name := range used {
-			found = found || stands(name, d)
+			found = found || matches(name, d)
 		}
 		assert.Assert(t, found, "metric %s of metrics.md is not in the code", d)
 	}
 }
 
-// A page that its index doesn't name is not found by who needs it.
-func TestEveryPageStandsInItsIndex(t *testing.T) {
+// Each page must be linked from the index of its folder.
+func TestIndexListsEveryPage(t *testing.T) {
 	for _, dir := range []string{"operations", "design"} {
 		index, err := os.ReadFile(filepath.Join(root, "docs", dir, "README.md"))
 		assert.NilError(t, err)
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter takes what the measuring programs count: bytes on connections,
-// processor time and live heap of the process.
+// Package meter measures bytes on connections and the processor time and live heap of
+// the process, for the benchmark programs.
 package meter
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Listener counts the bytes of the connections that it accepts, above TCP.
+// Listener counts the payload bytes of the connections that it accepts.
 type Listener struct {
 	net.Listener
 	sent, received atomic.Int64
 }
 
-// Listen opens a counting listener on a free loopback port.
+// Listen returns a listener on a free loopback port.
 func Listen() (*Listener, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	return &Listener{Listener: lis}, err
@@ -25,33 +25,33 @@
 // Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return &conn{c, l}, err
+	return &countingConn{c, l}, err
 }
 
-// Sent is how many bytes the accepting side has written.
+// Sent returns the number of bytes that the accepting side has written.
 func (l *Listener) Sent() int64 { return l.sent.Load() }
 
-// Received is how many bytes the accepting side has read.
+// Received returns the number of bytes that the accepting side has read.
 func (l *Listener) Received() int64 { return l.received.Load() }
 
-type conn struct {
+type countingConn struct {
 	net.Conn
 	lis *Listener
 }
 
-func (c *conn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.lis.received.Add(int64(n))
 	return n, err
 }
 
-func (c *conn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.lis.sent.Add(int64(n))
 	return n, err
 }
 
-// ProcessorTime is the user and system time of this process so far.
+// ProcessorTime returns the user and system time that this process has used.
 func ProcessorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -60,7 +60,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Heap is the live heap in bytes, after a collection.
+// Heap returns the size of the live heap in bytes, after a garbage collection.
 func Heap() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -69,21 +69,21 @@
 	return int64(m.HeapAlloc)
 }
 
-// MB is bytes as mebibytes.
+// MB converts bytes to mebibytes.
 func MB(n int64) float64 { return float64(n) / (1 << 20) }
 
-// Micros is a duration in microseconds.
+// Micros converts a duration to microseconds.
 func Micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1000 }
 
-// Spent is what passed in a stretch of time.
+// Spent holds the bytes of a listener, processor time and elapsed time of an interval.
 type Spent struct {
 	Sent, Received int64
 	CPU, Took      time.Duration
 }
 
-// Spend measures a listener's bytes and the process's time while f runs.
+// Spend runs f and returns the resources used meanwhile.
 func Spend(lis *Listener, f func()) Spent {
-	sent, received, cpu, began := lis.Sent(), lis.Received(), ProcessorTime(), time.Now()
+	sent, received, cpu, start := lis.Sent(), lis.Received(), ProcessorTime(), time.Now()
 	f()
-	return Spent{lis.Sent() - sent, lis.Received() - received, ProcessorTime() - cpu, time.Since(began)}
+	return Spent{lis.Sent() - sent, lis.Received() - received, ProcessorTime() - cpu, time.Since(start)}
 }
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,4 +1,4 @@
-// Package schedule runs seeded schedules of faults side by side. Only tests use it.
+// Package schedule runs seeded fault schedules in parallel, for tests.
 package schedule
 
 import (
@@ -7,21 +7,20 @@
 	"sync/atomic"
 )
 
-// Search runs seeds 1 to n until one fails, and returns the lowest that does with
-// what went wrong, or 0 and "". The answer is the same on every run: seeds are
-// handed out in order, so all below a failing one have run when Search returns.
+// Search runs seeds 1 to n until one fails. It returns the lowest failing seed and its
+// failure, or 0 and "". The result is deterministic: seeds are handed out in order, so
+// all seeds below a failing one have run when Search returns.
 func Search(n uint64, run func(seed uint64) (failure string)) (seed uint64, failure string) {
 	var next atomic.Uint64
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	// A seed that was handed out below a failing one must still run: which of the
-	// two comes first is chance.
+	// A seed below the lowest failing one must still run, as it may fail too.
 	needed := func(s uint64) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return failure == "" || s < seed
 	}
-	note := func(s uint64, text string) {
+	recordFailure := func(s uint64, text string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if failure == "" || s < seed {
@@ -32,7 +31,7 @@
 		wg.Go(func() {
 			for s := next.Add(1); s <= n && needed(s); s = next.Add(1) {
 				if text := run(s); text != "" {
-					note(s, text)
+					recordFailure(s, text)
 				}
 			}
 		})
--- a/internal/settingsdoc/keys.go
+++ b/internal/settingsdoc/keys.go
@@ -8,13 +8,13 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// key is one setting as its struct has it.
+// key describes one settings key.
 type key struct {
-	section, name, kind, def string
+	section, name, typeName, defaultText string
 }
 
-// keysOf lists the settings of a struct in the order of its fields. A section is
-// a nested struct, a list of structs or a plug-in's map.
+// keysOf returns the keys of a settings struct in the order of its fields, followed by
+// those of its sections: nested structs, lists of structs and plug-in maps.
 func keysOf(v reflect.Value, section string) []key {
 	var keys, sections []key
 	for i := range v.NumField() {
@@ -25,7 +25,7 @@
 		f := v.Field(i)
 		if f.Kind() == reflect.Pointer {
 			if f.IsNil() {
-				// A section that this program doesn't offer.
+				// This program doesn't have the section.
 				continue
 			}
 			f = f.Elem()
@@ -38,13 +38,13 @@
 		case f.Kind() == reflect.Map:
 			sections = append(sections, pluginKeys(name)...)
 		default:
-			keys = append(keys, key{section, name, kindOf(f), defaultOf(f)})
+			keys = append(keys, key{section, name, typeNameOf(f), defaultOf(f)})
 		}
 	}
 	return append(keys, sections...)
 }
 
-// pluginKeys lists the settings that the plug-ins of a namespace take, by key.
+// pluginKeys returns the keys of all plug-ins of a namespace, each once.
 func pluginKeys(namespace string) []key {
 	var keys []key
 	seen := map[string]bool{}
@@ -59,7 +59,7 @@
 	return keys
 }
 
-// embeddedKeys lists a plug-in's settings and those of the structs it embeds.
+// embeddedKeys returns the keys of a plug-in and of the structs that it embeds.
 func embeddedKeys(v reflect.Value, section string) []key {
 	keys := keysOf(v, section)
 	for i := range v.NumField() {
@@ -70,7 +70,7 @@
 	return keys
 }
 
-func kindOf(v reflect.Value) string {
+func typeNameOf(v reflect.Value) string {
 	if v.Type() == reflect.TypeFor[kernel.Duration]() {
 		return "duration"
 	}
@@ -87,7 +87,7 @@
 
 func defaultOf(v reflect.Value) string {
 	if d, ok := v.Interface().(kernel.Duration); ok {
-		return fmt.Sprintf("%q", tidy(d.D().String()))
+		return fmt.Sprintf("%q", trimZeroUnits(d.D().String()))
 	}
 	switch v.Kind() {
 	case reflect.String:
@@ -98,8 +98,8 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// tidy writes 5m0s as 5m.
-func tidy(d string) string {
+// trimZeroUnits removes trailing zero units of a duration: 5m0s becomes 5m.
+func trimZeroUnits(d string) string {
 	if strings.HasSuffix(d, "m0s") {
 		d = strings.TrimSuffix(d, "0s")
 	}
--- a/internal/settingsdoc/main.go
+++ b/internal/settingsdoc/main.go
@@ -1,6 +1,6 @@
-// Command settingsdoc writes docs/operations/settings.md from the settings
-// structs (keys, types, defaults) and the annotated example files (meanings).
-// Run it with go generate ./internal/settingsdoc.
+// Command settingsdoc generates docs/operations/settings.md from the settings structs
+// (keys, types, defaults) and the comments of the example files (meanings). Run it
+// with go generate ./internal/settingsdoc.
 package main
 
 import (
@@ -18,17 +18,18 @@
 
 // Paths are relative to this folder, where go generate and go test run.
 const (
-	examples = "../../examples/"
-	page     = "../../docs/operations/settings.md"
+	examplesDir = "../../examples/"
+	pagePath    = "../../docs/operations/settings.md"
 )
 
-// program is one program with settings.
+// program is a program with its example file and default settings.
 type program struct {
 	name, file string
 	settings   any
 }
 
-// programs lists all, with their defaults; an entry's own replica included.
+// programs returns all programs with default settings. Their optional sections, such
+// as the control replica of an entry, are filled in.
 func programs() []program {
 	e := entry.DefaultSettings()
 	replica := control.DefaultSettings()
@@ -50,7 +51,7 @@
 func main() {
 	text, err := render(programs())
 	if err == nil {
-		err = os.WriteFile(page, []byte(text), 0o644)
+		err = os.WriteFile(pagePath, []byte(text), 0o644)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "settingsdoc:", err)
--- a/internal/settingsdoc/meanings.go
+++ b/internal/settingsdoc/meanings.go
@@ -10,18 +10,19 @@
 	keyLine     = regexp.MustCompile(`^([a-z_0-9]+) = `)
 )
 
-// meanings are the comments of an example file.
+// meanings holds the comments of an example file.
 type meanings struct {
-	// keys by SECTION.KEY, sections by name.
+	// keys has the comments by SECTION.KEY, sections by section name.
 	keys, sections map[string]string
-	// headers of the sections, as they are written.
+	// headers has the header lines by section name.
 	headers map[string]string
-	// order of the keys as they stand.
+	// order lists SECTION.KEY in file order.
 	order []string
 }
 
-// readMeanings takes the comment right above a key as its meaning.
-func readMeanings(text string) meanings {
+// parseExample parses an example file. The comment directly above a key or section
+// header is its meaning.
+func parseExample(text string) meanings {
 	m := meanings{keys: map[string]string{}, sections: map[string]string{}, headers: map[string]string{}}
 	section, comment := "", ""
 	for line := range strings.SplitSeq(text, "\n") {
--- a/internal/settingsdoc/render.go
+++ b/internal/settingsdoc/render.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Errors of this program.
+// Errors of mismatches between settings structs and example files.
 var (
-	errNoMeaning = errors.New("the example file doesn't explain the key")
-	errNoKey     = errors.New("the example file has a key that is no setting")
+	errMissingComment = errors.New("example file has no comment for the key")
+	errUnknownKey     = errors.New("example file has an unknown key")
 )
 
-const head = `# Settings
+const pageHeader = `# Settings
 
 Each program reads one TOML file (` + "`--config FILE`" + `). An unknown key is an error that names
 the file, the line and the key; ` + "`--check-config`" + ` checks a file and changes nothing. Durations
@@ -26,13 +26,13 @@
 
 func render(list []program) (string, error) {
 	var b strings.Builder
-	b.WriteString(head)
+	b.WriteString(pageHeader)
 	for _, p := range list {
-		text, err := os.ReadFile(examples + p.file)
+		text, err := os.ReadFile(examplesDir + p.file)
 		if err != nil {
 			return "", err
 		}
-		if err := renderProgram(&b, p, readMeanings(string(text))); err != nil {
+		if err := renderProgram(&b, p, parseExample(string(text))); err != nil {
 			return "", fmt.Errorf("%s: %w", p.file, err)
 		}
 	}
@@ -47,17 +47,17 @@
 		id := k.section + "." + k.name
 		known[id] = true
 		if m.keys[id] == "" {
-			return fmt.Errorf("%w: %s", errNoMeaning, id)
+			return fmt.Errorf("%w: %s", errMissingComment, id)
 		}
 		if k.section != section {
 			section = k.section
 			renderSection(b, section, m)
 		}
-		fmt.Fprintf(b, "| `%s` | %s | `%s` | %s |\n", k.name, k.kind, k.def, m.keys[id])
+		fmt.Fprintf(b, "| `%s` | %s | `%s` | %s |\n", k.name, k.typeName, k.defaultText, m.keys[id])
 	}
 	for _, id := range m.order {
 		if !known[id] {
-			return fmt.Errorf("%w: %s", errNoKey, id)
+			return fmt.Errorf("%w: %s", errUnknownKey, id)
 		}
 	}
 	return nil
--- a/internal/surface/surface.go
+++ b/internal/surface/surface.go
@@ -1,7 +1,7 @@
-// Package surface sends malformed input to listening addresses, for fuzz targets:
-// raw bytes to an HTTP server, and raw bytes or malformed messages to a drpc
-// server behind its handshake. After a number of inputs it checks that the
-// process still answers and that its memory is bounded.
+// Package surface helps fuzz targets to send malformed input to listening addresses:
+// raw bytes to an HTTP server, and raw bytes or malformed messages to a drpc server
+// after its handshake. It periodically checks that the process still responds and
+// that its memory is bounded.
 package surface
 
 import (
@@ -25,52 +25,54 @@
 )
 
 const (
-	// checkEvery is how many inputs pass between two checks.
-	checkEvery = 2000
-	// maxHeap bounds live memory of a whole quickstart system under test.
+	// inputsPerCheck is the number of inputs between two checks.
+	inputsPerCheck = 2000
+	// maxHeap bounds the live heap of the test process, in bytes.
 	maxHeap = 256 << 20
-	// answerLimit ends the wait for an answer that doesn't come.
-	answerLimit = 2 * time.Second
-	// glance is how long a drpc input is given to be handled. It asserts nothing.
-	glance = 3 * time.Millisecond
+	// responseTimeout bounds the wait for a response.
+	responseTimeout = 2 * time.Second
+	// drpcWait is how long Send waits for a server to handle its input.
+	drpcWait = 3 * time.Millisecond
 )
 
-// Watch counts inputs and checks a process now and then.
+// Watch counts inputs and checks the process after every inputsPerCheck of them.
 type Watch struct {
-	// Health is the URL that must answer with status 200.
+	// Health is a URL that must respond with status 200.
 	Health string
 	inputs atomic.Int64
 }
 
-// Input counts one input, and checks after every so many of them.
+// Input counts one input and calls Check on the first and on every inputsPerCheck-th
+// one after it.
 func (w *Watch) Input(t *testing.T) {
 	t.Helper()
-	if w.inputs.Add(1)%checkEvery == 1 {
+	if w.inputs.Add(1)%inputsPerCheck == 1 {
 		w.Check(t)
 	}
 }
 
-// Check fails the test if the process doesn't answer or holds too much memory.
+// Check fails the test if the process doesn't respond or its live heap exceeds maxHeap.
 func (w *Watch) Check(t *testing.T) {
 	t.Helper()
-	client := http.Client{Timeout: answerLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: responseTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get(w.Health)
 	if err != nil {
-		t.Fatalf("process doesn't answer: %v", err)
+		t.Fatalf("process doesn't respond: %v", err)
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		t.Fatalf("process answers with status %d", resp.StatusCode)
+		t.Fatalf("process responds with status %d", resp.StatusCode)
 	}
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	if m.HeapAlloc > maxHeap {
-		t.Fatalf("%d bytes are in use after %d inputs", m.HeapAlloc, w.inputs.Load())
+		t.Fatalf("live heap is %d bytes after %d inputs", m.HeapAlloc, w.inputs.Load())
 	}
 }
 
-// Raw writes bytes to an address and reads what comes until the end.
+// Raw sends data to an address and returns the response up to the end of the
+// connection.
 func Raw(t *testing.T, address string, data []byte) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -78,15 +80,15 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(answerLimit))
+	_ = conn.SetDeadline(time.Now().Add(responseTimeout))
 	_, _ = conn.Write(data)
 	_ = conn.(*net.TCPConn).CloseWrite()
 	answer, _ := io.ReadAll(conn)
 	return answer
 }
 
-// Dumps lists requests to a part whose operators' HTTP has the state dump and the
-// metrics only: good ones, ones of other parts, and malformed ones.
+// Dumps returns seed requests for an operators' address that serves only the state dump
+// and metrics: valid, unsupported and malformed ones.
 func Dumps() []string {
 	return []string{
 		"GET /debug/state HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -108,7 +110,7 @@
 	}
 }
 
-// Peers sends input to a drpc server as a peer that knows the cluster secret.
+// Peers sends input to a drpc server as a peer with the cluster secret.
 type Peers struct {
 	Address string
 	pool    *transport.Pool
@@ -116,20 +118,20 @@
 	seeds   [][]byte
 }
 
-// NewPeers makes a sender for the methods of some services.
+// NewPeers returns a sender for all methods of the services.
 func NewPeers(address, secret string, services ...drpc.Description) *Peers {
 	p := &Peers{Address: address, pool: transport.NewPool(transport.Security{Secret: []byte(secret)})}
 	for _, s := range services {
 		for n := range s.NumMethods() {
 			name, _, _, _, _ := s.Method(n)
 			p.methods = append(p.methods, name)
-			p.seeds = append(p.seeds, seeds(name)...)
+			p.seeds = append(p.seeds, seedMessages(name)...)
 		}
 	}
 	return p
 }
 
-// Seed adds the corpus: for each method an empty message, one with every field
+// Seed adds the seed corpus: for each method an empty message, one with every field
 // set, and one with every number at its largest; and some raw bytes.
 func (p *Peers) Seed(f *testing.F) {
 	for n := range p.methods {
@@ -142,8 +144,8 @@
 	}
 }
 
-// Send calls a method with a message of these bytes; with raw set the bytes
-// stand in for the whole exchange.
+// Send calls a method with data as its encoded message, or sends data in place of the
+// framed call if raw is set. It doesn't check the response.
 func (p *Peers) Send(t *testing.T, method uint8, data []byte, raw bool) {
 	t.Helper()
 	conn, err := p.pool.Dial(context.Background(), p.Address)
@@ -153,15 +155,16 @@
 	defer conn.Close()
 	out := data
 	if !raw {
-		out = p.exchange(int(method)%len(p.methods), data)
+		out = p.frameCall(int(method)%len(p.methods), data)
 	}
-	_ = conn.SetDeadline(time.Now().Add(glance))
+	_ = conn.SetDeadline(time.Now().Add(drpcWait))
 	_, _ = conn.Write(out)
 	_, _ = conn.Read(make([]byte, 512))
 }
 
-// exchange frames an invocation, one message and the end of sending.
-func (p *Peers) exchange(method int, data []byte) []byte {
+// frameCall returns the frames of an invocation, one message and the close of the
+// sending side.
+func (p *Peers) frameCall(method int, data []byte) []byte {
 	var out []byte
 	for i, part := range []struct {
 		kind drpcwire.Kind
@@ -179,8 +182,9 @@
 	return out
 }
 
-// seeds makes three messages of a method's input type.
-func seeds(method string) [][]byte {
+// seedMessages returns three encoded messages of a method's input type: an empty one,
+// one with small and one with largest numbers.
+func seedMessages(method string) [][]byte {
 	service, name := protoreflect.FullName(method[1:]), protoreflect.Name("")
 	for i := len(service) - 1; i >= 0; i-- {
 		if service[i] == '/' {
@@ -200,15 +204,15 @@
 	out := [][]byte{nil}
 	for _, largest := range []bool{false, true} {
 		m := kind.New()
-		fill(m, largest, 3)
+		setFields(m, largest, 3)
 		b, _ := proto.Marshal(m.Interface())
 		out = append(out, b)
 	}
 	return out
 }
 
-// fill sets every field of a message, to a depth.
-func fill(m protoreflect.Message, largest bool, depth int) {
+// setFields sets every field of a message except maps, to a depth of nested messages.
+func setFields(m protoreflect.Message, largest bool, depth int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
 		f := fields.Get(i)
@@ -217,18 +221,18 @@
 		case f.IsList():
 			if f.Message() == nil || depth > 0 {
 				list := m.Mutable(f).List()
-				list.Append(value(list.NewElement(), f, largest, depth))
+				list.Append(fieldValue(list.NewElement(), f, largest, depth))
 			}
 		case f.Message() != nil && depth == 0:
 		default:
-			m.Set(f, value(m.NewField(f), f, largest, depth))
+			m.Set(f, fieldValue(m.NewField(f), f, largest, depth))
 		}
 	}
 }
 
-func value(zero protoreflect.Value, f protoreflect.FieldDescriptor, largest bool, depth int) protoreflect.Value {
+func fieldValue(zero protoreflect.Value, f protoreflect.FieldDescriptor, largest bool, depth int) protoreflect.Value {
 	if f.Message() != nil {
-		fill(zero.Message(), largest, depth-1)
+		setFields(zero.Message(), largest, depth-1)
 		return zero
 	}
 	switch f.Kind() {
@@ -239,24 +243,24 @@
 	case protoreflect.BytesKind:
 		return protoreflect.ValueOfBytes([]byte("x"))
 	case protoreflect.EnumKind:
-		return protoreflect.ValueOfEnum(number[protoreflect.EnumNumber](largest, 99))
+		return protoreflect.ValueOfEnum(numberOrOne[protoreflect.EnumNumber](largest, 99))
 	case protoreflect.DoubleKind:
-		return protoreflect.ValueOfFloat64(number[float64](largest, 1e300))
+		return protoreflect.ValueOfFloat64(numberOrOne[float64](largest, 1e300))
 	case protoreflect.Uint32Kind:
-		return protoreflect.ValueOfUint32(number(largest, ^uint32(0)))
+		return protoreflect.ValueOfUint32(numberOrOne(largest, ^uint32(0)))
 	case protoreflect.Uint64Kind:
-		return protoreflect.ValueOfUint64(number(largest, ^uint64(0)))
+		return protoreflect.ValueOfUint64(numberOrOne(largest, ^uint64(0)))
 	case protoreflect.Int32Kind:
-		return protoreflect.ValueOfInt32(number[int32](largest, 1<<31-1))
+		return protoreflect.ValueOfInt32(numberOrOne[int32](largest, 1<<31-1))
 	case protoreflect.Int64Kind:
-		return protoreflect.ValueOfInt64(number[int64](largest, 1<<63-1))
+		return protoreflect.ValueOfInt64(numberOrOne[int64](largest, 1<<63-1))
 	}
 	return zero
 }
 
-func number[N protoreflect.EnumNumber | int32 | int64 | uint32 | uint64 | float64](largest bool, top N) N {
+func numberOrOne[N protoreflect.EnumNumber | int32 | int64 | uint32 | uint64 | float64](largest bool, largestValue N) N {
 	if largest {
-		return top
+		return largestValue
 	}
 	return 1
 }
