--- a/cmd/snipereach-agent/main.go
+++ b/cmd/snipereach-agent/main.go
@@ -1,4 +1,4 @@
-// Command snipereach-agent stands beside an upstream.
+// Command snipereach-agent runs the agent of an upstream.
 package main
 
 import (
--- a/cmd/snipereach-control/main.go
+++ b/cmd/snipereach-control/main.go
@@ -1,4 +1,4 @@
-// Command snipereach-control runs a control replica on a host of its own.
+// Command snipereach-control runs a control replica as a separate process.
 package main
 
 import (
--- a/cmd/snipereach-entry/main.go
+++ b/cmd/snipereach-entry/main.go
@@ -1,4 +1,4 @@
-// Command snipereach-entry takes callers' requests.
+// Command snipereach-entry runs an entry, which routes callers' requests to upstreams.
 package main
 
 import (
--- a/cmd/snipereach-gateway/main.go
+++ b/cmd/snipereach-gateway/main.go
@@ -1,4 +1,5 @@
-// Command snipereach-gateway answers callers that name a service by host and path.
+// Command snipereach-gateway runs a gateway, which routes HTTP requests by host and
+// path.
 package main
 
 import (
--- a/cmd/snipereach-load/main.go
+++ b/cmd/snipereach-load/main.go
@@ -1,5 +1,4 @@
-// Command snipereach-load sends a workload to a running system and says what its
-// callers saw.
+// Command snipereach-load sends a workload to a running system and reports the results.
 package main
 
 import (
--- a/cmd/snipereach-quickstart/main.go
+++ b/cmd/snipereach-quickstart/main.go
@@ -1,5 +1,5 @@
-// Command snipereach-quickstart runs a whole small system in one process on
-// loopback and prints commands that work against it.
+// Command snipereach-quickstart runs a small complete system in one process on loopback
+// and prints example commands for it.
 package main
 
 import (
--- a/cmd/snipereach-sidecar/main.go
+++ b/cmd/snipereach-sidecar/main.go
@@ -1,4 +1,5 @@
-// Command snipereach-sidecar relays readings and orders to the rank of a group beside it.
+// Command snipereach-sidecar runs a sidecar, which relays state reads and orders between
+// control replicas and the rank on its host.
 package main
 
 import (
--- a/cmd/snipereachctl/main.go
+++ b/cmd/snipereachctl/main.go
@@ -1,4 +1,4 @@
-// Command snipereachctl is the operators' command line.
+// Command snipereachctl is the command-line tool for operators.
 package main
 
 import (
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples tests that the annotated settings files are valid.
+// Package examples tests that the annotated example settings files are valid.
 package examples
 
 import (
@@ -20,7 +20,7 @@
 
 type settings interface{ Check() error }
 
-func defaults(file string) settings {
+func defaultSettings(file string) settings {
 	switch file {
 	case "entry.toml":
 		return entry.DefaultSettings()
@@ -45,15 +45,15 @@
 
 func TestExamplesAreValid(t *testing.T) {
 	for _, f := range append(append([]string(nil), daemons...), workloads...) {
-		s := defaults(f)
+		s := defaultSettings(f)
 		assert.NilError(t, kernel.ReadSettings(f, s))
 		assert.NilError(t, s.Check(), f)
 	}
 }
 
-// A misspelt key is an error that names file, line and key: a default would
-// otherwise stay in force without a word.
-func TestMisspeltKeyIsNamed(t *testing.T) {
+// A misspelt key must be an error that names the file, line and key; the default would
+// otherwise be used silently.
+func TestMisspeltKeyErrorNamesFileLineAndKey(t *testing.T) {
 	keys := map[string][2]string{}
 	for _, f := range daemons {
 		keys[f] = [2]string{"cluster_secret", "cluster_sekret"}
@@ -65,9 +65,9 @@
 		text, err := os.ReadFile(f)
 		assert.NilError(t, err)
 		path := t.TempDir() + "/" + f
-		wrong := strings.Replace(string(text), key[0]+" =", key[1]+" =", 1)
-		assert.NilError(t, os.WriteFile(path, []byte(wrong), 0o600))
-		err = kernel.ReadSettings(path, defaults(f))
+		misspelt := strings.Replace(string(text), key[0]+" =", key[1]+" =", 1)
+		assert.NilError(t, os.WriteFile(path, []byte(misspelt), 0o600))
+		err = kernel.ReadSettings(path, defaultSettings(f))
 		assert.ErrorIs(t, err, kernel.ErrSettings)
 		assert.ErrorContains(t, err, path)
 		assert.ErrorContains(t, err, "unknown key "+strconv.Quote(key[1]))
@@ -75,8 +75,7 @@
 	}
 }
 
-// An entry's file has a [control] section with no more than it needs. The rest
-// takes its defaults, as the annotated file says.
+// A [control] section with only its required keys gets the defaults for the others.
 func TestControlSectionTakesDefaults(t *testing.T) {
 	path := t.TempDir() + "/entry.toml"
 	text := `id = "entry-1"
