--- a/transport/dial.go
+++ b/transport/dial.go
@@ -88,8 +88,8 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// WithPort returns the addresses with their port replaced. Port 0 leaves them unchanged,
-// and so are addresses that aren't of the form HOST:PORT.
+// WithPort returns the addresses with their port replaced. Addresses that aren't of the
+// form HOST:PORT, and all addresses if port is 0, are returned unchanged.
 func WithPort(addresses []string, port int) []string {
 	out := append([]string(nil), addresses...)
 	if port == 0 {
