--- a/scenario/audit.go
+++ b/scenario/audit.go
@@ -7,17 +7,18 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// audit checks after a script what must hold in all of them, whatever failed:
-// every call has ended; an answer is whole and the caller's own; what may run
-// once ran at most once; "not run" is true; accepted rows stand; no step of a
-// group mixed two expert maps; no order of an old leader overtook a new one's.
+// audit checks the invariants that hold after every script, whichever faults it
+// injected: every call has ended; each answer is complete and belongs to its
+// request; no request to the plain service ran more than once; no request reported
+// as not run has run; no accepted row was lost; no step of a group used two expert
+// maps; no engine executed an old leader's order after one of its successor.
 func (w *world) audit(t testscript.T) {
 	if w.sys == nil {
 		return
 	}
-	w.thawAll()
+	w.restoreAll()
 	w.mu.Lock()
-	calls := append([]*call(nil), w.order...)
+	calls := append([]*call(nil), w.callOrder...)
 	w.mu.Unlock()
 	for _, c := range calls {
 		<-c.done
@@ -41,13 +42,13 @@
 }
 
 func (w *world) auditCall(c *call, all []*call) string {
-	runs := w.runs(c.runKey)
+	runs := w.runCount(c.runKey)
 	if c.status == http.StatusOK {
-		if fault := c.whole(c.tokens); fault != "" && c.err == nil {
+		if fault := c.checkAnswer(c.tokens); fault != "" && c.err == nil {
 			return "the answer " + fault + ": " + c.String()
 		}
 		if runs == 0 {
-			return "answered and never ran: " + c.String()
+			return "answered but never ran: " + c.String()
 		}
 	}
 	if !c.model && runs > 1 {
@@ -57,7 +58,7 @@
 		return ""
 	}
 	if c.runsBefore > 0 && c.problem.Reason != "bad-request" {
-		return "told \"not run\" though an earlier sending had run: " + c.String()
+		return "reported as not run although an earlier sending had run: " + c.String()
 	}
 	for _, other := range all {
 		if other.runKey == c.runKey && other.problem.Outcome != "not-run" {
@@ -65,13 +66,14 @@
 		}
 	}
 	if runs > 0 {
-		return fmt.Sprintf("told \"not run\", ran %d times: %s", runs, c)
+		return fmt.Sprintf("reported as not run but ran %d times: %s", runs, c)
 	}
 	return ""
 }
 
-// auditRows reads every row that was edited. The version that was accepted last,
-// or a later one, must stand.
+// auditRows reads every edited row and reports each that can't be read, is older
+// than its last accepted version, or differs from it; also versions that were given
+// to two different edits.
 func (w *world) auditRows() []string {
 	type rowKey struct{ kind, key string }
 	last := map[rowKey]*edit{}
--- a/scenario/call.go
+++ b/scenario/call.go
@@ -15,7 +15,7 @@
 	"github.com/snipereach/snipereach/quickstart"
 )
 
-// call is one request of a caller, and what came of it.
+// call is one request of a caller and its result.
 type call struct {
 	id, runKey, entry string
 	model, stream     bool
@@ -25,7 +25,7 @@
 	cancel            context.CancelFunc
 	done              chan struct{}
 
-	// What the caller saw; valid once done is closed.
+	// The result as the caller saw it; valid once done is closed.
 	err     error
 	status  int
 	header  http.Header
@@ -33,7 +33,7 @@
 	problem problem
 }
 
-// problem is the part of a refusal that scripts look at.
+// problem holds the fields of a refusal that scripts can check.
 type problem struct {
 	Reason  string `json:"reason"`
 	Outcome string `json:"outcome"`
@@ -41,43 +41,43 @@
 	Token   string `json:"explanation_token"`
 }
 
-// call sends a request and returns without waiting for its answer.
-func (w *world) call(id string, o options) error {
-	if len(o.rest) < 1 || w.calls[id] != nil {
+// startCall sends a request and returns without waiting for its answer.
+func (w *world) startCall(id string, o options) error {
+	if len(o.positional) < 1 || w.calls[id] != nil {
 		return merry.Prepend(ErrScript, "call ID model|plain [stream] [name=value ...], with a new ID")
 	}
-	via, err := w.entry(o)
+	via, err := w.pickEntry(o)
 	if err != nil {
 		return err
 	}
 	e := w.sys.Entry(via)
 	if e == nil {
-		return merry.Prependf(ErrScript, "%s doesn't run", via)
+		return merry.Prependf(ErrScript, "%s is not running", via)
 	}
-	c := &call{id: id, runKey: id, entry: via, model: o.rest[0] == "model", done: make(chan struct{})}
+	c := &call{id: id, runKey: id, entry: via, model: o.positional[0] == "model", done: make(chan struct{})}
 	if k := o.values["run"]; k != "" {
 		c.runKey = k
 	}
-	for _, word := range o.rest[1:] {
+	for _, word := range o.positional[1:] {
 		c.stream = c.stream || word == "stream"
 	}
-	c.tokens = o.number("tokens", 4)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	c.tokens = o.intValue("tokens", 4)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	c.cancel = cancel
-	c.runsBefore = w.runs(c.runKey)
-	req, err := w.request(ctx, c, "http://"+e.CallerAddress(), o)
+	c.runsBefore = w.runCount(c.runKey)
+	req, err := w.newCallRequest(ctx, c, "http://"+e.CallerAddress(), o)
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
 	w.calls[id] = c
-	w.order = append(w.order, c)
+	w.callOrder = append(w.callOrder, c)
 	w.mu.Unlock()
-	go w.carry(c, req)
+	go w.doCall(c, req)
 	return nil
 }
 
-func (w *world) request(ctx context.Context, c *call, base string, o options) (*http.Request, error) {
+func (w *world) newCallRequest(ctx context.Context, c *call, base string, o options) (*http.Request, error) {
 	layout := w.sys.Layout()
 	c.path = o.values["path"]
 	url, body := base+"/services/"+layout.PlainService+c.path, "{}"
@@ -109,7 +109,7 @@
 	return req, nil
 }
 
-func (w *world) carry(c *call, req *http.Request) {
+func (w *world) doCall(c *call, req *http.Request) {
 	defer close(c.done)
 	defer c.cancel()
 	resp, err := w.client.Do(req)
@@ -125,8 +125,8 @@
 	}
 }
 
-// answered waits for a call's end.
-func (w *world) answered(id string) (*call, error) {
+// waitCall waits until a call has ended and returns it.
+func (w *world) waitCall(id string) (*call, error) {
 	w.mu.Lock()
 	c := w.calls[id]
 	w.mu.Unlock()
@@ -137,8 +137,9 @@
 	return c, nil
 }
 
-// seen describes what the caller saw, by the words that expect takes.
-func (c *call) seen(name string) string {
+// property returns the value of a result property named in an expect command, or
+// "" if the name is unknown.
+func (c *call) property(name string) string {
 	switch name {
 	case "status":
 		return strconv.Itoa(c.status)
@@ -159,13 +160,14 @@
 		}
 		return "no"
 	case "answer":
-		return c.answer()
+		return c.answerState()
 	}
 	return ""
 }
 
-// answer is whole, cut (it began and broke off), none, or refused.
-func (c *call) answer() string {
+// answerState returns "whole", "cut" (the answer began and broke off), "none" or
+// "refused".
+func (c *call) answerState() string {
 	switch {
 	case c.status == 0:
 		return "none"
@@ -179,37 +181,39 @@
 
 func (c *call) String() string {
 	return fmt.Sprintf("call %s via %s: status %d, answer %s, outcome %q, reason %q, err %v, body %.300q",
-		c.id, c.entry, c.status, c.answer(), c.problem.Outcome, c.problem.Reason, c.err, c.body)
+		c.id, c.entry, c.status, c.answerState(), c.problem.Outcome, c.problem.Reason, c.err, c.body)
 }
 
-// expect compares what a caller saw; alternatives are separated by "|".
-func (w *world) expect(id string, o options) error {
-	c, err := w.answered(id)
+// expectCall compares a call's result with the expected values; alternatives are
+// separated by "|".
+func (w *world) expectCall(id string, o options) error {
+	c, err := w.waitCall(id)
 	if err != nil {
 		return err
 	}
 	for name, want := range o.values {
-		got := c.seen(name)
+		got := c.property(name)
 		ok := false
 		for _, alternative := range strings.Split(want, "|") {
 			ok = ok || got == alternative
 		}
 		if !ok {
-			return merry.Prependf(errOther, "%s is %q, not %q: %s", name, got, want, c)
+			return merry.Prependf(errMismatch, "%s is %q, not %q: %s", name, got, want, c)
 		}
 	}
 	return nil
 }
 
-var errOther = merry.Sentinel("caller saw something else")
+var errMismatch = merry.Sentinel("unexpected result")
 
-// explain asks an entry, maybe another one, about a refusal.
-func (w *world) explain(id string, o options) error {
-	c, err := w.answered(id)
+// checkExplanation looks up a refusal by its token at an entry, which may differ
+// from the one that refused, and compares the explanation with the refusal.
+func (w *world) checkExplanation(id string, o options) error {
+	c, err := w.waitCall(id)
 	if err != nil {
 		return err
 	}
-	via, err := w.entry(o)
+	via, err := w.pickEntry(o)
 	if err != nil {
 		return err
 	}
@@ -224,13 +228,14 @@
 	}
 	told.Token = c.problem.Token
 	if resp.StatusCode != http.StatusOK || told != c.problem {
-		return merry.Prependf(errOther, "explained as %+v with status %d: %s", told, resp.StatusCode, c)
+		return merry.Prependf(errMismatch, "explained as %+v with status %d: %s", told, resp.StatusCode, c)
 	}
 	return nil
 }
 
-// whole says what is wrong with an answer that came with status 200.
-func (c *call) whole(modelTokens int) string {
+// checkAnswer returns what is wrong with an answer that came with status 200, or
+// "" if it is complete and belongs to this request.
+func (c *call) checkAnswer(modelTokens int) string {
 	if c.err != nil {
 		return "broke off: " + c.err.Error()
 	}
@@ -243,7 +248,7 @@
 	}
 	text := string(c.body)
 	if c.stream && !strings.Contains(text, "data: [DONE]") {
-		return "has no end"
+		return "lacks the final [DONE] event"
 	}
 	at := 0
 	for n := range modelTokens {
@@ -255,7 +260,7 @@
 		at += i + len(token)
 	}
 	if strings.Count(text, c.runKey+":") != modelTokens {
-		return "holds tokens twice"
+		return "holds duplicate tokens"
 	}
 	return ""
 }
--- a/scenario/callers.go
+++ b/scenario/callers.go
@@ -9,7 +9,7 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// cmdCalls makes N calls at once, PREFIX-1 to PREFIX-N.
+// cmdCalls starts N concurrent calls with the IDs PREFIX-1 to PREFIX-N.
 func (w *world) cmdCalls(_ bool, args []string) error {
 	if len(args) < 3 {
 		return merry.Prepend(ErrScript, "calls PREFIX N model|plain ...")
@@ -19,35 +19,36 @@
 		return err
 	}
 	for i := range n {
-		if err := w.call(fmt.Sprintf("%s-%d", args[0], i+1), parse(args[2:])); err != nil {
+		if err := w.startCall(fmt.Sprintf("%s-%d", args[0], i+1), parseOptions(args[2:])); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// insist sends a request anew, as PREFIX-1, PREFIX-2 and so on, while it is told
-// "not run" and when to come back, until it is answered whole.
-func (w *world) insist(prefix string, o options) error {
-	end := time.Now().Add(patience)
+// callUntilAnswered retries a request, as PREFIX-1, PREFIX-2 and so on, until it
+// gets a whole answer. Each refusal before that must say "not run" and carry
+// Retry-After.
+func (w *world) callUntilAnswered(prefix string, o options) error {
+	end := time.Now().Add(waitTimeout)
 	for n := 1; ; n++ {
 		id := fmt.Sprintf("%s-%d", prefix, n)
-		if err := w.call(id, o); err != nil {
+		if err := w.startCall(id, o); err != nil {
 			return err
 		}
-		c, err := w.answered(id)
-		if err != nil || c.answer() == "whole" {
+		c, err := w.waitCall(id)
+		if err != nil || c.answerState() == "whole" {
 			return err
 		}
-		if c.problem.Outcome != "not-run" || c.seen("retry-after") != "yes" || time.Now().After(end) {
-			return merry.Prependf(errOther, "not answered: %s", c)
+		if c.problem.Outcome != "not-run" || c.property("retry-after") != "yes" || time.Now().After(end) {
+			return merry.Prependf(errMismatch, "not answered: %s", c)
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// leave closes the caller's connection.
-func (w *world) leave(id string) error {
+// disconnectCaller cancels a call, which closes the caller's connection.
+func (w *world) disconnectCaller(id string) error {
 	w.mu.Lock()
 	c := w.calls[id]
 	w.mu.Unlock()
@@ -60,21 +61,21 @@
 }
 
 func (w *world) cmdExpect(id string, o options) error {
-	if len(o.rest) > 0 || len(o.values) == 0 {
+	if len(o.positional) > 0 || len(o.values) == 0 {
 		return merry.Prepend(ErrScript, "expect ID name=value ...")
 	}
 	if w.edits[id] != nil {
 		return w.expectEdit(id, o)
 	}
-	return w.expect(id, o)
+	return w.expectCall(id, o)
 }
 
-// all lists the calls of a prefix.
-func (w *world) all(prefix string) ([]string, error) {
+// callIDs returns the IDs of the calls with a prefix.
+func (w *world) callIDs(prefix string) ([]string, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ids []string
-	for _, c := range w.order {
+	for _, c := range w.callOrder {
 		if strings.HasPrefix(c.id, prefix+"-") {
 			ids = append(ids, c.id)
 		}
@@ -86,25 +87,25 @@
 }
 
 func (w *world) cmdExpectAll(prefix string, o options) error {
-	ids, err := w.all(prefix)
+	ids, err := w.callIDs(prefix)
 	if err != nil {
 		return err
 	}
 	for _, id := range ids {
-		if err := w.expect(id, o); err != nil {
+		if err := w.expectCall(id, o); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// cmdRunsAll waits until every call of a prefix has run N times: calls at once
-// arrive in any order, and the last one to arrive may be the first of the script.
+// cmdRunsAll waits until every call of a prefix has run N times. It waits for each
+// of them, since concurrent calls arrive in any order.
 func (w *world) cmdRunsAll(_ bool, args []string) error {
 	if len(args) != 2 {
 		return merry.Prepend(ErrScript, "runs-all PREFIX N")
 	}
-	ids, err := w.all(args[0])
+	ids, err := w.callIDs(args[0])
 	if err != nil {
 		return err
 	}
@@ -116,15 +117,16 @@
 	return nil
 }
 
-// cmdExactly checks of how many calls or edits something holds.
+// cmdExactly checks that a property has the given value in exactly N of the listed
+// calls or edits.
 func (w *world) cmdExactly(_ bool, args []string) error {
-	o := parse(args)
-	if len(o.rest) < 3 || len(o.values) != 1 {
+	o := parseOptions(args)
+	if len(o.positional) < 3 || len(o.values) != 1 {
 		return merry.Prepend(ErrScript, "exactly N name=value ID ID...")
 	}
-	n, held := o.rest[0], 0
+	n, held := o.positional[0], 0
 	var last error
-	for _, id := range o.rest[1:] {
+	for _, id := range o.positional[1:] {
 		if err := w.cmdExpect(id, options{values: o.values}); err != nil {
 			last = err
 			continue
@@ -132,12 +134,12 @@
 		held++
 	}
 	if strconv.Itoa(held) != n {
-		return merry.Prependf(errOther, "holds of %d: %v", held, last)
+		return merry.Prependf(errMismatch, "%d match; last mismatch: %v", held, last)
 	}
 	return nil
 }
 
-// cmdRuns waits until a request has run N times, and fails at once over that.
+// cmdRuns waits until a request has run exactly N times.
 func (w *world) cmdRuns(_ bool, args []string) error {
 	if len(args) != 2 {
 		return merry.Prepend(ErrScript, "runs KEY N")
@@ -147,19 +149,19 @@
 		return err
 	}
 	return eventually(func() string {
-		if got := w.runs(args[0]); got != n {
-			return fmt.Sprintf("%s ran %d times; %s", args[0], got, w.told(args[0]))
+		if got := w.runCount(args[0]); got != n {
+			return fmt.Sprintf("%s ran %d times; %s", args[0], got, w.describeAnswers(args[0]))
 		}
 		return ""
 	})
 }
 
-// told lists what callers of a request were told so far.
-func (w *world) told(key string) string {
+// describeAnswers describes the calls of a request that have ended so far.
+func (w *world) describeAnswers(key string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []string
-	for _, c := range w.order {
+	for _, c := range w.callOrder {
 		select {
 		case <-c.done:
 			if c.runKey == key {
@@ -169,20 +171,20 @@
 		}
 	}
 	if list == nil {
-		return "no caller was answered"
+		return "no call has ended"
 	}
 	return strings.Join(list, "; ")
 }
 
-// idle waits until nothing runs at the upstream beside an agent.
-func (w *world) idle(name string) error {
+// waitUpstreamIdle waits until no request runs at the upstream of an agent.
+func (w *world) waitUpstreamIdle(name string) error {
 	p, _ := w.sys.Part(name)
 	if p.Upstream == nil {
 		return nil
 	}
 	return eventually(func() string {
 		if n := p.Upstream.Running(); n > 0 {
-			return fmt.Sprintf("%d requests run beside %s", n, name)
+			return fmt.Sprintf("%d requests are running at the upstream of %s", n, name)
 		}
 		return ""
 	})
--- a/scenario/commands.go
+++ b/scenario/commands.go
@@ -7,21 +7,22 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// command is one command of the language.
+// command implements a script command; neg is set if it is preceded by "!".
 type command func(w *world, neg bool, args []string) error
 
-// commands lists the language; docs/design/scenario.md says what each does.
+// commands returns the script commands by name; docs/design/scenario.md describes
+// each.
 func commands() map[string]func(*testscript.TestScript, bool, []string) {
 	list := map[string]command{
 		"system": (*world).cmdSystem,
 		// Parts.
-		"crash":     each((*world).crash),
-		"start":     each((*world).startPart),
-		"drain":     each((*world).drain),
-		"drained":   each((*world).drained),
-		"freeze":    each((*world).freeze),
-		"thaw":      each((*world).thaw),
-		"lose-disk": each(func(w *world, p string) error { return w.sys.LoseDisk(p) }),
+		"crash":     forEachPart((*world).killPart),
+		"start":     forEachPart((*world).startPart),
+		"drain":     forEachPart((*world).beginDrain),
+		"drained":   forEachPart((*world).waitDrained),
+		"freeze":    forEachPart((*world).freezePart),
+		"thaw":      forEachPart((*world).thawPart),
+		"lose-disk": forEachPart(func(w *world, p string) error { return w.sys.LoseDisk(p) }),
 		"name":      (*world).cmdName,
 		// Links and upstreams.
 		"cut":     (*world).cmdCut,
@@ -29,32 +30,32 @@
 		"delay":   (*world).cmdDelay,
 		"dials":   (*world).cmdDials,
 		"answers": (*world).cmdAnswers,
-		"release": each((*world).release),
+		"release": forEachPart((*world).releaseUpstream),
 		// Groups.
 		"maps":         (*world).cmdMaps,
 		"steps":        (*world).cmdSteps,
 		"restart-rank": (*world).cmdRestartRank,
 		"judged":       (*world).cmdJudged,
 		// Callers.
-		"call":       withID((*world).call),
+		"call":       withID((*world).startCall),
 		"calls":      (*world).cmdCalls,
-		"insist":     withID((*world).insist),
-		"leave":      withID(func(w *world, id string, _ options) error { return w.leave(id) }),
+		"insist":     withID((*world).callUntilAnswered),
+		"leave":      withID(func(w *world, id string, _ options) error { return w.disconnectCaller(id) }),
 		"expect":     withID((*world).cmdExpect),
 		"expect-all": withID((*world).cmdExpectAll),
 		"exactly":    (*world).cmdExactly,
-		"explain":    withID((*world).explain),
+		"explain":    withID((*world).checkExplanation),
 		"runs":       (*world).cmdRuns,
 		"runs-all":   (*world).cmdRunsAll,
-		"idle":       each((*world).idle),
-		"closed":     each((*world).closed),
+		"idle":       forEachPart((*world).waitUpstreamIdle),
+		"closed":     forEachPart((*world).waitListenerClosed),
 		"listed":     (*world).cmdListed,
 		"upstreams":  (*world).cmdUpstreams,
-		"granting":   each((*world).granting),
+		"granting":   forEachPart((*world).waitGranting),
 		// Operators.
-		"edit":     withID((*world).edit),
+		"edit":     withID((*world).startEdit),
 		"edits":    (*world).cmdEdits,
-		"in-force": withID(func(w *world, id string, _ options) error { return w.inForce(id) }),
+		"in-force": withID(func(w *world, id string, _ options) error { return w.waitInForce(id) }),
 		"row":      (*world).cmdRow,
 		"health":   (*world).cmdHealth,
 		"leader":   (*world).cmdLeader,
@@ -66,9 +67,9 @@
 			err := error(nil)
 			switch {
 			case neg && !mayNegate[name]:
-				err = merry.Prependf(ErrScript, "! has no meaning before %s", name)
+				err = merry.Prependf(ErrScript, "%s can't be negated", name)
 			case w.sys == nil && name != "system":
-				err = merry.Prepend(ErrScript, "system comes first")
+				err = merry.Prepend(ErrScript, "system must be the first command")
 			default:
 				err = f(w, neg, args)
 			}
@@ -82,10 +83,10 @@
 
 var mayNegate = map[string]bool{"listed": true, "leader": true, "row": true}
 
-// each makes a command that does one thing to each part that it names.
-func each(f func(*world, string) error) command {
+// forEachPart returns a command that calls f for each part named by its arguments.
+func forEachPart(f func(*world, string) error) command {
 	return func(w *world, _ bool, args []string) error {
-		parts, err := w.expand(args...)
+		parts, err := w.expandParts(args...)
 		if err != nil {
 			return err
 		}
@@ -98,14 +99,14 @@
 	}
 }
 
-// withID makes a command whose first word is an ID.
+// withID returns a command whose first argument is an ID.
 func withID(f func(*world, string, options) error) command {
 	return func(w *world, _ bool, args []string) error {
 		if len(args) == 0 {
-			return merry.Prepend(ErrScript, "an ID is needed")
+			return merry.Prepend(ErrScript, "ID is missing")
 		}
-		return f(w, args[0], parse(args[1:]))
+		return f(w, args[0], parseOptions(args[1:]))
 	}
 }
 
-func (w *world) cmdSystem(_ bool, args []string) error { return w.start(parse(args)) }
+func (w *world) cmdSystem(_ bool, args []string) error { return w.startSystem(parseOptions(args)) }
--- a/scenario/edit.go
+++ b/scenario/edit.go
@@ -17,7 +17,8 @@
 	"github.com/snipereach/snipereach/quickstart"
 )
 
-// edit is one operator's edit of a row, and its answer.
+// edit is an operator's edit of a row and its result; the result is valid once done
+// is closed.
 type edit struct {
 	id, kind, key string
 	columns       map[string]string
@@ -29,17 +30,18 @@
 	body   string
 }
 
-// operatorCall makes one call of the operators' interface.
+// operatorCall sends one request to an entry's operator interface and returns the
+// status and body of the answer.
 func (w *world) operatorCall(via, method, path string, header map[string]string, body any) (int, []byte, error) {
 	e := w.sys.Entry(via)
 	if e == nil {
-		return 0, nil, merry.Prependf(ErrScript, "%s doesn't run", via)
+		return 0, nil, merry.Prependf(ErrScript, "%s is not running", via)
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
 		return 0, nil, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.OperatorAddress()+path, bytes.NewReader(text))
 	if err != nil {
@@ -58,7 +60,8 @@
 	return resp.StatusCode, answer, err
 }
 
-// readRow reads a row as it stands; it waits while the table can't be read.
+// readRow returns the current row, or a zero Row if there is none. It retries while
+// the table can't be read.
 func (w *world) readRow(via, kind, key string) (operators.Row, error) {
 	var row operators.Row
 	err := eventually(func() string {
@@ -66,7 +69,7 @@
 		if via != "" {
 			o.values["via"] = via
 		}
-		name, err := w.entry(o)
+		name, err := w.pickEntry(o)
 		if err != nil {
 			return err.Error()
 		}
@@ -89,13 +92,13 @@
 	return row, err
 }
 
-// edit starts an edit; resend=yes sends it again, with its edit ID and through
-// any entry, until it is decided, as operators are told to.
-func (w *world) edit(id string, o options) error {
-	if len(o.rest) != 2 || w.edits[id] != nil {
+// startEdit sends an edit without waiting for its answer. With resend=yes it is sent
+// again with the same edit ID, through any entry, until it is accepted or rejected.
+func (w *world) startEdit(id string, o options) error {
+	if len(o.positional) != 2 || w.edits[id] != nil {
 		return merry.Prepend(ErrScript, "edit ID KIND KEY [base=N] [via=ENTRY] [resend=yes] [column=value ...], with a new ID")
 	}
-	ed := &edit{id: id, kind: o.rest[0], key: o.rest[1], columns: map[string]string{}, done: make(chan struct{})}
+	ed := &edit{id: id, kind: o.positional[0], key: o.positional[1], columns: map[string]string{}, done: make(chan struct{})}
 	resend := o.values["resend"] == "yes"
 	editID := id
 	if o.values["edit-id"] != "" {
@@ -114,7 +117,7 @@
 		}
 		base = strconv.FormatUint(row.Version, 10)
 	}
-	via, err := w.entry(o)
+	via, err := w.pickEntry(o)
 	if err != nil {
 		return err
 	}
@@ -131,7 +134,7 @@
 	if base == "0" {
 		header = map[string]string{"If-None-Match": "*", "Idempotency-Key": editID}
 	}
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for {
 		status, body, err := w.operatorCall(via, http.MethodPut, "/v1/table/"+ed.kind+"/"+ed.key, header, map[string]any{"columns": ed.columns})
 		ed.status, ed.body, ed.err = status, string(body), err
@@ -139,15 +142,15 @@
 		if !undecided || !resend || time.Now().After(end) {
 			break
 		}
-		time.Sleep(poll)
-		via, _ = w.entry(options{})
+		time.Sleep(pollInterval)
+		via, _ = w.pickEntry(options{})
 	}
 	if ed.status == http.StatusOK {
 		ed.err = json.Unmarshal([]byte(ed.body), &ed.answer)
 	}
 }
 
-func (w *world) edited(id string) (*edit, error) {
+func (w *world) waitEdit(id string) (*edit, error) {
 	w.mu.Lock()
 	ed := w.edits[id]
 	w.mu.Unlock()
@@ -158,9 +161,9 @@
 	return ed, nil
 }
 
-// expectEdit compares an edit's answer.
+// expectEdit compares an edit's answer with the expected values.
 func (w *world) expectEdit(id string, o options) error {
-	ed, err := w.edited(id)
+	ed, err := w.waitEdit(id)
 	if err != nil {
 		return err
 	}
@@ -177,20 +180,20 @@
 			ok = ok || got == alternative
 		}
 		if !ok {
-			return merry.Prependf(errOther, "edit %s: %s is %q, not %q: %v %s", id, name, got, want, ed.err, ed.body)
+			return merry.Prependf(errMismatch, "edit %s: %s is %q, not %q: %v %s", id, name, got, want, ed.err, ed.body)
 		}
 	}
 	return nil
 }
 
-// inForce waits until every running entry has an edit's revision or a later one.
-func (w *world) inForce(id string) error {
-	ed, err := w.edited(id)
+// waitInForce waits until every running entry has an edit's revision or a later one.
+func (w *world) waitInForce(id string) error {
+	ed, err := w.waitEdit(id)
 	if err != nil {
 		return err
 	}
 	if ed.status != http.StatusOK {
-		return merry.Prependf(errOther, "edit %s was not accepted: %d %s", id, ed.status, ed.body)
+		return merry.Prependf(errMismatch, "edit %s was not accepted: %d %s", id, ed.status, ed.body)
 	}
 	return eventually(func() string {
 		for _, name := range w.runningEntries() {
@@ -202,24 +205,24 @@
 	})
 }
 
-// members asks for the state of the replicated log.
+// members returns the members of the replicated log and its health.
 func (w *world) members(via string) (*operators.Members, error) {
 	if via == "" {
 		var err error
-		if via, err = w.entry(options{}); err != nil {
+		if via, err = w.pickEntry(options{}); err != nil {
 			return nil, err
 		}
 	}
 	status, body, err := w.operatorCall(via, http.MethodGet, "/v1/members", nil, nil)
 	if err != nil || status != http.StatusOK {
-		return nil, merry.Prependf(errNever, "members can't be read: %d %s %v", status, body, err)
+		return nil, merry.Prependf(errNotMet, "members can't be read: %d %s %v", status, body, err)
 	}
 	m := &operators.Members{}
 	return m, json.Unmarshal(body, m)
 }
 
-// leader returns the part that leads the log.
-func (w *world) leader() (string, error) {
+// findLeader waits until the replicated log has a leader and returns its part.
+func (w *world) findLeader() (string, error) {
 	found := ""
 	err := eventually(func() string {
 		m, err := w.members("")
--- a/scenario/group.go
+++ b/scenario/group.go
@@ -13,24 +13,24 @@
 	"github.com/snipereach/snipereach/placement"
 )
 
-// plannerRotate is a planner that changes the map at every opportunity, so that
-// a failure is likely to meet a switch.
+// plannerRotate names a planner that changes the map at every opportunity, so that
+// faults are likely to hit a map switch.
 const plannerRotate = "scenario-rotate"
 
 func init() {
-	kernel.Register(kernel.Module{ID: "placement." + plannerRotate, New: func() any { return &rotate{} }})
+	kernel.Register(kernel.Module{ID: "placement." + plannerRotate, New: func() any { return &rotatingPlanner{} }})
 }
 
-type rotate struct{ shape placement.Shape }
+type rotatingPlanner struct{ shape placement.Shape }
 
 // Reset implements placement.Planner.
-func (p *rotate) Reset(s placement.Shape, _ placement.Cost) { p.shape = s }
+func (p *rotatingPlanner) Reset(s placement.Shape, _ placement.Cost) { p.shape = s }
 
 // Observe implements placement.Planner.
-func (p *rotate) Observe(time.Time, placement.Load) {}
+func (p *rotatingPlanner) Observe(time.Time, placement.Load) {}
 
-// Plan implements placement.Planner: each rank's experts go to the next one.
-func (p *rotate) Plan(_ time.Time, m *placement.Map) placement.Decision {
+// Plan implements placement.Planner: it shifts the experts by one rank.
+func (p *rotatingPlanner) Plan(_ time.Time, m *placement.Map) placement.Decision {
 	next := &placement.Map{}
 	per := p.shape.Ranks * p.shape.Slots
 	for layer := range p.shape.Layers {
@@ -40,8 +40,8 @@
 	return placement.Decision{Next: next, Why: "rotated by one rank", SkewBefore: 1, SkewAfter: 1}
 }
 
-// cmdMaps waits until the group has taken up N more maps and runs steps with
-// the last one.
+// cmdMaps waits until the group has switched to N more maps and has run steps since
+// the command began.
 func (w *world) cmdMaps(_ bool, args []string) error {
 	if len(args) != 1 || w.sys.Group == nil {
 		return merry.Prepend(ErrScript, "maps N, in a system with groups=yes")
@@ -78,7 +78,7 @@
 	})
 }
 
-// cmdRestartRank kills a rank's engine and starts it without a map.
+// cmdRestartRank restarts a rank's engine, which loses its map.
 func (w *world) cmdRestartRank(_ bool, args []string) error {
 	if len(args) != 1 || w.sys.Group == nil {
 		return merry.Prepend(ErrScript, "restart-rank N, in a system with groups=yes")
@@ -91,20 +91,21 @@
 	return nil
 }
 
-// judgement bounds the wait for an order that may have timed out on its way.
-const judgement = 5 * time.Second
+// judgedTimeout bounds the wait for an agent to refuse an order that may never
+// arrive.
+const judgedTimeout = 5 * time.Second
 
-// cmdJudged waits until one of these agents has refused an order, or an engine has
-// carried out one that it should not have. It gives up after a while and goes on:
-// on a machine so busy that the order's own timeout passed there is none to judge.
+// cmdJudged waits until one of the agents has refused an order, or the audit of the
+// group has found a fault. After judgedTimeout it succeeds regardless, since on a
+// busy machine the order may time out before it arrives.
 func (w *world) cmdJudged(_ bool, args []string) error {
-	names, err := w.expand(args...)
+	names, err := w.expandParts(args...)
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(judgement); time.Now().Before(end); time.Sleep(poll) {
+	for end := time.Now().Add(judgedTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		for _, name := range names {
-			if w.refusedOrders(name) > 0 || w.auditGroup() != "" {
+			if w.refusedOrderCount(name) > 0 || w.auditGroup() != "" {
 				return nil
 			}
 		}
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// refusedOrders is how many orders an agent has refused in its present life.
-func (w *world) refusedOrders(name string) int64 {
+// refusedOrderCount returns how many orders an agent has refused since it started.
+func (w *world) refusedOrderCount(name string) int64 {
 	resp, err := http.Get("http://" + w.sys.OperatorAddress(name) + "/metrics")
 	if err != nil {
 		return 0
@@ -128,19 +129,20 @@
 	return m.Refused.Count
 }
 
-// auditGroup says whether a step mixed two maps, or an engine carried out an old
-// leader's order after a new leader's first. The engines ignore tokens.
+// auditGroup reports whether a step used two maps, or an engine executed an old
+// leader's order after one of its successor, and returns "" if neither happened.
+// The fake engines don't check fencing tokens, so that they reveal such orders.
 func (w *world) auditGroup() string {
 	if w.sys.Group == nil {
 		return ""
 	}
 	for i, e := range w.sys.Engines {
 		if n := e.Overtaken(); n > 0 {
-			return fmt.Sprintf("rank %d carried out %d orders of an old leader after those of a new one", i+1, n)
+			return fmt.Sprintf("rank %d executed %d orders of an old leader after those of a new one", i+1, n)
 		}
 	}
 	if h := w.sys.Group.History(); h.Mixed > 0 {
-		return fmt.Sprintf("%d of %d steps mixed maps", h.Mixed, h.Steps)
+		return fmt.Sprintf("%d of %d steps used two maps", h.Mixed, h.Steps)
 	}
 	return ""
 }
--- a/scenario/links.go
+++ b/scenario/links.go
@@ -9,13 +9,14 @@
 	"github.com/snipereach/snipereach/fake"
 )
 
-// cmdCut cuts both ways, or with "A -> B" what A sends to B.
+// cmdCut cuts the links between A and B in both directions, or with "A -> B" only
+// from A to B.
 func (w *world) cmdCut(_ bool, args []string) error {
 	switch {
 	case len(args) == 2:
-		return w.between(args[0], args[1], func(x, y string) { w.net.Cut(x, y); w.net.Cut(y, x) })
+		return w.forEachPair(args[0], args[1], func(x, y string) { w.net.Cut(x, y); w.net.Cut(y, x) })
 	case len(args) == 3 && args[1] == "->":
-		return w.between(args[0], args[2], w.net.Cut)
+		return w.forEachPair(args[0], args[2], w.net.Cut)
 	}
 	return merry.Prepend(ErrScript, "cut A B, or cut A -> B")
 }
@@ -28,7 +29,7 @@
 	if len(args) != 2 {
 		return merry.Prepend(ErrScript, "heal, or heal A B")
 	}
-	return w.between(args[0], args[1], func(x, y string) { w.net.Heal(x, y); w.net.Heal(y, x) })
+	return w.forEachPair(args[0], args[1], func(x, y string) { w.net.Heal(x, y); w.net.Heal(y, x) })
 }
 
 func (w *world) cmdDelay(_ bool, args []string) error {
@@ -39,22 +40,22 @@
 	if err != nil {
 		return err
 	}
-	return w.between(args[0], args[1], func(x, y string) { w.net.Delay(x, y, d); w.net.Delay(y, x, d) })
+	return w.forEachPair(args[0], args[1], func(x, y string) { w.net.Delay(x, y, d); w.net.Delay(y, x, d) })
 }
 
-// dialWait bounds the wait for a dial.
-const dialWait = 10 * time.Second
+// dialTimeout bounds the wait for a dial.
+const dialTimeout = 10 * time.Second
 
-// cmdDials waits until A dials B over a link that carries nothing: whatever
-// connection it had has been given up. It gives up after a while and goes on: a
-// leader that lost its lead to a busy machine has nothing to say to B.
+// cmdDials waits until A dials B over a cut link, and so has given up its former
+// connection. After dialTimeout it succeeds regardless, since a leader that has lost
+// its leadership on a busy machine no longer dials B.
 func (w *world) cmdDials(_ bool, args []string) error {
 	if len(args) != 2 {
 		return merry.Prepend(ErrScript, "dials A B")
 	}
-	for end := time.Now().Add(dialWait); time.Now().Before(end); time.Sleep(poll) {
+	for end := time.Now().Add(dialTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		n := 0
-		if err := w.between(args[0], args[1], func(x, y string) { n += w.net.Dialling(x, y) }); err != nil {
+		if err := w.forEachPair(args[0], args[1], func(x, y string) { n += w.net.Dialling(x, y) }); err != nil {
 			return err
 		}
 		if n > 0 {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-var faults = map[string]fake.Fault{
+var faultsByName = map[string]fake.Fault{
 	"well": fake.FaultNone, "die-before": fake.FaultDieBefore, "die-after-run": fake.FaultDieAfterRun,
 	"cut": fake.FaultCut, "crossed": fake.FaultCrossed, "never": fake.FaultStall,
 	"held": fake.FaultHeld, "held-crossed": fake.FaultHeldCrossed, "held-midway": fake.FaultHeldMidway,
@@ -75,11 +76,11 @@
 	if len(args) < 2 {
 		return merry.Prepend(ErrScript, "answers PART... FAULT")
 	}
-	fault, ok := faults[args[len(args)-1]]
+	fault, ok := faultsByName[args[len(args)-1]]
 	if !ok {
 		return merry.Prependf(ErrScript, "no fault %q", args[len(args)-1])
 	}
-	parts, err := w.expand(args[:len(args)-1]...)
+	parts, err := w.expandParts(args[:len(args)-1]...)
 	if err != nil {
 		return err
 	}
@@ -91,7 +92,7 @@
 	return nil
 }
 
-func (w *world) release(name string) error {
+func (w *world) releaseUpstream(name string) error {
 	p, _ := w.sys.Part(name)
 	if p.Upstream != nil {
 		p.Upstream.SetFault(nil)
--- a/scenario/listing.go
+++ b/scenario/listing.go
@@ -10,11 +10,11 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// closed waits until an entry that drains takes no more connections of callers.
-func (w *world) closed(name string) error {
+// waitListenerClosed waits until an entry accepts no more connections of callers.
+func (w *world) waitListenerClosed(name string) error {
 	e := w.sys.Entry(name)
 	if e == nil {
-		return merry.Prependf(ErrScript, "%s doesn't run", name)
+		return merry.Prependf(ErrScript, "%s is not running", name)
 	}
 	address := e.CallerAddress()
 	return eventually(func() string {
@@ -23,23 +23,24 @@
 			return ""
 		}
 		_ = conn.Close()
-		return name + " takes connections"
+		return name + " still accepts connections"
 	})
 }
 
-// cmdListed waits until an entry stands, or doesn't, in the list for callers.
+// cmdListed waits until entries are, or if negated are not, in the list that entries
+// give to callers.
 func (w *world) cmdListed(neg bool, args []string) error {
-	o := parse(args)
-	names, err := w.expand(o.rest...)
+	o := parseOptions(args)
+	names, err := w.expandParts(o.positional...)
 	if err != nil {
 		return err
 	}
 	return eventually(func() string {
-		via, err := w.entry(o)
+		via, err := w.pickEntry(o)
 		if err != nil {
 			return err.Error()
 		}
-		listed, err := w.list(via)
+		listed, err := w.listedEntries(via)
 		if err != nil {
 			return err.Error()
 		}
@@ -52,8 +53,8 @@
 	})
 }
 
-// granting waits until an entry's claim register may grant any key.
-func (w *world) granting(name string) error {
+// waitGranting waits until an entry's claim register may grant any key.
+func (w *world) waitGranting(name string) error {
 	return eventually(func() string {
 		if e := w.sys.Entry(name); e == nil || !e.ClaimsGranting() {
 			return name + " grants no claims yet"
@@ -62,10 +63,10 @@
 	})
 }
 
-func (w *world) list(via string) ([]string, error) {
+func (w *world) listedEntries(via string) ([]string, error) {
 	e := w.sys.Entry(via)
 	if e == nil {
-		return nil, merry.Prependf(ErrScript, "%s doesn't run", via)
+		return nil, merry.Prependf(ErrScript, "%s is not running", via)
 	}
 	resp, err := w.client.Get("http://" + e.CallerAddress() + "/v1/entries")
 	if err != nil {
@@ -85,25 +86,26 @@
 	return ids, err
 }
 
-// cmdUpstreams waits until every running entry, or one, sees N upstreams of a pool.
+// cmdUpstreams waits until every running entry, or the one named by via, sees N
+// upstreams of a pool.
 func (w *world) cmdUpstreams(_ bool, args []string) error {
-	o := parse(args)
-	if len(o.rest) != 2 {
+	o := parseOptions(args)
+	if len(o.positional) != 2 {
 		return merry.Prepend(ErrScript, "upstreams POOL N [via=ENTRY]")
 	}
-	n, err := strconv.Atoi(o.rest[1])
+	n, err := strconv.Atoi(o.positional[1])
 	if err != nil {
 		return err
 	}
 	return eventually(func() string {
 		names := w.runningEntries()
 		if via := o.values["via"]; via != "" {
-			if names, err = w.expand(via); err != nil {
+			if names, err = w.expandParts(via); err != nil {
 				return err.Error()
 			}
 		}
 		for _, name := range names {
-			if e := w.sys.Entry(name); e != nil && e.Upstreams()[o.rest[0]] != n {
+			if e := w.sys.Entry(name); e != nil && e.Upstreams()[o.positional[0]] != n {
 				return fmt.Sprintf("%s sees %v", name, e.Upstreams())
 			}
 		}
--- a/scenario/scenario.go
+++ b/scenario/scenario.go
@@ -1,10 +1,10 @@
-// Package scenario is a small test language: scripts that start a user's system
-// in process, break parts of it and the links between them, call it as callers
-// and operators do, and say what must come of it. docs/design/scenario.md lists
-// the commands.
+// Package scenario runs fault-injection scripts. A script starts a whole system
+// in process, injects faults into its parts and the links between them, sends
+// requests as callers and operators do, and states the expected results.
+// docs/design/scenario.md lists the commands.
 //
-// It stands on rogpeppe/go-internal/testscript. After the last line of each
-// script the promises are checked for every call that it made; see audit.
+// The scripts run on rogpeppe/go-internal/testscript. After the last line of a
+// script, the system's invariants are checked for every call it made; see audit.
 package scenario
 
 import (
@@ -19,20 +19,21 @@
 	"github.com/snipereach/snipereach/quickstart"
 )
 
-// MaxSystems is how many systems run side by side at most. Scripts wait far more
-// than they work, so that this may be over the number of processors; many more
-// starve each other, and elections follow.
+// MaxSystems limits the systems that run in parallel. Scripts mostly wait, so it
+// may exceed the number of processors; with many more, systems starve each other
+// and lose their leaders to election timeouts.
 const MaxSystems = 20
 
-// patience bounds every wait for something that must come true. It is far over
-// what any of it takes: it ends a run that hangs and asserts no duration.
-const patience = 45 * time.Second
+// waitTimeout bounds every wait for a condition. It only ends runs that hang;
+// it asserts nothing about how long an operation may take.
+const waitTimeout = 45 * time.Second
 
-// poll is how often a wait looks.
-const poll = 20 * time.Millisecond
+// pollInterval is the time between two checks of a condition.
+const pollInterval = 20 * time.Millisecond
 
-// variables are what scripts call the parts of a user's layout by.
-func variables(l quickstart.Layout) []string {
+// scriptVariables returns the environment variables by which scripts refer to the
+// names in a layout.
+func scriptVariables(l quickstart.Layout) []string {
 	return []string{
 		"MODEL=" + l.ModelPool, "PLAIN=" + l.PlainPool,
 		"MODEL_SERVICE=" + l.ModelService, "SERVICE=" + l.PlainService, "TEAM=" + l.Team,
@@ -40,41 +41,42 @@
 	}
 }
 
-// Run runs every script of a folder, for each user, as parallel subtests; the
-// flag test.parallel bounds them.
+// Run runs every script in dir against each user's layout, as parallel subtests
+// bounded by the flag test.parallel.
 func Run(t *testing.T, dir string) {
 	scripts, err := filepath.Glob(filepath.Join(dir, "*.txt"))
 	if err != nil || len(scripts) == 0 {
 		t.Fatalf("no scripts in %s: %v", dir, err)
 	}
 	for _, s := range scripts {
-		refuseForeign(t, s)
+		rejectForbiddenCommands(t, s)
 	}
 	for user, layout := range map[string]quickstart.Layout{"idukki": quickstart.Idukki(), "karaganda": quickstart.Karaganda()} {
 		t.Run(user, func(t *testing.T) {
 			t.Parallel()
-			testscript.Run(t, testscript.Params{Dir: dir, Cmds: commands(), Setup: setup(layout)})
+			testscript.Run(t, testscript.Params{Dir: dir, Cmds: commands(), Setup: setupWorld(layout)})
 		})
 	}
 }
 
-// setup makes a script's world.
-func setup(layout quickstart.Layout) func(*testscript.Env) error {
+// setupWorld returns the function that gives each script its own world, audited
+// and stopped when the script ends.
+func setupWorld(layout quickstart.Layout) func(*testscript.Env) error {
 	return func(env *testscript.Env) error {
 		w := newWorld(layout)
 		env.Values[worldKey{}] = w
-		env.Vars = append(env.Vars, variables(layout)...)
+		env.Vars = append(env.Vars, scriptVariables(layout)...)
 		env.Defer(w.stop)
 		env.Defer(func() { w.audit(env.T()) })
 		return nil
 	}
 }
 
-// foreign are testscript's own commands that would end a script early with a
-// pass, or start a process.
-var foreign = map[string]bool{"stop": true, "skip": true, "kill": true, "wait": true, "exec": true}
+// forbiddenCommands are built-in testscript commands that would end a script
+// early with a pass, or start a process.
+var forbiddenCommands = map[string]bool{"stop": true, "skip": true, "kill": true, "wait": true, "exec": true}
 
-func refuseForeign(t *testing.T, path string) {
+func rejectForbiddenCommands(t *testing.T, path string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -88,8 +90,8 @@
 			if strings.HasPrefix(word, "[") || word == "!" {
 				continue
 			}
-			if foreign[word] {
-				t.Fatalf("%s: %q belongs to testscript and is not used here: %s", path, word, line)
+			if forbiddenCommands[word] {
+				t.Fatalf("%s: testscript command %q is not allowed in scenario scripts: %s", path, word, line)
 			}
 			break
 		}
--- a/scenario/world.go
+++ b/scenario/world.go
@@ -17,41 +17,44 @@
 	"github.com/snipereach/snipereach/quickstart"
 )
 
-// ErrScript is returned for a line that can't be carried out as written.
-var ErrScript = merry.Sentinel("script is wrong")
+// ErrScript is returned for a script line that is malformed or refers to an
+// unknown part, call or edit.
+var ErrScript = merry.Sentinel("invalid script line")
 
-// callerName is the name of callers and operators on the network.
+// callerName is the name of callers and operators on the fake network.
 const callerName = "caller"
 
 type worldKey struct{}
 
-// world is what one script works on.
+// world is the state of one running script: its system, the fake network, and the
+// calls and edits that the script has made.
 type world struct {
 	layout quickstart.Layout
 	sys    *quickstart.System
 	net    *fake.Network
 	client *http.Client
 
-	mu      sync.Mutex
-	calls   map[string]*call
-	order   []*call
-	edits   map[string]*edit
-	aliases map[string]string
-	drains  map[string]chan drained
-	next    int
+	mu        sync.Mutex
+	calls     map[string]*call
+	callOrder []*call
+	edits     map[string]*edit
+	aliases   map[string]string
+	drains    map[string]chan drainResult
+	nextEntry int
 }
 
-type drained struct {
-	cut int
-	err error
+type drainResult struct {
+	cutRequests int
+	err         error
 }
 
 func newWorld(l quickstart.Layout) *world {
 	w := &world{
 		layout: l, net: fake.NewNetwork(), calls: map[string]*call{}, edits: map[string]*edit{},
-		aliases: map[string]string{}, drains: map[string]chan drained{},
+		aliases: map[string]string{}, drains: map[string]chan drainResult{},
 	}
-	// Without kept connections net/http never sends a request again by itself.
+	// net/http retries requests only on reused connections; without keep-alives it
+	// never does.
 	w.client = &http.Client{Transport: &http.Transport{
 		DialContext: w.net.Dialer(callerName), DisableKeepAlives: true,
 	}}
@@ -62,13 +65,13 @@
 
 func (w *world) stop() {
 	if w.sys != nil {
-		w.thawAll()
+		w.restoreAll()
 		w.sys.Stop()
 	}
 }
 
-// thawAll wakes every part and heals every link.
-func (w *world) thawAll() {
+// restoreAll heals every link and thaws every part.
+func (w *world) restoreAll() {
 	w.net.HealAll()
 	for _, name := range w.sys.Names() {
 		w.net.Thaw(name)
@@ -76,26 +79,27 @@
 	}
 }
 
-// options are the name=value words of a line; the others stay in rest.
+// options holds the name=value arguments of a script line, and its other words in
+// positional.
 type options struct {
-	values map[string]string
-	rest   []string
+	values     map[string]string
+	positional []string
 }
 
-func parse(args []string) options {
+func parseOptions(args []string) options {
 	o := options{values: map[string]string{}}
 	for _, a := range args {
 		if name, value, ok := strings.Cut(a, "="); ok && !strings.HasPrefix(name, "/") {
 			o.values[name] = value
 			continue
 		}
-		o.rest = append(o.rest, a)
+		o.positional = append(o.positional, a)
 	}
 	return o
 }
 
-func (o options) number(name string, otherwise int) int {
-	n := otherwise
+func (o options) intValue(name string, defaultValue int) int {
+	n := defaultValue
 	if text, ok := o.values[name]; ok {
 		if _, err := fmt.Sscanf(text, "%d", &n); err != nil {
 			return -1
@@ -104,24 +108,23 @@
 	return n
 }
 
-// plainTimeout is timeout_ms of the plain service. A script holds requests while
-// it stops and starts parts, which takes as long as the machine makes it: with a
-// timeout of that order the verdict would be the machine's. A script that wants
-// the deadline to pass says so with the call's own timeout.
+// plainTimeout is timeout_ms of the plain service. It is long because scripts hold
+// requests while parts stop and start, which can take seconds on a busy machine.
+// A script that tests the deadline sets a shorter timeout on the call.
 const plainTimeout = 30 * time.Second
 
-// claimRound is claim_round of the entries. Registers that are up answer within it
-// however busy the machine is; those that are gone refuse at once.
+// claimRound is claim_round of the entries. It is long enough for running claim
+// registers to answer on a busy machine; stopped ones refuse the connection at once.
 const claimRound = 3 * time.Second
 
-func (w *world) start(o options) error {
-	if w.sys != nil || len(o.rest) > 0 {
+func (w *world) startSystem(o options) error {
+	if w.sys != nil || len(o.positional) > 0 {
 		return merry.Prepend(ErrScript, "system [entries=N] [controls=N] [engines=N] [plains=N] [groups=yes] [claims=memory], once")
 	}
 	opts := quickstart.Options{
 		Log: log.NewNopLogger(), Layout: w.layout, Network: w.net, FakeDisks: true, Keep: time.Second,
-		Engines: o.number("engines", 3), Plains: o.number("plains", 3),
-		Entries: o.number("entries", 3), Controls: o.number("controls", 0),
+		Engines: o.intValue("engines", 3), Plains: o.intValue("plains", 3),
+		Entries: o.intValue("entries", 3), Controls: o.intValue("controls", 0),
 		PlainTimeout: plainTimeout, ClaimRound: claimRound,
 	}
 	if o.values["claims"] == "memory" {
@@ -134,14 +137,14 @@
 	if w.sys, err = quickstart.Start(context.Background(), opts); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return w.sys.WaitReady(ctx)
 }
 
-// expand turns words into names of parts: a part, an alias, a failure domain,
-// or one of the groups entries, agents, controls, parts.
-func (w *world) expand(words ...string) ([]string, error) {
+// expandParts resolves words to part names. A word is a part, an alias, a failure
+// domain, or one of "entries", "agents", "controls" and "parts".
+func (w *world) expandParts(words ...string) ([]string, error) {
 	var list []string
 	for _, word := range words {
 		w.mu.Lock()
@@ -149,7 +152,7 @@
 			word = name
 		}
 		w.mu.Unlock()
-		found := w.match(word)
+		found := w.matchParts(word)
 		if len(found) == 0 {
 			return nil, merry.Prependf(ErrScript, "no part %q", word)
 		}
@@ -158,16 +161,16 @@
 	return list, nil
 }
 
-var groups = map[string]quickstart.Role{
+var partGroups = map[string]quickstart.Role{
 	"entries": quickstart.RoleEntry, "agents": quickstart.RoleAgent, "controls": quickstart.RoleControl,
 }
 
-func (w *world) match(word string) []string {
+func (w *world) matchParts(word string) []string {
 	if word == callerName {
 		return []string{callerName}
 	}
 	var list []string
-	role, isGroup := groups[word]
+	role, isGroup := partGroups[word]
 	for _, name := range w.sys.Names() {
 		p, _ := w.sys.Part(name)
 		if name == word || p.FailureDomain == word || word == "parts" || isGroup && p.Role == role {
@@ -177,14 +180,14 @@
 	return list
 }
 
-// between calls f for each pair of parts, one of each side. Pairs within the
-// first side are left alone, so that "hall-a parts" is a hall against the rest.
-func (w *world) between(a, b string, f func(x, y string)) error {
-	left, err := w.expand(a)
+// forEachPair calls f for each pair of a part of a and a part of b. Parts of a are
+// removed from b, so that "hall-a parts" pairs a hall with all parts outside it.
+func (w *world) forEachPair(a, b string, f func(x, y string)) error {
+	left, err := w.expandParts(a)
 	if err != nil {
 		return err
 	}
-	right, err := w.expand(b)
+	right, err := w.expandParts(b)
 	if err != nil {
 		return err
 	}
@@ -202,7 +205,7 @@
 	return nil
 }
 
-// runningEntries lists the entries that run, by name.
+// runningEntries returns the sorted names of the running entries.
 func (w *world) runningEntries() []string {
 	var list []string
 	for _, name := range w.sys.Names() {
@@ -214,10 +217,11 @@
 	return list
 }
 
-// entry returns the entry that a line names with via=, or the next in turn.
-func (w *world) entry(o options) (string, error) {
+// pickEntry returns the entry named by the option via, or else the next running
+// entry in round-robin order.
+func (w *world) pickEntry(o options) (string, error) {
 	if via, ok := o.values["via"]; ok {
-		names, err := w.expand(via)
+		names, err := w.expandParts(via)
 		if err != nil {
 			return "", err
 		}
@@ -225,16 +229,16 @@
 	}
 	up := w.runningEntries()
 	if len(up) == 0 {
-		return "", merry.Prepend(ErrScript, "no entry runs")
+		return "", merry.Prepend(ErrScript, "no entry is running")
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next++
-	return up[w.next%len(up)], nil
+	w.nextEntry++
+	return up[w.nextEntry%len(up)], nil
 }
 
-// runs counts how often a request ran, over all upstreams.
-func (w *world) runs(key string) int {
+// runCount returns how often a request ran, summed over all upstreams.
+func (w *world) runCount(key string) int {
 	n := 0
 	for _, name := range w.sys.Names() {
 		if p, _ := w.sys.Part(name); p.Upstream != nil {
@@ -244,19 +248,20 @@
 	return n
 }
 
-// eventually waits until f returns nothing; else its last words are the error.
+// eventually polls f until it returns "". If waitTimeout passes first, the error
+// holds the last text that f returned.
 func eventually(f func() string) error {
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for {
 		missing := f()
 		if missing == "" {
 			return nil
 		}
 		if time.Now().After(end) {
-			return merry.Prependf(errNever, "%s", missing)
+			return merry.Prependf(errNotMet, "%s", missing)
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
-var errNever = merry.Sentinel("did not come true")
+var errNotMet = merry.Sentinel("condition was not met")
