--- a/measure/admit/limits.go
+++ b/measure/admit/limits.go
@@ -7,17 +7,19 @@
 	"time"
 )
 
-// limiter admits at one entry.
+// limiter decides on admission at all entries.
 type limiter interface {
-	take(entry int, now time.Time) bool
-	// until does what falls due before a time.
-	until(now time.Time)
-	// asked is how many questions for a team and calls with questions were made.
-	asked() (questions, calls float64)
+	// admit reports whether a request that arrives at an entry is admitted.
+	admit(entry int, now time.Time) bool
+	// advanceTo runs the timers that are due by a time.
+	advanceTo(now time.Time)
+	// shareTraffic returns the number of share demands, one for each team, and of the calls
+	// that carried them.
+	shareTraffic() (questions, calls float64)
 }
 
-// buckets are independent token buckets, one at each entry: the naive ways give
-// each of them the whole limit, or a fixed part.
+// buckets are independent token buckets, one at each entry. The baselines give each
+// the whole limit, or a fixed part of it.
 type buckets struct {
 	rate  float64
 	level []float64
@@ -32,7 +34,7 @@
 	return b
 }
 
-func (b *buckets) take(entry int, now time.Time) bool {
+func (b *buckets) admit(entry int, now time.Time) bool {
 	b.level[entry] = min(b.level[entry]+b.rate*now.Sub(b.last[entry]).Seconds(), max(b.rate, 1))
 	b.last[entry] = now
 	if b.level[entry] < 1 {
@@ -42,70 +44,74 @@
 	return true
 }
 
-func (b *buckets) until(time.Time) {}
+func (b *buckets) advanceTo(time.Time) {}
 
-func (b *buckets) asked() (questions, calls float64) { return 0, 0 }
+func (b *buckets) shareTraffic() (questions, calls float64) { return 0, 0 }
 
-// central is the bound: one bucket that every entry asks, without delay.
-type central struct{ *buckets }
+// centralBucket is the theoretical bound: a single bucket that all entries use without
+// delay.
+type centralBucket struct{ *buckets }
 
-func (c central) take(_ int, now time.Time) bool { return c.buckets.take(0, now) }
+func (c centralBucket) admit(_ int, now time.Time) bool { return c.buckets.admit(0, now) }
 
-// callers are how a team's callers come.
-type callers struct {
+// callerLoad describes the load of a team's callers.
+type callerLoad struct {
 	name string
-	// load is what they ask for, of the limit.
+	// load is the request rate as a fraction of the limit.
 	load float64
-	// stay says for how long they use the same entries; nil is for ever.
+	// stay draws how long callers use the same entries; nil means forever.
 	stay func(*rand.Rand) time.Duration
 }
 
-var someCallers = []callers{
+var callerLoads = []callerLoad{
 	{"steady, half the limit", 0.5, nil},
 	{"steady, twice the limit", 2, nil},
-	{"moving, half the limit", 0.5, stayAWhile},
-	{"moving, twice the limit", 2, stayAWhile},
+	{"moving, half the limit", 0.5, randomStay},
+	{"moving, twice the limit", 2, randomStay},
 }
 
-func stayAWhile(rng *rand.Rand) time.Duration { return time.Duration(2+rng.IntN(11)) * time.Second }
+func randomStay(rng *rand.Rand) time.Duration { return time.Duration(2+rng.IntN(11)) * time.Second }
 
-// limits drives each way with the same callers. They use one to three entries at a
-// time; those that move go to others after 2 to 12 s.
-func limits(o options) {
-	for _, c := range someCallers {
+// measureLimits runs each limiter under the same load and prints what it admits. Callers
+// use one to three entries at a time; moving ones switch after 2 to 12 s.
+func measureLimits(o options) {
+	for _, c := range callerLoads {
 		fmt.Printf("Limits: callers %s.\n", c.name)
 		fmt.Printf("%-10s %-20s %12s %12s %14s %10s\n", "limit/s", "way", "admitted", "over l*(w+1s)", "questions/s", "calls/s")
 		for _, rate := range []float64{5, 20, 100, 1000} {
-			ways := []struct {
+			variants := []struct {
 				name string
 				make func(float64, time.Time) limiter
 			}{
 				{"whole at each entry", newBuckets},
 				{"fixed part", func(r float64, t time.Time) limiter { return newBuckets(r/entries, t) }},
 				{"shares", newShares},
-				{"central, no delay", func(r float64, t time.Time) limiter { return central{newBuckets(r, t).(*buckets)} }},
+				{"central, no delay", func(r float64, t time.Time) limiter { return centralBucket{newBuckets(r, t).(*buckets)} }},
 			}
-			for _, w := range ways {
-				r := drive(o, c, rate, w.make)
+			for _, w := range variants {
+				r := driveLimiter(o, c, rate, w.make)
 				fmt.Printf("%-10g %-20s %11.1f%% %12.0f %14.2f %10.2f\n", rate, w.name, 100*r.admitted, r.over, r.questions, r.calls)
 			}
 		}
 	}
 }
 
-type driven struct {
-	// admitted is of what was asked for, and of the limit if that is less.
+// driveResult is what one run of a limiter gave.
+type driveResult struct {
+	// admitted is the ratio of the admitted requests to those asked for, or to the
+	// limit if that is less.
 	admitted float64
-	// over is the most requests in any window above the limit.
+	// over is the largest number of requests by which any window of w seconds
+	// exceeded limit*(w+1s).
 	over float64
-	// questions and calls are per second and active entry.
+	// questions and calls are rates per second and active entry.
 	questions, calls float64
 }
 
-func drive(o options, c callers, rate float64, way func(float64, time.Time) limiter) driven {
+func driveLimiter(o options, c callerLoad, rate float64, newLimiter func(float64, time.Time) limiter) driveResult {
 	rng := rand.New(rand.NewPCG(o.Seed, 2))
 	now := time.Unix(1_000_000, 0)
-	l := way(rate, now)
+	l := newLimiter(rate, now)
 	begin, moved, last := now, now, now
 	var used []int
 	level, count, active := max(rate, 1), 0.0, 0.0
@@ -117,17 +123,17 @@
 				moved = now.Add(c.stay(rng))
 			}
 		}
-		l.until(now)
+		l.advanceTo(now)
 		level = min(level+rate*now.Sub(last).Seconds(), max(rate, 1))
 		active += float64(len(used)) * now.Sub(last).Seconds()
 		last = now
-		if l.take(used[rng.IntN(len(used))], now) {
+		if l.admit(used[rng.IntN(len(used))], now) {
 			level--
 			count++
 		}
 		over = max(over, -level)
 		now = now.Add(time.Duration(rng.ExpFloat64() / (c.load * rate) * float64(time.Second)))
 	}
-	questions, calls := l.asked()
-	return driven{count / (min(c.load, 1) * rate * o.Seconds), math.Round(over), questions / active, calls / active}
+	questions, calls := l.shareTraffic()
+	return driveResult{count / (min(c.load, 1) * rate * o.Seconds), math.Round(over), questions / active, calls / active}
 }
--- a/measure/admit/main.go
+++ b/measure/admit/main.go
@@ -1,7 +1,8 @@
-// Command admit measures who waits, in a seeded model of queues in virtual time at
-// today's size: 7 entries, 16 engines, 10 teams of which a few are large, one
-// compressed day of each user. It prints the naive FIFO beside the gate and beside
-// a single queue for all upstreams; how limits are kept; and what shares cost.
+// Command admit measures admission control in a seeded model of queues in virtual
+// time: 7 entries, 16 engines, 10 teams of which a few are large, and one compressed
+// day of each user. It compares waits of a FIFO, of the admission gate and of a single
+// queue for all upstreams; how well rate limits are kept; and what the division of
+// limits into shares costs.
 package main
 
 import (
@@ -26,7 +27,7 @@
 	for _, p := range []struct {
 		name string
 		run  func(options)
-	}{{"waits", waits}, {"limits", limits}, {"teams", teamsAsked}, {"bytes", shareBytes}} {
+	}{{"waits", measureWaits}, {"limits", measureLimits}, {"teams", shareTrafficByTeam}, {"bytes", shareBytes}} {
 		if len(o.Parts) > 0 && !slices.Contains(o.Parts, p.name) {
 			continue
 		}
--- a/measure/admit/queues.go
+++ b/measure/admit/queues.go
@@ -14,7 +14,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Sizes of today.
+// Sizes of the model.
 const (
 	entries  = 7
 	engines  = 16
@@ -22,94 +22,97 @@
 	teams    = 10
 	queue    = 64
 	urgentPC = 10
-	// entrySlots bounds what one entry carries, a little above its part of what
-	// the engines run and queue.
+	// entrySlots limits the in-flight requests of one entry, a little above its part
+	// of what the engines run and queue.
 	entrySlots = 256
 )
 
-// Mean times that work runs on an engine, in seconds.
+// urgentRun and bulkRun are mean run times on an engine, in seconds.
 const (
 	urgentRun = 0.15
 	bulkRun   = 1.5
 	timeout   = 30 * time.Second
 )
 
-// user is the shape of a day: load by hour, relative.
-type user struct {
+// loadProfile holds the relative load in each hour of a day.
+type loadProfile struct {
 	name string
 	day  [24]float64
 }
 
-var users = []user{
-	// Lot descriptions before the clock starts, settlement queries after it.
+var loadProfiles = []loadProfile{
+	// A rush before the auction clock starts, and settlement queries after it.
 	{"malanad", [24]float64{.2, .2, .3, .8, 1.8, 2.2, 2.2, 1.9, 1.4, 1.1, 1, 1, 1.2, 1.5, 1.6, 1.3, 1, .8, .6, .5, .4, .3, .3, .2}},
-	// Shifts that begin at seven and at nineteen, and a cold snap in the night.
+	// Shifts that begin at 7:00 and 19:00, and a cold snap in the night.
 	{"karaganda", [24]float64{.6, .6, 1.6, 1.8, 1.4, .8, 1.2, 2, 1.6, 1.2, 1, .9, .9, 1, 1, .9, .8, .9, 1.2, 1.6, 1, .7, .6, .6}},
-	// Without hours in which everybody is served, fairness shows.
+	// A constant load has no idle hours in which every team is served, so that
+	// differences in fairness show.
 	{"flat", [24]float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1}},
 }
 
-// weight and demand of a team: two are large, and their weights don't match.
+// weight returns a team's weight. Two teams are large, and their weights don't match
+// their demand.
 func weight(team int) int { return []int{4, 4, 2, 2, 1, 1, 1, 1, 1, 1}[team] }
 
+// demand returns a team's relative request rate.
 func demand(team int) float64 { return []float64{12, 5, 2, 2, 2, 1, 1, 1, 1, 1}[team] }
 
-// policy makes the queues of one way.
+// policy is a queueing policy under test.
 type policy struct {
 	name string
 	// global puts all work into one queue before all engines.
 	global bool
-	// tickets has requests wait at several engines, as the forwarder does.
+	// tickets lets requests wait at several engines, as the forwarder does.
 	tickets bool
-	// blind has engines chosen at random.
-	blind bool
-	make  func(admit.Settings) admit.Queue
+	// randomEngine chooses engines at random instead of by load.
+	randomEngine bool
+	make         func(admit.Settings) admit.Queue
 }
 
-func gate(s admit.Settings) admit.Queue { return admit.NewGate(s) }
-func fifo(s admit.Settings) admit.Queue { return admit.NewFIFO(s) }
+func newGate(s admit.Settings) admit.Queue { return admit.NewGate(s) }
+func newFIFO(s admit.Settings) admit.Queue { return admit.NewFIFO(s) }
 
 var policies = []policy{
-	{name: "fifo", make: fifo},
-	{name: "gate", make: gate},
-	{name: "gate, tickets", tickets: true, make: gate},
-	{name: "blind tickets", tickets: true, blind: true, make: gate},
-	{name: "single queue", global: true, make: gate},
+	{name: "fifo", make: newFIFO},
+	{name: "gate", make: newGate},
+	{name: "gate, tickets", tickets: true, make: newGate},
+	{name: "blind tickets", tickets: true, randomEngine: true, make: newGate},
+	{name: "single queue", global: true, make: newGate},
 }
 
 // request is one caller's request in the model.
 type request struct {
-	team    int
-	class   wire.Priority
-	came    time.Time
-	run     time.Duration
-	atEntry *admit.Work
-	work    *admit.Work
-	entry   int
-	engine  int
-	// bound says that a slot was found.
+	team       int
+	class      wire.Priority
+	arrivedAt  time.Time
+	run        time.Duration
+	entryWork  *admit.Work
+	engineWork *admit.Work
+	entry      int
+	engine     int
+	// bound is set once the request has been assigned a slot.
 	bound bool
-	// places are the request's tickets; left of them have not ended.
-	places []*place
-	left   int
+	// tickets are the request's tickets, of which pendingTickets have not failed.
+	tickets        []*ticket
+	pendingTickets int
 }
 
-// model is one run.
+// model is a discrete-event simulation of one run.
 type model struct {
-	now     time.Time
-	rng     *rand.Rand
-	policy  policy
-	events  events
-	seq     int
-	entry   []admit.Queue
-	engine  []admit.Queue
-	load    []int
-	waits   map[wire.Priority]*hdrhistogram.Histogram
-	answers map[wire.Priority]*hdrhistogram.Histogram
-	came    map[wire.Priority]int
-	refused map[wire.Priority]int
-	served  [teams]float64
-	offered [teams]float64
+	now         time.Time
+	rng         *rand.Rand
+	policy      policy
+	events      events
+	seq         int
+	entry       []admit.Queue
+	engine      []admit.Queue
+	load        []int
+	waitTimes   map[wire.Priority]*hdrhistogram.Histogram
+	answerTimes map[wire.Priority]*hdrhistogram.Histogram
+	arrived     map[wire.Priority]int
+	refused     map[wire.Priority]int
+	served      [teams]float64
+	offered     [teams]float64
 }
 
 type event struct {
@@ -136,13 +139,13 @@
 func newModel(seed uint64, p policy) *model {
 	m := &model{
 		now: time.Unix(1_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), policy: p,
-		waits:   map[wire.Priority]*hdrhistogram.Histogram{},
-		answers: map[wire.Priority]*hdrhistogram.Histogram{},
-		came:    map[wire.Priority]int{}, refused: map[wire.Priority]int{},
+		waitTimes:   map[wire.Priority]*hdrhistogram.Histogram{},
+		answerTimes: map[wire.Priority]*hdrhistogram.Histogram{},
+		arrived:     map[wire.Priority]int{}, refused: map[wire.Priority]int{},
 	}
 	for _, class := range classes {
-		m.waits[class] = hdrhistogram.New(1, 1e9, 3)
-		m.answers[class] = hdrhistogram.New(1, 1e9, 3)
+		m.waitTimes[class] = hdrhistogram.New(1, 1e9, 3)
+		m.answerTimes[class] = hdrhistogram.New(1, 1e9, 3)
 	}
 	if p.global {
 		n := engines * slots
@@ -162,7 +165,7 @@
 
 var classes = []wire.Priority{wire.Priority_PRIORITY_URGENT, wire.Priority_PRIORITY_NORMAL, wire.Priority_PRIORITY_BATCH}
 
-func (m *model) after(d time.Duration, do func()) {
+func (m *model) schedule(d time.Duration, do func()) {
 	m.seq++
 	heap.Push(&m.events, event{m.now.Add(d), m.seq, do})
 }
@@ -175,9 +178,9 @@
 	}
 }
 
-// arrive lets requests of one kind come as a Poisson process whose rate follows
-// the day.
-func (m *model) arrive(day [24]float64, length time.Duration, rate float64, make func() *request) {
+// generateArrivals makes requests of one kind arrive as a Poisson process whose rate
+// follows the load profile.
+func (m *model) generateArrivals(day [24]float64, length time.Duration, rate float64, make func() *request) {
 	mean := 0.0
 	for _, v := range day {
 		mean += v / 24
@@ -190,24 +193,24 @@
 	next = func() {
 		hour := int(m.now.Sub(begin) * 24 / length)
 		if hour < 24 && m.rng.Float64() < day[hour]/mean/peak {
-			m.admit(make())
+			m.arriveAtEntry(make())
 		}
-		m.after(m.exponential(1/(rate*peak)), next)
+		m.schedule(m.exponential(1/(rate*peak)), next)
 	}
-	m.after(m.exponential(1/(rate*peak)), next)
+	m.schedule(m.exponential(1/(rate*peak)), next)
 }
 
 func (m *model) exponential(mean float64) time.Duration {
 	return time.Duration(m.rng.ExpFloat64() * mean * float64(time.Second))
 }
 
-// lognormal run times: most answers are short, a few are long.
+// lognormal draws a run time: most are short, a few are long.
 func (m *model) lognormal(mean float64) time.Duration {
 	const sigma = 0.8
 	return time.Duration(math.Exp(m.rng.NormFloat64()*sigma-sigma*sigma/2) * mean * float64(time.Second))
 }
 
-func (m *model) bulk() *request {
+func (m *model) newBulkRequest() *request {
 	total := 0.0
 	for t := range teams {
 		total += demand(t)
@@ -220,33 +223,34 @@
 	if m.rng.IntN(4) == 0 {
 		class = wire.Priority_PRIORITY_BATCH
 	}
-	return &request{team: team, class: class, came: m.now, run: m.lognormal(bulkRun)}
+	return &request{team: team, class: class, arrivedAt: m.now, run: m.lognormal(bulkRun)}
 }
 
-func (m *model) signal() *request {
-	return &request{team: m.rng.IntN(teams), class: wire.Priority_PRIORITY_URGENT, came: m.now, run: m.lognormal(urgentRun)}
+func (m *model) newUrgentRequest() *request {
+	return &request{team: m.rng.IntN(teams), class: wire.Priority_PRIORITY_URGENT, arrivedAt: m.now, run: m.lognormal(urgentRun)}
 }
 
 func (m *model) newWork(r *request) *admit.Work {
 	return &admit.Work{
 		Team: fmt.Sprint("team-", r.team), Weight: weight(r.team), Priority: r.class,
-		Cost: r.run.Seconds(), Deadline: r.came.Add(timeout), Value: r,
+		Cost: r.run.Seconds(), Deadline: r.arrivedAt.Add(timeout), Value: r,
 	}
 }
 
-// admit queues a request at an entry that its caller chose.
-func (m *model) admit(r *request) {
-	m.came[r.class]++
+// arriveAtEntry queues a request at a random entry, or in the global queue if the
+// policy has one.
+func (m *model) arriveAtEntry(r *request) {
+	m.arrived[r.class]++
 	if r.class == wire.Priority_PRIORITY_NORMAL {
 		m.offered[r.team] += r.run.Seconds()
 	}
 	if m.policy.global {
-		m.toEngine(r)
+		m.sendToEngine(r)
 		return
 	}
 	r.entry = m.rng.IntN(entries)
-	r.atEntry = m.newWork(r)
-	if m.entry[r.entry].Offer(m.now, r.atEntry) != nil {
+	r.entryWork = m.newWork(r)
+	if m.entry[r.entry].Offer(m.now, r.entryWork) != nil {
 		m.refused[r.class]++
 		return
 	}
@@ -259,12 +263,12 @@
 		m.refused[x.Work.Value.(*request).class]++
 	}
 	for _, w := range start {
-		m.toEngine(w.Value.(*request))
+		m.sendToEngine(w.Value.(*request))
 	}
 }
 
-func (m *model) choose() int {
-	if m.policy.blind {
+func (m *model) chooseEngine() int {
+	if m.policy.randomEngine {
 		return m.rng.IntN(len(m.load))
 	}
 	least := 0
@@ -276,20 +280,20 @@
 	return least
 }
 
-// toEngine sends a request to the engine with the least work, by load that is known
-// at once: the choice of an upstream is not what is measured here.
-func (m *model) toEngine(r *request) {
-	r.engine = m.choose()
-	r.work = m.newWork(r)
-	r.work.NoWait = m.policy.tickets
-	err := m.engine[r.engine].Offer(m.now, r.work)
+// sendToEngine sends a request to the engine that chooseEngine returns. Loads are known without
+// delay, since the choice of upstreams is not measured here.
+func (m *model) sendToEngine(r *request) {
+	r.engine = m.chooseEngine()
+	r.engineWork = m.newWork(r)
+	r.engineWork.NoWait = m.policy.tickets
+	err := m.engine[r.engine].Offer(m.now, r.engineWork)
 	if errors.Is(err, admit.ErrBusy) {
-		m.after(2*hop, func() { m.queue(r) })
+		m.schedule(2*hop, func() { m.takeTickets(r) })
 		return
 	}
 	if err != nil {
 		m.refused[r.class]++
-		m.leave(r)
+		m.releaseEntrySlot(r)
 		return
 	}
 	m.load[r.engine]++
@@ -299,17 +303,17 @@
 func (m *model) pumpEngine(i int) {
 	start, refused := m.engine[i].Start(m.now)
 	for _, x := range refused {
-		if p, ok := x.Work.Value.(*place); ok {
-			m.lost(p)
+		if p, ok := x.Work.Value.(*ticket); ok {
+			m.ticketFailed(p)
 			continue
 		}
 		m.load[i]--
 		m.refused[x.Work.Value.(*request).class]++
-		m.leave(x.Work.Value.(*request))
+		m.releaseEntrySlot(x.Work.Value.(*request))
 	}
 	for _, w := range start {
-		if p, ok := w.Value.(*place); ok {
-			m.hold(p)
+		if p, ok := w.Value.(*ticket); ok {
+			m.holdSlot(p)
 			continue
 		}
 		m.begin(w.Value.(*request))
@@ -317,30 +321,31 @@
 }
 
 func (m *model) begin(r *request) {
-	_ = m.waits[r.class].RecordValue(max(m.now.Sub(r.came).Microseconds(), 1))
+	_ = m.waitTimes[r.class].RecordValue(max(m.now.Sub(r.arrivedAt).Microseconds(), 1))
 	if r.class == wire.Priority_PRIORITY_NORMAL {
 		m.served[r.team] += r.run.Seconds()
 	}
-	m.after(r.run, func() {
-		_ = m.answers[r.class].RecordValue(m.now.Sub(r.came).Microseconds())
-		m.engine[r.engine].Done(m.now, r.work)
+	m.schedule(r.run, func() {
+		_ = m.answerTimes[r.class].RecordValue(m.now.Sub(r.arrivedAt).Microseconds())
+		m.engine[r.engine].Done(m.now, r.engineWork)
 		m.load[r.engine]--
-		m.leave(r)
+		m.releaseEntrySlot(r)
 		m.pumpEngine(r.engine)
 	})
 }
 
-// leave frees the request's place at its entry.
-func (m *model) leave(r *request) {
-	if r.atEntry == nil {
+// releaseEntrySlot frees the request's slot at its entry.
+func (m *model) releaseEntrySlot(r *request) {
+	if r.entryWork == nil {
 		return
 	}
-	m.entry[r.entry].Done(m.now, r.atEntry)
-	m.after(0, func() { m.pumpEntry(r.entry) })
+	m.entry[r.entry].Done(m.now, r.entryWork)
+	m.schedule(0, func() { m.pumpEntry(r.entry) })
 }
 
-// jain is Jain's index of fairness: 1 is fair, 1/n is all for one.
-func jain(x []float64) float64 {
+// jainIndex returns Jain's fairness index: 1 if all values are equal, 1/n if only one of
+// them isn't zero.
+func jainIndex(x []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, v := range x {
 		sum += v
@@ -352,14 +357,15 @@
 	return sum * sum / (float64(len(x)) * squares)
 }
 
-// weighted is what each team was served in the normal class, over its max-min fair part by weight of
-// the same total: 1 for each team is what the weights ask for.
-func (m *model) weighted() []float64 {
+// fairShareRatios returns for each team the service it received in the normal class,
+// divided by its weighted max-min fair share of the same total. It is 1 for a fair
+// division.
+func (m *model) fairShareRatios() []float64 {
 	total := 0.0
 	for _, v := range m.served {
 		total += v
 	}
-	fair := maxMin(total, m.offered)
+	fair := maxMinShares(total, m.offered)
 	list := make([]float64, teams)
 	for t := range list {
 		if fair[t] > 0 {
@@ -369,8 +375,9 @@
 	return list
 }
 
-// maxMin divides a total by weight, where no team gets more than it offers.
-func maxMin(total float64, offered [teams]float64) [teams]float64 {
+// maxMinShares returns the weighted max-min fair division of a total, in which no team
+// gets more than it offers.
+func maxMinShares(total float64, offered [teams]float64) [teams]float64 {
 	var part [teams]float64
 	for range teams {
 		weights, left := 0.0, total
@@ -392,40 +399,40 @@
 	return part
 }
 
-func waits(o options) {
+func measureWaits(o options) {
 	fmt.Println("Waits in ms for a start at an upstream; answer is wait and run; refused in % of what came.")
 	fmt.Printf("%-10s %5s %-13s %9s %9s %12s | %9s %9s %8s | %9s %9s %8s | %6s\n", "day", "load", "queue",
 		"urgent50", "urgent99", "answer99", "normal50", "normal99", "refused", "batch50", "batch99", "refused", "jain")
-	for _, u := range users {
+	for _, u := range loadProfiles {
 		for _, load := range []float64{0, 0.7, 0.95, 1.5} {
 			for _, p := range policies {
 				m := newModel(o.Seed, p)
-				m.day(u, load, time.Duration(o.Seconds*float64(time.Second)))
+				m.runDay(u, load, time.Duration(o.Seconds*float64(time.Second)))
 				m.print(u.name, load)
 			}
 		}
 	}
 }
 
-// day runs a day with bulk work at a part of the capacity that other work may use,
-// and signals at 2% of it.
-func (m *model) day(u user, load float64, length time.Duration) {
+// runDay runs a day with urgent requests at 2% of the engines' capacity, and bulk
+// requests at the given part of the capacity that is not reserved for urgent ones.
+func (m *model) runDay(u loadProfile, load float64, length time.Duration) {
 	capacity := float64(engines * (slots - admit.ReservedSlots(slots, urgentPC)))
 	end := m.now.Add(length)
-	m.arrive(u.day, length, 0.02*engines*slots/urgentRun, m.signal)
+	m.generateArrivals(u.day, length, 0.02*engines*slots/urgentRun, m.newUrgentRequest)
 	if load > 0 {
-		m.arrive(u.day, length, load*capacity/bulkRun, m.bulk)
+		m.generateArrivals(u.day, length, load*capacity/bulkRun, m.newBulkRequest)
 	}
 	m.run(end)
 }
 
 func (m *model) print(name string, load float64) {
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	part := func(c wire.Priority) float64 { return 100 * float64(m.refused[c]) / max(float64(m.came[c]), 1) }
+	part := func(c wire.Priority) float64 { return 100 * float64(m.refused[c]) / max(float64(m.arrived[c]), 1) }
 	u, n, b := classes[0], classes[1], classes[2]
 	fmt.Printf("%-10s %4.0f%% %-13s %9.1f %9.1f %12.1f | %9.1f %9.1f %7.1f%% | %9.1f %9.1f %7.1f%% | %6.3f",
-		name, 100*load, m.policy.name, ms(m.waits[u], 50), ms(m.waits[u], 99), ms(m.answers[u], 99),
-		ms(m.waits[n], 50), ms(m.waits[n], 99), part(n), ms(m.waits[b], 50), ms(m.waits[b], 99), part(b), jain(m.weighted()))
+		name, 100*load, m.policy.name, ms(m.waitTimes[u], 50), ms(m.waitTimes[u], 99), ms(m.answerTimes[u], 99),
+		ms(m.waitTimes[n], 50), ms(m.waitTimes[n], 99), part(n), ms(m.waitTimes[b], 50), ms(m.waitTimes[b], 99), part(b), jainIndex(m.fairShareRatios()))
 	if m.refused[u] > 0 {
 		fmt.Printf("  %.1f%% of signals refused", part(u))
 	}
--- a/measure/admit/shares.go
+++ b/measure/admit/shares.go
@@ -11,67 +11,69 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// shares is what runs: a home, and at each entry a limiter and the loop that asks.
+// shares is the production limiter: a home that divides the limit, and at each entry
+// a local limiter that requests its share.
 type shares struct {
 	limit            admit.Amounts
 	home             *admit.Home
-	lims             []*admit.Limiter
-	next             []time.Time
+	limiters         []*admit.Limiter
+	nextCheck        []time.Time
 	questions, calls float64
 }
 
 var subject = admit.Subject{Team: "growers", Service: "pushpa-lm"}
 
-func newShares(rate float64, now time.Time) limiter { return sharesOf(entries, rate, now) }
+func newShares(rate float64, now time.Time) limiter { return newSharesFor(entries, rate, now) }
 
-func sharesOf(n int, rate float64, now time.Time) *shares {
+func newSharesFor(n int, rate float64, now time.Time) *shares {
 	s := &shares{limit: admit.Amounts{Requests: rate, Tokens: math.Inf(1), Concurrent: math.Inf(1)}, home: admit.NewHome(now.Add(-time.Hour), "home")}
 	for i := range n {
 		l := admit.NewLimiter()
 		l.SetEntries(n)
-		s.lims = append(s.lims, l)
-		s.next = append(s.next, now.Add(admit.ShareCheck*time.Duration(i)/time.Duration(n)))
+		s.limiters = append(s.limiters, l)
+		s.nextCheck = append(s.nextCheck, now.Add(admit.ShareCheck*time.Duration(i)/time.Duration(n)))
 	}
 	return s
 }
 
-func (s *shares) take(entry int, now time.Time) bool { return s.takeOf(entry, subject, now) }
+func (s *shares) admit(entry int, now time.Time) bool { return s.admitFor(entry, subject, now) }
 
-func (s *shares) takeOf(entry int, subject admit.Subject, now time.Time) bool {
-	l := s.lims[entry]
+func (s *shares) admitFor(entry int, subject admit.Subject, now time.Time) bool {
+	l := s.limiters[entry]
 	if l.Take(now, subject, s.limit, admit.Ask{}) == nil {
 		l.Done(subject)
 		return true
 	}
 	if l.DueFor(now, subject) {
-		s.ask(entry, now)
+		s.requestShares(entry, now)
 	}
 	return false
 }
 
-// until lets the entries look for what is due, in the order of time.
-func (s *shares) until(now time.Time) {
+// advanceTo runs the periodic checks of all entries up to a time, in the order of time.
+func (s *shares) advanceTo(now time.Time) {
 	for {
 		first := 0
-		for i := range s.next {
-			if s.next[i].Before(s.next[first]) {
+		for i := range s.nextCheck {
+			if s.nextCheck[i].Before(s.nextCheck[first]) {
 				first = i
 			}
 		}
-		at := s.next[first]
+		at := s.nextCheck[first]
 		if at.After(now) {
 			return
 		}
-		if s.lims[first].Due(at) {
-			s.ask(first, at)
+		if s.limiters[first].Due(at) {
+			s.requestShares(first, at)
 		}
-		s.next[first] = at.Add(admit.ShareCheck)
+		s.nextCheck[first] = at.Add(admit.ShareCheck)
 	}
 }
 
-// ask asks the home until nothing more is due; an answer takes no time.
-func (s *shares) ask(entry int, now time.Time) {
-	l := s.lims[entry]
+// requestShares sends an entry's demands to the home until none is due. Calls take no
+// time.
+func (s *shares) requestShares(entry int, now time.Time) {
+	l := s.limiters[entry]
 	for again := true; again; again = l.Due(now) {
 		r, demands := l.Report(now)
 		r.Entry, r.Incarnation = fmt.Sprint(entry), 1
@@ -87,9 +89,9 @@
 	}
 }
 
-func (s *shares) asked() (questions, calls float64) { return s.questions, s.calls }
+func (s *shares) shareTraffic() (questions, calls float64) { return s.questions, s.calls }
 
-// shareBytes prints what questions and grants cost on the wire.
+// shareBytes prints the encoded sizes of share requests and grants.
 func shareBytes(options) {
 	size := func(pairs int) (req, reply int) {
 		q := &wire.ShareRequest{Entry: "entry-1", Incarnation: 1 << 60, Seq: 1 << 20, Home: "entry-2/ABCDEFGHIJKLMNOP@17", Partial: true}
--- a/measure/admit/tickets.go
+++ b/measure/admit/tickets.go
@@ -8,83 +8,83 @@
 	"github.com/snipereach/snipereach/forward"
 )
 
-// hop is the way from an entry to an engine.
+// hop is the one-way delay between an entry and an engine.
 const hop = time.Millisecond
 
-// place is a request's ticket at one engine.
-type place struct {
+// ticket is a request's place in the queue of one engine.
+type ticket struct {
 	request *request
 	engine  int
 	work    *admit.Work
 }
 
-// queue takes tickets for a request that found no free slot, at the engines with
-// the least work.
-func (m *model) queue(r *request) {
+// takeTickets queues tickets for a request that found no free slot, at the engines
+// with the least load.
+func (m *model) takeTickets(r *request) {
 	order := m.rng.Perm(engines)
-	if !m.policy.blind {
+	if !m.policy.randomEngine {
 		slices.SortStableFunc(order, func(a, b int) int { return m.load[a] - m.load[b] })
 	}
 	for _, i := range order[:min(forward.Tickets(r.class), engines)] {
-		r.places = append(r.places, &place{request: r, engine: i})
+		r.tickets = append(r.tickets, &ticket{request: r, engine: i})
 	}
-	r.left = len(r.places)
-	for _, p := range r.places {
-		m.after(hop, func() { m.offer(p) })
+	r.pendingTickets = len(r.tickets)
+	for _, p := range r.tickets {
+		m.schedule(hop, func() { m.offerTicket(p) })
 	}
 }
 
-func (m *model) offer(p *place) {
+func (m *model) offerTicket(p *ticket) {
 	if p.request.bound {
 		return
 	}
 	p.work = m.newWork(p.request)
-	p.work.Value, p.work.Tickets = p, len(p.request.places)
+	p.work.Value, p.work.Tickets = p, len(p.request.tickets)
 	if m.engine[p.engine].Offer(m.now, p.work) != nil {
-		m.lost(p)
+		m.ticketFailed(p)
 		return
 	}
 	m.pumpEngine(p.engine)
 }
 
-// lost ends a ticket without a slot.
-func (m *model) lost(p *place) {
+// ticketFailed ends a ticket that got no slot.
+func (m *model) ticketFailed(p *ticket) {
 	r := p.request
-	r.left--
-	if r.left == 0 && !r.bound {
+	r.pendingTickets--
+	if r.pendingTickets == 0 && !r.bound {
 		m.refused[r.class]++
-		m.leave(r)
+		m.releaseEntrySlot(r)
 	}
 }
 
-// hold keeps a slot until the request has come, or was told to run elsewhere.
-func (m *model) hold(p *place) {
+// holdSlot keeps a slot until the request arrives or withdraws the ticket.
+func (m *model) holdSlot(p *ticket) {
 	m.load[p.engine]++
-	m.after(hop, func() {
+	m.schedule(hop, func() {
 		if p.request.bound {
-			m.after(hop, func() { m.withdraw(p) })
+			m.schedule(hop, func() { m.withdraw(p) })
 			return
 		}
-		m.bind(p)
+		m.bindRequest(p)
 	})
 }
 
-func (m *model) bind(p *place) {
+func (m *model) bindRequest(p *ticket) {
 	r := p.request
 	r.bound = true
-	for _, other := range r.places {
+	for _, other := range r.tickets {
 		if other != p {
-			m.after(hop, func() { m.withdraw(other) })
+			m.schedule(hop, func() { m.withdraw(other) })
 		}
 	}
-	m.after(hop, func() {
-		r.engine, r.work = p.engine, p.work
+	m.schedule(hop, func() {
+		r.engine, r.engineWork = p.engine, p.work
 		m.begin(r)
 	})
 }
 
-// withdraw gives up a ticket that waits, or the slot that it holds.
-func (m *model) withdraw(p *place) {
+// withdraw cancels a waiting ticket or frees the slot that it holds.
+func (m *model) withdraw(p *ticket) {
 	if p.work == nil || p.work.Unused {
 		return
 	}
