--- a/measure/capacity/change.go
+++ b/measure/capacity/change.go
@@ -10,15 +10,15 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// changes is how many instances change in a measurement.
+// changes is the number of instances that change in a measurement.
 const changes = 200
 
-// measureChange takes what one changed instance costs a watch, and the time
-// until all watchers know it.
+// measureChange measures what one changed instance costs a watch, and the time until
+// all watchers know of it.
 func measureChange(o options) error {
 	fmt.Printf("%10s %20s %24s %14s\n", "instances", "B/change, each", "CPU µs/change, each", "known after")
 	for _, n := range o.Instances {
-		s, err := serve()
+		s, err := startDirectory()
 		if err != nil {
 			return err
 		}
@@ -31,9 +31,9 @@
 	return nil
 }
 
-func changeOnce(o options, s *served, n int) error {
+func changeOnce(o options, s *directoryServer, n int) error {
 	s.fill(s.ctx, wire.Role_ROLE_UPSTREAM, n)
-	list, err := s.followers(s.ctx, o.Watchers, n, wire.Role_ROLE_UPSTREAM)
+	list, err := s.startFollowers(s.ctx, o.Watchers, n, wire.Role_ROLE_UPSTREAM)
 	defer closeAll(list)
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 	time.Sleep(settleDown)
 	idle := meter.Spend(s.lis, func() { time.Sleep(o.time()) })
 	var longest time.Duration
-	busy := meter.Spend(s.lis, func() { longest, err = s.leaveAll(list, min(changes, n)) })
+	busy := meter.Spend(s.lis, func() { longest, err = s.announceLeaving(list, min(changes, n)) })
 	if err != nil {
 		return err
 	}
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// leaveAll lets instances leave, twenty at a time, and returns the longest time
-// until all watchers knew.
-func (s *served) leaveAll(list []*follower, n int) (time.Duration, error) {
+// announceLeaving announces n instances as leaving, twenty at a time, and returns the
+// longest time until all watchers knew of a batch.
+func (s *directoryServer) announceLeaving(list []*follower, n int) (time.Duration, error) {
 	const batch = 20
 	var longest time.Duration
 	for i := 0; i < n; i += batch {
@@ -65,7 +65,7 @@
 			_, _ = s.node.Announce(s.ctx, a)
 		}
 		for _, f := range list {
-			if err := waitFor(func() bool { return known(f.node, min(i+batch, n)) }); err != nil {
+			if err := waitFor(func() bool { return knowsLeaving(f.node, min(i+batch, n)) }); err != nil {
 				return 0, err
 			}
 		}
@@ -74,8 +74,9 @@
 	return longest, nil
 }
 
-// known says whether a directory holds that many as leaving.
-func known(node *directory.Node, n int) bool {
+// knowsLeaving reports whether a directory has at least n upstreams in the phase
+// leaving.
+func knowsLeaving(node *directory.Node, n int) bool {
 	leaving := 0
 	for _, i := range node.Instances(wire.Role_ROLE_UPSTREAM) {
 		if i.Phase == wire.Phase_PHASE_LEAVING {
@@ -86,22 +87,22 @@
 }
 
 func waitFor(f func() bool) error {
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for !f() {
 		if time.Now().After(end) {
-			return fmt.Errorf("not known within %v", patience)
+			return fmt.Errorf("not known within %v", waitTimeout)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return nil
 }
 
-// measureRevision takes what one edit costs a watch of the directory: each
-// entry's revision changes.
+// measureRevision measures what one edit of the table costs a watch of the directory:
+// every entry announces a new revision.
 func measureRevision(o options) error {
 	fmt.Printf("%8s %18s %22s\n", "entries", "B/edit, each", "CPU µs/edit, each")
 	for _, n := range []int{7, 200, 2000} {
-		s, err := serve()
+		s, err := startDirectory()
 		if err != nil {
 			return err
 		}
@@ -114,9 +115,9 @@
 	return nil
 }
 
-func revisionOnce(o options, s *served, n int) error {
+func revisionOnce(o options, s *directoryServer, n int) error {
 	s.fill(s.ctx, wire.Role_ROLE_ENTRY, n)
-	list, err := s.followers(s.ctx, o.Watchers, n, wire.Role_ROLE_ENTRY)
+	list, err := s.startFollowers(s.ctx, o.Watchers, n, wire.Role_ROLE_ENTRY)
 	defer closeAll(list)
 	if err != nil {
 		return err
@@ -128,10 +129,10 @@
 	const edits = 10
 	busy := meter.Spend(s.lis, func() {
 		for e := range uint64(edits) {
-			s.reach(ctx, n, e)
+			s.announceRevision(ctx, n, e)
 			for _, f := range list {
 				if err == nil {
-					err = waitFor(func() bool { return reached(f.node, n, e+1) })
+					err = waitFor(func() bool { return knowsRevision(f.node, n, e+1) })
 				}
 			}
 		}
@@ -143,8 +144,9 @@
 	return err
 }
 
-// reach lets all entries say within half a second that an edit is in force.
-func (s *served) reach(ctx context.Context, n int, edit uint64) {
+// announceRevision announces for all entries, spread over half a second, that an edit
+// is in force.
+func (s *directoryServer) announceRevision(ctx context.Context, n int, edit uint64) {
 	for i := range n {
 		a := announcement(wire.Role_ROLE_ENTRY, i, 1<<40+edit)
 		a.Revision = edit + 1
@@ -155,7 +157,7 @@
 	}
 }
 
-func reached(node *directory.Node, n int, revision uint64) bool {
+func knowsRevision(node *directory.Node, n int, revision uint64) bool {
 	list := node.Instances(wire.Role_ROLE_ENTRY)
 	for _, i := range list {
 		if i.Revision < revision {
--- a/measure/capacity/directory.go
+++ b/measure/capacity/directory.go
@@ -22,13 +22,14 @@
 const (
 	announceInterval = 500 * time.Millisecond
 	announceLease    = 3 * time.Second
-	// settleDown is how long a measurement waits for connections to stand.
+	// settleDown is the wait for connections to be established before a measurement.
 	settleDown = 1500 * time.Millisecond
-	patience   = 20 * time.Second
+	// waitTimeout bounds every wait for a condition.
+	waitTimeout = 20 * time.Second
 )
 
-// served is a directory that answers on loopback.
-type served struct {
+// directoryServer serves a directory on loopback.
+type directoryServer struct {
 	node *directory.Node
 	lis  *meter.Listener
 	srv  *transport.Server
@@ -36,14 +37,14 @@
 	ctx  context.Context
 }
 
-func serve() (*served, error) {
+func startDirectory() (*directoryServer, error) {
 	lis, err := meter.Listen()
 	if err != nil {
 		return nil, err
 	}
 	settings := directory.DefaultSettings()
 	settings.SettleTime = 0
-	s := &served{node: directory.NewNode(settings, time.Now, nil), lis: lis, srv: transport.NewServer(security)}
+	s := &directoryServer{node: directory.NewNode(settings, time.Now, nil), lis: lis, srv: transport.NewServer(security)}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	if err := wire.DRPCRegisterDirectory(s.srv.Mux, s.node); err != nil {
 		return nil, err
@@ -53,15 +54,15 @@
 	return s, nil
 }
 
-func (s *served) close() {
+func (s *directoryServer) close() {
 	s.stop()
 	_ = s.lis.Close()
 	s.srv.Close()
 }
 
-func (s *served) address() string { return s.lis.Addr().String() }
+func (s *directoryServer) address() string { return s.lis.Addr().String() }
 
-// announcement is one of a real size.
+// announcement returns the announcement of instance i, of a realistic size.
 func announcement(role wire.Role, i int, seq uint64) *wire.Announcement {
 	a := &wire.Announcement{
 		Id: fmt.Sprintf("upstream-%05d", i), Incarnation: 1764670000000000000, Seq: seq,
@@ -77,8 +78,9 @@
 	return a
 }
 
-// measureAnnounce lets agents announce to one directory, each over a connection
-// of its own; the directory knows only them, or as many instances as at the target.
+// measureAnnounce measures agents that announce to one directory, each over its own
+// connection. The directory holds only these agents, or besides them the largest
+// configured number of instances.
 func measureAnnounce(o options) error {
 	fmt.Printf("%9s %7s %14s %16s %18s %20s %16s\n", "instances", "agents", "calls/s, each", "B/s in, each", "B/s back, each", "CPU µs/announcement", "CPU µs/s, each")
 	for _, others := range []int{0, slices.Max(o.Instances)} {
@@ -92,7 +94,7 @@
 }
 
 func announceOnce(o options, others, n int) error {
-	s, err := serve()
+	s, err := startDirectory()
 	if err != nil {
 		return err
 	}
@@ -142,9 +144,9 @@
 	}
 }
 
-// fill puts instances into a directory and renews them until the context ends,
-// without sockets: only the watches are to be measured.
-func (s *served) fill(ctx context.Context, role wire.Role, n int) {
+// fill announces instances to the directory and renews them until the context ends. It
+// bypasses the sockets, so that only the watches are measured.
+func (s *directoryServer) fill(ctx context.Context, role wire.Role, n int) {
 	for i := range n {
 		_, _ = s.node.Announce(ctx, announcement(role, i, 1))
 	}
@@ -158,26 +160,26 @@
 	}()
 }
 
-// follower is another directory that follows the served one, as an entry does.
+// follower is a directory that watches the server's one, as an entry does.
 type follower struct {
 	node *directory.Node
 	pool *transport.Pool
 }
 
-func (s *served) follow(ctx context.Context, name string) *follower {
+func (s *directoryServer) startFollower(ctx context.Context, name string) *follower {
 	f := &follower{node: directory.NewNode(directory.DefaultSettings(), time.Now, nil), pool: transport.NewPool(security)}
 	targets := directory.NewTargets(name, "hall-00", []string{s.address()})
 	go f.node.FollowOne(ctx, targets, func(ctx context.Context, addr string) drpc.Conn { return f.pool.Conn(ctx, addr) }, name)
 	return f
 }
 
-// followers starts watchers and waits until each has the whole directory.
-func (s *served) followers(ctx context.Context, count, instances int, role wire.Role) ([]*follower, error) {
+// startFollowers starts watchers and waits until each has the whole directory.
+func (s *directoryServer) startFollowers(ctx context.Context, count, instances int, role wire.Role) ([]*follower, error) {
 	var list []*follower
 	for i := range count {
-		list = append(list, s.follow(ctx, fmt.Sprint("watcher-", i)))
+		list = append(list, s.startFollower(ctx, fmt.Sprint("watcher-", i)))
 	}
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for _, f := range list {
 		for len(f.node.Instances(role)) < instances {
 			if time.Now().After(end) {
@@ -195,8 +197,8 @@
 	}
 }
 
-// measureWatch takes an idle watch's bytes and processor time, the first copy,
-// and what single renewals would have taken, the way this replaced.
+// measureWatch measures the bytes and processor time of an idle watch and the size of
+// the first copy, and prints what a renewal message for each instance would take.
 func measureWatch(o options) error {
 	fmt.Printf("%10s %14s %18s %16s %22s\n", "instances", "B/s, each", "CPU µs/s, each", "first copy, B", "renewals one by one B/s")
 	for _, n := range o.Instances {
@@ -208,18 +210,19 @@
 }
 
 func watchOnce(o options, n int) error {
-	s, err := serve()
+	s, err := startDirectory()
 	if err != nil {
 		return err
 	}
 	defer s.close()
-	// A long lease, announced once: renewals would cost more than the watches.
+	// A long lease, announced once, avoids renewals, which would cost more than the
+	// watches.
 	for i := range n {
 		_, _ = s.node.Announce(s.ctx, withLease(announcement(wire.Role_ROLE_UPSTREAM, i, 1), 30_000))
 	}
 	alone := meter.Spend(s.lis, func() { time.Sleep(o.time()) })
 	before := s.lis.Sent()
-	list, err := s.followers(s.ctx, o.Watchers, n, wire.Role_ROLE_UPSTREAM)
+	list, err := s.startFollowers(s.ctx, o.Watchers, n, wire.Role_ROLE_UPSTREAM)
 	defer closeAll(list)
 	if err != nil {
 		return err
@@ -233,7 +236,8 @@
 	return nil
 }
 
-// renewalsPerSecond is the bytes of one renewal an instance and interval.
+// renewalsPerSecond returns the bytes per second of one renewal for each instance and
+// announce interval.
 func renewalsPerSecond(n int) float64 {
 	sum := 0
 	for i := range n {
--- a/measure/capacity/main.go
+++ b/measure/capacity/main.go
@@ -1,6 +1,7 @@
-// Command capacity measures how the directory's costs grow: announcements,
-// watches, changes, and the memory of the parts. Everything runs in one process
-// over loopback, so processor times hold both ends of each connection.
+// Command capacity measures how the costs of the directory, of shares and of load
+// reports grow with the number of parts: bytes, processor time and memory. Everything
+// runs in one process over loopback, so processor times include both ends of each
+// connection.
 package main
 
 import (
--- a/measure/capacity/memory.go
+++ b/measure/capacity/memory.go
@@ -19,11 +19,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// changedMeanwhile is how many instances change while an entry changes its replica.
+// changedMeanwhile is the number of instances that change while an entry switches to
+// another replica.
 const changedMeanwhile = 10
 
-// measureFollow takes what an entry spends on its own directory with one watch, on
-// its first copy, and on the copy from another replica that knows much the same.
+// measureFollow measures what an entry spends on its own directory while idle, on the
+// first copy, and on resuming at another replica with nearly the same instances.
 func measureFollow(o options) error {
 	fmt.Printf("%10s %26s %14s %8s %16s %8s\n", "instances", "CPU µs/s of an idle entry", "first copy, B", "CPU ms", "resumed copy, B", "CPU ms")
 	for _, n := range o.Instances {
@@ -62,7 +63,7 @@
 	return nil
 }
 
-// copyBytes carries what a watcher lacks, and returns how many bytes that took.
+// copyBytes applies updates until a watcher is up to date, and returns their size.
 func copyBytes(from, to *directory.State, v *directory.View, src *directory.Source) (bytes int) {
 	for more := true; more; {
 		var u *wire.DirectoryUpdate
@@ -78,7 +79,7 @@
 	return a
 }
 
-// measureMemory takes the live heap of each part as it grows.
+// measureMemory measures the live heap for each instance, team and agent.
 func measureMemory(o options) error {
 	fmt.Printf("%-32s %8s %14s\n", "part", "count", "bytes each")
 	for _, n := range o.Instances {
@@ -96,8 +97,8 @@
 	return agentMemory()
 }
 
-// tableMemory takes what an entry keeps of the table: rows and their typed view,
-// a team with a limit and a weight each.
+// tableMemory measures the heap that an entry needs for the table, as rows and as typed
+// view. Each team has a limit and a weight.
 func tableMemory() error {
 	for _, n := range []int{100, 1000, 3800} {
 		before := meter.Heap()
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// viewTime is the mean processor time of building the typed view, in
+// viewTime returns the mean processor time of building the typed view, in
 // microseconds.
 func viewTime(rows []*wire.Row) float64 {
 	const views = 20
@@ -125,8 +126,8 @@
 	return meter.Micros(meter.ProcessorTime()-began) / views
 }
 
-// changeTime is the mean processor time of a view after one changed row, a team,
-// a limit and a weight in turn, in microseconds.
+// changeTime returns the mean processor time, in microseconds, of deriving a view with
+// one changed row: a team, a limit and a weight in turn.
 func changeTime(v *table.View, rows []*wire.Row) float64 {
 	const views = 300
 	began := meter.ProcessorTime()
@@ -156,7 +157,8 @@
 	return rows
 }
 
-// agentMemory starts agents in this process, all beside one fake upstream.
+// agentMemory measures the heap and goroutines of idle agents in this process, which
+// share one fake upstream.
 func agentMemory() error {
 	up := &fake.Plain{}
 	if err := up.Start(); err != nil {
@@ -164,7 +166,7 @@
 	}
 	defer up.Close()
 	for _, n := range []int{10, 40, 160} {
-		s, err := serve()
+		s, err := startDirectory()
 		if err != nil {
 			return err
 		}
@@ -184,7 +186,7 @@
 	return nil
 }
 
-func startAgents(s *served, kind, url string, n int) ([]*agent.Agent, error) {
+func startAgents(s *directoryServer, kind, url string, n int) ([]*agent.Agent, error) {
 	var list []*agent.Agent
 	for i := range n {
 		set := agent.DefaultSettings()
--- a/measure/capacity/reports.go
+++ b/measure/capacity/reports.go
@@ -14,15 +14,15 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Times of an entry's watch of an upstream; without a keep-alive a report comes at
-// each interval, as to an entry of an earlier version.
+// Times of an entry's watch of an upstream. Without a keep-alive a report is sent at
+// each interval, as to entries of earlier versions.
 const (
 	reportInterval  = 500 * time.Millisecond
 	reportKeepAlive = 30 * time.Second
 )
 
-// measureReports takes what one entry's watch of one idle agent costs, over a
-// relay that counts the bytes; its copying is in the processor time.
+// measureReports measures an entry's watch of one idle agent through a relay that
+// counts the bytes. The processor time includes the relay's copying.
 func measureReports(o options) error {
 	plain, engine := &fake.Plain{}, &fake.Engine{}
 	if err := errors.Join(plain.Start(), engine.Start()); err != nil {
@@ -38,7 +38,7 @@
 }
 
 func reportsOf(o options, kind, url string) error {
-	s, err := serve()
+	s, err := startDirectory()
 	if err != nil {
 		return err
 	}
@@ -50,13 +50,13 @@
 	defer list[0].Stop()
 	for _, w := range []*wire.WatchRequest{
 		{},
-		// No report at all: what is left is the agent's own look at its load.
+		// Without reports, what remains is the agent's own polling of its load.
 		{KeepAliveMs: uint32(time.Hour.Milliseconds())},
 		{KeepAliveMs: uint32(reportKeepAlive.Milliseconds())},
 		{KeepAliveMs: uint32(reportKeepAlive.Milliseconds()), NoCacheEvents: true},
 	} {
 		if w.NoCacheEvents && kind == "plain" {
-			// It has none.
+			// Plain upstreams send no cache events.
 			continue
 		}
 		for _, n := range []int{50, 200} {
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// reportsOnce measures for at least one keep-alive of usual length.
+// reportsOnce measures n watches for the configured time, or for one keep-alive of up
+// to reportKeepAlive if that is longer.
 func reportsOnce(o options, agent string, n int, req *wire.WatchRequest) error {
 	took := max(o.time(), min(time.Duration(req.KeepAliveMs)*time.Millisecond, reportKeepAlive))
 	lis, err := meter.Listen()
@@ -110,7 +111,7 @@
 	}
 }
 
-// relay copies between what a listener accepts and an address.
+// relay forwards the connections that a listener accepts to an address.
 func relay(lis net.Listener, addr string) {
 	for {
 		in, err := lis.Accept()
--- a/measure/capacity/settling.go
+++ b/measure/capacity/settling.go
@@ -9,24 +9,24 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// The model of restarts: virtual time, three replicas, entries that follow one
-// of them, and upstreams that are all up the whole time. What an entry takes for
-// gone is wrong.
+// Parameters of a model of directory restarts in virtual time: entries each follow one
+// replica, and all upstreams are up all the time, so that each one missing from an
+// entry's directory has been removed wrongly.
 const (
 	modelStep      = 100 * time.Millisecond
 	modelUpstreams = 60
 	modelEntries   = 7
 	modelReplicas  = 3
 	modelSeeds     = 40
-	// modelSilence is how long an entry hears nothing before it turns to another
-	// replica.
+	// modelSilence is the time without updates after which an entry switches to
+	// another replica.
 	modelSilence = 1200 * time.Millisecond
-	// demand is the share of the upstreams' capacity that requests need; what an
-	// entry can't place on those that it knows is refused.
+	// demand is the load as a fraction of the upstreams' capacity. Load over the
+	// capacity of the upstreams that an entry knows is refused.
 	demand = 0.7
 )
 
-// restarts is a schedule: when each replica stops and is back.
+// restarts draws the times at which each replica stops and is started again.
 type restarts func(rng *rand.Rand) (down, up [modelReplicas]time.Duration)
 
 var schedules = []struct {
@@ -35,44 +35,44 @@
 }{
 	{"one replica", func(rng *rand.Rand) (down, up [modelReplicas]time.Duration) {
 		down[0] = 15 * time.Second
-		up[0] = down[0] + between(rng, 1, 6)
+		up[0] = down[0] + randomTime(rng, 1, 6)
 		return down, up
 	}},
 	{"one after another", func(rng *rand.Rand) (down, up [modelReplicas]time.Duration) {
 		at := 15 * time.Second
 		for i := range down {
-			down[i], up[i] = at, at+between(rng, 1, 3)
-			at = up[i] + between(rng, 0, 2)
+			down[i], up[i] = at, at+randomTime(rng, 1, 3)
+			at = up[i] + randomTime(rng, 0, 2)
 		}
 		return down, up
 	}},
 	{"all at once", func(rng *rand.Rand) (down, up [modelReplicas]time.Duration) {
 		for i := range down {
-			down[i] = 15*time.Second + between(rng, 0, 1)
-			up[i] = down[i] + between(rng, 1, 6)
+			down[i] = 15*time.Second + randomTime(rng, 0, 1)
+			up[i] = down[i] + randomTime(rng, 1, 6)
 		}
 		return down, up
 	}},
 }
 
-// between is a random time of low to high seconds.
-func between(rng *rand.Rand, low, high float64) time.Duration {
+// randomTime returns a random duration between low and high seconds.
+func randomTime(rng *rand.Rand, low, high float64) time.Duration {
 	return time.Duration((low + rng.Float64()*(high-low)) * float64(time.Second))
 }
 
 type modelNode struct {
 	state *directory.State
 	down  bool
-	// watches by the number of the replica that is followed.
-	watches map[int]*modelWatch
-	follows int
-	last    *directory.Source
+	// watches are the node's watches, by number of the watched replica.
+	watches    map[int]*modelWatch
+	followed   int
+	lastSource *directory.Source
 }
 
 type modelWatch struct {
-	view  *directory.View
-	src   *directory.Source
-	heard time.Duration
+	view   *directory.View
+	source *directory.Source
+	heard  time.Duration
 }
 
 type model struct {
@@ -82,26 +82,26 @@
 	entries  []*modelNode
 	targets  []*directory.Targets
 	seq      uint64
-	// wrong counts upstreams taken for gone, refused the requests in units of the
-	// upstreams' capacity, both in upstream-seconds.
+	// wrong is the time for which upstreams were wrongly missing, and refused is the
+	// refused load in units of one upstream's capacity, both in upstream-seconds.
 	wrong, refused float64
 	removals       int
 }
 
 var modelEpoch = time.Unix(1000, 0)
 
-func (m *model) at() time.Time { return modelEpoch.Add(m.now) }
+func (m *model) time() time.Time { return modelEpoch.Add(m.now) }
 
 func newModel(settings directory.Settings) *model {
 	m := &model{settings: settings}
 	var addrs []string
 	for i := range modelReplicas {
 		addrs = append(addrs, fmt.Sprint(i))
-		m.replicas = append(m.replicas, m.fresh())
+		m.replicas = append(m.replicas, m.newNode())
 	}
 	for i := range modelEntries {
-		e := m.fresh()
-		e.follows = i % modelReplicas
+		e := m.newNode()
+		e.followed = i % modelReplicas
 		m.entries = append(m.entries, e)
 	}
 	for i := range modelUpstreams {
@@ -110,8 +110,8 @@
 	return m
 }
 
-func (m *model) fresh() *modelNode {
-	return &modelNode{state: directory.New(m.settings, m.at(), 0), watches: map[int]*modelWatch{}}
+func (m *model) newNode() *modelNode {
+	return &modelNode{state: directory.New(m.settings, m.time(), 0), watches: map[int]*modelWatch{}}
 }
 
 func (m *model) run(down, up [modelReplicas]time.Duration) {
@@ -119,7 +119,7 @@
 		for i, r := range m.replicas {
 			switch {
 			case up[i] > 0 && m.now >= up[i] && r.down:
-				m.replicas[i] = m.fresh()
+				m.replicas[i] = m.newNode()
 			case up[i] > 0 && m.now >= down[i] && m.now < up[i]:
 				r.down = true
 			}
@@ -131,13 +131,13 @@
 					m.watch(r, k, true)
 				}
 			}
-			r.state.Tick(m.at())
+			r.state.Tick(m.time())
 		}
 		for _, e := range m.entries {
-			if !m.watch(e, e.follows, false) {
-				e.follows = (e.follows + 1) % modelReplicas
+			if !m.watch(e, e.followed, false) {
+				e.followed = (e.followed + 1) % modelReplicas
 			}
-			e.state.Tick(m.at())
+			e.state.Tick(m.time())
 		}
 		m.count(down)
 	}
@@ -150,29 +150,30 @@
 			continue
 		}
 		got, tried := 0, 0
-		for _, addr := range t.Pick(m.at(), modelReplicas) {
+		for _, addr := range t.Pick(m.time(), modelReplicas) {
 			var k int
 			_, _ = fmt.Sscan(addr, &k)
 			if tried++; got == 2 || tried > modelReplicas {
 				break
 			}
 			if m.replicas[k].down {
-				t.Failed(addr, m.at())
+				t.Failed(addr, m.time())
 				continue
 			}
 			a := announcement(wire.Role_ROLE_UPSTREAM, i, m.seq)
-			m.replicas[k].state.Announce(m.at(), a, 0, true)
+			m.replicas[k].state.Announce(m.time(), a, 0, true)
 			got++
 		}
 	}
 }
 
-// watch carries an update; false says that the follower should turn to another.
+// watch carries an update from replica k. It returns false if the follower should
+// switch to another replica.
 func (m *model) watch(to *modelNode, k int, localOnly bool) bool {
 	from := m.replicas[k]
 	w := to.watches[k]
 	if w == nil {
-		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, src: &directory.Source{Replaces: to.last, Whole: !localOnly}, heard: m.now}
+		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Replaces: to.lastSource, Whole: !localOnly}, heard: m.now}
 		to.watches[k] = w
 	}
 	if from.down {
@@ -183,17 +184,17 @@
 		return true
 	}
 	if m.now-w.heard > 2*modelStep {
-		// The replica was down and is another one now.
-		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, src: &directory.Source{Replaces: to.last, Whole: !localOnly}}
+		// The replica was down and has restarted, so the watch starts anew.
+		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Replaces: to.lastSource, Whole: !localOnly}}
 		to.watches[k] = w
 	}
 	w.heard = m.now
-	u, _ := from.state.Update(m.at(), w.view)
-	to.state.Apply(m.at(), w.src, u)
+	u, _ := from.state.Update(m.time(), w.view)
+	to.state.Apply(m.time(), w.source, u)
 	if localOnly {
 		return true
 	}
-	to.last = w.src
+	to.lastSource = w.source
 	if u.Settling && m.settledReplica() {
 		delete(to.watches, k)
 		return false
@@ -203,14 +204,14 @@
 
 func (m *model) settledReplica() bool {
 	for _, r := range m.replicas {
-		if !r.down && r.state.Settled(m.at()) {
+		if !r.down && r.state.Settled(m.time()) {
 			return true
 		}
 	}
 	return false
 }
 
-// count adds up from the first stop on.
+// count adds the current step to the totals, once the first replica has stopped.
 func (m *model) count(down [modelReplicas]time.Duration) {
 	if m.now < down[0] {
 		return
@@ -225,7 +226,7 @@
 	}
 }
 
-// measureSettling compares the settling rule with its absence.
+// measureSettling compares restarts with and without settling time.
 func measureSettling(options) error {
 	fmt.Printf("%-18s %9s %26s %16s\n", "restart of", "settling", "wrongly gone, upstream-s", "refused, %")
 	for _, sc := range schedules {
--- a/measure/capacity/sharecalls.go
+++ b/measure/capacity/sharecalls.go
@@ -19,11 +19,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// askedTeams is how many teams an entry asks for in a call of measureShareCalls.
-const askedTeams = 10
+// maxShareTeams is the largest number of teams in a share call of measureShareCalls.
+const maxShareTeams = 10
 
-// shareLeader is the only replica of a log with the rows of askedTeams, and so the
-// leader: questions pass the loop that drives its log.
+// shareLeader is the only replica, and so the leader, of a log with the rows of
+// maxShareTeams teams. Share calls pass through the event loop of its log.
 type shareLeader struct {
 	ctl  *control.Control
 	pool *transport.Pool
@@ -70,13 +70,13 @@
 	_ = os.RemoveAll(l.dir)
 }
 
-// putRows sets the limits, and waits until the new leader may grant.
+// putRows writes the limits and waits until the new leader may grant shares.
 func (l *shareLeader) putRows(ctx context.Context) error {
 	edit := &wire.TableEdit{EditId: "rows", By: "operator-1", Rows: []*wire.RowEdit{
 		{Kind: table.KindPool, Key: "lm"},
 		{Kind: table.KindService, Key: "pushpa-lm", Columns: map[string]string{"kind": "engine", "pool": "lm", "idempotent": "yes"}},
 	}}
-	for _, d := range shareQuestion(askedTeams).Demands {
+	for _, d := range newShareRequest(maxShareTeams).Demands {
 		edit.Rows = append(edit.Rows,
 			&wire.RowEdit{Kind: table.KindTeam, Key: d.Team, Columns: map[string]string{
 				table.ColumnKeySHA256: fmt.Sprintf("%x", sha256.Sum256([]byte(d.Team))),
@@ -87,7 +87,7 @@
 	}
 	last := ""
 	client := control.NewClient(l.pool, []string{l.address()}, "measure")
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		reply, err := client.Edit(ctx, edit)
 		if err != nil || reply.Status != wire.EditStatus_EDIT_STATUS_ACCEPTED {
 			last = fmt.Sprint(err, reply.GetStatus(), reply.GetDetail())
@@ -96,14 +96,14 @@
 		time.Sleep(admit.ShareTTL * 2)
 		return nil
 	}
-	return fmt.Errorf("the rows were not accepted within %v: %v", patience, last)
+	return fmt.Errorf("the rows were not accepted within %v: %v", waitTimeout, last)
 }
 
-// measureShareCalls takes what a call with questions costs, both ends of the
-// connection and the leader together.
+// measureShareCalls measures the bytes and processor time of a share call. The
+// processor time includes the leader and both ends of the connection.
 func measureShareCalls(o options) error {
 	fmt.Printf("%8s %8s %12s %12s %14s\n", "entries", "teams", "B/call in", "B/call back", "CPU µs/call")
-	for _, c := range []struct{ entries, teams int }{{50, 1}, {50, askedTeams}, {200, askedTeams}, {800, 1}, {800, askedTeams}} {
+	for _, c := range []struct{ entries, teams int }{{50, 1}, {50, maxShareTeams}, {200, maxShareTeams}, {800, 1}, {800, maxShareTeams}} {
 		if err := shareCallsOnce(o, c.entries, c.teams); err != nil {
 			return err
 		}
@@ -123,7 +123,7 @@
 	var wg sync.WaitGroup
 	var calls atomic.Int64
 	for i := range entries {
-		wg.Go(func() { askLoop(ctx, leader.address(), i, entries, teams, &calls) })
+		wg.Go(func() { shareCallLoop(ctx, leader.address(), i, entries, teams, &calls) })
 	}
 	time.Sleep(settleDown)
 	before := calls.Load()
@@ -135,10 +135,10 @@
 	return nil
 }
 
-func askLoop(ctx context.Context, addr string, i, n, teams int, calls *atomic.Int64) {
+func shareCallLoop(ctx context.Context, addr string, i, n, teams int, calls *atomic.Int64) {
 	pool := transport.NewPool(security)
 	defer pool.Close()
-	req := shareQuestion(teams)
+	req := newShareRequest(teams)
 	req.Entry = fmt.Sprintf("entry-%05d", i)
 	wait := admit.ShareInterval * time.Duration(i) / time.Duration(n)
 	for {
--- a/measure/capacity/shares.go
+++ b/measure/capacity/shares.go
@@ -11,12 +11,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// shareRounds is how often each entry asks in the measurement.
+// shareRounds is the number of share calls that each entry makes in a measurement.
 const shareRounds = 4
 
-// measureShares takes what the division of limits costs: the size of one entry's
-// question for so many active teams, and the time that the home needs for one
-// team of one entry.
+// measureShares measures what the division of limits costs: the size of an entry's
+// request by number of active teams, and the home's processor time for each team of
+// an entry.
 func measureShares(o options) error {
 	fmt.Printf("%8s %8s %18s %18s\n", "entries", "teams", "B/call in", "home µs/team")
 	for _, c := range []struct{ entries, teams int }{{20, 100}, {20, 1000}, {200, 100}, {2000, 10}} {
@@ -29,28 +29,28 @@
 				if !h.Hear(now, admit.Report{Entry: name, Incarnation: 1, Seq: round + 1, Home: h.Name(now)}) {
 					return fmt.Errorf("the home did not hear %s", name)
 				}
-				askShares(h, now, name, c.teams)
+				grantShares(h, now, name, c.teams)
 			}
 			now = now.Add(admit.ShareInterval)
 		}
 		took := meter.ProcessorTime() - began
-		size := proto.Size(shareQuestion(c.teams))
+		size := proto.Size(newShareRequest(c.teams))
 		fmt.Printf("%8d %8d %18d %18.2f\n", c.entries, c.teams, size,
 			meter.Micros(took)/float64(shareRounds*c.entries*c.teams))
 	}
 	return measureShareCalls(o)
 }
 
-func askShares(h *admit.Home, now time.Time, entry string, teams int) {
+func grantShares(h *admit.Home, now time.Time, entry string, teams int) {
 	for t := range teams {
-		h.Grant(now, entry, admit.Subject{Team: fmt.Sprint("team-", t)}, someLimit,
+		h.Grant(now, entry, admit.Subject{Team: fmt.Sprint("team-", t)}, sampleLimit,
 			admit.Demand{Wanted: admit.Amounts{Requests: 1, Tokens: 200, Concurrent: 2}}, time.Second)
 	}
 }
 
-var someLimit = admit.Amounts{Requests: 30, Tokens: 6000, Concurrent: 50}
+var sampleLimit = admit.Amounts{Requests: 30, Tokens: 6000, Concurrent: 50}
 
-func shareQuestion(teams int) *wire.ShareRequest {
+func newShareRequest(teams int) *wire.ShareRequest {
 	req := &wire.ShareRequest{Entry: "entry-00001", Incarnation: 1764670000000000000}
 	for t := range teams {
 		req.Demands = append(req.Demands, &wire.ShareDemand{
--- a/measure/claim/main.go
+++ b/measure/claim/main.go
@@ -1,6 +1,6 @@
-// Command claim measures what claiming an idempotency key adds to a call, and
-// what keyed calls are answered with while hosts are lost. It runs seven entries
-// in three failure domains in one process on loopback.
+// Command claim measures the latency that claiming an idempotency key adds to a call,
+// and the outcomes of calls with keys while hosts are lost. It runs seven entries in
+// three failure domains in one process on loopback.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	Durable int     `long:"durable" description:"first entries that keep their claims in a data folder" default:"-1"`
 }
 
-// entries are today's size: seven, dealt to three failure domains in turn.
+// entries is the number of entries, assigned to three failure domains in turn.
 const entries = 7
 
 func main() {
@@ -57,24 +57,25 @@
 	}
 	b := &bench{sys: sys, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	defer b.client.CloseIdleConnections()
-	latency(b, d)
-	if err := losses(ctx, b, d); err != nil {
+	measureLatency(b, d)
+	if err := measureLosses(ctx, b, d); err != nil {
 		return err
 	}
-	return restartAll(ctx, b, d)
+	return measureRestartAll(ctx, b, d)
 }
 
-// bench sends calls through the entries that run, in turn.
+// bench sends calls through the running entries in turn.
 type bench struct {
 	sys    *quickstart.System
 	client *http.Client
 	next   atomic.Uint64
 }
 
-// call sends one request and returns what it was answered with.
-func (b *bench) call(through []*entry.Entry, keyed bool) string {
+// sendRequest sends one request and returns "answered", "cut", or the reason and
+// outcome of the refusal.
+func (b *bench) sendRequest(targets []*entry.Entry, keyed bool) string {
 	n := b.next.Add(1)
-	e := through[n%uint64(len(through))]
+	e := targets[n%uint64(len(targets))]
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.CallerAddress()+"/services/clock-core/confirm", strings.NewReader("{}"))
 	if err != nil {
 		return err.Error()
@@ -99,8 +100,8 @@
 
 const answered = "answered"
 
-// latency compares calls with and without a key, in turns.
-func latency(b *bench, d time.Duration) {
+// measureLatency compares calls with and without a key, in turns.
+func measureLatency(b *bench, d time.Duration) {
 	fmt.Printf("%-8s %11s %10s %10s %12s\n", "key", "concurrency", "p50", "p99", "requests/s")
 	for _, concurrency := range []int{1, 32} {
 		for _, keyed := range []bool{false, true} {
@@ -111,9 +112,10 @@
 	}
 }
 
-// load sends calls for a time and counts their answers.
-func (b *bench) load(through []*entry.Entry, concurrency int, keyed bool, d time.Duration) (*hdrhistogram.Histogram, map[string]int) {
-	total, answers := hdrhistogram.New(1, 60_000_000, 3), map[string]int{}
+// load keeps concurrency calls in flight for a time and returns their latencies in
+// microseconds and the number of each answer.
+func (b *bench) load(targets []*entry.Entry, concurrency int, keyed bool, d time.Duration) (*hdrhistogram.Histogram, map[string]int) {
+	latencies, answers := hdrhistogram.New(1, 60_000_000, 3), map[string]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	end := time.Now().Add(d)
@@ -121,51 +123,51 @@
 		wg.Go(func() {
 			for time.Now().Before(end) {
 				began := time.Now()
-				answer := b.call(through, keyed)
+				answer := b.sendRequest(targets, keyed)
 				mu.Lock()
 				answers[answer]++
-				_ = total.RecordValue(time.Since(began).Microseconds())
+				_ = latencies.RecordValue(time.Since(began).Microseconds())
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	return total, answers
+	return latencies, answers
 }
 
-// losses kills and restarts entries, and shows what keyed calls through those
-// that are up are answered with.
-func losses(ctx context.Context, b *bench, d time.Duration) error {
-	show := func(what string, down ...int) {
-		var through []*entry.Entry
+// measureLosses kills and restarts entries, and prints the answers to calls with keys
+// through those that are up.
+func measureLosses(ctx context.Context, b *bench, d time.Duration) error {
+	printAnswers := func(what string, down ...int) {
+		var running []*entry.Entry
 		for i, e := range b.sys.Entries {
 			if !contains(down, i) {
-				through = append(through, e)
+				running = append(running, e)
 			}
 		}
-		_, answers := b.load(through, 8, true, d)
+		_, answers := b.load(running, 8, true, d)
 		fmt.Printf("%-44s %s\n", what, summary(answers))
 	}
 	fmt.Println()
-	show("all seven entries up")
+	printAnswers("all seven entries up")
 	b.sys.Kill(entryName(6))
-	show("one entry lost", 6)
-	// Entries 1, 4 and 7 stand in the first failure domain.
+	printAnswers("one entry lost", 6)
+	// Entries 1, 4 and 7 are in the first failure domain.
 	b.sys.Kill(entryName(0))
 	b.sys.Kill(entryName(3))
-	show("a whole failure domain lost (three entries)", 0, 3, 6)
+	printAnswers("a whole failure domain lost (three entries)", 0, 3, 6)
 	b.sys.Kill(entryName(1))
 	if err := b.sys.StartPart(ctx, entryName(1)); err != nil {
 		return err
 	}
-	show("and one entry of another domain restarted", 0, 3, 6)
-	show("the same, one measurement later", 0, 3, 6)
+	printAnswers("and one entry of another domain restarted", 0, 3, 6)
+	printAnswers("the same, one measurement later", 0, 3, 6)
 	return nil
 }
 
-// restartAll kills all entries and starts them again, and shows what keyed calls
-// are answered with as soon as all take calls.
-func restartAll(ctx context.Context, b *bench, d time.Duration) error {
+// measureRestartAll restarts all entries together and prints the answers to calls with
+// keys as soon as all entries accept calls.
+func measureRestartAll(ctx context.Context, b *bench, d time.Duration) error {
 	for i := range b.sys.Entries {
 		b.sys.Kill(entryName(i))
 	}
@@ -195,7 +197,7 @@
 	return false
 }
 
-// summary writes the answers' parts, most frequent first.
+// summary formats the share of each answer, most frequent first.
 func summary(answers map[string]int) string {
 	total := 0
 	var kinds []string
--- a/measure/control/cluster.go
+++ b/measure/control/cluster.go
@@ -20,12 +20,12 @@
 
 var security = transport.Security{Secret: []byte("a secret of the measurement")}
 
-// patience bounds the wait for a cluster.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait for the cluster.
+const waitTimeout = 30 * time.Second
 
 var errNotAccepted = errors.New("edit was not accepted")
 
-// cluster is some control replicas with their files and sockets.
+// cluster is a set of control replicas with their files and sockets.
 type cluster struct {
 	dir      string
 	settings control.Settings
@@ -65,10 +65,10 @@
 		}
 	}
 	c.client = control.NewClient(c.pool, c.addrs, "measure")
-	return c, c.waitWhole(ctx)
+	return c, c.waitHealthy(ctx)
 }
 
-// start starts a replica and returns how long the reading of its files took.
+// start starts a replica and returns how long it took to read its files.
 func (c *cluster) start(ctx context.Context, i int, lis net.Listener) (time.Duration, error) {
 	var err error
 	if lis == nil {
@@ -115,9 +115,9 @@
 	_ = os.RemoveAll(c.dir)
 }
 
-// waitWhole waits until every member votes and is caught up.
-func (c *cluster) waitWhole(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// waitHealthy waits until all replicas are members and the health is HealthOK.
+func (c *cluster) waitHealthy(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for {
 		reply, err := c.members(ctx)
@@ -126,7 +126,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("cluster is not whole: %w", ctx.Err())
+			return fmt.Errorf("cluster is not healthy: %w", ctx.Err())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
@@ -141,7 +141,7 @@
 	return reply, err
 }
 
-// leader returns the leader's number.
+// leader returns the index of the leader.
 func (c *cluster) leader(ctx context.Context) (int, error) {
 	reply, err := c.members(ctx)
 	if err != nil {
@@ -157,13 +157,13 @@
 	return 0, errors.New("no leader")
 }
 
-// newEdit makes the next edit of a team's row, of a real size.
+// newEdit returns an edit of a team's row with a new edit ID and of a realistic size.
 func (c *cluster) newEdit(key string, version uint64) *wire.TableEdit {
 	n := c.edits.Add(1)
 	return &wire.TableEdit{
 		EditId: fmt.Sprintf("edit-%012d", n), By: "operator-1",
 		Rows: []*wire.RowEdit{{Kind: "team", Key: key, BaseVersion: version, Columns: map[string]string{
-			"key_sha256": digestOf(key), "max_priority": "normal", "contact": fmt.Sprintf("desk %d, extension %d", n%97, n%1009),
+			"key_sha256": sha256Hex(key), "max_priority": "normal", "contact": fmt.Sprintf("desk %d, extension %d", n%97, n%1009),
 		}}},
 	}
 }
--- a/measure/control/edits.go
+++ b/measure/control/edits.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// writers is how many operators edit at once.
+	// writers is the number of operators who edit concurrently.
 	writers = 64
-	// teams is how many rows the edits go over.
+	// teams is the number of rows that are edited.
 	teams = 3800
-	// longest is the highest latency that is told apart, in microseconds.
-	longest = 60_000_000
+	// maxLatency is the upper limit of the histograms, in microseconds.
+	maxLatency = 60_000_000
 )
 
-func digestOf(key string) string {
+func sha256Hex(key string) string {
 	d := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(d[:])
 }
@@ -49,15 +49,17 @@
 		return err
 	}
 	defer c.close()
-	h, failed, took := c.write(ctx, writers, func(_ int64, began time.Time) bool { return time.Since(began) < o.time() })
+	h, failed, took := c.runWriters(ctx, writers, func(_ int64, began time.Time) bool { return time.Since(began) < o.time() })
 	fmt.Printf("%8d %9d %9.0f %8.2fms %8.2fms %9d\n", n, batch, float64(h.TotalCount())/took.Seconds(),
 		float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, failed)
 	return nil
 }
 
-// write lets writers edit, each its own share of the teams, while more says so.
-func (c *cluster) write(ctx context.Context, writers int, more func(done int64, began time.Time) bool) (*hdrhistogram.Histogram, int, time.Duration) {
-	total := hdrhistogram.New(1, longest, 3)
+// runWriters runs writers, each on its own part of the teams, as long as more returns
+// true. It returns the latencies in microseconds, the number of failed edits, and the time
+// taken.
+func (c *cluster) runWriters(ctx context.Context, writers int, more func(done int64, began time.Time) bool) (*hdrhistogram.Histogram, int, time.Duration) {
+	total := hdrhistogram.New(1, maxLatency, 3)
 	failed := 0
 	began := time.Now()
 	var mu sync.Mutex
@@ -66,7 +68,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			h, bad := c.writeOne(ctx, w, writers, func() bool { return more(c.edits.Load(), began) })
+			h, bad := c.runWriter(ctx, w, writers, func() bool { return more(c.edits.Load(), began) })
 			mu.Lock()
 			defer mu.Unlock()
 			total.Merge(h)
@@ -77,8 +79,8 @@
 	return total, failed, time.Since(began)
 }
 
-func (c *cluster) writeOne(ctx context.Context, w, writers int, more func() bool) (*hdrhistogram.Histogram, int) {
-	h := hdrhistogram.New(1, longest, 3)
+func (c *cluster) runWriter(ctx context.Context, w, writers int, more func() bool) (*hdrhistogram.Histogram, int) {
+	h := hdrhistogram.New(1, maxLatency, 3)
 	failed := 0
 	versions := map[string]uint64{}
 	own := teams / writers
@@ -109,7 +111,8 @@
 	return nil
 }
 
-// recoveryOnce runs one replica, which holds all that a voter holds.
+// recoveryOnce measures the restart of a single replica, which holds the same data as
+// any voter.
 func recoveryOnce(ctx context.Context, o options, n int) error {
 	base := meter.Heap()
 	c, err := newCluster(ctx, filepath.Join(o.Dir, fmt.Sprintf("recovery-%d", n)), 1, nil)
@@ -117,7 +120,7 @@
 		return err
 	}
 	defer c.close()
-	_, failed, took := c.write(ctx, 256, func(done int64, _ time.Time) bool { return done < int64(n) })
+	_, failed, took := c.runWriters(ctx, 256, func(done int64, _ time.Time) bool { return done < int64(n) })
 	if failed > 0 {
 		return fmt.Errorf("%d edits failed", failed)
 	}
@@ -137,9 +140,10 @@
 	return nil
 }
 
-// waitRead waits for a linearizable read: an election, and the state as it was.
+// waitRead waits until a linearizable read succeeds, which requires an election and
+// the recovered state.
 func (c *cluster) waitRead(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for {
 		_, err := c.client.Read(ctx, &wire.ReadRequest{Kind: "team", Key: "team-0000", Linearizable: true})
--- a/measure/control/failover.go
+++ b/measure/control/failover.go
@@ -13,37 +13,37 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// leaderEnd is a way in which a leader ends.
-type leaderEnd struct {
+// leaderStop is a way to stop the leader.
+type leaderStop struct {
 	name string
-	end  func(ctx context.Context, c *cluster, i int)
+	stop func(ctx context.Context, c *cluster, i int)
 }
 
-// measureFailover ends the leader, in rounds, while an operator edits one row
-// after another: the longest time between two accepted edits.
+// measureFailover stops the leader repeatedly while an operator edits one row after
+// another, and measures the longest time between two accepted edits.
 func measureFailover(ctx context.Context, o options) error {
 	fmt.Printf("%-30s %7s %8s %8s %8s\n", "longest time without an edit", "rounds", "p50", "p90", "max")
-	for _, e := range []leaderEnd{
+	for _, e := range []leaderStop{
 		{"killed, or no transfer", func(_ context.Context, c *cluster, i int) { c.stop(i) }},
 		{"planned stop, transfer", func(ctx context.Context, c *cluster, i int) {
 			c.replicas[i].ctl.Drain(ctx)
 			c.stop(i)
 		}},
 	} {
-		if err := failovers(ctx, o, e); err != nil {
+		if err := measureLeaderStop(ctx, o, e); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func failovers(ctx context.Context, o options, e leaderEnd) error {
+func measureLeaderStop(ctx context.Context, o options, e leaderStop) error {
 	c, err := newCluster(ctx, filepath.Join(o.Dir, "failover"), 3, nil)
 	if err != nil {
 		return err
 	}
 	defer c.close()
-	h := hdrhistogram.New(1, longest, 3)
+	h := hdrhistogram.New(1, maxLatency, 3)
 	for round := range o.Rounds {
 		d, err := c.failover(ctx, fmt.Sprintf("team-%04d", round), e)
 		if err != nil {
@@ -55,14 +55,15 @@
 	return nil
 }
 
-// failover ends the leader under a writer, and starts it again.
-func (c *cluster) failover(ctx context.Context, key string, e leaderEnd) (time.Duration, error) {
+// failover stops the leader while edits are sent, starts it again, and returns the
+// longest time between two accepted edits.
+func (c *cluster) failover(ctx context.Context, key string, e leaderStop) (time.Duration, error) {
 	leader, err := c.leader(ctx)
 	if err != nil {
 		return 0, err
 	}
 	version := uint64(0)
-	// write returns when the edit was accepted.
+	// write makes an edit and returns the time at which it was accepted.
 	write := func() (time.Time, error) {
 		reply, err := c.sendUntilDecided(ctx, c.newEdit(key, version))
 		if err == nil {
@@ -77,9 +78,9 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		e.end(ctx, c, leader)
+		e.stop(ctx, c, leader)
 	}()
-	var longest time.Duration
+	var longestGap time.Duration
 	for after := false; !after; {
 		select {
 		case <-ended:
@@ -90,17 +91,17 @@
 		if err != nil {
 			return 0, err
 		}
-		longest = max(longest, at.Sub(last))
+		longestGap = max(longestGap, at.Sub(last))
 		last = at
 	}
 	if _, err := c.start(ctx, leader, nil); err != nil {
 		return 0, err
 	}
-	return longest, c.waitWhole(ctx)
+	return longestGap, c.waitHealthy(ctx)
 }
 
 func (c *cluster) sendUntilDecided(ctx context.Context, e *wire.TableEdit) (*wire.EditReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	for {
 		reply, err := c.send(ctx, e)
@@ -111,7 +112,7 @@
 	}
 }
 
-// folderSize is the bytes of all files below a folder.
+// folderSize returns the total size in bytes of the files below a folder.
 func folderSize(dir string) int64 {
 	var sum int64
 	_ = filepath.WalkDir(dir, func(_ string, d fs.DirEntry, err error) error {
--- a/measure/control/force.go
+++ b/measure/control/force.go
@@ -23,17 +23,17 @@
 	forcePoll     = 500 * time.Microsecond
 )
 
-// entries is seven entries, three of them with a control replica.
-type entries struct {
+// entrySet is a set of entries, some of them with a control replica.
+type entrySet struct {
 	list   []*entry.Entry
 	addrs  []string
 	pool   *transport.Pool
 	client *control.Client
 }
 
-// measureForce takes the time from an edit's acceptance until it is in force at
-// all entries, as each entry itself says; then the same while one of the entries
-// with a replica is killed half-way, counted over those that live.
+// measureForce measures the time from the acceptance of an edit until all entries
+// report that it is in force. A second run kills one of the entries with a replica
+// halfway, and from then on waits for the remaining ones only.
 func measureForce(ctx context.Context, o options) error {
 	for _, kill := range []bool{false, true} {
 		h, err := forceOnce(ctx, o, kill)
@@ -52,7 +52,7 @@
 		return nil, err
 	}
 	defer es.stop()
-	h := hdrhistogram.New(1, longest, 3)
+	h := hdrhistogram.New(1, maxLatency, 3)
 	began := time.Now()
 	alive := es.list
 	for n := uint64(0); time.Since(began) < 2*o.time(); n++ {
@@ -70,7 +70,8 @@
 	return h, nil
 }
 
-// waitForce returns how long it took until all entries had a revision in force.
+// waitForce waits until all entries have a revision in force, or waitTimeout has
+// passed, and returns the time it waited.
 func waitForce(list []*entry.Entry, revision uint64) time.Duration {
 	began := time.Now()
 	for {
@@ -78,15 +79,15 @@
 		for _, e := range list {
 			lagging = lagging || e.Revision() < revision
 		}
-		if !lagging || time.Since(began) > patience {
+		if !lagging || time.Since(began) > waitTimeout {
 			return time.Since(began)
 		}
 		time.Sleep(forcePoll)
 	}
 }
 
-func (es *entries) edit(ctx context.Context, n uint64) (*wire.EditReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (es *entrySet) edit(ctx context.Context, n uint64) (*wire.EditReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 	defer cancel()
 	e := &wire.TableEdit{EditId: fmt.Sprint("force-", n), By: "operator-1", Rows: []*wire.RowEdit{
 		{Kind: "pool", Key: "lm", BaseVersion: n, Columns: map[string]string{"slots": fmt.Sprint(1 + n%64)}},
@@ -106,8 +107,8 @@
 	}
 }
 
-func startEntries(ctx context.Context, dir string) (*entries, error) {
-	es := &entries{pool: transport.NewPool(security)}
+func startEntries(ctx context.Context, dir string) (*entrySet, error) {
+	es := &entrySet{pool: transport.NewPool(security)}
 	var listeners []net.Listener
 	for range forceReplicas {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -137,24 +138,24 @@
 		es.list = append(es.list, e)
 	}
 	es.client = control.NewClient(es.pool, es.addrs, "measure")
-	return es, es.waitFirst(ctx)
+	return es, es.waitReady(ctx)
 }
 
-// waitFirst waits until a first edit is in force everywhere.
-func (es *entries) waitFirst(ctx context.Context) error {
+// waitReady waits until a first edit is in force at all entries.
+func (es *entrySet) waitReady(ctx context.Context) error {
 	e := &wire.TableEdit{EditId: "first", By: "operator-1", Rows: []*wire.RowEdit{{Kind: "pool", Key: "first"}}}
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for time.Now().Before(end) {
 		reply, err := es.client.Edit(ctx, e)
-		if err == nil && reply.Status == wire.EditStatus_EDIT_STATUS_ACCEPTED && waitForce(es.list, reply.Revision) < patience {
+		if err == nil && reply.Status == wire.EditStatus_EDIT_STATUS_ACCEPTED && waitForce(es.list, reply.Revision) < waitTimeout {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return fmt.Errorf("entries were not ready within %v", patience)
+	return fmt.Errorf("entries were not ready within %v", waitTimeout)
 }
 
-func (es *entries) stop() {
+func (es *entrySet) stop() {
 	for _, e := range es.list {
 		e.Stop()
 	}
--- a/measure/control/main.go
+++ b/measure/control/main.go
@@ -1,7 +1,7 @@
-// Command control measures the control replicas on real files and loopback:
-// edits, the time until an edit is in force, recovery after accumulated edits,
-// fail-over, and what a watch of the table costs. Everything runs in one
-// process, so processor times hold both ends of each connection.
+// Command control measures the control replicas on real files and loopback: edits,
+// the time until an edit is in force, recovery after accumulated edits, failover, and
+// the costs of table watches and of replication. Everything runs in one process, so
+// processor times include both ends of each connection.
 package main
 
 import (
--- a/measure/control/peers.go
+++ b/measure/control/peers.go
@@ -9,8 +9,8 @@
 	"github.com/snipereach/snipereach/internal/meter"
 )
 
-// measurePeers takes what the replicas say to each other, idle and for an edit.
-// With more than five the others are learners.
+// measurePeers measures the traffic among the replicas, idle and for each edit. Beyond
+// five voters, the other replicas are learners.
 func measurePeers(ctx context.Context, o options) error {
 	fmt.Printf("%9s %16s %20s %12s\n", "replicas", "B/s, all", "CPU ms/s, all", "B/edit, all")
 	for _, n := range []int{3, 5, 9, 19} {
@@ -46,7 +46,8 @@
 	return nil
 }
 
-// peerBytes is what all replicas received while f ran: each message counts once.
+// peerBytes returns the bytes that all replicas received while f ran, which counts each
+// message once.
 func (c *cluster) peerBytes(f func()) (float64, meter.Spent) {
 	sum := func() float64 {
 		total := 0.0
--- a/measure/control/watch.go
+++ b/measure/control/watch.go
@@ -12,16 +12,16 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// editsPerSecond is 22,000 edits a day.
+// editsPerSecond is the rate of 22,000 edits a day.
 const editsPerSecond = 22_000.0 / 86_400
 
-// watcher is one open watch of the table, as an entry keeps it.
+// watcher is an open watch of the table, as an entry has one.
 type watcher struct {
 	pool     *transport.Pool
 	revision atomic.Uint64
 }
 
-func (c *cluster) watch(ctx context.Context, addr, name string) *watcher {
+func (c *cluster) startWatch(ctx context.Context, addr, name string) *watcher {
 	w := &watcher{pool: transport.NewPool(security)}
 	go func() {
 		stream, err := wire.NewDRPCControlClient(w.pool.Conn(ctx, addr)).WatchTable(ctx, &wire.TableWatchRequest{Entry: name})
@@ -40,17 +40,17 @@
 	return w
 }
 
-// cost is what one watch takes.
+// cost is the bytes and processor time that a watch takes.
 type cost struct {
 	bytes float64
 	cpu   time.Duration
 }
 
-// spend measures the bytes that the first replica sent and the processor time of
-// the whole process while f runs.
+// spend measures the traffic of the first replica and the processor time of the whole
+// process while f runs.
 func (c *cluster) spend(f func()) meter.Spent { return meter.Spend(c.replicas[0].lis, f) }
 
-// measureWatch takes what one watch costs in bytes, idle and for each edit.
+// measureWatch measures the bytes that one watch takes, idle and for each edit.
 func measureWatch(ctx context.Context, o options) error {
 	c, err := newCluster(ctx, filepath.Join(o.Dir, "watch"), 1, nil)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// watchCost returns, for one of n watches, the bytes and processor time a second
-// when idle, and for each edit.
+// watchCost returns the mean cost of one of n watches, per second when idle and for
+// each edit.
 func (c *cluster) watchCost(ctx context.Context, o options, n int) (idle, perEdit cost, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -78,7 +78,7 @@
 	none := c.spend(func() { time.Sleep(o.time()) })
 	var list []*watcher
 	for i := range n {
-		w := c.watch(ctx, c.addrs[0], fmt.Sprint("entry-", i))
+		w := c.startWatch(ctx, c.addrs[0], fmt.Sprint("entry-", i))
 		defer w.pool.Close()
 		list = append(list, w)
 	}
@@ -97,8 +97,8 @@
 	return idle, perEdit, err
 }
 
-// editsInForce makes edits one after another, each when the one before has
-// reached all watchers.
+// editsInForce makes edits in sequence, and waits after each until it has reached all
+// watchers.
 func (c *cluster) editsInForce(ctx context.Context, list []*watcher, edits int) error {
 	for n := range edits {
 		reply, err := c.edit(ctx, fmt.Sprintf("team-%04d", 1+int(c.edits.Load())), 0)
@@ -113,7 +113,7 @@
 }
 
 func waitRevision(list []*watcher, revision uint64) error {
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for _, w := range list {
 		for w.revision.Load() < revision {
 			if time.Now().After(end) {
--- a/measure/kills/main.go
+++ b/measure/kills/main.go
@@ -1,8 +1,8 @@
-// Command kills sends bids with idempotency keys through a whole system in one
-// process while each part is killed and started again in turn, and then all parts
-// of one failure domain at once. A bid without a final answer is sent again
-// through another entry. It counts what must never happen: a bid that ran twice,
-// an answer to another bid, and "not run" said of a bid that ran.
+// Command kills sends requests with idempotency keys through a whole system in one
+// process while each part in turn, and then all parts of one failure domain, are
+// killed and restarted. Requests without a final answer are sent again through another
+// entry. It counts violations of the guarantees: a request that ran twice, an answer
+// to another request, and "not run" for a request that has run.
 package main
 
 import (
@@ -30,7 +30,7 @@
 	Workers int     `long:"workers" default:"8" description:"bids in flight"`
 }
 
-// maxSendings bounds how often one bid is sent.
+// maxSendings limits how often one bid is sent.
 const maxSendings = 8
 
 func main() {
@@ -61,15 +61,15 @@
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for range o.Workers {
-		wg.Go(func() { b.work(stop) })
+		wg.Go(func() { b.sendBids(stop) })
 	}
 	down := time.Duration(o.Down * float64(time.Second))
 	for _, name := range sys.Names() {
-		if err := b.outage(ctx, down, name); err != nil {
+		if err := b.killAndRestart(ctx, down, name); err != nil {
 			return err
 		}
 	}
-	if err := b.outage(ctx, down, b.domain("hall-a")...); err != nil {
+	if err := b.killAndRestart(ctx, down, b.partsOfDomain("hall-a")...); err != nil {
 		return err
 	}
 	close(stop)
@@ -82,13 +82,13 @@
 	client *http.Client
 	addrs  []string
 
-	bids, answered, open           atomic.Int64
+	bids, answered, unanswered     atomic.Int64
 	sendings, unknown, notRun, cut atomic.Int64
 	crossed, falseNotRun           atomic.Int64
 }
 
-// domain lists the parts that stand in a failure domain.
-func (b *bench) domain(name string) []string {
+// partsOfDomain returns the names of the parts in a failure domain.
+func (b *bench) partsOfDomain(name string) []string {
 	var list []string
 	for _, n := range b.sys.Names() {
 		if p, ok := b.sys.Part(n); ok && p.FailureDomain == name {
@@ -98,7 +98,7 @@
 	return list
 }
 
-func (b *bench) outage(ctx context.Context, down time.Duration, names ...string) error {
+func (b *bench) killAndRestart(ctx context.Context, down time.Duration, names ...string) error {
 	fmt.Println("kill", strings.Join(names, ", "))
 	for _, n := range names {
 		b.sys.Kill(n)
@@ -113,31 +113,32 @@
 	return nil
 }
 
-func (b *bench) work(stop <-chan struct{}) {
+func (b *bench) sendBids(stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		default:
-			b.bid(fmt.Sprint("bid-", b.bids.Add(1)))
+			b.sendBid(fmt.Sprint("bid-", b.bids.Add(1)))
 		}
 	}
 }
 
-// bid sends one bid until it has a final answer.
-func (b *bench) bid(key string) {
-	at := rand.IntN(len(b.addrs))
+// sendBid sends a bid until it is answered, at most maxSendings times, each time
+// through the next entry.
+func (b *bench) sendBid(key string) {
+	first := rand.IntN(len(b.addrs))
 	for n := range maxSendings {
-		if b.send(b.addrs[(at+n)%len(b.addrs)], key) {
+		if b.send(b.addrs[(first+n)%len(b.addrs)], key) {
 			b.answered.Add(1)
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	b.open.Add(1)
+	b.unanswered.Add(1)
 }
 
-func (b *bench) ran(key string) int {
+func (b *bench) runCount(key string) int {
 	runs := 0
 	for _, p := range b.sys.Plains {
 		runs += p.Runs()[key]
@@ -145,7 +146,7 @@
 	return runs
 }
 
-// send returns true if the bid was answered.
+// send sends a bid once and reports whether it was answered.
 func (b *bench) send(addr, key string) bool {
 	b.sendings.Add(1)
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/services/clock-core/confirm", strings.NewReader("{}"))
@@ -161,14 +162,14 @@
 		return false
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		b.cut.Add(1)
 		return false
 	}
 	if resp.StatusCode == http.StatusOK {
 		var a fake.PlainAnswer
-		if json.Unmarshal(text, &a) != nil || a.Key != key {
+		if json.Unmarshal(body, &a) != nil || a.Key != key {
 			b.crossed.Add(1)
 		}
 		return true
@@ -178,7 +179,7 @@
 		return false
 	}
 	b.notRun.Add(1)
-	if b.ran(key) > 0 {
+	if b.runCount(key) > 0 {
 		b.falseNotRun.Add(1)
 	}
 	return false
@@ -198,10 +199,10 @@
 		}
 	}
 	fmt.Printf("bids %d, answered %d, without a final answer %d; sendings %d: unknown %d, not run %d, cut %d\n",
-		b.bids.Load(), b.answered.Load(), b.open.Load(), b.sendings.Load(), b.unknown.Load(), b.notRun.Load(), b.cut.Load())
+		b.bids.Load(), b.answered.Load(), b.unanswered.Load(), b.sendings.Load(), b.unknown.Load(), b.notRun.Load(), b.cut.Load())
 	fmt.Printf("ran twice %d, crossed answers %d, false \"not run\" %d\n", doubled, b.crossed.Load(), b.falseNotRun.Load())
 	if doubled+int(b.crossed.Load()+b.falseNotRun.Load()) > 0 {
-		return fmt.Errorf("a promise was broken")
+		return fmt.Errorf("guarantees were violated")
 	}
 	return nil
 }
--- a/measure/operators/main.go
+++ b/measure/operators/main.go
@@ -1,7 +1,7 @@
-// Command operators measures what operators wait for, on a whole small system in
-// one process on loopback: the answer to an edit with the row in force on every
-// entry, the same while an entry dies, and how soon a drained upstream is given
-// nothing more.
+// Command operators measures latencies seen by operators, on a small system in one
+// process on loopback: of an edit, which is answered once the row is in force at every
+// entry, also while an entry dies; and of a drain, after which an upstream must get no
+// more requests.
 package main
 
 import (
@@ -56,7 +56,7 @@
 	return measureDrains(ctx, o.Drains)
 }
 
-func start(ctx context.Context, opts quickstart.Options) (*quickstart.System, error) {
+func startSystem(ctx context.Context, opts quickstart.Options) (*quickstart.System, error) {
 	opts.Log = log.NewNopLogger()
 	s, err := quickstart.Start(ctx, opts)
 	if err != nil {
@@ -65,10 +65,10 @@
 	return s, s.WaitReady(ctx)
 }
 
-// measureEdits sends edits one after the other; before is called with the number
-// of each.
+// measureEdits sends edits in sequence, and calls before with the number of each one
+// before it is sent.
 func measureEdits(ctx context.Context, name string, edits int, before func(*quickstart.System, int)) error {
-	s, err := start(ctx, quickstart.Options{})
+	s, err := startSystem(ctx, quickstart.Options{})
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 			before(s, n)
 		}
 		began := time.Now()
-		f, err := edit(ctx, s, n)
+		f, err := sendEdit(ctx, s, n)
 		if err != nil {
 			return err
 		}
@@ -90,13 +90,13 @@
 		_ = times.RecordValue(time.Since(began).Microseconds())
 	}
 	fmt.Printf("%-22s %d edits: p50 %.1f ms, p99 %.1f ms, longest %.1f ms; %d answers named an entry that lags\n", name, edits,
-		ms(times.ValueAtQuantile(50)), ms(times.ValueAtQuantile(99)), ms(times.Max()), lagged)
+		millis(times.ValueAtQuantile(50)), millis(times.ValueAtQuantile(99)), millis(times.Max()), lagged)
 	return nil
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func millis(us int64) float64 { return float64(us) / 1000 }
 
-func edit(ctx context.Context, s *quickstart.System, n int) (operators.Force, error) {
+func sendEdit(ctx context.Context, s *quickstart.System, n int) (operators.Force, error) {
 	body := fmt.Sprintf(`{"columns":{"slots":"%d"}}`, n+8)
 	req, err := http.NewRequestWithContext(ctx, "PUT", "http://"+s.Entries[0].OperatorAddress()+"/v1/table/pool/lm", strings.NewReader(body))
 	if err != nil {
@@ -116,10 +116,10 @@
 	return e.Force, json.NewDecoder(resp.Body).Decode(&e)
 }
 
-// measureDrains drains upstreams one after the other while callers send all the
-// time through all entries.
+// measureDrains drains upstreams in sequence while callers send through all entries
+// without a pause.
 func measureDrains(ctx context.Context, drains int) error {
-	s, err := start(ctx, quickstart.Options{Engines: drains + 1})
+	s, err := startSystem(ctx, quickstart.Options{Engines: drains + 1})
 	if err != nil {
 		return err
 	}
@@ -134,7 +134,7 @@
 		go func() {
 			defer callers.Done()
 			for load.Err() == nil {
-				ok := call(ctx, s, n%len(s.Entries))
+				ok := sendCall(ctx, s, n%len(s.Entries))
 				mu.Lock()
 				if ok {
 					answered++
@@ -148,10 +148,10 @@
 	late := 0
 	for n := range drains {
 		time.Sleep(300 * time.Millisecond)
-		if err := drain(ctx, s, fmt.Sprintf("lm-%d", n+1)); err != nil {
+		if err := drainUpstream(ctx, s, fmt.Sprintf("lm-%d", n+1)); err != nil {
 			return err
 		}
-		// What the agent had taken before may still begin; it began within slots.
+		// Requests that the agent had accepted before the drain may still start.
 		time.Sleep(100 * time.Millisecond)
 		began := len(s.Engines[n].Runs())
 		time.Sleep(2 * time.Second)
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func drain(ctx context.Context, s *quickstart.System, id string) error {
+func drainUpstream(ctx context.Context, s *quickstart.System, id string) error {
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.Entries[0].OperatorAddress()+"/v1/drain/"+id, nil)
 	if err != nil {
 		return err
@@ -181,10 +181,10 @@
 	return nil
 }
 
-const body = `{"model":"pushpa-lm","max_tokens":4,"messages":[{"role":"user","content":"a lot of jasmine"}]}`
+const callBody = `{"model":"pushpa-lm","max_tokens":4,"messages":[{"role":"user","content":"a lot of jasmine"}]}`
 
-func call(ctx context.Context, s *quickstart.System, entry int) bool {
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.Entries[entry].CallerAddress()+"/v1/chat/completions", strings.NewReader(body))
+func sendCall(ctx context.Context, s *quickstart.System, entry int) bool {
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.Entries[entry].CallerAddress()+"/v1/chat/completions", strings.NewReader(callBody))
 	if err != nil {
 		return false
 	}
--- a/measure/path/closed.go
+++ b/measure/path/closedloop.go
@@ -15,16 +15,16 @@
 	"github.com/snipereach/snipereach/fake"
 )
 
-// maxLatency bounds the histograms, in microseconds.
+// maxLatency is the upper limit of the histograms, in microseconds.
 const maxLatency = 60_000_000
 
-// figures is what one or several measurements of a way gave.
+// figures holds the results of one or several measurements of a path.
 type figures struct {
 	latency *hdrhistogram.Histogram // microseconds
 	failed  int
 	mallocs uint64
-	// cpu is the whole process's processor time. It depends less than the
-	// others on what else the machine does.
+	// cpu is the processor time of the whole process. It depends less than the other
+	// figures on other load of the machine.
 	cpu  time.Duration
 	time time.Duration
 }
@@ -62,8 +62,8 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConns: connections, MaxIdleConnsPerHost: connections}}
 }
 
-// closedLoop keeps a number of requests in flight for a time.
-func closedLoop(w way, concurrency int, d time.Duration) *figures {
+// closedLoop keeps concurrency requests in flight for d.
+func closedLoop(path callPath, concurrency int, d time.Duration) *figures {
 	client := newClient(concurrency)
 	defer client.CloseIdleConnections()
 	total := newFigures()
@@ -79,7 +79,7 @@
 			own := newFigures()
 			for time.Now().Before(end) {
 				began := time.Now()
-				if !call(client, w, "") {
+				if !sendRequest(client, path, "") {
 					own.failed++
 					continue
 				}
@@ -103,16 +103,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// call makes one request and says whether it was answered.
-func call(c *http.Client, w way, priority string) bool {
-	req, err := http.NewRequest(http.MethodPost, w.url, strings.NewReader("{}"))
+// sendRequest sends one request and reports whether it was answered with status 200.
+func sendRequest(c *http.Client, path callPath, priority string) bool {
+	req, err := http.NewRequest(http.MethodPost, path.url, strings.NewReader("{}"))
 	if err != nil {
 		return false
 	}
-	// One name for all requests keeps the upstream's count of runs small.
+	// A single run key for all requests keeps the upstream's map of runs small.
 	req.Header.Set(fake.HeaderRunKey, "measure")
-	if w.key != "" {
-		req.Header.Set("Authorization", "Bearer "+w.key)
+	if path.key != "" {
+		req.Header.Set("Authorization", "Bearer "+path.key)
 	}
 	if priority != "" {
 		req.Header.Set("X-Priority", priority)
--- a/measure/path/main.go
+++ b/measure/path/main.go
@@ -1,10 +1,10 @@
-// Command path measures what the system adds to a call: the same requests sent
-// to a fake upstream directly, through a naive forwarder, and through an entry
-// and an agent, in one run on loopback; and what bulk load over capacity does
-// to urgent calls.
+// Command path measures the overhead that the system adds to a call: it sends the same
+// requests to a fake upstream directly, through a minimal reverse proxy, and through an
+// entry and an agent, in one run on loopback. It also measures how a bulk load over
+// capacity affects urgent calls.
 //
-// The caller, the upstream and the system share one process and its cores, so
-// that all three ways pay for the same caller and the same upstream.
+// The caller, the upstream and the system share one process and its cores, so the
+// figures of all three paths include the same caller and upstream.
 package main
 
 import (
@@ -45,7 +45,7 @@
 		return profile(ctx, o)
 	}
 	if o.Only != "urgent" {
-		if err := compareWays(ctx, o); err != nil {
+		if err := comparePaths(ctx, o); err != nil {
 			return err
 		}
 	}
@@ -67,7 +67,7 @@
 		return err
 	}
 	defer f.Close()
-	full := b.ways[len(b.ways)-1]
+	full := b.paths[len(b.paths)-1]
 	closedLoop(full, o.Concurrency[0], time.Second)
 	if err := pprof.StartCPUProfile(f); err != nil {
 		return err
--- a/measure/path/urgent.go
+++ b/measure/path/urgent.go
@@ -13,8 +13,8 @@
 	"github.com/snipereach/snipereach/quickstart"
 )
 
-// The upstream of the urgent measurement: its capacity is slots / work. One
-// slot in ten is kept for urgent calls, so bulk calls get the rest.
+// Parameters of the urgent measurement. The upstream's capacity is slots divided by
+// work. One slot in ten is reserved for urgent calls; bulk calls get the rest.
 const (
 	urgentSlots    = 20
 	urgentWork     = 20 * time.Millisecond
@@ -23,8 +23,8 @@
 	urgentIdleConn = 512
 )
 
-// compareUrgent sends urgent calls at a steady rate, alone and beside bulk calls
-// at 150% of the upstream's capacity, both open-loop to the same upstream.
+// compareUrgent sends urgent calls at a steady rate, first alone and then along with
+// bulk calls at bulkPercent of the upstream's capacity, both open-loop.
 func compareUrgent(ctx context.Context, d time.Duration) error {
 	sys, err := quickstart.Start(ctx, quickstart.Options{Log: log.NewNopLogger(), PlainSlots: urgentSlots, PlainWork: urgentWork})
 	if err != nil {
@@ -34,14 +34,14 @@
 	if err := sys.WaitReady(ctx); err != nil {
 		return err
 	}
-	w := way{name: "full", url: serviceURL(sys), key: quickstart.TeamKey}
+	path := callPath{name: "full", url: serviceURL(sys), key: quickstart.TeamKey}
 	capacity := float64(urgentSlots) / urgentWork.Seconds()
-	openLoop(w, "urgent", urgentPerSec, d/4)
-	idle := openLoop(w, "urgent", urgentPerSec, 2*d)
+	openLoop(path, "urgent", urgentPerSec, d/4)
+	idle := openLoop(path, "urgent", urgentPerSec, 2*d)
 	var bulk *figures
 	var wg sync.WaitGroup
-	wg.Go(func() { bulk = openLoop(w, "batch", capacity*bulkPercent/100, 2*d) })
-	loaded := openLoop(w, "urgent", urgentPerSec, 2*d)
+	wg.Go(func() { bulk = openLoop(path, "batch", capacity*bulkPercent/100, 2*d) })
+	loaded := openLoop(path, "urgent", urgentPerSec, 2*d)
 	wg.Wait()
 	fmt.Printf("\nurgent %d/s beside bulk at %d%% of %.0f/s\n", urgentPerSec, bulkPercent, capacity)
 	for _, row := range []struct {
@@ -55,10 +55,10 @@
 	return nil
 }
 
-// openLoop sends requests at a rate with exponential gaps, whatever becomes of
-// the earlier ones. Latency counts from the intended start, so that a sender
-// that falls behind shows.
-func openLoop(w way, priority string, perSecond float64, d time.Duration) *figures {
+// openLoop sends requests at a rate with exponential gaps, without waiting for answers.
+// Latency is measured from the intended start, so that the delay of a sender that falls
+// behind is included (no coordinated omission).
+func openLoop(path callPath, priority string, perSecond float64, d time.Duration) *figures {
 	client := newClient(urgentIdleConn)
 	defer client.CloseIdleConnections()
 	gaps := rand.New(rand.NewPCG(1, uint64(len(priority))))
@@ -70,14 +70,14 @@
 	for at := time.Duration(0); at < d; at += time.Duration(gaps.ExpFloat64() / perSecond * float64(time.Second)) {
 		due := begin.Add(at)
 		time.Sleep(time.Until(due))
-		wg.Go(func() { record(client, w, priority, due, total, &mu) })
+		wg.Go(func() { recordCall(client, path, priority, due, total, &mu) })
 	}
 	wg.Wait()
 	return total
 }
 
-func record(client *http.Client, w way, priority string, due time.Time, total *figures, mu *sync.Mutex) {
-	ok := call(client, w, priority)
+func recordCall(client *http.Client, path callPath, priority string, due time.Time, total *figures, mu *sync.Mutex) {
+	ok := sendRequest(client, path, priority)
 	took := time.Since(due).Microseconds()
 	mu.Lock()
 	defer mu.Unlock()
