--- a/measure/route/bound.go
+++ b/measure/route/bound.go
@@ -8,8 +8,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// offerGlobal puts a request into the single global queue: it waits until any
-// upstream has a free slot, and knows at once which has.
+// offerGlobal puts a request into the single global queue, which learns without delay
+// which upstream has a free slot.
 func (m *system) offerGlobal(a *arrival) {
 	m.central[a.class] = append(m.central[a.class], func(e *engine) {
 		j := m.newJob(a)
@@ -17,11 +17,11 @@
 			if reason != 0 && m.measured(a) {
 				m.out.lost++
 			}
-			m.clock.after(0, m.drainGlobal)
+			m.clock.schedule(0, m.drainGlobal)
 		}
 		e.offer(j)
 	})
-	m.clock.after(hop, m.drainGlobal)
+	m.clock.schedule(hop, m.drainGlobal)
 }
 
 func (m *system) drainGlobal() {
@@ -51,12 +51,12 @@
 	return best
 }
 
-// perfectWorth is what a cached prompt is worth to perfect knowledge. It stays the
-// same when the plug-in's changes, so that the yardstick does.
+// perfectWorth is the weight of a cached prompt for the policy "perfect". It is
+// independent of the plug-in's default, so that the baseline stays the same.
 const perfectWorth = 0.25
 
-// perfect routes at once, by the rule of the plug-in "prefix", but reads queues
-// and caches of all engines as they are.
+// perfect routes by the scoring rule of the plug-in "prefix", but with the current
+// queues and caches of all engines.
 type perfect struct {
 	system *system
 	rnd    *rand.Rand
@@ -80,7 +80,7 @@
 			if p.system.prefix != nil {
 				worth = p.system.prefix.Worth
 			}
-			score -= worth * float64(e.cache.holds(r.Prefix)) / float64(len(r.Prefix))
+			score -= worth * float64(e.cache.cachedPrefixLen(r.Prefix)) / float64(len(r.Prefix))
 		}
 		if best < 0 || score < least {
 			best, least = i, score
--- a/measure/route/engine.go
+++ b/measure/route/engine.go
@@ -9,7 +9,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// event is something that happens at a time.
+// event is a function that is due at a virtual time; n orders events of the same time.
 type event struct {
 	at  time.Duration
 	n   int
@@ -34,14 +34,14 @@
 	return e
 }
 
-// clock is virtual time.
+// clock is the virtual clock and its event queue.
 type clock struct {
 	now   time.Duration
 	n     int
 	queue events
 }
 
-func (c *clock) after(d time.Duration, run func()) {
+func (c *clock) schedule(d time.Duration, run func()) {
 	c.n++
 	heap.Push(&c.queue, &event{c.now + d, c.n, run})
 }
@@ -61,23 +61,23 @@
 	output   int
 	prefix   []uint64
 	deadline time.Duration
-	// noWait has the agent refuse the request unless a slot is free.
+	// noWait makes the agent refuse the request unless a slot is free.
 	noWait bool
-	// hit is how many blocks of the prompt were cached at its start.
+	// hit is the number of the prompt's blocks that were cached when the job started.
 	hit     int
 	started func()
-	// ended is told the outcome, the reason and the load as the agent sees it.
+	// ended is called with the outcome, the reason and the load that the agent reports.
 	ended  func(wire.Outcome, wire.Reason, *wire.Load)
 	finish float64
 	began  time.Duration
 	index  int
-	// ticket marks a place in the queue without a request: when its turn comes,
-	// the slot is held and granted is called.
+	// ticket marks a place in the queue without a request: when a slot becomes free
+	// for it, the slot is held and granted is called.
 	ticket bool
-	// of is how many tickets the request has.
-	of      int
-	granted func()
-	holds   bool
+	// ticketCount is the number of tickets of the request.
+	ticketCount int
+	granted     func()
+	holds       bool
 }
 
 type jobs []*job
@@ -103,11 +103,11 @@
 // spec describes the servers of a pool.
 type spec struct {
 	servers, slots, maxQueue int
-	// step is the time of a decoding step with full slots; an empty engine's
-	// step takes idleStep of it.
+	// step is the time of a decoding step with all slots in use; idleStep is the
+	// fraction of it that a step of an empty engine takes.
 	step     time.Duration
 	idleStep float64
-	// prefill is how many steps an uncached block of the prompt costs.
+	// prefill is the number of steps that an uncached block of the prompt takes.
 	prefill float64
 	// cache is the size of the prefix cache in blocks.
 	cache int
@@ -115,8 +115,9 @@
 	timeout time.Duration
 }
 
-// engine is a server with its agent: a queue by class, slots, and steps that
-// take longer the more requests run (continuous batching as a fluid).
+// engine is a server with its agent: queues by class, slots, and steps that take longer
+// the more requests run. Continuous batching is modelled as a fluid: all running
+// requests progress at the same rate.
 type engine struct {
 	clock   *clock
 	spec    spec
@@ -124,22 +125,22 @@
 	queue   [4][]*job
 	waiting int
 	running jobs
-	// steps counts the steps done up to at.
+	// steps is the number of steps done up to the time at.
 	steps   float64
 	at      time.Duration
 	version int
 	stalled bool
 	dead    bool
-	// slow is how many times longer a step takes; 0 is as usual.
+	// slow is the factor by which steps take longer; 0 means normal speed.
 	slow  float64
 	seq   uint64
 	cache blockCache
-	// held slots are offered to the entries of tickets and not used yet.
+	// held is the number of slots that are held for granted tickets.
 	held int
-	// run is the smoothed time that a request runs, in seconds.
+	// run is the smoothed run time of requests (EWMA), in seconds.
 	run float64
-	// tickets is how many of those that wait are tickets; they take so much of the
-	// places in the queue.
+	// tickets is the number of waiting tickets. places is the use of the queue, in
+	// which each ticket counts as a fraction of its request.
 	tickets int
 	places  float64
 }
@@ -151,7 +152,7 @@
 	return max(e.slow, 1) * e.spec.step.Seconds() * (e.spec.idleStep + (1-e.spec.idleStep)*share)
 }
 
-// advance moves the steps to the present.
+// advance updates steps to the current time.
 func (e *engine) advance() {
 	if len(e.running) > 0 && !e.stalled {
 		e.steps += (e.clock.now - e.at).Seconds() / e.stepTime()
@@ -159,7 +160,7 @@
 	e.at = e.clock.now
 }
 
-// load is what the agent reports.
+// load returns the load that the agent reports.
 func (e *engine) load() *wire.Load {
 	e.seq++
 	return &wire.Load{
@@ -168,7 +169,8 @@
 	}
 }
 
-// offer queues a job or refuses it.
+// offer queues a job. It refuses it if no slot is free and the queue is full or the job
+// must not wait.
 func (e *engine) offer(j *job) {
 	if e.full() && (j.noWait || e.places >= float64(e.spec.maxQueue)) {
 		j.ended(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_QUEUE_FULL, e.load())
@@ -179,16 +181,17 @@
 	e.fill()
 }
 
-// count adds a job that waits, or takes it off.
+// count adds n, which is 1 or -1, to the counts of waiting jobs.
 func (e *engine) count(j *job, n int) {
 	e.waiting += n
 	if j.ticket {
 		e.tickets += n
 	}
-	e.places += float64(n) / float64(max(j.of, 1))
+	e.places += float64(n) / float64(max(j.ticketCount, 1))
 }
 
-// next takes the first job of the most urgent class.
+// next removes and returns the first job of the most urgent class. Jobs past their
+// deadline are refused.
 func (e *engine) next() *job {
 	for class := range e.queue {
 		for len(e.queue[class]) > 0 {
@@ -218,15 +221,15 @@
 	}
 }
 
-// hold keeps a slot for the entry of a ticket, for a bounded time.
+// hold holds a slot for a ticket, for at most holdTime.
 func (e *engine) hold(j *job) {
 	e.held++
 	j.holds = true
 	j.granted()
-	e.clock.after(holdTime, func() { e.release(j) })
+	e.clock.schedule(holdTime, func() { e.release(j) })
 }
 
-// release gives back a slot that was held.
+// release frees a slot that is held for a ticket.
 func (e *engine) release(j *job) {
 	if !j.holds || e.dead {
 		return
@@ -236,7 +239,8 @@
 	e.fill()
 }
 
-// startHeld starts a request in the slot that is held for its ticket.
+// startHeld starts a request in the slot held for its ticket, or refuses it if the slot
+// is no longer held.
 func (e *engine) startHeld(ticket, j *job) {
 	if e.dead || !ticket.holds {
 		j.ended(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_QUEUE_FULL, e.load())
@@ -254,17 +258,17 @@
 	j.finish = e.steps + float64(j.output) + e.spec.prefill*float64(len(j.prefix)-j.hit)
 	heap.Push(&e.running, j)
 	j.started()
-	e.schedule()
+	e.scheduleFinish()
 }
 
-func (e *engine) schedule() {
+func (e *engine) scheduleFinish() {
 	e.version++
 	if len(e.running) == 0 || e.stalled || e.dead {
 		return
 	}
 	v := e.version
 	left := max(e.running[0].finish-e.steps, 0) * e.stepTime()
-	e.clock.after(time.Duration(left*float64(time.Second)), func() {
+	e.clock.schedule(time.Duration(left*float64(time.Second)), func() {
 		if v == e.version {
 			e.finishFirst()
 		}
@@ -279,13 +283,13 @@
 	if e.run == 0 {
 		e.run = ran
 	}
-	e.run += meanPart * (ran - e.run)
+	e.run += smoothingFactor * (ran - e.run)
 	j.ended(wire.Outcome_OUTCOME_DONE, 0, load)
-	e.schedule()
+	e.scheduleFinish()
 	e.fill()
 }
 
-// cancel takes a job back, waiting or running.
+// cancel removes a waiting or running job, or frees the slot held for a ticket.
 func (e *engine) cancel(j *job) {
 	for i, w := range e.queue[j.class] {
 		if w == j {
@@ -301,26 +305,26 @@
 	if j.index < len(e.running) && e.running[j.index] == j {
 		e.advance()
 		heap.Remove(&e.running, j.index)
-		e.schedule()
+		e.scheduleFinish()
 		e.fill()
 	}
 }
 
-// slowDown makes every step take longer from now on.
+// slowDown makes every following step take longer.
 func (e *engine) slowDown(factor float64) {
 	e.advance()
 	e.slow = factor
-	e.schedule()
+	e.scheduleFinish()
 }
 
-// stall stops the engine; its agent goes on reporting.
+// stall stops the engine; its agent continues to report.
 func (e *engine) stall() {
 	e.advance()
 	e.stalled = true
 	e.version++
 }
 
-// kill ends the host.
+// kill stops the host and fails all its jobs.
 func (e *engine) kill() {
 	e.dead = true
 	e.version++
@@ -336,15 +340,15 @@
 	e.tickets, e.held, e.places = 0, 0, 0
 }
 
-// meanPart is the weight of the newest run in the mean, as in the agent.
-const meanPart = 0.1
+// smoothingFactor is the EWMA weight of the newest run time, as in the agent.
+const smoothingFactor = 0.1
 
-// blockCache is an engine's prefix cache: least recently used blocks go first.
+// blockCache is an engine's prefix cache, with least-recently-used eviction.
 type blockCache struct {
 	size   int
 	order  *list.List
 	blocks map[uint64]*list.Element
-	// added and removed since the last event.
+	// added and removed are the changes since the last cache event.
 	added, removed []uint64
 }
 
@@ -352,8 +356,8 @@
 	return blockCache{size: size, order: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// holds is how many blocks of a prompt are cached, from its beginning.
-func (c *blockCache) holds(prefix []uint64) int {
+// cachedPrefixLen returns the number of leading blocks of a prompt that are cached.
+func (c *blockCache) cachedPrefixLen(prefix []uint64) int {
 	for i, b := range prefix {
 		if c.blocks[b] == nil {
 			return i
@@ -362,12 +366,12 @@
 	return len(prefix)
 }
 
-// use caches a prompt and returns how much of it was cached.
+// use caches a prompt and returns how many of its leading blocks were cached before.
 func (c *blockCache) use(prefix []uint64) int {
 	if c.size == 0 {
 		return 0
 	}
-	hit := c.holds(prefix)
+	hit := c.cachedPrefixLen(prefix)
 	for i := len(prefix) - 1; i >= 0; i-- {
 		c.touch(prefix[i])
 	}
--- a/measure/route/main.go
+++ b/measure/route/main.go
@@ -1,6 +1,7 @@
-// Command route measures the routing plug-ins on a seeded model of queues and
-// batching in virtual time: entries with the real balancers before modelled
-// engines, beside a single global queue and beside perfect knowledge.
+// Command route measures the routing plug-ins in a seeded simulation of queues and
+// continuous batching in virtual time: entries with the production balancers in front
+// of modelled engines, compared with a single global queue and with perfect knowledge
+// of all engines.
 package main
 
 import (
@@ -28,13 +29,13 @@
 }
 
 var (
-	engines = spec{servers: 16, slots: 8, maxQueue: 64, step: 5 * time.Millisecond, idleStep: 0.6, prefill: 1, timeout: 30 * time.Second}
-	clocks  = spec{servers: 3, slots: 32, maxQueue: 64, step: 5 * time.Millisecond, idleStep: 1, timeout: 2 * time.Second}
-	lags    = []time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}
+	engineServers = spec{servers: 16, slots: 8, maxQueue: 64, step: 5 * time.Millisecond, idleStep: 0.6, prefill: 1, timeout: 30 * time.Second}
+	plainServers  = spec{servers: 3, slots: 32, maxQueue: 64, step: 5 * time.Millisecond, idleStep: 1, timeout: 2 * time.Second}
+	reportLags    = []time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}
 )
 
-// cacheBlocks holds a part of what is in use: 16 caches of it hold the sessions
-// of all teams once, but not several times.
+// cacheBlocks is the size of an engine's prefix cache in blocks. The caches of all 16
+// engines together can hold the sessions of all teams once, but not several times.
 const cacheBlocks = 1000
 
 func main() {
@@ -44,8 +45,8 @@
 	}
 	runtime.GOMAXPROCS(o.Workers)
 	tables := map[string]func(*bench){
-		"choices": choices, "wait": wait, "classes": classes, "clock": clockPool,
-		"days": days, "faults": faults, "prefix": prefix, "worth": worth, "hedge": hedge, "reports": reports, "reportfaults": reportFaults,
+		"choices": choicesTable, "wait": waitTable, "classes": classesTable, "clock": clockTable,
+		"days": daysTable, "faults": faultsTable, "prefix": prefixTable, "worth": worthTable, "hedge": hedgeTable, "reports": reportsTable, "reportfaults": reportFaultsTable,
 	}
 	if len(o.Tables) == 0 {
 		o.Tables = []string{"choices", "wait", "classes", "clock", "days", "faults", "prefix", "worth", "hedge", "reports", "reportfaults"}
@@ -60,29 +61,30 @@
 	}
 }
 
-// bench makes runs and adds up their outcomes over the seeds.
+// bench makes runs and merges their outcomes over the seeds.
 type bench struct{ options }
 
-// variant is a run without its work.
+// variant holds the parameters of a run; bench adds the arrivals.
 type variant struct {
 	spec    spec
 	policy  string
 	load    float64
 	lag     time.Duration
 	fault   fault
-	shape   shape
+	shape   loadShape
 	plain   bool
 	choices int
-	// tickets at how many upstreams; 0 is as the forwarder does, -1 is none.
+	// tickets is the number of upstreams at which a request waits: 0 follows the
+	// forwarder's rule, and -1 disables tickets.
 	tickets int
 	prefix  *route.PrefixSettings
 	hedge   time.Duration
 	rule    *agent.ReportRule
-	// entries before the engines; 0 is as many as a user has today.
+	// entries is the number of entries; 0 stands for the constant entries.
 	entries int
 }
 
-func (b *bench) run(v variant, seed uint64) *outcome {
+func (b *bench) runVariant(v variant, seed uint64) *outcome {
 	until := time.Duration(b.Seconds) * time.Second
 	if v.shape == nil {
 		v.shape = steady
@@ -96,14 +98,14 @@
 	g := newGenerator(seed, v.plain)
 	g.entries = v.entries
 	list := g.arrivals(until, v.load*capacity, v.shape)
-	return newSystem(setup{
+	return newSystem(runConfig{
 		spec: v.spec, policy: v.policy, lag: v.lag, fault: v.fault, until: until,
 		list: list, choices: v.choices, tickets: v.tickets, prefix: v.prefix, hedge: v.hedge, rule: v.rule, entries: v.entries,
 	}).run()
 }
 
-// all runs variants over the seeds and joins the seeds.
-func (b *bench) all(list []variant) []*outcome {
+// runAll runs each variant with every seed and merges the outcomes of its seeds.
+func (b *bench) runAll(list []variant) []*outcome {
 	outs := make([][]*outcome, len(list))
 	var g errgroup.Group
 	g.SetLimit(b.Workers)
@@ -111,7 +113,7 @@
 		outs[i] = make([]*outcome, len(b.Seeds))
 		for s, seed := range b.Seeds {
 			g.Go(func() error {
-				outs[i][s] = b.run(v, seed)
+				outs[i][s] = b.runVariant(v, seed)
 				return nil
 			})
 		}
@@ -119,12 +121,12 @@
 	_ = g.Wait()
 	joined := make([]*outcome, len(list))
 	for i := range list {
-		joined[i] = join(outs[i])
+		joined[i] = mergeOutcomes(outs[i])
 	}
 	return joined
 }
 
-func join(list []*outcome) *outcome {
+func mergeOutcomes(list []*outcome) *outcome {
 	sum := list[0]
 	for _, o := range list[1:] {
 		for c := range sum.wait {
@@ -146,10 +148,10 @@
 	return sum
 }
 
-// attempts is the number of attempts for each request.
+// attempts returns the mean number of attempts per request.
 func (o *outcome) attempts() float64 { return float64(o.attempt) / float64(max(o.offered, 1)) }
 
-func millis(h *hdrhistogram.Histogram) string {
+func formatMillis(h *hdrhistogram.Histogram) string {
 	if h.TotalCount() == 0 {
 		return fmt.Sprintf("%8s %8s %8s", "-", "-", "-")
 	}
@@ -160,23 +162,23 @@
 
 const waitHead = "    mean      p50      p99"
 
-// perRequest is how many of something there were for each request.
+// perRequest returns n divided by the number of requests.
 func (o *outcome) perRequest(n int) float64 { return float64(n) / float64(max(o.offered, 1)) }
 
-// choices compares how many candidates least-loaded should look at, and at how many
-// upstreams a request should wait.
-func choices(b *bench) {
+// choicesTable compares the number of candidates that least-loaded looks at, and of
+// upstreams at which a request waits.
+func choicesTable(b *bench) {
 	fmt.Println("\nWait in ms at 95% load, lag 1 s, by candidates compared and tickets taken (least-loaded, 16 engines); a request")
 	fmt.Printf("%8s %8s %s %9s %8s %8s  urgent: %s\n", "choices", "tickets", waitHead, "attempts", "tickets", "unused", waitHead)
 	var list []variant
 	for _, n := range []int{2, 5, 16} {
 		for _, tickets := range []int{-1, 1, 2, 3, 4, 8, 16, 0} {
-			list = append(list, variant{spec: engines, policy: "least-loaded", load: 0.95, lag: time.Second, choices: n, tickets: tickets})
+			list = append(list, variant{spec: engineServers, policy: "least-loaded", load: 0.95, lag: time.Second, choices: n, tickets: tickets})
 		}
 	}
-	for i, o := range b.all(list) {
-		fmt.Printf("%8d %8s %s %9.2f %8.2f %8.3f  urgent: %s\n", list[i].choices, ticketsName(list[i].tickets), millis(o.all),
-			o.attempts(), o.perRequest(o.tickets), o.perRequest(o.unused), millis(o.wait[wire.Priority_PRIORITY_URGENT]))
+	for i, o := range b.runAll(list) {
+		fmt.Printf("%8d %8s %s %9.2f %8.2f %8.3f  urgent: %s\n", list[i].choices, ticketsName(list[i].tickets), formatMillis(o.all),
+			o.attempts(), o.perRequest(o.tickets), o.perRequest(o.unused), formatMillis(o.wait[wire.Priority_PRIORITY_URGENT]))
 	}
 }
 
@@ -190,48 +192,48 @@
 	return strconv.Itoa(n)
 }
 
-// wait compares the policies by load and lag.
-func wait(b *bench) {
+// waitTable compares the policies by load and lag.
+func waitTable(b *bench) {
 	fmt.Println("\nWait in ms by load and lag, 16 engines, no prefix caches")
 	fmt.Printf("%-13s %5s %6s %s %9s %8s\n", "policy", "load", "lag", waitHead, "x global", "refused")
 	for _, load := range []float64{0.7, 0.95, 1.5} {
-		list := []variant{{spec: engines, policy: "global", load: load}}
+		list := []variant{{spec: engineServers, policy: "global", load: load}}
 		for _, policy := range []string{"round-robin", "least-loaded", "prefix", "perfect"} {
-			for _, lag := range lags {
+			for _, lag := range reportLags {
 				if lag != time.Second && (policy == "round-robin" || policy == "perfect") {
 					continue
 				}
-				list = append(list, variant{spec: engines, policy: policy, load: load, lag: lag})
+				list = append(list, variant{spec: engineServers, policy: policy, load: load, lag: lag})
 			}
 		}
-		outs := b.all(list)
+		outs := b.runAll(list)
 		for i, o := range outs {
-			fmt.Printf("%-13s %4.0f%% %6v %s %9.2f %8s\n", list[i].policy, load*100, list[i].lag, millis(o.all),
+			fmt.Printf("%-13s %4.0f%% %6v %s %9.2f %8s\n", list[i].policy, load*100, list[i].lag, formatMillis(o.all),
 				o.all.Mean()/outs[0].all.Mean(), share(o.refused, o.offered))
 		}
 	}
 }
 
-// classes shows waits by class at 1 s lag.
-func classes(b *bench) {
+// classesTable prints waits by priority class.
+func classesTable(b *bench) {
 	fmt.Println("\nWait in ms by class, lag 1 s, 16 engines, no prefix caches")
 	fmt.Printf("%-13s %5s %-7s %s\n", "policy", "load", "class", waitHead)
 	names := map[wire.Priority]string{1: "urgent", 2: "normal", 3: "batch"}
 	for _, load := range []float64{0.7, 0.95, 1.5} {
 		var list []variant
 		for _, policy := range []string{"global", "round-robin", "least-loaded", "prefix"} {
-			list = append(list, variant{spec: engines, policy: policy, load: load, lag: time.Second})
+			list = append(list, variant{spec: engineServers, policy: policy, load: load, lag: time.Second})
 		}
-		for i, o := range b.all(list) {
+		for i, o := range b.runAll(list) {
 			for class := wire.Priority_PRIORITY_URGENT; class <= wire.Priority_PRIORITY_BATCH; class++ {
-				fmt.Printf("%-13s %4.0f%% %-7s %s\n", list[i].policy, load*100, names[class], millis(o.wait[class]))
+				fmt.Printf("%-13s %4.0f%% %-7s %s\n", list[i].policy, load*100, names[class], formatMillis(o.wait[class]))
 			}
 		}
 	}
 }
 
-// clockPool shows the pool of three plain servers.
-func clockPool(b *bench) {
+// clockTable prints waits at the pool of three plain servers.
+func clockTable(b *bench) {
 	fmt.Println("\nWait in ms, 3 plain servers of the urgent service, lag 1 s")
 	fmt.Printf("%-13s %5s %s %8s\n", "policy", "load", waitHead, "refused")
 	short := *b
@@ -239,36 +241,36 @@
 	for _, load := range []float64{0.7, 0.95, 1.5} {
 		var list []variant
 		for _, policy := range []string{"global", "round-robin", "least-loaded", "prefix"} {
-			list = append(list, variant{spec: clocks, policy: policy, load: load, lag: time.Second, plain: true})
+			list = append(list, variant{spec: plainServers, policy: policy, load: load, lag: time.Second, plain: true})
 		}
-		for i, o := range short.all(list) {
-			fmt.Printf("%-13s %4.0f%% %s %8s\n", list[i].policy, load*100, millis(o.all), share(o.refused, o.offered))
+		for i, o := range short.runAll(list) {
+			fmt.Printf("%-13s %4.0f%% %s %8s\n", list[i].policy, load*100, formatMillis(o.all), share(o.refused, o.offered))
 		}
 	}
 }
 
-// days shows both users' days, with the peak at 110% of the capacity.
-func days(b *bench) {
+// daysTable prints waits over both users' days, with the peak at 110% of the capacity.
+func daysTable(b *bench) {
 	fmt.Println("\nWait in ms over a day, peak at 110% load, lag 1 s, 16 engines, no prefix caches")
 	fmt.Printf("%-13s %-8s %s %9s %8s\n", "policy", "day", waitHead, "x global", "refused")
 	for _, day := range []struct {
 		name  string
-		shape shape
+		shape loadShape
 	}{{"growers", growersDay}, {"lift", liftDay}} {
 		var list []variant
 		for _, policy := range []string{"global", "round-robin", "least-loaded", "prefix"} {
-			list = append(list, variant{spec: engines, policy: policy, load: 1.1, lag: time.Second, shape: day.shape})
+			list = append(list, variant{spec: engineServers, policy: policy, load: 1.1, lag: time.Second, shape: day.shape})
 		}
-		outs := b.all(list)
+		outs := b.runAll(list)
 		for i, o := range outs {
-			fmt.Printf("%-13s %-8s %s %9.2f %8s\n", list[i].policy, day.name, millis(o.all),
+			fmt.Printf("%-13s %-8s %s %9.2f %8s\n", list[i].policy, day.name, formatMillis(o.all),
 				o.all.Mean()/outs[0].all.Mean(), share(o.refused, o.offered))
 		}
 	}
 }
 
-// faults shows one stalled upstream and one lost failure domain.
-func faults(b *bench) {
+// faultsTable prints the effect of a stalled upstream and of a lost failure domain.
+func faultsTable(b *bench) {
 	fmt.Println("\nFaults a third into the run, lag 1 s, 16 engines, no prefix caches")
 	fmt.Printf("%-13s %-16s %5s %s %8s %8s %9s\n", "policy", "fault", "load", waitHead, "lost", "refused", "attempts")
 	for _, f := range []struct {
@@ -278,24 +280,24 @@
 		for _, load := range []float64{0.6, 0.7, 0.95} {
 			var list []variant
 			for _, policy := range []string{"global", "round-robin", "least-loaded", "prefix"} {
-				list = append(list, variant{spec: engines, policy: policy, load: load, lag: time.Second, fault: f.fault})
+				list = append(list, variant{spec: engineServers, policy: policy, load: load, lag: time.Second, fault: f.fault})
 			}
-			for i, o := range b.all(list) {
-				fmt.Printf("%-13s %-16s %4.0f%% %s %8d %8s %9.3f\n", list[i].policy, f.name, load*100, millis(o.all),
+			for i, o := range b.runAll(list) {
+				fmt.Printf("%-13s %-16s %4.0f%% %s %8d %8s %9.3f\n", list[i].policy, f.name, load*100, formatMillis(o.all),
 					o.lost, share(o.refused, o.offered), o.attempts())
 			}
 		}
 	}
 }
 
-func cached() spec {
-	s := engines
+func cachedSpec() spec {
+	s := engineServers
 	s.cache = cacheBlocks
 	return s
 }
 
-// prefix shows hit rates of the engines' caches.
-func prefix(b *bench) {
+// prefixTable prints the hit rates of the engines' prefix caches.
+func prefixTable(b *bench) {
 	fmt.Printf("\nPrefix hits (blocks of prompts found cached) and wait in ms, 16 engines with %d cached blocks each\n", cacheBlocks)
 	fmt.Printf("%-13s %5s %6s %8s %10s %s\n", "policy", "load", "lag", "hits", "of perfect", waitHead)
 	fmt.Println("(\"worth\" is perfect knowledge with another weight of a cached prompt)")
@@ -304,19 +306,19 @@
 		longest := ours
 		longest.Worth = 100
 		list := []variant{
-			{spec: cached(), policy: "perfect", load: load, lag: time.Second},
-			{spec: cached(), policy: "perfect", load: load, lag: time.Second, prefix: &ours},
-			{spec: cached(), policy: "perfect", load: load, lag: time.Second, prefix: &longest},
+			{spec: cachedSpec(), policy: "perfect", load: load, lag: time.Second},
+			{spec: cachedSpec(), policy: "perfect", load: load, lag: time.Second, prefix: &ours},
+			{spec: cachedSpec(), policy: "perfect", load: load, lag: time.Second, prefix: &longest},
 		}
 		for _, policy := range []string{"round-robin", "least-loaded", "prefix"} {
-			for _, lag := range lags {
+			for _, lag := range reportLags {
 				if lag != time.Second && policy != "prefix" {
 					continue
 				}
-				list = append(list, variant{spec: cached(), policy: policy, load: load, lag: lag})
+				list = append(list, variant{spec: cachedSpec(), policy: policy, load: load, lag: lag})
 			}
 		}
-		outs := b.all(list)
+		outs := b.runAll(list)
 		rate := func(o *outcome) float64 { return float64(o.hits) / float64(max(o.blocks, 1)) }
 		for i, o := range outs {
 			name := list[i].policy
@@ -324,31 +326,31 @@
 				name = fmt.Sprintf("worth %g", list[i].prefix.Worth)
 			}
 			fmt.Printf("%-13s %4.0f%% %6v %7.1f%% %9.1f%% %s\n", name, load*100, list[i].lag,
-				100*rate(o), 100*rate(o)/rate(outs[0]), millis(o.all))
+				100*rate(o), 100*rate(o)/rate(outs[0]), formatMillis(o.all))
 		}
 	}
 }
 
-// worth compares how much a cached prompt should outweigh load.
-func worth(b *bench) {
+// worthTable compares weights of a cached prompt against load.
+func worthTable(b *bench) {
 	fmt.Println("\nPrefix hits, wait and answer in ms at 95% load by what a cached prompt is worth in shares of the slots")
 	fmt.Printf("%6s %6s %8s %s %s %8s\n", "worth", "lag", "hits", waitHead, "  answer", "tickets")
 	var list []variant
 	for _, w := range []float64{0.1, 0.25, 0.5, 0.75, 1, 2} {
 		s := route.DefaultPrefixSettings()
 		s.Worth = w
-		for _, lag := range lags[:2] {
-			list = append(list, variant{spec: cached(), policy: "prefix", load: 0.95, lag: lag, prefix: &s})
+		for _, lag := range reportLags[:2] {
+			list = append(list, variant{spec: cachedSpec(), policy: "prefix", load: 0.95, lag: lag, prefix: &s})
 		}
 	}
-	for i, o := range b.all(list) {
+	for i, o := range b.runAll(list) {
 		fmt.Printf("%6.2f %6v %7.1f%% %s %8.1f %8.2f\n", list[i].prefix.Worth, list[i].lag,
-			100*float64(o.hits)/float64(max(o.blocks, 1)), millis(o.all), o.answer.Mean()/1e3, o.perRequest(o.tickets))
+			100*float64(o.hits)/float64(max(o.blocks, 1)), formatMillis(o.all), o.answer.Mean()/1e3, o.perRequest(o.tickets))
 	}
 }
 
-// hedge shows second attempts of urgent requests to the plain service.
-func hedge(b *bench) {
+// hedgeTable prints the effect of hedging urgent requests to the plain service.
+func hedgeTable(b *bench) {
 	fmt.Println("\nTime to the answer in ms, 3 plain servers of the urgent service, least-loaded, lag 1 s, with and without hedging")
 	fmt.Printf("%-16s %5s %6s %s %9s %6s %9s\n", "fault", "load", "hedge", waitHead, "p99.9", "lost", "attempts")
 	short := *b
@@ -361,23 +363,23 @@
 			var list []variant
 			for _, after := range []time.Duration{0, 60 * time.Millisecond, 120 * time.Millisecond, 250 * time.Millisecond} {
 				list = append(list, variant{
-					spec: clocks, policy: "least-loaded", load: load, lag: time.Second, fault: f.fault, plain: true, hedge: after,
+					spec: plainServers, policy: "least-loaded", load: load, lag: time.Second, fault: f.fault, plain: true, hedge: after,
 				})
 			}
-			for i, o := range short.all(list) {
-				fmt.Printf("%-16s %4.0f%% %6v %s %9.1f %6d %9.3f\n", f.name, load*100, list[i].hedge, millis(o.answer),
+			for i, o := range short.runAll(list) {
+				fmt.Printf("%-16s %4.0f%% %6v %s %9.1f %6d %9.3f\n", f.name, load*100, list[i].hedge, formatMillis(o.answer),
 					float64(o.answer.ValueAtQuantile(99.9))/1e3, o.lost, o.attempts())
 			}
 		}
 	}
 }
 
-// manyEntries make answers as rare for each entry and engine as at the target:
-// one in ten seconds.
+// manyEntries is the number of entries at which each entry gets about one answer from
+// each engine in ten seconds, as at the target size.
 const manyEntries = 70
 
-// reports compares rules by which agents leave load reports out.
-func reports(b *bench) {
+// reportsTable compares rules by which agents suppress load reports.
+func reportsTable(b *bench) {
 	fmt.Println("\nWait in ms by the rule of load reports (change in shares of the slots, keep-alive), at most 2 reports a second, up to 1 s old, 16 engines")
 	fmt.Printf("%-13s %7s %5s %7s %10s %s %9s %8s %10s\n", "policy", "entries", "load", "change", "keep-alive", waitHead, "attempts", "refused", "reports/s")
 	rules := []*agent.ReportRule{nil}
@@ -392,32 +394,33 @@
 			for _, load := range []float64{0.1, 0.7, 0.95} {
 				var list []variant
 				for _, r := range rules {
-					list = append(list, variant{spec: engines, policy: policy, load: load, lag: time.Second, rule: r, entries: n})
+					list = append(list, variant{spec: engineServers, policy: policy, load: load, lag: time.Second, rule: r, entries: n})
 				}
-				for i, o := range b.all(list) {
-					printReports(list[i], o)
+				for i, o := range b.runAll(list) {
+					printReportsRow(list[i], o)
 				}
 			}
 		}
 	}
 }
 
-// reportFaults compares the agents' rule with reports of all loads where loads
-// change quickly or caches decide; with the longest keep-alive for many entries.
-func reportFaults(b *bench) {
+// reportFaultsTable compares the agents' rule with reporting every load, in cases where
+// loads change quickly or prefix caches matter. With many entries the keep-alive is
+// longer.
+func reportFaultsTable(b *bench) {
 	fmt.Println("\nWait in ms with reports of all loads and with the agents' rule, lag 1 s")
 	fmt.Printf("%-40s %-9s %s %8s %8s %7s %10s\n", "case", "reports", waitHead, "lost", "refused", "hits", "reports/s")
 	for _, c := range []struct {
 		name string
 		v    variant
 	}{
-		{"3 plain servers, 95%", variant{spec: clocks, policy: "least-loaded", load: 0.95, plain: true}},
-		{"3 plain servers, 95%, 70 entries", variant{spec: clocks, policy: "least-loaded", load: 0.95, plain: true, entries: manyEntries}},
-		{"one stalled, 95%", variant{spec: engines, policy: "least-loaded", load: 0.95, fault: stalledUpstream}},
-		{"one stalled, 95%, 70 entries", variant{spec: engines, policy: "least-loaded", load: 0.95, fault: stalledUpstream, entries: manyEntries}},
-		{"domain lost, 60%", variant{spec: engines, policy: "least-loaded", load: 0.6, fault: lostDomain}},
-		{"growers' day, peak 110%", variant{spec: engines, policy: "least-loaded", load: 1.1, shape: growersDay}},
-		{"prefix caches, 95%", variant{spec: cached(), policy: "prefix", load: 0.95}},
+		{"3 plain servers, 95%", variant{spec: plainServers, policy: "least-loaded", load: 0.95, plain: true}},
+		{"3 plain servers, 95%, 70 entries", variant{spec: plainServers, policy: "least-loaded", load: 0.95, plain: true, entries: manyEntries}},
+		{"one stalled, 95%", variant{spec: engineServers, policy: "least-loaded", load: 0.95, fault: stalledUpstream}},
+		{"one stalled, 95%, 70 entries", variant{spec: engineServers, policy: "least-loaded", load: 0.95, fault: stalledUpstream, entries: manyEntries}},
+		{"domain lost, 60%", variant{spec: engineServers, policy: "least-loaded", load: 0.6, fault: lostDomain}},
+		{"growers' day, peak 110%", variant{spec: engineServers, policy: "least-loaded", load: 1.1, shape: growersDay}},
+		{"prefix caches, 95%", variant{spec: cachedSpec(), policy: "prefix", load: 0.95}},
 	} {
 		all, some := c.v, c.v
 		all.lag, some.lag = time.Second, time.Second
@@ -429,20 +432,20 @@
 		if c.v.plain {
 			short.Seconds = min(b.Seconds, 60)
 		}
-		for i, o := range short.all([]variant{all, some}) {
+		for i, o := range short.runAll([]variant{all, some}) {
 			rate := float64(time.Second) / float64(all.lag/2) * float64(o.reports) / float64(o.loads)
-			fmt.Printf("%-40s %-9s %s %8d %8s %6.1f%% %10.2f\n", c.name, []string{"all", "by rule"}[i], millis(o.all),
+			fmt.Printf("%-40s %-9s %s %8d %8s %6.1f%% %10.2f\n", c.name, []string{"all", "by rule"}[i], formatMillis(o.all),
 				o.lost, share(o.refused, o.offered), 100*float64(o.hits)/float64(max(o.blocks, 1)), rate)
 		}
 	}
 }
 
-func printReports(v variant, o *outcome) {
+func printReportsRow(v variant, o *outcome) {
 	r := agent.ReportRule{}
 	if v.rule != nil {
 		r = *v.rule
 	}
 	rate := float64(time.Second) / float64(v.lag/2) * float64(o.reports) / float64(o.loads)
 	fmt.Printf("%-13s %7d %4.0f%% %7.2f %10v %s %9.2f %8s %10.2f\n", v.policy, v.entries, v.load*100, r.Change, r.KeepAlive,
-		millis(o.all), o.attempts(), share(o.refused, o.offered), rate)
+		formatMillis(o.all), o.attempts(), share(o.refused, o.offered), rate)
 }
--- a/measure/route/system.go
+++ b/measure/route/system.go
@@ -21,17 +21,17 @@
 	maxAttempts = 4
 	maxMoves    = 3
 	retryShare  = 0.1
-	// dialTimeout is how long it takes to notice that a host is gone.
+	// dialTimeout is the time after which a dial to a dead host fails.
 	dialTimeout = time.Second
-	// leaseTime is how long the directory keeps a host that is gone.
+	// leaseTime is the time after which the directory removes a dead host.
 	leaseTime = 3 * time.Second
 	// cacheInterval is the shortest time between two cache events of an engine.
 	cacheInterval = 500 * time.Millisecond
-	// lostEvents is the share of cache events that never arrive.
+	// lostEvents is the fraction of cache events that are lost.
 	lostEvents = 0.01
 )
 
-// fault is what goes wrong in a run, a third into it.
+// fault is a fault that is injected after a third of a run.
 type fault int
 
 const (
@@ -41,77 +41,78 @@
 	slowUpstream
 )
 
-// slowTimes is how many times longer a slow upstream takes.
-const slowTimes = 10
+// slowFactor is the factor by which the steps of a slow upstream take longer.
+const slowFactor = 10
 
-// setup is one run.
-type setup struct {
+// runConfig holds the parameters and the arrivals of one run.
+type runConfig struct {
 	spec   spec
 	policy string
 	lag    time.Duration
 	fault  fault
 	until  time.Duration
 	list   []arrival
-	// entries before the engines.
+	// entries is the number of entries.
 	entries int
-	// choices overrides how many candidates least-loaded compares.
+	// choices overrides the number of candidates that least-loaded compares, if > 0.
 	choices int
-	// tickets is at how many upstreams a request waits; 0 is as the forwarder does,
-	// -1 is in the queue of one agent.
+	// tickets is the number of upstreams at which a request waits: 0 follows the
+	// forwarder's rule, and -1 queues it at a single agent without tickets.
 	tickets int
 	prefix  *route.PrefixSettings
-	// hedge is the time after which a second attempt goes to another upstream if
-	// the first isn't answered; 0 is never.
+	// hedge is the time without an answer after which a second attempt is sent to
+	// another upstream; 0 disables hedging.
 	hedge time.Duration
-	// rule says which loads agents report; nil is all.
+	// rule decides which loads agents report; nil reports all.
 	rule *agent.ReportRule
 }
 
-// outcome is what a run measured, after a tenth of warming up.
+// outcome holds the figures of a run. Requests that arrive in its first tenth are
+// warm-up and not counted in most of them.
 type outcome struct {
 	wait [4]*hdrhistogram.Histogram
 	all  *hdrhistogram.Histogram
-	// answer is the time to the whole answer.
+	// answer is the time until the answer is complete.
 	answer           *hdrhistogram.Histogram
 	refused, lost    int
 	hits, blocks     int
 	offered, attempt int
-	// reports counts what each entry got of each engine; loads is what was due at
-	// the shortest interval.
+	// reports counts the load reports that were sent; loads is the number that would
+	// have been sent without a rule.
 	reports, loads int
 	tickets        int
-	// unused slots were held for a ticket that another had won.
+	// unused counts granted slots that their request did not use.
 	unused int
 }
 
 type entryNode struct {
 	balancer route.Balancer
 	budget   *forward.Budget
-	// hedges bounds second attempts as budget bounds retries.
+	// hedges limits hedged attempts, as budget limits retries.
 	hedges *forward.Budget
 	domain string
 }
 
-// system is the model: entries with real balancers before modelled engines.
+// system is the simulation: entries with production balancers and modelled engines.
 type system struct {
-	setup
+	runConfig
 	clock   clock
 	engines []*engine
 	entries []*entryNode
 	rnd     *rand.Rand
 	out     outcome
-	// central is the single global queue with perfect knowledge, if that is the
-	// policy.
+	// central is the single global queue of the policy "global", by class.
 	central [4][]func(*engine)
-	// seqs and told are the number and the time of each engine's last cache event.
-	seqs []uint64
-	told []time.Duration
-	// reported is what entries were told of each engine's load.
+	// cacheSeqs and cacheSentAt are the sequence number and the time of each engine's
+	// last cache event.
+	cacheSeqs   []uint64
+	cacheSentAt []time.Duration
+	// reported is the state of each agent's rule for load reports.
 	reported []agent.Reports
 }
 
-func newSystem(s setup) *system {
-	m := &system{setup: s, rnd: rand.New(rand.NewPCG(11, 13))}
+func newSystem(s runConfig) *system {
+	m := &system{runConfig: s, rnd: rand.New(rand.NewPCG(11, 13))}
 	for i := range m.out.wait {
 		m.out.wait[i] = hdrhistogram.New(1, 120_000_000, 3)
 	}
@@ -122,8 +123,8 @@
 			clock: &m.clock, spec: s.spec, domain: domains[i%len(domains)], cache: newBlockCache(s.spec.cache),
 		})
 	}
-	m.seqs = make([]uint64, s.spec.servers)
-	m.told = make([]time.Duration, s.spec.servers)
+	m.cacheSeqs = make([]uint64, s.spec.servers)
+	m.cacheSentAt = make([]time.Duration, s.spec.servers)
 	m.reported = make([]agent.Reports, s.spec.servers)
 	if s.policy == "global" {
 		return m
@@ -131,7 +132,7 @@
 	for i := range s.entries {
 		m.entries = append(m.entries, m.newEntry(i))
 	}
-	m.update()
+	m.updateUpstreams()
 	return m
 }
 
@@ -158,10 +159,10 @@
 	return &entryNode{balancer: b, budget: forward.NewBudget(retryShare), hedges: forward.NewBudget(retryShare), domain: place.FailureDomain}
 }
 
-func (m *system) time() time.Time { return time.Unix(0, 0).Add(m.clock.now) }
+func (m *system) clockTime() time.Time { return time.Unix(0, 0).Add(m.clock.now) }
 
-// update hands the upstreams that the directory holds to the entries.
-func (m *system) update() {
+// updateUpstreams passes the upstreams that are alive to all balancers.
+func (m *system) updateUpstreams() {
 	var ups []route.Upstream
 	for i, e := range m.engines {
 		if !e.dead {
@@ -169,7 +170,7 @@
 		}
 	}
 	for _, n := range m.entries {
-		n.balancer.Update(m.time(), ups)
+		n.balancer.Update(m.clockTime(), ups)
 	}
 }
 
@@ -181,31 +182,31 @@
 	return i
 }
 
-// run drives the model to its end.
+// run runs the simulation to its end.
 func (m *system) run() *outcome {
-	m.breakLater()
+	m.scheduleFault()
 	if m.policy != "global" {
 		m.reportLoop()
 	}
-	m.arrive(0)
+	m.scheduleArrival(0)
 	m.clock.run(m.until)
 	return &m.out
 }
 
-func (m *system) arrive(i int) {
+func (m *system) scheduleArrival(i int) {
 	if i >= len(m.list) {
 		return
 	}
 	a := &m.list[i]
-	m.clock.after(a.at-m.clock.now, func() {
-		m.begin(a)
-		m.arrive(i + 1)
+	m.clock.schedule(a.at-m.clock.now, func() {
+		m.beginRequest(a)
+		m.scheduleArrival(i + 1)
 	})
 }
 
 func (m *system) measured(a *arrival) bool { return a.at > m.until/10 }
 
-func (m *system) begin(a *arrival) {
+func (m *system) beginRequest(a *arrival) {
 	if m.measured(a) {
 		m.out.offered++
 	}
@@ -219,10 +220,10 @@
 	}
 	m.entries[a.entry].budget.Offer()
 	m.entries[a.entry].hedges.Offer()
-	m.try(a, r, 1)
+	m.tryUpstream(a, r, 1)
 }
 
-// started notes a request's wait: from its arrival at the entry to its slot.
+// started records a request's wait: from its arrival at the entry to its start.
 func (m *system) started(a *arrival, j *job) {
 	if !m.measured(a) {
 		return
@@ -240,27 +241,28 @@
 	return j
 }
 
-// way is the time from an entry to an engine.
-func (m *system) way(n *entryNode, e *engine) time.Duration {
+// delay returns the one-way delay between an entry and an engine.
+func (m *system) delay(n *entryNode, e *engine) time.Duration {
 	if n.domain == e.domain {
 		return hop / 5
 	}
 	return hop
 }
 
-// try makes one attempt, by the forwarder's rules for idempotent requests.
-func (m *system) try(a *arrival, r *request, attempt int) {
+// tryUpstream picks an upstream and makes one attempt, by the forwarder's rules for
+// idempotent requests.
+func (m *system) tryUpstream(a *arrival, r *request, attempt int) {
 	n := m.entries[a.entry]
-	choice, ok := n.balancer.Pick(m.time(), &r.Request)
+	choice, ok := n.balancer.Pick(m.clockTime(), &r.Request)
 	if !ok {
 		m.refuse(a)
 		return
 	}
-	m.attempt(a, r, attempt, choice, nil)
+	m.startAttempt(a, r, attempt, choice, nil)
 }
 
-// attempt makes an attempt in the slot that a ticket holds, or without one.
-func (m *system) attempt(a *arrival, r *request, attempt int, choice route.Choice, ticket *job) {
+// startAttempt makes an attempt, in the slot held for a ticket if that is not nil.
+func (m *system) startAttempt(a *arrival, r *request, attempt int, choice route.Choice, ticket *job) {
 	n, up := m.entries[a.entry], choice.Upstream
 	if m.measured(a) {
 		m.out.attempt++
@@ -279,26 +281,26 @@
 		if reason == 0 {
 			m.answered(a, r, j)
 		}
-		n.balancer.Done(m.time(), up, &r.Request, route.Result{Outcome: o, Reason: reason, Load: l, Elapsed: m.clock.now - began})
+		n.balancer.Done(m.clockTime(), up, &r.Request, route.Result{Outcome: o, Reason: reason, Load: l, Elapsed: m.clock.now - began})
 		switch {
 		case reason == wire.Reason_REASON_QUEUE_FULL && moving:
 			r.moves++
 			m.waitAt(a, r, attempt+1)
 		case reason != 0:
 			r.Exclude[up.ID] = true
-			m.again(a, r, n, attempt, o)
+			m.retry(a, r, n, attempt, o)
 		}
 	}
 	if e.dead {
-		m.clock.after(dialTimeout, func() { end(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_UPSTREAM_FAILED, nil) })
+		m.clock.schedule(dialTimeout, func() { end(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_UPSTREAM_FAILED, nil) })
 		return
 	}
-	way := m.way(n, e)
+	way := m.delay(n, e)
 	r.jobs[j] = e
 	j.ended = func(o wire.Outcome, reason wire.Reason, l *wire.Load) {
-		m.clock.after(way, func() { end(o, reason, l) })
+		m.clock.schedule(way, func() { end(o, reason, l) })
 	}
-	m.clock.after(way, func() {
+	m.clock.schedule(way, func() {
 		if ticket != nil {
 			e.startHeld(ticket, j)
 			return
@@ -307,14 +309,14 @@
 	})
 	m.hedgeLater(a, r, up, attempt)
 	if m.fault == stalledUpstream {
-		m.clock.after(a.at+m.spec.timeout-m.clock.now, func() { end(wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_DEADLINE, nil) })
+		m.clock.schedule(a.at+m.spec.timeout-m.clock.now, func() { end(wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_DEADLINE, nil) })
 	}
 }
 
-// holdTime is as in the agent.
+// holdTime is the time for which an agent holds a slot for a ticket.
 const holdTime = 100 * time.Millisecond
 
-// ticketsFor is at how many upstreams a request waits.
+// ticketsFor returns the number of upstreams at which a request waits.
 func (m *system) ticketsFor(a *arrival) int {
 	if m.tickets > 0 {
 		return m.tickets
@@ -322,28 +324,29 @@
 	return forward.Tickets(a.class)
 }
 
-// queueing is a request that waits at several upstreams.
-type queueing struct {
+// ticketGroup is a request that waits at several upstreams.
+type ticketGroup struct {
 	system  *system
-	a       *arrival
-	r       *request
+	arrival *arrival
+	request *request
 	attempt int
 	waiter  route.Waiter
 	places  []route.Upstream
 	tickets []*job
 	won     bool
-	// left tickets have not ended; full is how many found a full queue.
-	left, full int
+	// pending is the number of tickets that have not failed, and full the number that
+	// found a full queue.
+	pending, full int
 }
 
-// waitAt takes tickets at several upstreams, by the forwarder's rules: the first
-// that has a free slot gets the request.
+// waitAt takes tickets at several upstreams, by the forwarder's rules. The first one
+// with a free slot gets the request.
 func (m *system) waitAt(a *arrival, r *request, attempt int) {
 	w := m.entries[a.entry].balancer.(route.Waiter)
-	q := &queueing{system: m, a: a, r: r, attempt: attempt, waiter: w, places: w.Places(m.time(), &r.Request, m.ticketsFor(a))}
-	q.left = len(q.places)
-	if q.left == 0 {
-		m.try(a, r, attempt)
+	q := &ticketGroup{system: m, arrival: a, request: r, attempt: attempt, waiter: w, places: w.Places(m.clockTime(), &r.Request, m.ticketsFor(a))}
+	q.pending = len(q.places)
+	if q.pending == 0 {
+		m.tryUpstream(a, r, attempt)
 		return
 	}
 	for i := range q.places {
@@ -351,59 +354,60 @@
 	}
 }
 
-func (q *queueing) at(i int) (*engine, time.Duration) {
+func (q *ticketGroup) at(i int) (*engine, time.Duration) {
 	m := q.system
 	e := m.engines[upstreamIndex(q.places[i].ID)]
-	return e, m.way(m.entries[q.a.entry], e)
+	return e, m.delay(m.entries[q.arrival.entry], e)
 }
 
-func (q *queueing) ticket(i int) *job {
+func (q *ticketGroup) ticket(i int) *job {
 	m := q.system
-	if m.measured(q.a) {
+	if m.measured(q.arrival) {
 		m.out.tickets++
 	}
 	e, way := q.at(i)
-	t := &job{class: q.a.class, deadline: q.a.at + m.spec.timeout, ticket: true, of: len(q.places)}
+	t := &job{class: q.arrival.class, deadline: q.arrival.at + m.spec.timeout, ticket: true, ticketCount: len(q.places)}
 	t.ended = func(_ wire.Outcome, reason wire.Reason, _ *wire.Load) {
-		m.clock.after(way, func() { q.over(reason == wire.Reason_REASON_QUEUE_FULL) })
+		m.clock.schedule(way, func() { q.ticketFailed(reason == wire.Reason_REASON_QUEUE_FULL) })
 	}
 	t.granted = func() {
-		m.clock.after(way, func() { q.granted(i) })
+		m.clock.schedule(way, func() { q.granted(i) })
 	}
 	if e.dead {
-		m.clock.after(dialTimeout, func() { q.over(false) })
+		m.clock.schedule(dialTimeout, func() { q.ticketFailed(false) })
 		return t
 	}
-	m.clock.after(way, func() { e.offer(t) })
+	m.clock.schedule(way, func() { e.offer(t) })
 	return t
 }
 
-// over ends a ticket that holds no slot.
-func (q *queueing) over(full bool) {
-	q.left--
+// ticketFailed ends a ticket without a slot. After the last one the request is tried
+// again, or refused if its deadline has passed.
+func (q *ticketGroup) ticketFailed(full bool) {
+	q.pending--
 	if full {
 		q.full++
 	}
-	if q.left > 0 || q.won || q.r.done {
+	if q.pending > 0 || q.won || q.request.done {
 		return
 	}
 	if q.full == len(q.places) {
-		q.r.moves = maxMoves
+		q.request.moves = maxMoves
 	}
-	if q.system.clock.now >= q.a.at+q.system.spec.timeout {
-		q.system.refuse(q.a)
+	if q.system.clock.now >= q.arrival.at+q.system.spec.timeout {
+		q.system.refuse(q.arrival)
 		return
 	}
-	q.system.try(q.a, q.r, q.attempt)
+	q.system.tryUpstream(q.arrival, q.request, q.attempt)
 }
 
-// granted takes the first slot and gives back the others.
-func (q *queueing) granted(i int) {
+// granted uses the first granted slot and withdraws the other tickets.
+func (q *ticketGroup) granted(i int) {
 	m := q.system
-	if q.won || q.r.done || !q.waiter.Take(m.time(), q.places[i], &q.r.Request) {
+	if q.won || q.request.done || !q.waiter.Take(m.clockTime(), q.places[i], &q.request.Request) {
 		m.out.unused++
 		q.withdraw(i)
-		q.over(false)
+		q.ticketFailed(false)
 		return
 	}
 	q.won = true
@@ -412,25 +416,25 @@
 			q.withdraw(other)
 		}
 	}
-	m.attempt(q.a, q.r, q.attempt, route.Choice{Upstream: q.places[i]}, q.tickets[i])
+	m.startAttempt(q.arrival, q.request, q.attempt, route.Choice{Upstream: q.places[i]}, q.tickets[i])
 }
 
-func (q *queueing) withdraw(i int) {
+func (q *ticketGroup) withdraw(i int) {
 	e, way := q.at(i)
-	q.system.clock.after(way, func() { e.cancel(q.tickets[i]) })
+	q.system.clock.schedule(way, func() { e.cancel(q.tickets[i]) })
 }
 
-// request is a request with its attempts.
+// request is a request and its attempts.
 type request struct {
 	route.Request
 	jobs   map[*job]*engine
 	hedged bool
 	done   bool
-	// moves is how often it found no free slot.
+	// moves counts the attempts that found no free slot.
 	moves int
 }
 
-// answered takes the first whole answer and cancels the other attempts.
+// answered accepts the first answer and cancels the other attempts.
 func (m *system) answered(a *arrival, r *request, won *job) {
 	if r.done {
 		return
@@ -451,17 +455,17 @@
 	if m.hedge == 0 || r.hedged {
 		return
 	}
-	m.clock.after(m.hedge, func() {
+	m.clock.schedule(m.hedge, func() {
 		if r.done || r.hedged || !m.entries[a.entry].hedges.Take() {
 			return
 		}
 		r.hedged = true
 		r.Exclude[up.ID] = true
-		m.try(a, r, attempt+1)
+		m.tryUpstream(a, r, attempt+1)
 	})
 }
 
-func (m *system) again(a *arrival, r *request, n *entryNode, attempt int, o wire.Outcome) {
+func (m *system) retry(a *arrival, r *request, n *entryNode, attempt int, o wire.Outcome) {
 	if r.done {
 		return
 	}
@@ -474,7 +478,7 @@
 		}
 		return
 	}
-	m.try(a, r, attempt+1)
+	m.tryUpstream(a, r, attempt+1)
 }
 
 func (m *system) refuse(a *arrival) {
@@ -483,10 +487,10 @@
 	}
 }
 
-// reportLoop sends load and cache events to every entry. A report is lag/2 old
-// when it comes, and lag when the next one comes.
+// reportLoop sends loads and cache events to every entry. A report is lag/2 old when it
+// arrives, and lag old when the next one arrives.
 func (m *system) reportLoop() {
-	m.clock.after(m.lag/2, func() {
+	m.clock.schedule(m.lag/2, func() {
 		for i, e := range m.engines {
 			if !e.dead {
 				m.report(i, e)
@@ -499,56 +503,56 @@
 func (m *system) report(i int, e *engine) {
 	load := e.load()
 	var cache []*wire.CacheEvent
-	if len(e.cache.added)+len(e.cache.removed) > 0 && m.clock.now >= m.told[i]+cacheInterval {
-		m.told[i] = m.clock.now
-		m.seqs[i]++
-		cache = append(cache, &wire.CacheEvent{Seq: m.seqs[i], Added: e.cache.added, Removed: e.cache.removed})
+	if len(e.cache.added)+len(e.cache.removed) > 0 && m.clock.now >= m.cacheSentAt[i]+cacheInterval {
+		m.cacheSentAt[i] = m.clock.now
+		m.cacheSeqs[i]++
+		cache = append(cache, &wire.CacheEvent{Seq: m.cacheSeqs[i], Added: e.cache.added, Removed: e.cache.removed})
 		e.cache.added, e.cache.removed = nil, nil
 	}
 	m.out.loads++
-	if !m.due(i, &wire.Report{Load: load, Cache: cache}) {
+	if !m.reportDue(i, &wire.Report{Load: load, Cache: cache}) {
 		return
 	}
 	m.out.reports++
 	for _, n := range m.entries {
 		lost := m.rnd.Float64() < lostEvents
-		m.clock.after(m.lag/2, func() {
-			n.balancer.Report(m.time(), upstreamID(i), 1, load)
+		m.clock.schedule(m.lag/2, func() {
+			n.balancer.Report(m.clockTime(), upstreamID(i), 1, load)
 			if len(cache) > 0 && !lost {
-				n.balancer.Cache(m.time(), upstreamID(i), 1, cache)
+				n.balancer.Cache(m.clockTime(), upstreamID(i), 1, cache)
 			}
 		})
 	}
 }
 
-// due applies the agents' rule to a report.
-func (m *system) due(i int, next *wire.Report) bool {
+// reportDue applies the agents' rule to a report.
+func (m *system) reportDue(i int, next *wire.Report) bool {
 	r := &m.reported[i]
 	if m.rule == nil {
 		return true
 	}
 	r.Rule = *m.rule
-	if !r.Due(m.time(), next) {
+	if !r.Due(m.clockTime(), next) {
 		return false
 	}
-	r.Sent(m.time(), next)
+	r.Sent(m.clockTime(), next)
 	return true
 }
 
-func (m *system) breakLater() {
+func (m *system) scheduleFault() {
 	switch m.fault {
 	case stalledUpstream:
-		m.clock.after(m.until/3, m.engines[0].stall)
+		m.clock.schedule(m.until/3, m.engines[0].stall)
 	case slowUpstream:
-		m.clock.after(m.until/3, func() { m.engines[0].slowDown(slowTimes) })
+		m.clock.schedule(m.until/3, func() { m.engines[0].slowDown(slowFactor) })
 	case lostDomain:
-		m.clock.after(m.until/3, func() {
+		m.clock.schedule(m.until/3, func() {
 			for _, e := range m.engines {
 				if e.domain == domains[0] {
 					e.kill()
 				}
 			}
-			m.clock.after(leaseTime, m.update)
+			m.clock.schedule(leaseTime, m.updateUpstreams)
 		})
 	}
 }
--- a/measure/route/work.go
+++ b/measure/route/workload.go
@@ -8,7 +8,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// arrival is one request of the work, the same for every policy.
+// arrival is one request of the workload, which is the same for every policy.
 type arrival struct {
 	at     time.Duration
 	entry  int
@@ -30,19 +30,19 @@
 	maxOutput      = 1024
 )
 
-// shape is the load of a user's day, as a factor of the mean, over a share of
-// the day from 0 to 1.
-type shape func(x float64) float64
+// loadShape is a load profile: the load as a factor, by the fraction of the day that
+// has passed, from 0 to 1.
+type loadShape func(x float64) float64
 
 func steady(float64) float64 { return 1 }
 
-// growersDay has the morning rush before the clock and the settlement queries
-// after it.
+// growersDay has a rush in the morning before the auction clock starts, and a second
+// peak of settlement queries after it.
 func growersDay(x float64) float64 {
 	return 0.5 + 1.2*bump(x, 0.3, 0.08) + 0.7*bump(x, 0.6, 0.1)
 }
 
-// liftDay is flat, with two sharp cold snaps.
+// liftDay is constant except for two short peaks in cold snaps.
 func liftDay(x float64) float64 {
 	return 0.7 + 1.4*bump(x, 0.35, 0.03) + 1.4*bump(x, 0.75, 0.03)
 }
@@ -52,8 +52,8 @@
 	return math.Exp(-d * d / 2)
 }
 
-// peak is the highest value of a shape.
-func peak(s shape) float64 {
+// peak returns the highest value of a load shape.
+func peak(s loadShape) float64 {
 	top := 0.0
 	for i := range 1000 {
 		top = max(top, s(float64(i)/1000))
@@ -66,8 +66,8 @@
 	prefix []uint64
 }
 
-// generator makes the arrivals of teams of uneven size whose calls share the
-// team's template and go on in sessions.
+// generator generates arrivals of teams of unequal size. The prompts of a team share its
+// template as prefix and grow in sessions.
 type generator struct {
 	rnd      *rand.Rand
 	template [teams][]uint64
@@ -111,9 +111,9 @@
 	return 0
 }
 
-// arrivals draws a Poisson process whose highest rate is top per second, shaped
-// over the given time.
-func (g *generator) arrivals(until time.Duration, top float64, s shape) []arrival {
+// arrivals draws a Poisson process whose highest rate is top per second, and whose rate
+// follows a load shape over the given time.
+func (g *generator) arrivals(until time.Duration, top float64, s loadShape) []arrival {
 	var all []arrival
 	high := peak(s)
 	at := 0.0
@@ -138,7 +138,7 @@
 	if g.rnd.Float64() > stickyShare {
 		a.entry = g.rnd.IntN(g.entries)
 	}
-	// Callers bound the output generously.
+	// Callers overestimate the output by up to a factor of two.
 	a.tokens = len(a.prefix)*blockTokens + int(float64(a.output)*(1+g.rnd.Float64()))
 	return a
 }
@@ -168,14 +168,14 @@
 	return wire.Priority_PRIORITY_BATCH
 }
 
-// output is lognormal with a heavy upper tail.
+// output draws the output length in tokens from a lognormal distribution.
 func (g *generator) output() int {
 	const sigma = 0.8
 	mu := math.Log(meanOutput) - sigma*sigma/2
 	return min(max(int(math.Exp(mu+sigma*g.rnd.NormFloat64())), 8), maxOutput)
 }
 
-// meanSteps is the mean work of arrivals in steps, with nothing cached.
+// meanSteps returns the mean work of the arrivals in steps, with nothing cached.
 func meanSteps(list []arrival, prefill float64) float64 {
 	sum := 0.0
 	for _, a := range list {
