--- a/measure/capacity/settling.go
+++ b/measure/capacity/settling.go
@@ -70,9 +70,9 @@
 }
 
 type modelWatch struct {
-	view   *directory.View
-	source *directory.Source
-	heard  time.Duration
+	view       *directory.View
+	source     *directory.Source
+	lastUpdate time.Duration
 }
 
 type model struct {
@@ -173,22 +173,22 @@
 	from := m.replicas[k]
 	w := to.watches[k]
 	if w == nil {
-		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Replaces: to.lastSource, Whole: !localOnly}, heard: m.now}
+		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Replaces: to.lastSource, Whole: !localOnly}, lastUpdate: m.now}
 		to.watches[k] = w
 	}
 	if from.down {
-		if m.now-w.heard >= modelSilence {
+		if m.now-w.lastUpdate >= modelSilence {
 			delete(to.watches, k)
 			return false
 		}
 		return true
 	}
-	if m.now-w.heard > 2*modelStep {
+	if m.now-w.lastUpdate > 2*modelStep {
 		// The replica was down and has restarted, so the watch starts anew.
 		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Replaces: to.lastSource, Whole: !localOnly}}
 		to.watches[k] = w
 	}
-	w.heard = m.now
+	w.lastUpdate = m.now
 	u, _ := from.state.Update(m.virtualTime(), w.view)
 	to.state.Apply(m.virtualTime(), w.source, u)
 	if localOnly {
@@ -240,8 +240,8 @@
 				wrong += m.wrong / modelSeeds
 				refused += m.refused / modelSeeds
 			}
-			asked := demand * modelUpstreams * modelEntries * 30
-			fmt.Printf("%-18s %9v %26.1f %16.3f\n", sc.name, settle, wrong, 100*refused/asked)
+			offered := demand * modelUpstreams * modelEntries * 30
+			fmt.Printf("%-18s %9v %26.1f %16.3f\n", sc.name, settle, wrong, 100*refused/offered)
 		}
 	}
 	return nil
--- a/measure/control/peers.go
+++ b/measure/control/peers.go
@@ -57,6 +57,6 @@
 		return total
 	}
 	before := sum()
-	spent := c.spend(f)
+	spent := c.measureTraffic(f)
 	return sum() - before, spent
 }
--- a/measure/control/watch.go
+++ b/measure/control/watch.go
@@ -46,9 +46,9 @@
 	cpu   time.Duration
 }
 
-// spend measures the traffic of the first replica and the processor time of the whole
+// measureTraffic measures the traffic of the first replica and the processor time of the whole
 // process while f runs.
-func (c *cluster) spend(f func()) meter.Spent { return meter.Spend(c.replicas[0].lis, f) }
+func (c *cluster) measureTraffic(f func()) meter.Spent { return meter.Spend(c.replicas[0].lis, f) }
 
 // measureWatch measures the bytes that one watch takes, idle and for each edit.
 func measureWatch(ctx context.Context, o options) error {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return idle, perEdit, err
 	}
-	none := c.spend(func() { time.Sleep(o.time()) })
+	none := c.measureTraffic(func() { time.Sleep(o.time()) })
 	var list []*watcher
 	for i := range n {
 		w := c.startWatch(ctx, c.addrs[0], fmt.Sprint("entry-", i))
@@ -85,12 +85,12 @@
 	if err := waitRevision(list, first.Revision); err != nil {
 		return idle, perEdit, err
 	}
-	with := c.spend(func() { time.Sleep(o.time()) })
+	with := c.measureTraffic(func() { time.Sleep(o.time()) })
 	share := float64(n) * with.Took.Seconds()
 	idle.bytes = float64(with.Sent-none.Sent) / share
 	idle.cpu = time.Duration(float64(with.CPU-none.CPU) / share)
 	const edits = 50
-	busy := c.spend(func() { err = c.editsInForce(ctx, list, edits) })
+	busy := c.measureTraffic(func() { err = c.editsInForce(ctx, list, edits) })
 	rest := busy.Took.Seconds() * float64(n)
 	perEdit.bytes = (float64(busy.Sent) - idle.bytes*rest) / float64(n*edits)
 	perEdit.cpu = time.Duration((float64(busy.CPU) - float64(idle.cpu)*rest) / float64(n*edits))
--- a/measure/placement/report.go
+++ b/measure/placement/report.go
@@ -63,16 +63,16 @@
 // printRatios prints J relative to the better baseline and to the offline planner, and
 // the moves and the time lost relative to the repacking baseline.
 func printRatios(results []result) {
-	ours, repack, static := results[2], best(results, "repack"), best(results, "static")
-	naive, fewer := best(results, "repack 30m"), results[3]
+	incremental, repack, static := results[2], best(results, "repack"), best(results, "static")
+	repack30m, fewer := best(results, "repack 30m"), results[3]
 	base := repack
 	if static.j < base.j {
 		base = static
 	}
 	off := best(results, "offline")
-	fmt.Printf("J: ours / better baseline (%s) %.2f; ours / offline (%s) %.2f\n", base.name, ours.j/base.j, off.name, ours.j/off.j)
-	for _, r := range []result{ours, fewer} {
+	fmt.Printf("J: ours / better baseline (%s) %.2f; ours / offline (%s) %.2f\n", base.name, incremental.j/base.j, off.name, incremental.j/off.j)
+	for _, r := range []result{incremental, fewer} {
 		fmt.Printf("moves: repack 30m / %s %.1f, time lost %.2f of repack's\n", r.name,
-			float64(naive.obj.Moves)/float64(max(r.obj.Moves, 1)), r.obj.Lost.Seconds()/naive.obj.Lost.Seconds())
+			float64(repack30m.obj.Moves)/float64(max(r.obj.Moves, 1)), r.obj.Lost.Seconds()/repack30m.obj.Lost.Seconds())
 	}
 }
--- a/measure/placement/sim.go
+++ b/measure/placement/sim.go
@@ -51,7 +51,7 @@
 	loadTrace *trace.Trace
 	runs      []*run
 	bound     []float64
-	ahead     []placement.Load // true loads of the current and the following windows
+	upcoming  []placement.Load // true loads of the current and the following windows
 }
 
 func simulate(s placement.Shape, c placement.Cost, t *trace.Trace, runs []*run) []result {
@@ -92,7 +92,7 @@
 		sum += placement.Bound(sm.shape, layer, load)
 	}
 	sm.bound = append(sm.bound, sum/float64(sm.shape.Layers))
-	sm.ahead = slices.Delete(sm.ahead, 0, 1)
+	sm.upcoming = slices.Delete(sm.upcoming, 0, 1)
 }
 
 // plan activates a staged map once its weights are loaded, and then asks the planner
@@ -121,10 +121,10 @@
 // load returns the true load of the window that is after windows later than the current
 // one.
 func (sm *sim) load(now, after int) placement.Load {
-	for len(sm.ahead) <= after {
-		sm.ahead = append(sm.ahead, sm.loadTrace.Load(now+len(sm.ahead)))
+	for len(sm.upcoming) <= after {
+		sm.upcoming = append(sm.upcoming, sm.loadTrace.Load(now+len(sm.upcoming)))
 	}
-	return sm.ahead[after]
+	return sm.upcoming[after]
 }
 
 func (sm *sim) mean(now, from, n int) placement.Load {
--- a/measure/route/system.go
+++ b/measure/route/system.go
@@ -295,12 +295,12 @@
 		m.clock.schedule(dialTimeout, func() { end(wire.Outcome_OUTCOME_NOT_RUN, wire.Reason_REASON_UPSTREAM_FAILED, nil) })
 		return
 	}
-	way := m.delay(n, e)
+	delay := m.delay(n, e)
 	r.jobs[j] = e
 	j.ended = func(o wire.Outcome, reason wire.Reason, l *wire.Load) {
-		m.clock.schedule(way, func() { end(o, reason, l) })
+		m.clock.schedule(delay, func() { end(o, reason, l) })
 	}
-	m.clock.schedule(way, func() {
+	m.clock.schedule(delay, func() {
 		if ticket != nil {
 			e.startHeld(ticket, j)
 			return
@@ -354,7 +354,7 @@
 	}
 }
 
-func (q *ticketGroup) at(i int) (*engine, time.Duration) {
+func (q *ticketGroup) engineAt(i int) (*engine, time.Duration) {
 	m := q.system
 	e := m.engines[upstreamIndex(q.places[i].ID)]
 	return e, m.delay(m.entries[q.arrival.entry], e)
@@ -365,19 +365,19 @@
 	if m.measured(q.arrival) {
 		m.out.tickets++
 	}
-	e, way := q.at(i)
+	e, delay := q.engineAt(i)
 	t := &job{class: q.arrival.class, deadline: q.arrival.at + m.spec.timeout, ticket: true, ticketCount: len(q.places)}
 	t.ended = func(_ wire.Outcome, reason wire.Reason, _ *wire.Load) {
-		m.clock.schedule(way, func() { q.ticketFailed(reason == wire.Reason_REASON_QUEUE_FULL) })
+		m.clock.schedule(delay, func() { q.ticketFailed(reason == wire.Reason_REASON_QUEUE_FULL) })
 	}
 	t.granted = func() {
-		m.clock.schedule(way, func() { q.granted(i) })
+		m.clock.schedule(delay, func() { q.granted(i) })
 	}
 	if e.dead {
 		m.clock.schedule(dialTimeout, func() { q.ticketFailed(false) })
 		return t
 	}
-	m.clock.schedule(way, func() { e.offer(t) })
+	m.clock.schedule(delay, func() { e.offer(t) })
 	return t
 }
 
@@ -420,8 +420,8 @@
 }
 
 func (q *ticketGroup) withdraw(i int) {
-	e, way := q.at(i)
-	q.system.clock.schedule(way, func() { e.cancel(q.tickets[i]) })
+	e, delay := q.engineAt(i)
+	q.system.clock.schedule(delay, func() { e.cancel(q.tickets[i]) })
 }
 
 // request is a request and its attempts.
--- a/scenario/call.go
+++ b/scenario/call.go
@@ -222,13 +222,13 @@
 		return err
 	}
 	defer resp.Body.Close()
-	var told problem
-	if err := json.NewDecoder(resp.Body).Decode(&told); err != nil {
+	var explanation problem
+	if err := json.NewDecoder(resp.Body).Decode(&explanation); err != nil {
 		return err
 	}
-	told.Token = c.problem.Token
-	if resp.StatusCode != http.StatusOK || told != c.problem {
-		return merry.Prependf(errMismatch, "explained as %+v with status %d: %s", told, resp.StatusCode, c)
+	explanation.Token = c.problem.Token
+	if resp.StatusCode != http.StatusOK || explanation != c.problem {
+		return merry.Prependf(errMismatch, "explained as %+v with status %d: %s", explanation, resp.StatusCode, c)
 	}
 	return nil
 }
--- a/scenario/callers.go
+++ b/scenario/callers.go
@@ -124,17 +124,17 @@
 	if len(o.positional) < 3 || len(o.values) != 1 {
 		return merry.Prepend(ErrScript, "exactly N name=value ID ID...")
 	}
-	n, held := o.positional[0], 0
+	n, matched := o.positional[0], 0
 	var last error
 	for _, id := range o.positional[1:] {
 		if err := w.cmdExpect(id, options{values: o.values}); err != nil {
 			last = err
 			continue
 		}
-		held++
+		matched++
 	}
-	if strconv.Itoa(held) != n {
-		return merry.Prependf(errMismatch, "%d match; last mismatch: %v", held, last)
+	if strconv.Itoa(matched) != n {
+		return merry.Prependf(errMismatch, "%d match; last mismatch: %v", matched, last)
 	}
 	return nil
 }
