--- a/measure/admit/queues.go
+++ b/measure/admit/queues.go
@@ -280,8 +280,8 @@
 	return least
 }
 
-// sendToEngine sends a request to the engine that chooseEngine returns. Loads are known without
-// delay, since the choice of upstreams is not measured here.
+// sendToEngine sends a request to the engine that chooseEngine returns. Loads are known
+// without delay, since the choice of upstreams is not measured here.
 func (m *model) sendToEngine(r *request) {
 	r.engine = m.chooseEngine()
 	r.engineWork = m.newWork(r)
--- a/measure/control/watch.go
+++ b/measure/control/watch.go
@@ -46,8 +46,8 @@
 	cpu   time.Duration
 }
 
-// measureTraffic measures the traffic of the first replica and the processor time of the whole
-// process while f runs.
+// measureTraffic measures the traffic of the first replica and the processor time of
+// the whole process while f runs.
 func (c *cluster) measureTraffic(f func()) meter.Spent { return meter.Spend(c.replicas[0].lis, f) }
 
 // measureWatch measures the bytes that one watch takes, idle and for each edit.
--- a/measure/route/main.go
+++ b/measure/route/main.go
@@ -80,7 +80,7 @@
 	prefix  *route.PrefixSettings
 	hedge   time.Duration
 	rule    *agent.ReportRule
-	// entries is the number of entries; 0 stands for the constant entries.
+	// entries is the number of entries; 0 means the default, the constant of this name.
 	entries int
 }
 
--- a/measure/route/workload.go
+++ b/measure/route/workload.go
@@ -21,13 +21,13 @@
 const (
 	teams          = 10
 	entries        = 7
-	stickyShare    = 0.8
-	sessionShare   = 0.8
-	activeSessions = 60
-	maxBlocks      = 64
-	blockTokens    = 64
-	meanOutput     = 200
-	maxOutput      = 1024
+	stickyShare    = 0.8  // fraction of calls sent to the entry of their session
+	sessionShare   = 0.8  // fraction of calls that continue a session
+	activeSessions = 60   // sessions kept for each team
+	maxBlocks      = 64   // longest prompt, in blocks
+	blockTokens    = 64   // tokens in a block
+	meanOutput     = 200  // tokens
+	maxOutput      = 1024 // tokens
 )
 
 // loadShape is a load profile: the load as a factor, by the fraction of the day that
--- a/scenario/audit.go
+++ b/scenario/audit.go
@@ -8,10 +8,11 @@
 )
 
 // audit checks the invariants that hold after every script, whichever faults it
-// injected: every call has ended; each answer is complete and belongs to its
-// request; no request to the plain service ran more than once; no request reported
-// as not run has run; no accepted row was lost; no step of a group used two expert
-// maps; no engine executed an old leader's order after one of its successor.
+// injected: every call has ended; each answer that did not visibly break off is
+// complete and belongs to its request; no request to the plain service ran more than
+// once; no request reported as not run has run; no accepted row was lost; no step of a
+// group used two expert maps; no engine executed an old leader's order after one of
+// its successor.
 func (w *world) audit(t testscript.T) {
 	if w.sys == nil {
 		return
