--- a/admit/account.go
+++ b/admit/account.go
@@ -42,14 +42,14 @@
 	kept := acc.grants[:0]
 	for _, old := range acc.grants {
 		switch {
-		case old.epoch < d.Ack:
+		case old.epoch < d.AckedEpoch:
 		case now.Before(old.expires):
 			kept = append(kept, old)
 		default:
 			acc.expired = acc.expired.merge(old)
 		}
 	}
-	if acc.expired.epoch < d.Ack {
+	if acc.expired.epoch < d.AckedEpoch {
 		acc.expired = grant{}
 	}
 	acc.grants = append(kept, g)
--- a/admit/allocator.go
+++ b/admit/allocator.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Home grants shares of limits to entries; see ShareTTL. It does no I/O and is not safe for
+// ShareAllocator grants shares of limits to entries; see ShareTTL. It does no I/O and is not safe for
 // concurrent use.
-type Home struct {
+type ShareAllocator struct {
 	name string
 	// openAt is when this Home may begin to grant.
 	openAt      time.Time
@@ -31,10 +31,10 @@
 	ownEpochs bool
 }
 
-// NewHome returns the Home of a leader that has just been elected. It grants nothing until
+// NewShareAllocator returns the Home of a leader that has just been elected. It grants nothing until
 // the grants of the one before have expired. name must be unique among all Homes.
-func NewHome(now time.Time, name string) *Home {
-	return &Home{
+func NewShareAllocator(now time.Time, name string) *ShareAllocator {
+	return &ShareAllocator{
 		name: name, openAt: now.Add(grantTTL), subjects: map[Subject]*accounts{},
 		entryStates: map[string]entryState{},
 	}
@@ -46,19 +46,21 @@
 
 // Name returns the Home's name, or "" while it may not grant yet: an entry that names this
 // Home in a report was answered after the grants of the one before had expired.
-func (h *Home) Name(now time.Time) string {
+func (h *ShareAllocator) Name(now time.Time) string {
 	if !h.mayGrant(now) {
 		return ""
 	}
 	return h.name
 }
 
-func (h *Home) mayGrant(now time.Time) bool { return h.skipStartupWait || !now.Before(h.openAt) }
+func (h *ShareAllocator) mayGrant(now time.Time) bool {
+	return h.skipStartupWait || !now.Before(h.openAt)
+}
 
-// Hear takes the head of a report. It returns false if the demands must not be answered:
+// AcceptReport takes the head of a report. It returns false if the demands must not be answered:
 // this Home may not grant yet, or the report is not the entry's latest. A reordered one
 // would count fewer requests in progress than there are.
-func (h *Home) Hear(now time.Time, r Report) bool {
+func (h *ShareAllocator) AcceptReport(now time.Time, r Report) bool {
 	if !h.mayGrant(now) {
 		return false
 	}
@@ -66,7 +68,7 @@
 	if r.Incarnation < last.incarnation || r.Incarnation == last.incarnation && r.Seq <= last.seq {
 		return false
 	}
-	ownEpochs := r.Home == h.name
+	ownEpochs := r.Allocator == h.name
 	// A partial report omits requests in progress.
 	firstFull := ownEpochs && !r.Partial && !last.fullReport
 	if firstFull {
@@ -79,7 +81,7 @@
 
 // Grant answers one demand of a report that Hear has accepted. hold is the longest time
 // that a request of the subject may run; see Holds.
-func (h *Home) Grant(now time.Time, entry string, s Subject, limit Amounts, d Demand, hold time.Duration) Share {
+func (h *ShareAllocator) Grant(now time.Time, entry string, s Subject, limit Amounts, d Demand, hold time.Duration) Share {
 	d.Wanted, d.Running = d.Wanted.sanitized(), sanitizeAmount(d.Running)
 	all := h.subjects[s]
 	if all == nil {
@@ -87,7 +89,7 @@
 		h.subjects[s] = all
 	}
 	if !h.entryStates[entry].ownEpochs {
-		d.Ack = 0
+		d.AckedEpoch = 0
 	}
 	all.advance(now)
 	acc := all.getOrCreate(entry)
@@ -98,7 +100,7 @@
 	again := o.renewInterval(since, limit.Requests)
 	if bound := h.concurrentBound(now, entry, acc, d, hold); bound < a.Concurrent && !math.IsInf(limit.Concurrent, 1) {
 		a.Concurrent = bound
-		again = min(again, ShareInterval)
+		again = min(again, ShareRetryInterval)
 	}
 	// An entry that released a grant acknowledges the epoch after it, so that epoch must
 	// not be a grant's.
@@ -108,14 +110,14 @@
 	}
 	acc.addGrant(now, d, grant{epoch: h.epoch, amounts: a, expires: now.Add(grantTTL)}, hold)
 	all.refresh(now, acc)
-	return Share{Amounts: a, Epoch: h.epoch, Burst: shareBurst(limit.Requests, a.Requests), Hold: hold, Again: again}
+	return Share{Amounts: a, Epoch: h.epoch, Burst: shareBurst(limit.Requests, a.Requests), MaxTimeout: hold, RenewAfter: again}
 }
 
 // concurrentBound returns the most requests in progress that an entry may be granted. Until
 // this Home is settled, another entry may be running any part of the limit: the entry keeps
 // as many as it had, which the earlier Home had granted it, and gets no more. An entry that
 // is not in the ring gets none, since a later Home would not wait for its report.
-func (h *Home) concurrentBound(now time.Time, entry string, acc *account, d Demand, hold time.Duration) float64 {
+func (h *ShareAllocator) concurrentBound(now time.Time, entry string, acc *account, d Demand, hold time.Duration) float64 {
 	switch {
 	case !h.membership.has(entry):
 		return 0
@@ -131,7 +133,7 @@
 }
 
 // sweep drops what no longer counts, at most once per grantTTL.
-func (h *Home) sweep(now time.Time) {
+func (h *ShareAllocator) sweep(now time.Time) {
 	if now.Sub(h.lastSweep) < grantTTL {
 		return
 	}
--- a/admit/allocator_dump.go
+++ b/admit/allocator_dump.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Live returns the sum of what all entries may be using of a subject now.
-func (h *Home) Live(now time.Time, s Subject) Amounts {
+// InUse returns the sum of what all entries may be using of a subject now.
+func (h *ShareAllocator) InUse(now time.Time, s Subject) Amounts {
 	all := h.subjects[s]
 	if all == nil {
 		return Amounts{}
@@ -26,10 +26,10 @@
 }
 
 // Dump returns the subjects that Home keeps accounts of, ordered by team and service.
-func (h *Home) Dump(now time.Time) []SubjectState {
+func (h *ShareAllocator) Dump(now time.Time) []SubjectState {
 	var list []SubjectState
 	for s, all := range h.subjects {
-		live := h.Live(now, s)
+		live := h.InUse(now, s)
 		list = append(list, SubjectState{
 			Team: s.Team, Service: s.Service, Entries: len(all.byEntry),
 			Requests: finite(live.Requests), Tokens: finite(live.Tokens), Concurrent: finite(live.Concurrent),
--- a/admit/amounts.go
+++ b/admit/amounts.go
@@ -41,12 +41,12 @@
 	if n < 1 {
 		return Amounts{}
 	}
-	fraction := FloorPart / float64(2*n)
+	fraction := FloorFraction / float64(2*n)
 	a := Amounts{Tokens: limit.Tokens * fraction}
-	if limit.Requests >= FloorFrom {
+	if limit.Requests >= MinLimitWithFloor {
 		a.Requests = limit.Requests * fraction
 	}
-	if limit.Concurrent >= FloorFrom {
+	if limit.Concurrent >= MinLimitWithFloor {
 		a.Concurrent = math.Floor(limit.Concurrent * fraction)
 	}
 	return a
@@ -56,18 +56,18 @@
 func grantable(limit Amounts) Amounts {
 	return Amounts{
 		Requests:   grantableAmount(limit.Requests),
-		Tokens:     limit.Tokens * (1 - FloorPart),
+		Tokens:     limit.Tokens * (1 - FloorFraction),
 		Concurrent: math.Floor(grantableAmount(limit.Concurrent)),
 	}
 }
 
-// grantableAmount never decreases as the limit grows, also at FloorFrom: an entry and Home
+// grantableAmount never decreases as the limit grows, also at MinLimitWithFloor: an entry and Home
 // that know different versions of a limit stay within the larger one.
 func grantableAmount(limit float64) float64 {
-	if limit >= FloorFrom {
-		return limit * (1 - FloorPart)
+	if limit >= MinLimitWithFloor {
+		return limit * (1 - FloorFraction)
 	}
-	return min(limit, FloorFrom*(1-FloorPart))
+	return min(limit, MinLimitWithFloor*(1-FloorFraction))
 }
 
 // grantableBurst returns how many requests all grants of a limit together may accumulate.
@@ -76,19 +76,19 @@
 // grows.
 func grantableBurst(limit float64) float64 {
 	perSecond := limit * burstTime.Seconds()
-	if limit >= FloorFrom {
-		return perSecond * (1 - FloorBurst)
+	if limit >= MinLimitWithFloor {
+		return perSecond * (1 - FloorBurstFraction)
 	}
-	return min(max(perSecond, 1), FloorFrom*burstTime.Seconds()*(1-FloorBurst))
+	return min(max(perSecond, 1), MinLimitWithFloor*burstTime.Seconds()*(1-FloorBurstFraction))
 }
 
 // floorBurst returns how many requests the floor of one entry may accumulate in a ring of
 // n.
 func floorBurst(limit float64, n int) float64 {
-	if n < 1 || limit < FloorFrom {
+	if n < 1 || limit < MinLimitWithFloor {
 		return 0
 	}
-	return limit * burstTime.Seconds() * FloorBurst / float64(2*n)
+	return limit * burstTime.Seconds() * FloorBurstFraction / float64(2*n)
 }
 
 // shareBurst returns how many requests an entry may accumulate with its share of a limit.
--- a/admit/bench_test.go
+++ b/admit/bench_test.go
@@ -67,7 +67,7 @@
 			for i := range b.N {
 				now = now.Add(time.Microsecond)
 				s := subjects[i%teams]
-				if l.Take(now, s, limit, Ask{Tokens: 10}) == nil {
+				if l.Take(now, s, limit, Request{Tokens: 10}) == nil {
 					l.Done(s)
 				}
 			}
@@ -89,20 +89,20 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				p.now = p.now.Add(time.Millisecond)
-				d.Ack = p.home.Grant(p.now, names[i%entries], simSubject, p.limit, d, time.Second).Epoch
+				d.AckedEpoch = p.home.Grant(p.now, names[i%entries], simSubject, p.limit, d, time.Second).Epoch
 			}
 		})
 	}
 }
 
-// BenchmarkLimiterDue measures the check for due demands, which runs once per ShareCheck.
+// BenchmarkLimiterDue measures the check for due demands, which runs once per ShareCheckInterval.
 func BenchmarkLimiterDue(b *testing.B) {
 	for _, teams := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
 			l := NewLimiter()
 			l.SetEntries(7)
 			for i := range teams {
-				l.Take(simEpoch, Subject{fmt.Sprint("team-", i), "lm"}, Amounts{1000, 1e6, 100}, Ask{})
+				l.Take(simEpoch, Subject{fmt.Sprint("team-", i), "lm"}, Amounts{1000, 1e6, 100}, Request{})
 			}
 			l.Report(simEpoch)
 			now := simEpoch.Add(2 * minAskInterval)
--- a/admit/divide.go
+++ b/admit/divide.go
@@ -70,7 +70,7 @@
 		length := turnLength(limit)
 		interval = min(interval, length-since%length)
 	}
-	return max(interval, ShareCheck)
+	return max(interval, ShareCheckInterval)
 }
 
 // fairPortion returns the entry's part of a pool that is divided in proportion to demand,
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -17,12 +17,12 @@
 // Errors of this package. Work that is refused with any of them was not started.
 var (
 	ErrQueueFull = merry.Sentinel("queue is full")
-	// ErrPartFull is returned when the named queue of the work is at its own bound.
-	ErrPartFull = merry.Sentinel("queue of the service is full")
-	ErrDeadline = merry.Sentinel("deadline passes before the work can start")
-	ErrClosed   = merry.Sentinel("no new work is taken")
-	// ErrBusy is returned for work with NoWait that can't start at once.
-	ErrBusy = merry.Sentinel("no slot is free")
+	// ErrNamedQueueFull is returned when the named queue of the work is at its own bound.
+	ErrNamedQueueFull = merry.Sentinel("queue of the service is full")
+	ErrDeadline       = merry.Sentinel("deadline passes before the work can start")
+	ErrClosed         = merry.Sentinel("no new work is taken")
+	// ErrNoFreeSlot is returned for work with NoWait that can't start at once.
+	ErrNoFreeSlot = merry.Sentinel("no slot is free")
 )
 
 // Settings configures a Gate.
@@ -138,7 +138,7 @@
 	}
 	class := classOf(w.Priority)
 	if w.NoWait && !g.startsAtOnce(class) {
-		return ErrBusy
+		return ErrNoFreeSlot
 	}
 	if !w.Deadline.IsZero() && !now.Add(g.estimateWait(class, w)).Before(w.Deadline) {
 		return ErrDeadline
@@ -204,7 +204,7 @@
 // can't keep others out of the queue.
 func (g *Gate) makeRoom(class int, w *Work) error {
 	if w.Queue != "" && !g.makeRoomInNamedQueue(class, w) {
-		return ErrPartFull
+		return ErrNamedQueueFull
 	}
 	c := &g.classes[class]
 	if c.usedUnits < g.settings.MaxQueue*unitsPerWork {
@@ -234,7 +234,7 @@
 	}
 	for i := len(g.classes) - 1; i >= class; i-- {
 		if victim := g.classes[i].newestOf(team, w.Queue); victim != nil {
-			g.refuseWaiting(victim, ErrPartFull)
+			g.refuseWaiting(victim, ErrNamedQueueFull)
 			return true
 		}
 	}
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -368,10 +368,10 @@
 	now := simEpoch
 	assert.NilError(t, g.Offer(now, &Work{Team: "a", Priority: normal, NoWait: true}))
 	g.Start(now)
-	assert.ErrorIs(t, g.Offer(now, &Work{Team: "a", Priority: normal, NoWait: true}), ErrBusy)
+	assert.ErrorIs(t, g.Offer(now, &Work{Team: "a", Priority: normal, NoWait: true}), ErrNoFreeSlot)
 	assert.NilError(t, g.Offer(now, &Work{Team: "a", Priority: urgent, NoWait: true}))
 	g.Start(now)
-	assert.ErrorIs(t, g.Offer(now, &Work{Team: "a", Priority: urgent, NoWait: true}), ErrBusy)
+	assert.ErrorIs(t, g.Offer(now, &Work{Team: "a", Priority: urgent, NoWait: true}), ErrNoFreeSlot)
 }
 
 // A team that was idle gets its share from then on, and no credit for the time before.
@@ -495,7 +495,7 @@
 	b := newQueueSim(NewGate(Settings{Slots: 1, MaxQueue: 1000}), time.Second)
 	refused := map[string]int{}
 	b.onRefuse = func(w *Work, err error) {
-		assert.ErrorIs(t, err, ErrPartFull)
+		assert.ErrorIs(t, err, ErrNamedQueueFull)
 		refused[w.Team]++
 	}
 	offer := func(team, service string) error {
@@ -504,12 +504,12 @@
 	for range 11 {
 		assert.NilError(t, offer("hog", "lm"))
 	}
-	assert.ErrorIs(t, offer("hog", "lm"), ErrPartFull)
+	assert.ErrorIs(t, offer("hog", "lm"), ErrNamedQueueFull)
 	assert.NilError(t, offer("hog", "clock"))
 	for range 5 {
 		assert.NilError(t, offer("small", "lm"))
 	}
-	assert.ErrorIs(t, offer("small", "lm"), ErrPartFull)
+	assert.ErrorIs(t, offer("small", "lm"), ErrNamedQueueFull)
 	assert.DeepEqual(t, refused, map[string]int{"hog": 5})
 	assert.Equal(t, b.queue.Waiting(), 11)
 }
--- a/admit/limiter.go
+++ b/admit/limiter.go
@@ -13,8 +13,8 @@
 	MeasureConcurrent = "concurrent"
 )
 
-// Refused describes why Limiter.Take refused a request.
-type Refused struct {
+// LimitExceeded describes why Limiter.Take refused a request.
+type LimitExceeded struct {
 	Measure string
 	// Limit is the configured limit of the measure; Share is this entry's current part of
 	// it.
@@ -66,8 +66,8 @@
 // burstTime is how many seconds' worth of a rate may accumulate in a bucket.
 const burstTime = time.Second
 
-// Ask is what a request needs to be admitted.
-type Ask struct {
+// Request is what a request needs to be admitted.
+type Request struct {
 	Tokens float64
 	// Timeout is how long the request may be in progress.
 	Timeout time.Duration
@@ -75,23 +75,23 @@
 
 // Take admits a request, or returns why it is refused. limit is the one in force now. Done
 // must be called for each admitted request.
-func (l *Limiter) Take(now time.Time, s Subject, limit Amounts, a Ask) *Refused {
+func (l *Limiter) Take(now time.Time, s Subject, limit Amounts, a Request) *LimitExceeded {
 	loc := l.localShare(now, s, limit)
 	loc.arrivals.add(now, 1, a.Tokens)
 	share := loc.share(now)
 	if entryLimit := loc.concurrencyLimit(now, a.Timeout); float64(loc.running)+1 > entryLimit {
 		loc.renewal.stale = loc.renewal.stale || a.Timeout > loc.maxTimeout
-		return &Refused{MeasureConcurrent, limit.Concurrent, entryLimit, noShareRetryDelay}
+		return &LimitExceeded{MeasureConcurrent, limit.Concurrent, entryLimit, noShareRetryDelay}
 	}
 	if !math.IsInf(share.Tokens, 1) {
 		if ok, wait := loc.tokenBucket.takeLarge(now, a.Tokens); !ok {
-			return &Refused{MeasureTokens, limit.Tokens, share.Tokens, wait}
+			return &LimitExceeded{MeasureTokens, limit.Tokens, share.Tokens, wait}
 		}
 	}
 	if !math.IsInf(share.Requests, 1) {
 		if ok, wait := loc.requestBucket.take(now, 1); !ok {
 			loc.tokenBucket.level += a.Tokens
-			return &Refused{MeasureRequests, limit.Requests, share.Requests, wait}
+			return &LimitExceeded{MeasureRequests, limit.Requests, share.Requests, wait}
 		}
 	}
 	loc.running++
@@ -190,14 +190,14 @@
 	loc.requestBucket.setRate(at, share.Requests, min(saved, most))
 }
 
-// Granted reports whether the entry holds an unexpired grant for a subject.
-func (l *Limiter) Granted(now time.Time, s Subject) bool {
+// HasGrant reports whether the entry holds an unexpired grant for a subject.
+func (l *Limiter) HasGrant(now time.Time, s Subject) bool {
 	loc := l.subjects[s]
 	return loc != nil && now.Before(loc.expires)
 }
 
-// Knows reports whether the Limiter keeps state of a subject.
-func (l *Limiter) Knows(s Subject) bool { return l.subjects[s] != nil }
+// HasSubject reports whether the Limiter keeps state of a subject.
+func (l *Limiter) HasSubject(s Subject) bool { return l.subjects[s] != nil }
 
 // LocalState describes one subject of an entry in a dump; -1 means unlimited.
 type LocalState struct {
@@ -246,7 +246,7 @@
 	loc.advance(now)
 	loc.renewal.recordAnswer(sent, g, loc.activeGrant(now))
 	loc.allocator, loc.epoch = home, g.Epoch
-	loc.granted, loc.burst, loc.maxTimeout = g.Amounts, g.Burst, g.Hold
+	loc.granted, loc.burst, loc.maxTimeout = g.Amounts, g.Burst, g.MaxTimeout
 	loc.sentAt, loc.expires = sent, sent.Add(ShareTTL)
 	loc.refillBuckets(now, now)
 }
--- a/admit/limiter_test.go
+++ b/admit/limiter_test.go
@@ -13,7 +13,7 @@
 // nothing.
 type shareCluster struct {
 	now      time.Time
-	home     *Home
+	home     *ShareAllocator
 	limit    Amounts
 	hold     time.Duration
 	limiters []*Limiter
@@ -25,14 +25,14 @@
 }
 
 func newShareCluster(entries int, limit Amounts) *shareCluster {
-	p := &shareCluster{now: simEpoch, limit: limit, hold: time.Second, home: NewHome(simEpoch, "home-1")}
+	p := &shareCluster{now: simEpoch, limit: limit, hold: time.Second, home: NewShareAllocator(simEpoch, "home-1")}
 	var ids []string
 	for i := range entries {
 		p.limiters = append(p.limiters, NewLimiter())
 		p.limiters[i].SetEntries(entries)
 		ids = append(ids, fmt.Sprint(i))
 	}
-	p.home.SetFleet(Fleet{Members: ids, Unchanged: time.Hour})
+	p.home.SetRingMembership(RingMembership{Members: ids, UnchangedFor: time.Hour})
 	p.now = p.now.Add(grantTTL)
 	return p
 }
@@ -51,17 +51,17 @@
 func (p *shareCluster) settle() {
 	for range 3 {
 		p.round()
-		p.now = p.now.Add(ShareInterval)
+		p.now = p.now.Add(ShareRetryInterval)
 	}
 }
 
 func (p *shareCluster) ask(i int, l *Limiter) {
 	r, demands := l.Report(p.now)
 	r.Entry, r.Incarnation = fmt.Sprint(i), 1
-	if !p.home.Hear(p.now, r) {
+	if !p.home.AcceptReport(p.now, r) {
 		return
 	}
-	l.Answered(r, p.home.Name(p.now))
+	l.HandleAnswer(r, p.home.Name(p.now))
 	p.demandsSent += len(demands)
 	for s, d := range demands {
 		l.Apply(p.now, p.now, s, p.home.Name(p.now), p.home.Grant(p.now, r.Entry, s, p.limit, d, p.hold))
@@ -69,7 +69,7 @@
 }
 
 func (p *shareCluster) take(i int) bool {
-	return p.limiters[i].Take(p.now, simSubject, p.limit, Ask{Timeout: p.hold}) == nil
+	return p.limiters[i].Take(p.now, simSubject, p.limit, Request{Timeout: p.hold}) == nil
 }
 
 // run lets some entries attempt twice the limit, and returns how many requests each admits.
@@ -77,9 +77,9 @@
 func (p *shareCluster) run(d time.Duration, busy ...int) []int {
 	got := make([]int, len(p.limiters))
 	gap := min(time.Duration(float64(time.Second)/p.limit.Requests/2), 100*time.Millisecond)
-	every := ShareInterval
+	every := ShareRetryInterval
 	if p.askWhenDue {
-		every = ShareCheck
+		every = ShareCheckInterval
 	}
 	next := p.now
 	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(gap) {
@@ -137,7 +137,7 @@
 		p := newShareCluster(2, Amounts{100, math.Inf(1), math.Inf(1)})
 		p.run(3*time.Second, 0)
 		for p.limiters[0].subjects[simSubject].sentAt != p.now {
-			p.run(ShareCheck, 0)
+			p.run(ShareCheckInterval, 0)
 			p.round()
 		}
 		return p
@@ -175,7 +175,7 @@
 	}
 	assert.Equal(t, started, 10)
 	p.now = p.now.Add(grantTTL)
-	assert.Assert(t, p.home.Hear(p.now, late))
+	assert.Assert(t, p.home.AcceptReport(p.now, late))
 	d := demands[simSubject]
 	d.Wanted = Amounts{} // no new grant, so that only running requests count
 	p.home.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
@@ -192,31 +192,31 @@
 // progress that they have, and get no more of the concurrent limit until the partitioned
 // entry has reported or its requests must have ended.
 func TestNewHomeWaitsForPartitionedEntry(t *testing.T) {
-	grant := func(h *Home, now time.Time, entry string, seq uint64, running float64) float64 {
-		assert.Assert(t, h.Hear(now, Report{Entry: entry, Incarnation: 1, Seq: seq, Home: h.Name(now)}))
+	grant := func(h *ShareAllocator, now time.Time, entry string, seq uint64, running float64) float64 {
+		assert.Assert(t, h.AcceptReport(now, Report{Entry: entry, Incarnation: 1, Seq: seq, Allocator: h.Name(now)}))
 		d := Demand{Wanted: Amounts{Requests: 50, Concurrent: 20}, Running: running}
 		return h.Grant(now, entry, simSubject, Amounts{1000, math.Inf(1), 10}, d, 30*time.Second).Concurrent
 	}
-	fleet := Fleet{Members: []string{"a", "b"}, Unchanged: time.Hour}
+	fleet := RingMembership{Members: []string{"a", "b"}, UnchangedFor: time.Hour}
 	now := simEpoch.Add(grantTTL)
-	h := NewHome(simEpoch, "home-2")
-	h.SetFleet(fleet)
+	h := NewShareAllocator(simEpoch, "home-2")
+	h.SetRingMembership(fleet)
 	assert.Equal(t, grant(h, now, "b", 1, 0), 0.0)
 	assert.Equal(t, grant(h, now, "b", 2, 3), 3.0)
 	assert.Equal(t, grant(h, now, "b", 3, 1), 3.0, "the entry keeps its peak")
 	assert.Equal(t, grant(h, now, "a", 1, 7), 5.0, "the partitioned entry has reported, with more than its part")
 	assert.Equal(t, grant(h, now.Add(grantTTL), "b", 4, 3), 3.0, "seven requests still run")
 
-	h = NewHome(simEpoch, "home-3")
-	h.SetFleet(fleet)
+	h = NewShareAllocator(simEpoch, "home-3")
+	h.SetRingMembership(fleet)
 	assert.Equal(t, grant(h, now.Add(34*time.Second), "b", 1, 0), 10.0, "30 s timeouts have passed by any clock")
 
-	h = NewHome(simEpoch, "home-4")
-	left := Fleet{Members: []string{"b"}, Previous: []string{"a", "b"}, Unchanged: 10 * time.Second, MostOnce: time.Minute}
-	h.SetFleet(left)
+	h = NewShareAllocator(simEpoch, "home-4")
+	left := RingMembership{Members: []string{"b"}, Previous: []string{"a", "b"}, UnchangedFor: 10 * time.Second, MinChangeInterval: time.Minute}
+	h.SetRingMembership(left)
 	assert.Equal(t, grant(h, now, "b", 1, 0), 0.0, "requests of an entry that left the ring may still run")
-	left.Previous, left.MostOnce = nil, time.Second
-	h.SetFleet(left)
+	left.Previous, left.MinChangeInterval = nil, time.Second
+	h.SetRingMembership(left)
 	assert.Equal(t, grant(h, now, "b", 2, 0), 0.0, "the ring may have changed twice")
 	assert.Equal(t, grant(h, now.Add(34*time.Second), "stranger", 1, 0), 0.0, "a later Home would not wait for an entry outside the ring")
 }
@@ -227,7 +227,7 @@
 	p := newShareCluster(2, Amounts{1000, math.Inf(1), 10})
 	p.take(0)
 	p.settle()
-	longer := Ask{Timeout: 2 * p.hold}
+	longer := Request{Timeout: 2 * p.hold}
 	refused := p.limiters[0].Take(p.now, simSubject, p.limit, longer)
 	assert.Assert(t, refused != nil)
 	assert.Equal(t, refused.Measure, MeasureConcurrent)
@@ -262,7 +262,7 @@
 		if p.now.UnixNano()/1e6%500 == 0 {
 			p.round()
 		}
-		if p.limiters[0].Take(p.now, simSubject, p.limit, Ask{Tokens: 700}) == nil {
+		if p.limiters[0].Take(p.now, simSubject, p.limit, Request{Tokens: 700}) == nil {
 			admitted += 700
 			p.limiters[0].Done(simSubject)
 		}
--- a/admit/membership.go
+++ b/admit/membership.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Fleet is the ring membership of the entries in the replicated log.
-type Fleet struct {
+// RingMembership is the ring membership of the entries in the replicated log.
+type RingMembership struct {
 	Members []string
 	// Previous are the members before the last change.
 	Previous []string
-	// Unchanged is for how long the membership is known to have been the same. MostOnce is
+	// UnchangedFor is for how long the membership is known to have been the same. MinChangeInterval is
 	// a period in which it changes at most once.
-	Unchanged, MostOnce time.Duration
+	UnchangedFor, MinChangeInterval time.Duration
 }
 
 // membership is what Home knows of the entries in the ring, and how many of them have not
 // sent it a full report yet. The numbers are kept so that a demand need not scan all
 // entries.
 type membership struct {
-	Fleet
+	RingMembership
 	members, previous map[string]bool
 	// unreported counts the members without a full report, unreportedPrevious those of the
 	// previous membership.
@@ -37,18 +37,18 @@
 	}
 }
 
-// SetFleet sets the ring membership after a change.
-func (h *Home) SetFleet(f Fleet) {
+// SetRingMembership sets the ring membership after a change.
+func (h *ShareAllocator) SetRingMembership(f RingMembership) {
 	r := &h.membership
-	r.Fleet = f
+	r.RingMembership = f
 	r.members, r.unreported = h.memberSet(f.Members)
 	r.previous, r.unreportedPrevious = h.memberSet(f.Previous)
 }
 
-// SetUnchanged updates Fleet.Unchanged.
-func (h *Home) SetUnchanged(d time.Duration) { h.membership.Unchanged = d }
+// SetUnchangedFor updates Fleet.UnchangedFor.
+func (h *ShareAllocator) SetUnchangedFor(d time.Duration) { h.membership.UnchangedFor = d }
 
-func (h *Home) memberSet(entries []string) (set map[string]bool, unreported int) {
+func (h *ShareAllocator) memberSet(entries []string) (set map[string]bool, unreported int) {
 	set = make(map[string]bool, len(entries))
 	for _, id := range entries {
 		if set[id] {
@@ -65,7 +65,7 @@
 // settled reports whether Home knows of all requests that were admitted under grants of an
 // earlier Home: every entry of the ring has sent a full report, or the requests have ended,
 // by hold, their longest timeout. An entry that left the ring lately may still run some.
-func (h *Home) settled(now time.Time, hold time.Duration) bool {
+func (h *ShareAllocator) settled(now time.Time, hold time.Duration) bool {
 	r := &h.membership
 	wait := time.Duration(float64(hold) * maxClockRatio)
 	if h.skipStartupWait || !now.Before(h.openAt.Add(wait)) || hold <= r.settledHold {
@@ -74,7 +74,7 @@
 	if len(r.members) == 0 || r.unreported > 0 {
 		return false
 	}
-	if r.Unchanged < wait && (wait > r.MostOnce || r.unreportedPrevious > 0) {
+	if r.UnchangedFor < wait && (wait > r.MinChangeInterval || r.unreportedPrevious > 0) {
 		return false
 	}
 	r.settledHold = hold
--- a/admit/renewal.go
+++ b/admit/renewal.go
@@ -11,7 +11,7 @@
 const (
 	// minAskInterval is the shortest time between two demands for a subject, however fast
 	// its demand changes.
-	minAskInterval = ShareCheck
+	minAskInterval = ShareCheckInterval
 	// askBatchWindow lets demands that become due within it be sent along with one that is
 	// due.
 	askBatchWindow = 750 * time.Millisecond
@@ -53,10 +53,10 @@
 
 func (q *renewal) recordAnswer(sent time.Time, g Share, before Amounts) {
 	q.answeredSentAt = sent
-	again := g.Again
+	again := g.RenewAfter
 	if again <= 0 {
 		// A leader of an earlier release doesn't send Again.
-		again = ShareInterval
+		again = ShareRetryInterval
 	}
 	q.askBy = sent.Add(again)
 	q.reduced = significantlyLess(g.Amounts, before)
@@ -81,7 +81,7 @@
 	case since < minAskInterval:
 		return false
 	case q.answeredSentAt.Before(q.sentAt):
-		return since >= ShareInterval
+		return since >= ShareRetryInterval
 	case q.stale:
 		return true
 	case d.Wanted == Amounts{} && q.demand.Wanted == Amounts{}:
@@ -190,7 +190,7 @@
 		demands[s] = d
 	}
 	l.seq++
-	return Report{Seq: l.seq, Home: l.allocator, Partial: !full}, demands
+	return Report{Seq: l.seq, Allocator: l.allocator, Partial: !full}, demands
 }
 
 func (q *renewal) recordSent(now time.Time, d Demand) {
@@ -203,7 +203,7 @@
 func (l *Limiter) demand(now time.Time, loc *localShare) Demand {
 	d := Demand{Running: max(float64(loc.running)-Floor(loc.limit, loc.ringSize).Concurrent, 0)}
 	if loc.allocator == l.allocator {
-		d.Ack = loc.epoch
+		d.AckedEpoch = loc.epoch
 	}
 	requests, tokens := loc.arrivals.rates(now)
 	if loc.inactive(now) || requests < minRequestRate && loc.running == 0 {
@@ -216,14 +216,14 @@
 	return d
 }
 
-// Answered records that Home answered a report. home is its name, empty while it may not
+// HandleAnswer records that Home answered a report. home is its name, empty while it may not
 // grant yet. Answered returns true if it is not the one that answered before: a new one
 // waits for a full report.
-func (l *Limiter) Answered(r Report, home string) (changed bool) {
+func (l *Limiter) HandleAnswer(r Report, home string) (changed bool) {
 	if home == "" {
 		return false
 	}
-	if r.Home == home && !r.Partial {
+	if r.Allocator == home && !r.Partial {
 		l.fullReportTo = home
 	}
 	changed = home != l.allocator
--- a/admit/renewal_test.go
+++ b/admit/renewal_test.go
@@ -47,7 +47,7 @@
 		assert.Assert(t, burst < 5 || admitted == 60, "%d in burst %d", admitted, burst)
 		for range 15 {
 			p.round()
-			p.now = p.now.Add(ShareCheck)
+			p.now = p.now.Add(ShareCheckInterval)
 		}
 	}
 }
@@ -68,16 +68,16 @@
 	l.subjects[simSubject].renewal.stale = true
 	sent := p.now
 	r, d := ask()
-	assert.Assert(t, p.home.Hear(p.now, r))
+	assert.Assert(t, p.home.AcceptReport(p.now, r))
 	late := p.home.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
 	p.now = p.now.Add(inactiveMax / 2)
 	r, d = ask()
 	assert.Equal(t, l.subjects[simSubject].activeGrant(p.now), Amounts{})
-	assert.Assert(t, p.home.Hear(p.now, r))
+	assert.Assert(t, p.home.AcceptReport(p.now, r))
 	p.home.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
 	l.Apply(p.now, sent, simSubject, "home-1", late)
 	used := l.subjects[simSubject].activeGrant(p.now).Requests
-	assert.Assert(t, used <= p.home.Live(p.now, simSubject).Requests, "%g used", used)
+	assert.Assert(t, used <= p.home.InUse(p.now, simSubject).Requests, "%g used", used)
 	assert.Assert(t, used > 0)
 }
 
@@ -85,10 +85,10 @@
 // one.
 func TestPartialReportDoesNotSettleHome(t *testing.T) {
 	now := simEpoch.Add(grantTTL)
-	h := NewHome(simEpoch, "home-2")
-	h.SetFleet(Fleet{Members: []string{"a", "b"}, Unchanged: time.Hour})
+	h := NewShareAllocator(simEpoch, "home-2")
+	h.SetRingMembership(RingMembership{Members: []string{"a", "b"}, UnchangedFor: time.Hour})
 	hear := func(entry string, seq uint64, partial bool) {
-		assert.Assert(t, h.Hear(now, Report{Entry: entry, Incarnation: 1, Seq: seq, Home: h.Name(now), Partial: partial}))
+		assert.Assert(t, h.AcceptReport(now, Report{Entry: entry, Incarnation: 1, Seq: seq, Allocator: h.Name(now), Partial: partial}))
 	}
 	hear("b", 1, false)
 	hear("a", 1, true)
@@ -110,12 +110,12 @@
 		return r
 	}
 	assert.Assert(t, report().Partial)
-	assert.Assert(t, l.Answered(report(), "home-2"))
+	assert.Assert(t, l.HandleAnswer(report(), "home-2"))
 	for range 3 {
 		r, demands := l.Report(p.now)
 		assert.Assert(t, !r.Partial)
 		assert.Equal(t, demands[simSubject].Running, 1.0)
 	}
-	assert.Assert(t, !l.Answered(report(), "home-2"))
+	assert.Assert(t, !l.HandleAnswer(report(), "home-2"))
 	assert.Assert(t, report().Partial)
 }
--- a/admit/runner.go
+++ b/admit/runner.go
@@ -29,9 +29,9 @@
 
 func (t *waiter) release() { t.once.Do(func() { t.runner.done(t.work) }) }
 
-// Enter waits for a slot. On success it returns a function that releases the slot and must
+// Acquire waits for a slot. On success it returns a function that releases the slot and must
 // be called when the work has ended. On error the work was not started.
-func (r *Runner) Enter(ctx context.Context, w *Work) (release func(), err error) {
+func (r *Runner) Acquire(ctx context.Context, w *Work) (release func(), err error) {
 	t := &waiter{runner: r, work: w, result: make(chan error, 1)}
 	w.Value = t
 	if err := r.offer(w); err != nil {
--- a/admit/share.go
+++ b/admit/share.go
@@ -21,26 +21,26 @@
 const (
 	// ShareTTL is how long an entry uses a grant, from before it asked.
 	ShareTTL = 2 * time.Second
-	// ShareInterval is when an entry asks again if it got no answer, or if its concurrent
+	// ShareRetryInterval is when an entry asks again if it got no answer, or if its concurrent
 	// share is held back by Home.concurrentBound.
-	ShareInterval = 500 * time.Millisecond
-	// ShareCheck is how often an entry checks whether it has to ask.
-	ShareCheck = 100 * time.Millisecond
+	ShareRetryInterval = 500 * time.Millisecond
+	// ShareCheckInterval is how often an entry checks whether it has to ask.
+	ShareCheckInterval = 100 * time.Millisecond
 	// renewAfter is when an entry asks again whose demand is unchanged. It leaves time for
 	// one more attempt before the grant expires.
 	renewAfter = 1500 * time.Millisecond
 	// contendedRenewAfter is when an entry asks again while others still use some of its
 	// part. They report within moments that they have released it.
 	contendedRenewAfter = 250 * time.Millisecond
-	// FloorPart is the fraction of each limit that is divided into floors.
-	FloorPart = 0.04
-	// FloorBurst is the fraction of a limit's burst that is divided into floors. It is
-	// larger than FloorPart because a floor whose burst is below one request never admits
+	// FloorFraction is the fraction of each limit that is divided into floors.
+	FloorFraction = 0.04
+	// FloorBurstFraction is the fraction of a limit's burst that is divided into floors. It is
+	// larger than FloorFraction because a floor whose burst is below one request never admits
 	// any.
-	FloorBurst = 0.2
-	// FloorFrom is the least limit of requests or concurrency that has floors. The floor of
+	FloorBurstFraction = 0.2
+	// MinLimitWithFloor is the least limit of requests or concurrency that has floors. The floor of
 	// a smaller one could not hold one request. Token limits always have floors.
-	FloorFrom = 50
+	MinLimitWithFloor = 50
 	// maxClockRatio bounds how much faster one clock may run than another.
 	maxClockRatio = 1.1
 	// minGrantFraction of an even share is granted to each entry that asks, however small
@@ -59,9 +59,9 @@
 	Entry string
 	// Incarnation increases with each start of the entry, Seq with each report.
 	Incarnation, Seq uint64
-	// Home is the name of the last Home that answered the entry; it made the epochs that
+	// Allocator is the name of the last Home that answered the entry; it made the epochs that
 	// the demands acknowledge.
-	Home string
+	Allocator string
 	// Partial means that the report omits subjects that have nothing to ask, including
 	// their requests in progress.
 	Partial bool
@@ -73,9 +73,9 @@
 	Wanted Amounts
 	// Running is the number of requests in progress above the entry's floor.
 	Running float64
-	// Ack is the epoch of the grant that the entry uses; it uses no earlier one. An entry
+	// AckedEpoch is the epoch of the grant that the entry uses; it uses no earlier one. An entry
 	// that released its grant acknowledges the epoch after it.
-	Ack uint64
+	AckedEpoch uint64
 }
 
 // Share is an expiring part of a limit.
@@ -84,8 +84,8 @@
 	Epoch uint64
 	// Burst is how many requests may accumulate in the bucket.
 	Burst float64
-	// Hold bounds the timeout of a request that uses the concurrent part.
-	Hold time.Duration
-	// Again is when to ask again at the latest, counted from when the demand was sent.
-	Again time.Duration
+	// MaxTimeout bounds the timeout of a request that uses the concurrent part.
+	MaxTimeout time.Duration
+	// RenewAfter is when to ask again at the latest, counted from when the demand was sent.
+	RenewAfter time.Duration
 }
--- a/admit/share_test.go
+++ b/admit/share_test.go
@@ -23,17 +23,17 @@
 	entries []*simEntry
 	// departed are the entries that left the ring and go on running.
 	departed []*simEntry
-	home     *Home
+	home     *ShareAllocator
 	// homeRate is the rate of Home's clock. leaseEnd is when its leadership ends.
 	homeRate float64
 	homes    int
 	leaseEnd time.Duration
 	// configure may disable safeguards of each new Home.
-	configure   func(*Home)
+	configure   func(*ShareAllocator)
 	inTransit   []*message
 	deliverable []*message
 	config      simConfig
-	timeouts    Holds
+	timeouts    RequestTimeouts
 	// ringSize and previous describe the ring; ringSince is when it last changed.
 	ringSize  int
 	previous  []string
@@ -101,7 +101,7 @@
 	return simEpoch.Add(time.Duration(float64(s.now) * rate))
 }
 
-func newSim(seed uint64, configure func(*Home)) *sim {
+func newSim(seed uint64, configure func(*ShareAllocator)) *sim {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	s := &sim{rng: rng, configure: configure, ringSize: 2 + rng.IntN(6)}
 	s.config = simConfig{limit: s.randomLimit(), timeout: s.randomTimeout(), ringSize: s.ringSize}
@@ -126,7 +126,7 @@
 	return time.Duration(200+s.rng.IntN(5000)) * time.Millisecond
 }
 
-// randomLimit returns small limits, large ones and those around FloorFrom.
+// randomLimit returns small limits, large ones and those around MinLimitWithFloor.
 func (s *sim) randomLimit() Amounts {
 	rates := []float64{0.4, 1, 2, 5, 20, 45, 49, 50, 51, 60, 120, 400}
 	concurrent := []float64{1, 2, 3, 10, 49, 50, 60, 400}
@@ -137,7 +137,7 @@
 func (s *sim) newLeader() {
 	s.homes++
 	s.homeRate = s.randomRate()
-	s.home = NewHome(s.clock(s.homeRate), fmt.Sprintf("home-%d", s.homes))
+	s.home = NewShareAllocator(s.clock(s.homeRate), fmt.Sprintf("home-%d", s.homes))
 	s.configure(s.home)
 	s.leaseEnd = s.now + time.Duration(1+s.rng.IntN(15_000))*time.Millisecond
 }
@@ -257,24 +257,24 @@
 
 func (s *sim) handleReport(m message) {
 	now := s.clock(s.homeRate)
-	s.home.SetFleet(Fleet{
-		Members: s.members(), Previous: s.previous, MostOnce: minRingChangeInterval * 10 / 11,
-		Unchanged: time.Duration(float64(s.now-s.ringSince) * s.homeRate),
+	s.home.SetRingMembership(RingMembership{
+		Members: s.members(), Previous: s.previous, MinChangeInterval: minRingChangeInterval * 10 / 11,
+		UnchangedFor: time.Duration(float64(s.now-s.ringSince) * s.homeRate),
 	})
 	s.recordLimit(s.config.limit)
-	if !s.home.Hear(now, m.report) {
+	if !s.home.AcceptReport(now, m.report) {
 		return
 	}
 	reply := m
 	reply.toHome, reply.home = false, s.home.Name(now)
 	if m.hasDemand {
-		reply.share = s.home.Grant(now, m.entry.id, simSubject, s.config.limit, m.demand, s.timeouts.Of(s.clock(1), simSubject))
+		reply.share = s.home.Grant(now, m.entry.id, simSubject, s.config.limit, m.demand, s.timeouts.Longest(s.clock(1), simSubject))
 	}
 	s.send(reply)
 }
 
 func (s *sim) handleAnswer(m *message) {
-	m.entry.limiter.Answered(m.report, m.home)
+	m.entry.limiter.HandleAnswer(m.report, m.home)
 	if m.hasDemand {
 		m.entry.limiter.Apply(s.clock(m.entry.rate), m.sent, simSubject, m.home, m.share)
 	}
@@ -312,7 +312,7 @@
 func (s *sim) take(e *simEntry, now time.Time) {
 	s.recordLimit(e.config.limit)
 	timeout := e.config.timeout
-	if e.limiter.Take(now, simSubject, e.config.limit, Ask{Timeout: timeout}) != nil {
+	if e.limiter.Take(now, simSubject, e.config.limit, Request{Timeout: timeout}) != nil {
 		return
 	}
 	most := float64(timeout) / e.rate
@@ -394,7 +394,7 @@
 }
 
 // simulate runs one schedule and returns the violated invariant, or "".
-func simulate(seed uint64, configure func(*Home)) string {
+func simulate(seed uint64, configure func(*ShareAllocator)) string {
 	s := newSim(seed, configure)
 	s.audit.level = max(s.config.limit.Requests, 1)
 	for s.now < 20*time.Second {
@@ -407,7 +407,7 @@
 }
 
 // simulateAll runs schedules until one violates an invariant.
-func simulateAll(seeds uint64, configure func(*Home)) string {
+func simulateAll(seeds uint64, configure func(*ShareAllocator)) string {
 	_, violation := schedule.Search(seeds, func(seed uint64) string { return simulate(seed, configure) })
 	return violation
 }
@@ -415,12 +415,12 @@
 // Under partitions, restarts, leader changes, message faults and configuration changes, the
 // entries together never admit more than the team's limit.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
-	assert.Equal(t, simulateAll(10_000, func(*Home) {}), "")
+	assert.Equal(t, simulateAll(10_000, func(*ShareAllocator) {}), "")
 }
 
 // Without the startup wait, a new Home grants while grants of the one before are in use.
 func TestSkippedStartupWaitExceedsTheLimit(t *testing.T) {
-	violation := simulateAll(10_000, func(h *Home) { h.skipStartupWait = true })
+	violation := simulateAll(10_000, func(h *ShareAllocator) { h.skipStartupWait = true })
 	assert.Assert(t, violation != "", "no violation without the safeguard")
 	t.Log(violation)
 }
@@ -428,7 +428,7 @@
 // If Home counts only the latest grant, an entry that missed the answer with it goes on
 // using the one before, while others are granted the same part.
 func TestSkippedEarlierGrantsExceedTheLimit(t *testing.T) {
-	violation := simulateAll(10_000, func(h *Home) { h.skipEarlierGrants = true })
+	violation := simulateAll(10_000, func(h *ShareAllocator) { h.skipEarlierGrants = true })
 	assert.Assert(t, violation != "", "no violation without the safeguard")
 	t.Log(violation)
 }
--- a/admit/sumtree_test.go
+++ b/admit/sumtree_test.go
@@ -35,7 +35,7 @@
 
 // diffTotals describes where the totals that Home keeps, or the portions computed from them,
 // differ from a recount; it returns "" if they agree.
-func diffTotals(h *Home, now time.Time, limit Amounts) string {
+func diffTotals(h *ShareAllocator, now time.Time, limit Amounts) string {
 	for s, all := range h.subjects {
 		all.advance(now)
 		for id, acc := range all.byEntry {
@@ -70,7 +70,7 @@
 // grant a part twice, too high a one would grant it to nobody.
 func TestKeptTotalsEqualRecount(t *testing.T) {
 	_, violation := schedule.Search(10_000, func(seed uint64) string {
-		s := newSim(seed, func(*Home) {})
+		s := newSim(seed, func(*ShareAllocator) {})
 		for s.now < 20*time.Second {
 			s.step()
 			if diff := diffTotals(s.home, s.clock(s.homeRate), s.config.limit); diff != "" {
@@ -89,7 +89,7 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		now := simEpoch
-		h := NewHome(now.Add(-time.Hour), "home")
+		h := NewShareAllocator(now.Add(-time.Hour), "home")
 		acks := map[string]uint64{}
 		for range 3000 {
 			now = now.Add(time.Duration(rng.ExpFloat64() * float64(10*time.Millisecond)))
@@ -99,8 +99,8 @@
 			entry := fmt.Sprint(rng.IntN(50 + rng.IntN(300)))
 			subject := Subject{Team: fmt.Sprint(rng.IntN(3))}
 			limit := limits[rng.IntN(len(limits))]
-			h.Hear(now, Report{Entry: entry, Incarnation: 1, Seq: uint64(now.UnixNano()), Home: h.Name(now)})
-			d := Demand{Wanted: Amounts{rng.ExpFloat64() * 50, rng.Float64() * 1e4, float64(rng.IntN(30))}, Ack: acks[entry+subject.Team], Running: float64(rng.IntN(3))}
+			h.AcceptReport(now, Report{Entry: entry, Incarnation: 1, Seq: uint64(now.UnixNano()), Allocator: h.Name(now)})
+			d := Demand{Wanted: Amounts{rng.ExpFloat64() * 50, rng.Float64() * 1e4, float64(rng.IntN(30))}, AckedEpoch: acks[entry+subject.Team], Running: float64(rng.IntN(3))}
 			if rng.IntN(4) == 0 {
 				d.Wanted = Amounts{}
 			}
@@ -159,7 +159,7 @@
 // A demand that is not a valid number must not corrupt the totals of other entries.
 func TestInvalidDemandIsSanitized(t *testing.T) {
 	now := simEpoch
-	h := NewHome(now.Add(-time.Hour), "home")
+	h := NewShareAllocator(now.Add(-time.Hour), "home")
 	limit := Amounts{100, 100, math.Inf(1)}
 	for _, v := range []float64{math.NaN(), math.Inf(1), -5} {
 		h.Grant(now, "odd", simSubject, limit, Demand{Wanted: Amounts{v, v, v}, Running: v}, 0)
--- a/admit/timeouts.go
+++ b/admit/timeouts.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Holds tracks the longest time that requests of each service may run. A lowered timeout
+// RequestTimeouts tracks the longest time that requests of each service may run. A lowered timeout
 // takes effect only once the requests that were admitted under the longer one have ended:
 // otherwise Home would grant their part of a concurrency limit to others while they still
 // run. The zero value is ready to use.
-type Holds struct {
+type RequestTimeouts struct {
 	services map[string]*serviceTimeout
 }
 
@@ -19,7 +19,7 @@
 }
 
 // Set records the timeout of a service that is in force from now on.
-func (h *Holds) Set(now time.Time, service string, timeout time.Duration) {
+func (h *RequestTimeouts) Set(now time.Time, service string, timeout time.Duration) {
 	if h.services == nil {
 		h.services = map[string]*serviceTimeout{}
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// Of returns the longest time that a request of a subject may run.
-func (h *Holds) Of(now time.Time, s Subject) time.Duration {
+// Longest returns the longest time that a request of a subject may run.
+func (h *RequestTimeouts) Longest(now time.Time, s Subject) time.Duration {
 	longest := time.Duration(0)
 	for name, svc := range h.services {
 		if s.Service != "*" && s.Service != name {
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -90,7 +90,7 @@
 	a.cache.fetch = up.Cache
 	a.announcer = directory.NewAnnouncer(directory.NewTargets(s.ID, s.FailureDomain, s.AnnounceTo), a.pool.Conn, s.Now)
 	a.queue.config = initialQueueConfig(s)
-	a.doneAttempts = metrics.GetOrRegisterCounter("agent.attempts."+refusal.OutcomeWord(wire.Outcome_OUTCOME_DONE), a.metrics)
+	a.doneAttempts = metrics.GetOrRegisterCounter("agent.attempts."+refusal.OutcomeName(wire.Outcome_OUTCOME_DONE), a.metrics)
 	a.orders = newOrderFence(control.NewClient(a.pool, s.AnnounceTo, s.ID))
 	a.dumps.Add("agent", a.dump)
 	a.registerGauges()
--- a/agent/report_test.go
+++ b/agent/report_test.go
@@ -105,7 +105,7 @@
 	}
 	// Requests are only added, so the counts only grow.
 	for range works {
-		_, err := a.runner.Enter(t.Context(), &admit.Work{Team: "t", Weight: 1, Priority: wire.Priority_PRIORITY_URGENT, Cost: 1})
+		_, err := a.runner.Acquire(t.Context(), &admit.Work{Team: "t", Weight: 1, Priority: wire.Priority_PRIORITY_URGENT, Cost: 1})
 		assert.NilError(t, err)
 	}
 	close(done)
--- a/agent/services.go
+++ b/agent/services.go
@@ -19,9 +19,9 @@
 		a.doneAttempts.Inc(1)
 		return
 	}
-	name := "agent.attempts." + refusal.OutcomeWord(o)
+	name := "agent.attempts." + refusal.OutcomeName(o)
 	if r != 0 {
-		name += "." + refusal.ReasonWord(r)
+		name += "." + refusal.ReasonName(r)
 	}
 	metrics.GetOrRegisterCounter(name, a.metrics).Inc(1)
 }
--- a/agent/tickets.go
+++ b/agent/tickets.go
@@ -79,7 +79,7 @@
 	if err := s.add(id, t); err != nil {
 		return err
 	}
-	release, err := s.runner.Enter(ctx, w)
+	release, err := s.runner.Acquire(ctx, w)
 	if err != nil && s.removeIfCurrent(id, t) {
 		return err
 	}
@@ -217,7 +217,7 @@
 	if h.Ticket != "" {
 		return at.agent.tickets.claimSlot(h.Ticket)
 	}
-	return at.agent.runner.Enter(ctx, &admit.Work{
+	return at.agent.runner.Acquire(ctx, &admit.Work{
 		Team: h.Team, Weight: int(h.Weight), Priority: h.Priority,
 		Cost: float64(max(h.Tokens, 1)), Deadline: at.deadline, NoWait: h.NoWait,
 	})
--- a/agent/tickets_test.go
+++ b/agent/tickets_test.go
@@ -195,12 +195,12 @@
 	}}
 	ctx := context.Background()
 	for range 2 {
-		_, err := runner.Enter(ctx, &admit.Work{Team: "t", Priority: wire.Priority_PRIORITY_NORMAL})
+		_, err := runner.Acquire(ctx, &admit.Work{Team: "t", Priority: wire.Priority_PRIORITY_NORMAL})
 		assert.NilError(t, err)
 	}
 	_, err := at.acquireSlot(ctx)
 	assert.NilError(t, err, "the reserved slot is free despite the other load")
 	_, err = at.acquireSlot(ctx)
-	assert.ErrorIs(t, err, admit.ErrBusy)
+	assert.ErrorIs(t, err, admit.ErrNoFreeSlot)
 	assert.Equal(t, admissionReason(err), wire.Reason_REASON_QUEUE_FULL)
 }
--- a/control/share.go
+++ b/control/share.go
@@ -18,7 +18,7 @@
 // allocator lasts for one leadership; the next leader's waits until all grants of the
 // previous one have expired.
 type shareHome struct {
-	allocator *admit.Home
+	allocator *admit.ShareAllocator
 	term      uint64
 	// allocatorCount counts the allocators created by this process.
 	allocatorCount int
@@ -28,7 +28,7 @@
 	view *table.View
 	// requestTimeouts is kept up to date on every replica: a new leader must know the
 	// timeouts of requests that the previous one admitted.
-	requestTimeouts admit.Holds
+	requestTimeouts admit.RequestTimeouts
 	// appliedRevision is the table revision up to which rows have been applied.
 	appliedRevision uint64
 }
@@ -45,7 +45,7 @@
 	// it a name of its own, so that its epochs aren't taken for those of the first.
 	if st := r.node.Status(); r.shares.allocator == nil || r.shares.term != st.Term {
 		r.shares.allocatorCount++
-		r.shares.allocator = admit.NewHome(r.clock(), fmt.Sprintf("%s@%d.%d", st.ID, st.Term, r.shares.allocatorCount))
+		r.shares.allocator = admit.NewShareAllocator(r.clock(), fmt.Sprintf("%s@%d.%d", st.ID, st.Term, r.shares.allocatorCount))
 		r.shares.term = st.Term
 		r.shares.appliedRing = nil
 	}
@@ -90,8 +90,8 @@
 	now := r.clock()
 	r.updateRingMembership(now)
 	allocator := r.shares.allocator
-	report := admit.Report{Entry: req.Entry, Incarnation: req.Incarnation, Seq: req.Seq, Home: req.Home, Partial: req.Partial}
-	if !allocator.Hear(now, report) {
+	report := admit.Report{Entry: req.Entry, Incarnation: req.Incarnation, Seq: req.Seq, Allocator: req.Home, Partial: req.Partial}
+	if !allocator.AcceptReport(now, report) {
 		return nil
 	}
 	reply.Home = allocator.Name(now)
@@ -103,8 +103,8 @@
 		subject := admit.SubjectOf(l, d.Team, d.Service)
 		share := allocator.Grant(now, req.Entry, subject, admit.LimitOf(l), admit.Demand{
 			Wanted:  admit.Amounts{Requests: d.Requests, Tokens: d.Tokens, Concurrent: float64(d.Concurrent)},
-			Running: float64(d.Running), Ack: d.Ack,
-		}, r.shares.requestTimeouts.Of(now, subject))
+			Running: float64(d.Running), AckedEpoch: d.Ack,
+		}, r.shares.requestTimeouts.Longest(now, subject))
 		reply.Grants = append(reply.Grants, newShareGrant(d, share))
 	}
 	return nil
@@ -116,13 +116,13 @@
 	ring, allocator := r.machine.ring, r.shares.allocator
 	unchanged := now.Sub(r.rings.changed)
 	if r.shares.appliedRing == ring {
-		allocator.SetUnchanged(unchanged)
+		allocator.SetUnchangedFor(unchanged)
 		return
 	}
 	r.shares.appliedRing = ring
-	allocator.SetFleet(admit.Fleet{
+	allocator.SetRingMembership(admit.RingMembership{
 		Members: memberIDs(ring.GetMembers()), Previous: memberIDs(ring.GetPrevious()),
-		Unchanged: unchanged, MostOnce: claim.JointPeriod(claim.DefaultRegisterSettings().MaxTTL),
+		UnchangedFor: unchanged, MinChangeInterval: claim.JointPeriod(claim.DefaultRegisterSettings().MaxTTL),
 	})
 }
 
@@ -139,8 +139,8 @@
 		Team: d.Team, Service: d.Service, Epoch: s.Epoch, RequestBurst: s.Burst,
 		RequestsPerSecond: s.Requests, TokensPerSecond: s.Tokens,
 		Concurrent: uint32(min(s.Concurrent, math.MaxUint32)),
-		HoldMs:     uint32(s.Hold.Milliseconds()),
-		AgainMs:    uint32(s.Again.Milliseconds()),
+		HoldMs:     uint32(s.MaxTimeout.Milliseconds()),
+		AgainMs:    uint32(s.RenewAfter.Milliseconds()),
 	}
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -50,7 +50,7 @@
 	node                     *directory.Node
 	fwd                      *forward.Forwarder
 	runner                   *admit.Runner
-	sealer                   *refusal.Sealer
+	sealer                   *refusal.TokenSigner
 	metrics                  metrics.Registry
 	dumps                    kernel.Dumps
 	view                     atomic.Pointer[table.View]
@@ -98,7 +98,7 @@
 		settings: s, log: kernel.PartLog(l, "entry"), sec: sec,
 		srv:          transport.NewServer(sec),
 		pool:         transport.NewPool(sec),
-		sealer:       refusal.NewSealer(sec.Secret),
+		sealer:       refusal.NewTokenSigner(sec.Secret),
 		metrics:      metrics.NewRegistry(),
 		incarnation:  directory.NewLife(s.ID, s.Now()),
 		started:      s.Now(),
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -20,7 +20,7 @@
 const historyTimeout = 2 * time.Second
 
 func (e *Entry) serveRefusal(w http.ResponseWriter, r *http.Request) {
-	ref, err := e.sealer.Open(mux.Vars(r)["token"])
+	ref, err := e.sealer.Verify(mux.Vars(r)["token"])
 	if err != nil {
 		e.sealer.Write(w, e.refuse(wire.Reason_REASON_BAD_REQUEST, err.Error()))
 		return
@@ -31,8 +31,8 @@
 	}
 	for _, a := range ref.Attempts {
 		x.Attempts = append(x.Attempts, operators.Attempt{
-			Upstream: a.Upstream, Outcome: refusal.OutcomeWord(a.Outcome),
-			Reason: refusal.ReasonWord(a.Reason), Detail: a.Detail,
+			Upstream: a.Upstream, Outcome: refusal.OutcomeName(a.Outcome),
+			Reason: refusal.ReasonName(a.Reason), Detail: a.Detail,
 		})
 	}
 	if ref.RowKind != "" {
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -69,13 +69,13 @@
 	}
 }
 
-func (l *teamLimits) tryAcquire(s admit.Subject, row *table.Limit, q *request) *admit.Refused {
+func (l *teamLimits) tryAcquire(s admit.Subject, row *table.Limit, q *request) *admit.LimitExceeded {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.entry.settings.Now()
 	l.limiter.SetEntries(len(l.entry.claims.Ring().Ring.GetMembers()))
 	l.services[s] = q.service.Name
-	refused := l.limiter.Take(now, s, admit.LimitOf(row), admit.Ask{Tokens: float64(q.tokens), Timeout: q.service.Timeout})
+	refused := l.limiter.Take(now, s, admit.LimitOf(row), admit.Request{Tokens: float64(q.tokens), Timeout: q.service.Timeout})
 	if refused != nil && l.limiter.DueFor(now, s) {
 		// Report the increased demand at once, so that a first request waits for a
 		// round trip and not for the next tick.
@@ -95,7 +95,7 @@
 func (l *teamLimits) hasGrant(s admit.Subject) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.limiter.Granted(l.entry.settings.Now(), s)
+	return l.limiter.HasGrant(l.entry.settings.Now(), s)
 }
 
 func (l *teamLimits) release(s admit.Subject) {
@@ -110,7 +110,7 @@
 	admit.MeasureConcurrent: wire.Reason_REASON_CONCURRENCY_LIMIT,
 }
 
-func (l *teamLimits) refusal(q *request, row *table.Limit, r *admit.Refused) *wire.Refusal {
+func (l *teamLimits) refusal(q *request, row *table.Limit, r *admit.LimitExceeded) *wire.Refusal {
 	ref := l.entry.refuse(measureReasons[r.Measure], fmt.Sprintf("limit %s is %g", r.Measure, r.Limit))
 	ref.RowKind, ref.RowKey, ref.RowVersion = row.Kind, row.Key, row.Version
 	ref.RetryAfterMs = uint32(min(max(r.Wait.Milliseconds(), 1), 60_000))
@@ -131,7 +131,7 @@
 
 // run requests shares from the share allocator until the context is done.
 func (l *teamLimits) run(ctx context.Context) {
-	tick := time.NewTicker(admit.ShareCheck)
+	tick := time.NewTicker(admit.ShareCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -176,7 +176,7 @@
 	defer l.mu.Unlock()
 	r, demands := l.limiter.Report(now)
 	req := &wire.ShareRequest{
-		Entry: l.entry.settings.ID, Incarnation: l.entry.incarnation.Number(), Seq: r.Seq, Home: r.Home, Partial: r.Partial,
+		Entry: l.entry.settings.ID, Incarnation: l.entry.incarnation.Number(), Seq: r.Seq, Home: r.Allocator, Partial: r.Partial,
 	}
 	subjects := map[admit.Subject]admit.Subject{}
 	for s, d := range demands {
@@ -184,7 +184,7 @@
 		subjects[admit.Subject{Team: s.Team, Service: service}] = s
 		req.Demands = append(req.Demands, &wire.ShareDemand{
 			Team: s.Team, Service: service, Requests: d.Wanted.Requests, Tokens: d.Wanted.Tokens,
-			Concurrent: uint32(d.Wanted.Concurrent), Running: uint32(d.Running), Ack: d.Ack,
+			Concurrent: uint32(d.Wanted.Concurrent), Running: uint32(d.Running), Ack: d.AckedEpoch,
 		})
 	}
 	l.dropUnusedServices()
@@ -194,7 +194,7 @@
 // dropUnusedServices deletes the services of subjects that the limiter no longer holds.
 func (l *teamLimits) dropUnusedServices() {
 	for s := range l.services {
-		if !l.limiter.Knows(s) {
+		if !l.limiter.HasSubject(s) {
 			delete(l.services, s)
 		}
 	}
@@ -203,7 +203,7 @@
 func (l *teamLimits) applyShares(sentAt time.Time, report admit.Report, reply *wire.ShareReply, subjects map[admit.Subject]admit.Subject) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.limiter.Answered(report, reply.Home) {
+	if l.limiter.HandleAnswer(report, reply.Home) {
 		l.lastReport = time.Time{}
 		l.requestSharesNow()
 	}
@@ -217,8 +217,8 @@
 			Amounts: admit.Amounts{
 				Requests: g.RequestsPerSecond, Tokens: g.TokensPerSecond, Concurrent: concurrencyLimit(g.Concurrent),
 			},
-			Epoch: g.Epoch, Burst: g.RequestBurst, Hold: time.Duration(g.HoldMs) * time.Millisecond,
-			Again: time.Duration(g.AgainMs) * time.Millisecond,
+			Epoch: g.Epoch, Burst: g.RequestBurst, MaxTimeout: time.Duration(g.HoldMs) * time.Millisecond,
+			RenewAfter: time.Duration(g.AgainMs) * time.Millisecond,
 		})
 	}
 	if l.limiter.Due(now) {
--- a/entry/request.go
+++ b/entry/request.go
@@ -148,7 +148,7 @@
 			ref.Service = q.service.Name
 		}
 	}
-	name := "entry.refusals." + refusal.ReasonWord(ref.Reason) + "." + refusal.OutcomeWord(ref.Outcome)
+	name := "entry.refusals." + refusal.ReasonName(ref.Reason) + "." + refusal.OutcomeName(ref.Outcome)
 	metrics.GetOrRegisterCounter(name, e.metrics).Inc(1)
 	e.setConnectionClose(w.Header())
 	e.sealer.Write(w, ref)
@@ -321,7 +321,7 @@
 	}
 	defer releaseLimit()
 	weight := q.view.Weight(q.team.Name, q.service.Name)
-	releaseSlot, err := e.runner.Enter(q.r.Context(), &admit.Work{
+	releaseSlot, err := e.runner.Acquire(q.r.Context(), &admit.Work{
 		Team: q.team.Name, Weight: weight, Priority: prio,
 		Cost: float64(max(q.tokens, 1)), Deadline: deadline,
 		Queue: q.service.Name, MaxQueue: q.service.MaxQueue,
@@ -347,7 +347,7 @@
 // service's row if its queue limit was the cause.
 func (q *request) admissionRefusal(err error) *wire.Refusal {
 	ref := q.entry.refuse(admitReason(err), err.Error())
-	if errors.Is(err, admit.ErrPartFull) {
+	if errors.Is(err, admit.ErrNamedQueueFull) {
 		ref.RowKind, ref.RowKey, ref.RowVersion = q.service.Source.Kind, q.service.Key, q.service.Version
 		ref.Observed = []*wire.Observed{{Name: "limit_max_queue", Value: float64(q.service.MaxQueue)}}
 	}
@@ -356,7 +356,7 @@
 
 func admitReason(err error) wire.Reason {
 	switch {
-	case errors.Is(err, admit.ErrQueueFull), errors.Is(err, admit.ErrPartFull):
+	case errors.Is(err, admit.ErrQueueFull), errors.Is(err, admit.ErrNamedQueueFull):
 		return wire.Reason_REASON_QUEUE_FULL
 	case errors.Is(err, admit.ErrClosed):
 		return wire.Reason_REASON_DRAINING
--- a/measure/admit/queues.go
+++ b/measure/admit/queues.go
@@ -287,7 +287,7 @@
 	r.engineWork = m.newWork(r)
 	r.engineWork.NoWait = m.policy.tickets
 	err := m.engine[r.engine].Offer(m.now, r.engineWork)
-	if errors.Is(err, admit.ErrBusy) {
+	if errors.Is(err, admit.ErrNoFreeSlot) {
 		m.schedule(2*hop, func() { m.takeTickets(r) })
 		return
 	}
--- a/measure/admit/shares.go
+++ b/measure/admit/shares.go
@@ -15,7 +15,7 @@
 // a local limiter that requests its share.
 type shares struct {
 	limit            admit.Amounts
-	home             *admit.Home
+	home             *admit.ShareAllocator
 	limiters         []*admit.Limiter
 	nextCheck        []time.Time
 	questions, calls float64
@@ -26,12 +26,12 @@
 func newShares(rate float64, now time.Time) limiter { return newSharesFor(entries, rate, now) }
 
 func newSharesFor(n int, rate float64, now time.Time) *shares {
-	s := &shares{limit: admit.Amounts{Requests: rate, Tokens: math.Inf(1), Concurrent: math.Inf(1)}, home: admit.NewHome(now.Add(-time.Hour), "home")}
+	s := &shares{limit: admit.Amounts{Requests: rate, Tokens: math.Inf(1), Concurrent: math.Inf(1)}, home: admit.NewShareAllocator(now.Add(-time.Hour), "home")}
 	for i := range n {
 		l := admit.NewLimiter()
 		l.SetEntries(n)
 		s.limiters = append(s.limiters, l)
-		s.nextCheck = append(s.nextCheck, now.Add(admit.ShareCheck*time.Duration(i)/time.Duration(n)))
+		s.nextCheck = append(s.nextCheck, now.Add(admit.ShareCheckInterval*time.Duration(i)/time.Duration(n)))
 	}
 	return s
 }
@@ -40,7 +40,7 @@
 
 func (s *shares) admitFor(entry int, subject admit.Subject, now time.Time) bool {
 	l := s.limiters[entry]
-	if l.Take(now, subject, s.limit, admit.Ask{}) == nil {
+	if l.Take(now, subject, s.limit, admit.Request{}) == nil {
 		l.Done(subject)
 		return true
 	}
@@ -66,7 +66,7 @@
 		if s.limiters[first].Due(at) {
 			s.requestShares(first, at)
 		}
-		s.nextCheck[first] = at.Add(admit.ShareCheck)
+		s.nextCheck[first] = at.Add(admit.ShareCheckInterval)
 	}
 }
 
@@ -79,10 +79,10 @@
 		r.Entry, r.Incarnation = fmt.Sprint(entry), 1
 		s.calls++
 		s.questions += float64(len(demands))
-		if !s.home.Hear(now, r) {
+		if !s.home.AcceptReport(now, r) {
 			return
 		}
-		l.Answered(r, s.home.Name(now))
+		l.HandleAnswer(r, s.home.Name(now))
 		for sub, d := range demands {
 			l.Apply(now, now, sub, s.home.Name(now), s.home.Grant(now, r.Entry, sub, s.limit, d, time.Second))
 		}
--- a/measure/capacity/sharecalls.go
+++ b/measure/capacity/sharecalls.go
@@ -140,14 +140,14 @@
 	defer pool.Close()
 	req := newShareRequest(teams)
 	req.Entry = fmt.Sprintf("entry-%05d", i)
-	wait := admit.ShareInterval * time.Duration(i) / time.Duration(n)
+	wait := admit.ShareRetryInterval * time.Duration(i) / time.Duration(n)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		wait = admit.ShareInterval
+		wait = admit.ShareRetryInterval
 		req.Seq++
 		if _, err := wire.NewDRPCControlClient(pool.Conn(ctx, addr)).Share(ctx, req); err == nil {
 			calls.Add(1)
--- a/measure/capacity/shares.go
+++ b/measure/capacity/shares.go
@@ -20,18 +20,18 @@
 func measureShares(o options) error {
 	fmt.Printf("%8s %8s %18s %18s\n", "entries", "teams", "B/call in", "home µs/team")
 	for _, c := range []struct{ entries, teams int }{{20, 100}, {20, 1000}, {200, 100}, {2000, 10}} {
-		h := admit.NewHome(time.Unix(0, 0), "measure")
+		h := admit.NewShareAllocator(time.Unix(0, 0), "measure")
 		now := time.Unix(100, 0)
 		began := meter.ProcessorTime()
 		for round := range uint64(shareRounds) {
 			for e := range c.entries {
 				name := fmt.Sprint("entry-", e)
-				if !h.Hear(now, admit.Report{Entry: name, Incarnation: 1, Seq: round + 1, Home: h.Name(now)}) {
+				if !h.AcceptReport(now, admit.Report{Entry: name, Incarnation: 1, Seq: round + 1, Allocator: h.Name(now)}) {
 					return fmt.Errorf("the home did not hear %s", name)
 				}
 				grantShares(h, now, name, c.teams)
 			}
-			now = now.Add(admit.ShareInterval)
+			now = now.Add(admit.ShareRetryInterval)
 		}
 		took := meter.ProcessorTime() - began
 		size := proto.Size(newShareRequest(c.teams))
@@ -41,7 +41,7 @@
 	return measureShareCalls(o)
 }
 
-func grantShares(h *admit.Home, now time.Time, entry string, teams int) {
+func grantShares(h *admit.ShareAllocator, now time.Time, entry string, teams int) {
 	for t := range teams {
 		h.Grant(now, entry, admit.Subject{Team: fmt.Sprint("team-", t)}, sampleLimit,
 			admit.Demand{Wanted: admit.Amounts{Requests: 1, Tokens: 200, Concurrent: 2}}, time.Second)
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -25,7 +25,7 @@
 // Errors of this package.
 var (
 	ErrMalformedToken = merry.Sentinel("explanation token is malformed")
-	ErrForeignToken   = merry.Sentinel("explanation token was not made by this cluster")
+	ErrTokenSignature = merry.Sentinel("explanation token was not made by this cluster")
 )
 
 // tokenPrefix begins each token. Without it, a base64url text may begin with a dash, and a
@@ -35,36 +35,36 @@
 // maxToken is the longest token that Open accepts, in bytes.
 const maxToken = 16 << 10
 
-// Sealer makes and verifies explanation tokens.
-type Sealer struct{ key []byte }
+// TokenSigner makes and verifies explanation tokens.
+type TokenSigner struct{ key []byte }
 
-// NewSealer derives the explanation key from the cluster secret, so that the secret itself
+// NewTokenSigner derives the explanation key from the cluster secret, so that the secret itself
 // doesn't sign anything that callers see.
-func NewSealer(secret []byte) *Sealer {
+func NewTokenSigner(secret []byte) *TokenSigner {
 	m := hmac.New(sha256.New, secret)
 	m.Write([]byte("snipereach explanation key"))
-	return &Sealer{key: m.Sum(nil)}
+	return &TokenSigner{key: m.Sum(nil)}
 }
 
-func (s *Sealer) mac(body []byte) []byte {
+func (s *TokenSigner) mac(body []byte) []byte {
 	m := hmac.New(sha256.New, s.key)
 	m.Write(body)
 	return m.Sum(nil)
 }
 
-// Seal returns the explanation token of a refusal. Long texts are truncated.
-func (s *Sealer) Seal(r *wire.Refusal) string { return s.sign(truncated(r)) }
+// Sign returns the explanation token of a refusal. Long texts are truncated.
+func (s *TokenSigner) Sign(r *wire.Refusal) string { return s.sign(truncated(r)) }
 
 // sign returns the token of a truncated refusal.
-func (s *Sealer) sign(r *wire.Refusal) string {
+func (s *TokenSigner) sign(r *wire.Refusal) string {
 	// Marshal fails only for strings that are not valid UTF-8.
 	body, _ := proto.Marshal(r)
 	return tokenPrefix + base64.RawURLEncoding.EncodeToString(append(s.mac(body), body...))
 }
 
-// Open verifies a token and returns its refusal. It returns ErrMalformedToken or
-// ErrForeignToken.
-func (s *Sealer) Open(token string) (*wire.Refusal, error) {
+// Verify verifies a token and returns its refusal. It returns ErrMalformedToken or
+// ErrTokenSignature.
+func (s *TokenSigner) Verify(token string) (*wire.Refusal, error) {
 	if len(token) > maxToken {
 		return nil, merry.Prependf(ErrMalformedToken, "longer than %d characters", maxToken)
 	}
@@ -81,7 +81,7 @@
 	}
 	mac, body := raw[:sha256.Size], raw[sha256.Size:]
 	if !hmac.Equal(mac, s.mac(body)) {
-		return nil, ErrForeignToken
+		return nil, ErrTokenSignature
 	}
 	r := &wire.Refusal{}
 	if err := proto.Unmarshal(body, r); err != nil {
@@ -138,13 +138,13 @@
 	wire.Reason_REASON_DUPLICATE_ATTEMPT:  {http.StatusConflict, "The attempt was seen before."},
 }
 
-// ReasonWord returns a reason as callers see it, e.g. "rate-limit".
-func ReasonWord(r wire.Reason) string {
+// ReasonName returns a reason as callers see it, e.g. "rate-limit".
+func ReasonName(r wire.Reason) string {
 	return enumName(r.String(), "REASON_")
 }
 
-// OutcomeWord returns an outcome as callers see it: "not-run", "unknown" or "done".
-func OutcomeWord(o wire.Outcome) string {
+// OutcomeName returns an outcome as callers see it: "not-run", "unknown" or "done".
+func OutcomeName(o wire.Outcome) string {
 	return enumName(o.String(), "OUTCOME_")
 }
 
@@ -182,7 +182,7 @@
 }
 
 // ProblemOf returns the problem details of a refusal, including its token.
-func (s *Sealer) ProblemOf(r *wire.Refusal) *Problem {
+func (s *TokenSigner) ProblemOf(r *wire.Refusal) *Problem {
 	c, ok := reasonInfos[r.Reason]
 	if !ok {
 		c = reasonInfo{http.StatusInternalServerError, "The request was refused."}
@@ -190,13 +190,13 @@
 	r = truncated(r)
 	token := s.sign(r)
 	p := &Problem{
-		Type:      "urn:snipereach:refusal:" + ReasonWord(r.Reason),
+		Type:      "urn:snipereach:refusal:" + ReasonName(r.Reason),
 		Title:     c.title,
 		Status:    c.status,
 		Detail:    r.Detail,
 		Instance:  "/v1/refusals/" + token,
-		Reason:    ReasonWord(r.Reason),
-		Outcome:   OutcomeWord(r.Outcome),
+		Reason:    ReasonName(r.Reason),
+		Outcome:   OutcomeName(r.Outcome),
 		RequestID: r.RequestId,
 		Version:   r.RowVersion,
 		Revision:  r.Revision,
@@ -215,7 +215,7 @@
 }
 
 // Write writes the HTTP answer to a refused request.
-func (s *Sealer) Write(w http.ResponseWriter, r *wire.Refusal) {
+func (s *TokenSigner) Write(w http.ResponseWriter, r *wire.Refusal) {
 	p := s.ProblemOf(r)
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
--- a/refusal/refusal_test.go
+++ b/refusal/refusal_test.go
@@ -26,14 +26,14 @@
 	r := sampleRefusal()
 	for n := range 500 {
 		r.RowVersion = uint64(n)
-		token := NewSealer([]byte("secret")).Seal(r)
+		token := NewTokenSigner([]byte("secret")).Sign(r)
 		assert.Assert(t, token[0] != '-', token)
 	}
 }
 
 func TestTokenRoundTrip(t *testing.T) {
-	s := NewSealer([]byte("secret"))
-	got, err := s.Open(s.Seal(sampleRefusal()))
+	s := NewTokenSigner([]byte("secret"))
+	got, err := s.Verify(s.Sign(sampleRefusal()))
 	assert.NilError(t, err)
 	assert.Assert(t, proto.Equal(got, sampleRefusal()))
 }
@@ -41,7 +41,7 @@
 // With very long texts that are not valid UTF-8, the token stays within maxToken, and only
 // the texts and the list of attempts are truncated.
 func TestLongTextsAreTruncated(t *testing.T) {
-	s := NewSealer([]byte("secret"))
+	s := NewTokenSigner([]byte("secret"))
 	long := strings.Repeat("\xff\u00e9", 1<<19)
 	r := sampleRefusal()
 	r.Detail, r.Team, r.Service = long, long, long
@@ -50,7 +50,7 @@
 	}
 	p := s.ProblemOf(r)
 	assert.Assert(t, len(p.Token) <= maxToken && len(p.Detail) <= maxText, "%d %d", len(p.Token), len(p.Detail))
-	got, err := s.Open(p.Token)
+	got, err := s.Verify(p.Token)
 	assert.NilError(t, err)
 	assert.Assert(t, utf8.ValidString(got.Detail) && strings.HasSuffix(got.Detail, truncationMark))
 	assert.Equal(t, len(got.Attempts), maxAttempts)
@@ -63,33 +63,33 @@
 
 // A token that was truncated, changed, or made under another secret is rejected.
 func TestForgedTokensAreRejected(t *testing.T) {
-	s := NewSealer([]byte("secret"))
-	token := s.Seal(sampleRefusal())
+	s := NewTokenSigner([]byte("secret"))
+	token := s.Sign(sampleRefusal())
 	for n := range token {
-		_, err := s.Open(token[:n])
+		_, err := s.Verify(token[:n])
 		assert.Assert(t, err != nil, "truncated at %d", n)
 		changed := []byte(token)
 		changed[n] ^= 1
-		_, err = s.Open(string(changed))
+		_, err = s.Verify(string(changed))
 		assert.Assert(t, err != nil, "changed at %d", n)
 	}
-	_, err := NewSealer([]byte("other")).Open(token)
-	assert.ErrorIs(t, err, ErrForeignToken)
-	_, err = s.Open(string(make([]byte, maxToken+1)))
+	_, err := NewTokenSigner([]byte("other")).Verify(token)
+	assert.ErrorIs(t, err, ErrTokenSignature)
+	_, err = s.Verify(string(make([]byte, maxToken+1)))
 	assert.ErrorIs(t, err, ErrMalformedToken)
 }
 
 func TestRandomTextIsRejected(t *testing.T) {
-	s := NewSealer([]byte("secret"))
+	s := NewTokenSigner([]byte("secret"))
 	rapid.Check(t, func(t *rapid.T) {
-		if _, err := s.Open(rapid.String().Draw(t, "token")); err == nil {
+		if _, err := s.Verify(rapid.String().Draw(t, "token")); err == nil {
 			t.Fatal("a random token was accepted")
 		}
 	})
 }
 
 func TestWrite(t *testing.T) {
-	s := NewSealer([]byte("secret"))
+	s := NewTokenSigner([]byte("secret"))
 	w := httptest.NewRecorder()
 	s.Write(w, sampleRefusal())
 	assert.Equal(t, w.Code, 429)
