--- a/control/control.go
+++ b/control/control.go
@@ -186,7 +186,7 @@
 		return err
 	}
 	r.liveEntries, r.onQuarantines = c.entries, c.suspicions.merge
-	r.notifyQuarantines(r.machine.quarantine.Told(r.clock())...)
+	r.notifyQuarantines(r.machine.quarantine.Suspicions(r.clock())...)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
@@ -423,8 +423,8 @@
 		Replica  any            `json:"replica,omitempty"`
 		Groups   []groupDump    `json:"groups,omitempty"`
 		// Suspicions are about requests that may crash upstreams.
-		Suspicions []quarantine.Shown `json:"suspicions"`
-	}{Identity: c.currentIdentity(), Groups: c.groups.dump(), Suspicions: quarantine.Show(c.suspicions.all())}
+		Suspicions []quarantine.SuspicionView `json:"suspicions"`
+	}{Identity: c.currentIdentity(), Groups: c.groups.dump(), Suspicions: quarantine.SuspicionViews(c.suspicions.all())}
 	if r := c.current(); r != nil {
 		_ = r.do(ctx, func() { d.Replica = r.dump() })
 	}
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -45,7 +45,7 @@
 	defer s.mu.Unlock()
 	now := s.now()
 	for _, m := range list {
-		s.table.Learn(now, m)
+		s.table.Merge(now, m)
 	}
 	changes := s.table.Since(now, s.notifiedVersion)
 	s.notifiedVersion = s.table.Version()
@@ -53,7 +53,7 @@
 }
 
 // changesSince returns what a watcher that has seen a version of the table must be sent.
-func (s *suspicionStore) changesSince(version uint64) quarantine.Told {
+func (s *suspicionStore) changesSince(version uint64) quarantine.Batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Since(s.now(), version)
@@ -127,8 +127,8 @@
 // of the request's quarantine are ignored, and their keys returned. A cleared suspicion lifts
 // the request's quarantine on the log.
 func (s quarantineService) Tell(ctx context.Context, req *wire.TellSuspicionsRequest) (*wire.TellSuspicionsReply, error) {
-	if len(req.Suspicions) > quarantine.MostTold {
-		return nil, merry.Prependf(quarantine.ErrMessage, "%d suspicions", len(req.Suspicions))
+	if len(req.Suspicions) > quarantine.MaxBatch {
+		return nil, merry.Prependf(quarantine.ErrInvalidSuspicion, "%d suspicions", len(req.Suspicions))
 	}
 	for _, m := range req.Suspicions {
 		if err := quarantine.Check(m); err != nil {
@@ -143,7 +143,7 @@
 	var accepted, lift []*wire.Suspicion
 	err := r.do(ctx, func() {
 		for _, m := range req.Suspicions {
-			ended := r.clock().Add(-quarantine.Age(m))
+			ended := r.clock().Add(-quarantine.LastCrashAge(m))
 			switch {
 			case !m.Cleared && uint64(ended.UnixMilli()) < r.machine.quarantine.LiftedAt(m.Key):
 				reply.Lifted = append(reply.Lifted, m.Key)
@@ -196,7 +196,7 @@
 		return &wire.DecideQuarantineReply{}, nil
 	}
 	now := r.clock()
-	_, err = r.propose(ctx, quarantineCommand(&wire.QuarantineCommand{Put: quarantine.Logged(now, m), AtMs: uint64(now.UnixMilli())}))
+	_, err = r.propose(ctx, quarantineCommand(&wire.QuarantineCommand{Put: quarantine.NewLoggedQuarantine(now, m), AtMs: uint64(now.UnixMilli())}))
 	return &wire.DecideQuarantineReply{}, err
 }
 
--- a/control/replica.go
+++ b/control/replica.go
@@ -254,7 +254,7 @@
 		r.feed.reset(r.machine.table.Revision(), r.machine.ring, r.rings.changed)
 		r.routingVersion.Store(r.machine.routing.Current().GetVersion())
 		r.failSnapshottedProposals(rd.Snapshot.Index)
-		r.notifyQuarantines(r.machine.quarantine.Told(r.clock())...)
+		r.notifyQuarantines(r.machine.quarantine.Suspicions(r.clock())...)
 		r.watchers.Wake()
 	}
 	var changed []*wire.Row
@@ -295,9 +295,9 @@
 	if !q.Changed {
 		return
 	}
-	m := quarantine.Decided(r.clock(), q.command)
+	m := quarantine.CommandSuspicion(r.clock(), q.command)
 	kernel.Info(r.log, "Quarantine decided.", "key", hex.EncodeToString(m.Key), "route", m.Route, "team", m.Team, "lifted", m.Cleared,
-		"upstreams", strings.Join(quarantine.Upstreams(m), ","), "terms", m.Terms, "left_ms", m.QuarantineMs)
+		"upstreams", strings.Join(quarantine.CrashedUpstreams(m), ","), "terms", m.Terms, "left_ms", m.QuarantineMs)
 	r.notifyQuarantines(m)
 }
 
--- a/control/routing.go
+++ b/control/routing.go
@@ -194,7 +194,7 @@
 			timer.Reset(next)
 		}
 		current, due = confirmed, false
-		if len(changes.Suspicions) == quarantine.MostTold {
+		if len(changes.Suspicions) == quarantine.MaxBatch {
 			continue
 		}
 		select {
--- a/control/service.go
+++ b/control/service.go
@@ -63,7 +63,7 @@
 
 // Edit implements the Control service. Errors are returned as EDIT_STATUS_UNAVAILABLE.
 func (s *service) Edit(ctx context.Context, e *wire.TableEdit) (*wire.EditReply, error) {
-	if bad := table.Check(e); bad != nil {
+	if bad := table.CheckEdit(e); bad != nil {
 		return bad, nil
 	}
 	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.EditReply, error) {
--- a/control/share.go
+++ b/control/share.go
@@ -162,7 +162,7 @@
 	t := r.machine.table
 	if old != nil {
 		if rows, whole := t.Since(old.Revision); !whole {
-			return old.With(t.Revision(), rows)
+			return old.WithChanges(t.Revision(), rows)
 		}
 	}
 	return table.NewView(t.Revision(), t.Rows(""))
--- a/ctl/logs.go
+++ b/ctl/logs.go
@@ -91,7 +91,7 @@
 // requestOutcome describes the outcome of a request, by its last line that has one.
 func requestOutcome(lines []logread.Line) string {
 	for i := len(lines) - 1; i >= 0; i-- {
-		if e, ok := logread.ParseEnded(&lines[i]); ok {
+		if e, ok := logread.ParseEndedRequest(&lines[i]); ok {
 			return e.Sentence()
 		}
 	}
@@ -114,9 +114,9 @@
 	if c.Window < minWindow {
 		return merry.Prependf(ErrUsage, "--window %v is under %v", c.Window, minWindow)
 	}
-	sum := logread.NewLosses(c.Window)
+	sum := logread.NewCauseCounter(c.Window)
 	err := c.readLogs(c.Args.Files, func(l logread.Line) {
-		if e, ok := logread.ParseEnded(&l); ok && (c.Service == "" || e.Service == c.Service) {
+		if e, ok := logread.ParseEndedRequest(&l); ok && (c.Service == "" || e.Service == c.Service) {
 			sum.Add(&e)
 		}
 	})
@@ -127,9 +127,9 @@
 }
 
 // lossTable has a row for each time window and one for the total, and a column for each cause.
-func lossTable(sum *logread.Losses) textTable {
+func lossTable(sum *logread.CauseCounter) textTable {
 	total := sum.Total()
-	causes := total.ByNumber()
+	causes := total.CausesByCount()
 	s := textTable{header: []string{"from", "ended", "left out"}}
 	for _, cause := range causes {
 		s.header = append(s.header, string(cause))
--- a/ctl/quarantine.go
+++ b/ctl/quarantine.go
@@ -42,7 +42,7 @@
 	return c.show(list, s)
 }
 
-func suspicionState(s quarantine.Shown) string {
+func suspicionState(s quarantine.SuspicionView) string {
 	if !s.Quarantined {
 		return "suspected"
 	}
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -12,7 +12,7 @@
 // address any more.
 const signAgentReport = "agent"
 
-// Identity implements quarantine.Requester.
+// Identity implements quarantine.Identifier.
 func (q *request) Identity() *quarantine.Request {
 	return &quarantine.Request{Team: q.team.Name, Method: q.r.Method, Host: q.service.Name, URI: q.path, Body: q.body}
 }
@@ -30,9 +30,9 @@
 
 // Ended implements forward.Trial.
 func (q *request) Ended(up route.Upstream, incarnation string, ran time.Duration) {
-	q.entry.quarantine.Ended(quarantine.End{
-		Subject:   q.Identity().Subject(q.service.Name),
-		RequestID: q.id, Upstream: incarnation, Address: up.Address, Ran: ran, Sign: signAgentReport,
+	q.entry.quarantine.RecordCrash(quarantine.Crash{
+		RequestInfo: q.Identity().Info(q.service.Name),
+		RequestID:   q.id, Upstream: incarnation, Address: up.Address, RunTime: ran, DetectedBy: signAgentReport,
 	})
 }
 
@@ -43,7 +43,7 @@
 	if v.Standing != quarantine.Quarantined {
 		return nil
 	}
-	ref := q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.trial.Why(v))
+	ref := q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.trial.Explain(v))
 	ref.RetryAfterMs = uint32(v.Left.Milliseconds())
 	return ref
 }
@@ -55,7 +55,7 @@
 		return ref
 	}
 	if !q.trial.Begin() {
-		return q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.trial.Why(q.trial.Verdict())+", and another copy is running")
+		return q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.trial.Explain(q.trial.Verdict())+", and another copy is running")
 	}
 	return nil
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -66,7 +66,7 @@
 	// holdsKey is true while the request holds the claim of its idempotency key.
 	holdsKey bool
 	// trial checks the request against the quarantine.
-	trial quarantine.Trial
+	trial quarantine.RequestGuard
 }
 
 func (e *Entry) newRequest(w http.ResponseWriter, r *http.Request) (*request, *wire.Refusal) {
@@ -369,7 +369,7 @@
 func (q *request) finish(res forward.Result, sink *httpSink) *wire.Refusal {
 	if res.Reason == 0 {
 		q.entry.answers.Inc(1)
-		q.trial.Answered(q.id)
+		q.trial.RecordAnswer(q.id)
 		return nil
 	}
 	if res.Begun || sink.started {
--- a/entry/tablewatch.go
+++ b/entry/tablewatch.go
@@ -27,10 +27,10 @@
 func (e *Entry) followTable(ctx context.Context) {
 	f := table.NewFollower()
 	for ctx.Err() == nil {
-		if !f.Floored() {
+		if !f.HasFloor() {
 			e.setFloor(ctx, f)
 		}
-		if f.Floored() {
+		if f.HasFloor() {
 			err := e.controlClient.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) error {
 				return e.watchTable(ctx, c, f)
 			})
@@ -70,7 +70,7 @@
 	silenceTimer := time.AfterFunc(maxTableWatchSilence, cancel)
 	defer silenceTimer.Stop()
 	for _, replica := range e.settings.replicas() {
-		e.quarantine.TellAgain(replica)
+		e.quarantine.ReportAll(replica)
 	}
 	for {
 		u, err := stream.Recv()
@@ -78,7 +78,7 @@
 			return err
 		}
 		silenceTimer.Reset(maxTableWatchSilence)
-		e.quarantine.Hear("table watch", u.Suspicions)
+		e.quarantine.ApplyReport("table watch", u.Suspicions)
 		v, err := f.Apply(e.settings.Now(), u)
 		if err != nil {
 			kernel.Warn(e.log, "Table update rejected.", "err", err)
@@ -87,9 +87,9 @@
 		if v != nil {
 			e.SetView(v)
 		}
-		at := f.Confirmed()
+		at := f.ConfirmedAt()
 		e.rowsConfirmedAt.Store(&at)
-		e.claims.SetRing(u.Ring, time.Duration(u.RingAgeMs)*time.Millisecond, f.Confirmed())
+		e.claims.SetRing(u.Ring, time.Duration(u.RingAgeMs)*time.Millisecond, f.ConfirmedAt())
 		if age := time.Duration(u.ConfirmedAgeMs) * time.Millisecond; age > maxTableWatchSilence {
 			return merry.Prependf(errStaleReplica, "%v", age)
 		}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -48,7 +48,7 @@
 	retryReserved atomic.Bool
 	tried         map[string]bool
 	// trial is the request's standing in quarantine.
-	trial       quarantine.Trial
+	trial       quarantine.RequestGuard
 	lastOutcome outcome
 	reason      string
 	// cause describes the inputs of a refusal.
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -6,7 +6,7 @@
 	"github.com/snipereach/snipereach/quarantine"
 )
 
-// Identity implements quarantine.Requester.
+// Identity implements quarantine.Identifier.
 func (c *call) Identity() *quarantine.Request {
 	return &quarantine.Request{Team: c.team.GetName(), Method: c.r.Method, Host: c.r.Host, URI: c.r.RequestURI, Body: c.body}
 }
@@ -21,12 +21,12 @@
 	v := c.trial.Verdict()
 	switch {
 	case v.Standing == quarantine.Quarantined:
-		c.cause = c.trial.Why(v)
+		c.cause = c.trial.Explain(v)
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, retryAfter: v.Left}
 	case v.Standing == quarantine.LastTrial && c.waited > 0:
 		// Copies of the request could be queued at all gateways, be admitted together when the
 		// group is available again, and crash an upstream each.
-		c.cause = c.trial.Why(v)
+		c.cause = c.trial.Explain(v)
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonLastTrial}
 	}
 	return nil
@@ -39,7 +39,7 @@
 		return f
 	}
 	if !c.trial.Begin() {
-		c.cause = c.trial.Why(c.trial.Verdict()) + ", and a copy runs"
+		c.cause = c.trial.Explain(c.trial.Verdict()) + ", and a copy runs"
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonLastTrial}
 	}
 	return nil
@@ -60,7 +60,7 @@
 // recordSuccess records that an upstream has answered the request completely, which clears it of
 // suspicion.
 func (c *call) recordSuccess() {
-	if c.trial.Answered(c.params.ID) {
+	if c.trial.RecordAnswer(c.params.ID) {
 		c.metrics.Count("gateway.suspects_cleared")
 	}
 }
--- a/gateway/routingwatch.go
+++ b/gateway/routingwatch.go
@@ -67,7 +67,7 @@
 func (w *routingWatch) recordVersion(v *wire.RoutingVersion) {
 	if !w.connected {
 		w.logState("Control replica connected.", "replica", w.addr, "version", v.Version, "confirmed_age_ms", v.ConfirmedAgeMs)
-		w.quarantine.TellAgain(w.addr)
+		w.quarantine.ReportAll(w.addr)
 	}
 	w.connected = true
 }
@@ -98,7 +98,7 @@
 		}
 		silence.Reset(max(watchSilenceTimeout, silentIntervals*time.Duration(v.NextMs)*time.Millisecond))
 		w.recordVersion(v)
-		w.quarantine.Hear(w.addr, v.Suspicions)
+		w.quarantine.ApplyReport(w.addr, v.Suspicions)
 		if err := w.fetchIfNewer(ctx, v); err != nil {
 			return err
 		}
--- a/gateway/upstreamexit.go
+++ b/gateway/upstreamexit.go
@@ -33,7 +33,7 @@
 
 // pendingExit is an attempt that was cut, until it is known whether its upstream exited.
 type pendingExit struct {
-	quarantine.End
+	quarantine.Crash
 	// known holds the IDs of the instances that were known at the address when the attempt was
 	// cut.
 	known []string
@@ -66,7 +66,7 @@
 func (c *call) recordCut(a *attempt) {
 	p := c.newPendingExit(a)
 	if c.connectionRefused(p.Address) {
-		c.reportExit(p.End, signRefused)
+		c.reportExit(p.Crash, signRefused)
 		return
 	}
 	c.mu.Lock()
@@ -83,7 +83,7 @@
 // would pass for one that was known before, and the exit would never be reported.
 func (c *call) newPendingExit(a *attempt) pendingExit {
 	p := pendingExit{cutAt: c.now()}
-	p.End = quarantine.End{Subject: c.Identity().Subject(c.route.GetName()), RequestID: c.params.ID, Upstream: a.upstream.ID, Address: a.upstream.Address, Ran: time.Since(a.startedAt)}
+	p.Crash = quarantine.Crash{RequestInfo: c.Identity().Info(c.route.GetName()), RequestID: c.params.ID, Upstream: a.upstream.ID, Address: a.upstream.Address, RunTime: time.Since(a.startedAt)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, i := range c.knownUpstreams {
@@ -124,14 +124,14 @@
 	g.exits.pending = remaining
 	g.mu.Unlock()
 	for _, p := range exited {
-		p.Ago = g.now().Sub(p.cutAt)
-		g.reportExit(p.End, signReplaced)
+		p.Age = g.now().Sub(p.cutAt)
+		g.reportExit(p.Crash, signReplaced)
 	}
 }
 
 // reportExit reports that an upstream exited while it ran a request.
-func (g *Gateway) reportExit(e quarantine.End, sign string) {
-	e.Sign = sign
+func (g *Gateway) reportExit(e quarantine.Crash, sign string) {
+	e.DetectedBy = sign
 	g.metrics.Count("gateway.upstream_ended." + sign)
-	g.quarantine.Ended(e)
+	g.quarantine.RecordCrash(e)
 }
--- a/logread/ended.go
+++ b/logread/ended.go
@@ -20,22 +20,22 @@
 // Causes of requests that were answered or left by their callers. Those of refusals and failures
 // contain the gateway's reason.
 const (
-	InTime Cause = "in time"
+	OnTime Cause = "in time"
 	// LatePause: the pause between two events was too long.
 	LatePause Cause = "late: pause"
-	// LateWaited: waiting at the gateway took most of the time to the first event.
-	LateWaited Cause = "late: waited"
-	// LateCameBack: most of the time passed between the caller's first send of the request and its arrival
+	// LateQueued: waiting at the gateway took most of the time to the first event.
+	LateQueued Cause = "late: waited"
+	// LateRetried: most of the time passed between the caller's first send of the request and its arrival
 	// at this gateway.
-	LateCameBack Cause = "late: came back"
-	// LateEarlier: attempts before the last one took most of the time to the first event.
-	LateEarlier Cause = "late: earlier attempts"
+	LateRetried Cause = "late: came back"
+	// LateEarlierAttempts: attempts before the last one took most of the time to the first event.
+	LateEarlierAttempts Cause = "late: earlier attempts"
 	// LateUpstream: the upstream took most of the time to the first event.
 	LateUpstream Cause = "late: upstream"
 	// UpstreamFailed: the upstream answered with a server error.
 	UpstreamFailed Cause = "failed: upstream's answer"
-	// CallerLeft: the caller closed the connection before the answer.
-	CallerLeft Cause = "caller left"
+	// CallerGone: the caller closed the connection before the answer.
+	CallerGone Cause = "caller left"
 )
 
 // failureReasons are the gateway's reasons that count as failures, callerErrorReasons those that count
@@ -45,8 +45,8 @@
 	callerErrorReasons = []string{"no-route", "unknown-key", "bad-request", "header-too-large", "body-too-large"}
 )
 
-// Ended is the outcome of a request at a gateway, as its line reports it.
-type Ended struct {
+// EndedRequest is the outcome of a request at a gateway, as its line reports it.
+type EndedRequest struct {
 	At               time.Time
 	Request, Service string
 	Status           int
@@ -70,12 +70,12 @@
 	took     time.Duration
 }
 
-// ParseEnded parses the line of a request that has ended. It returns false for other lines.
-func ParseEnded(l *Line) (e Ended, ok bool) {
+// ParseEndedRequest parses the line of a request that has ended. It returns false for other lines.
+func ParseEndedRequest(l *Line) (e EndedRequest, ok bool) {
 	if l.Msg != msgEnded {
 		return e, false
 	}
-	return Ended{
+	return EndedRequest{
 		At: l.At, Request: l.Get("request"), Service: l.Get("service"), Status: int(l.Int("status")),
 		Reason: l.Get("reason"), Why: l.Get("why"), Err: l.Get("err"),
 		Took: l.Millis("took_ms"), Waited: l.Millis("waited_ms"), Age: l.Millis("age_ms"),
@@ -99,7 +99,7 @@
 }
 
 // earlierAttemptsTook returns the duration of the attempts before the last one.
-func (e *Ended) earlierAttemptsTook() (sum time.Duration) {
+func (e *EndedRequest) earlierAttemptsTook() (sum time.Duration) {
 	for _, a := range e.attempts[:max(len(e.attempts)-1, 0)] {
 		sum += a.took
 	}
@@ -107,7 +107,7 @@
 }
 
 // Cause classifies the outcome.
-func (e *Ended) Cause() Cause {
+func (e *EndedRequest) Cause() Cause {
 	switch {
 	case e.Reason != "":
 		return e.unansweredCause()
@@ -118,14 +118,14 @@
 	case e.late != "":
 		return e.lateFirstEventCause()
 	}
-	return InTime
+	return OnTime
 }
 
 // unansweredCause returns the cause of a request for which no upstream's answer was passed on.
-func (e *Ended) unansweredCause() Cause {
+func (e *EndedRequest) unansweredCause() Cause {
 	switch {
 	case e.Reason == "caller-gone":
-		return CallerLeft
+		return CallerGone
 	case slices.Contains(failureReasons, e.Reason):
 		return Cause("failed: " + e.Reason)
 	case slices.Contains(callerErrorReasons, e.Reason):
@@ -137,13 +137,13 @@
 }
 
 // lateFirstEventCause returns what took most of the time to a late first event.
-func (e *Ended) lateFirstEventCause() Cause {
+func (e *EndedRequest) lateFirstEventCause() Cause {
 	earlier := e.earlierAttemptsTook()
 	cause, longest := LateUpstream, e.FirstEvent-e.Waited-earlier
 	for _, part := range []struct {
 		cause Cause
 		took  time.Duration
-	}{{LateWaited, e.Waited}, {LateEarlier, earlier}, {LateCameBack, e.Age}} {
+	}{{LateQueued, e.Waited}, {LateEarlierAttempts, earlier}, {LateRetried, e.Age}} {
 		if part.took > longest {
 			cause, longest = part.cause, part.took
 		}
@@ -152,17 +152,17 @@
 }
 
 // Sentence describes the outcome and its cause in one sentence.
-func (e *Ended) Sentence() string {
+func (e *EndedRequest) Sentence() string {
 	switch cause := e.Cause(); cause {
-	case InTime:
+	case OnTime:
 		return fmt.Sprintf("Answered in time, with %d after %v.", e.Status, e.Took)
 	case LatePause:
 		return fmt.Sprintf("Late by a pause of %v between two events.", e.LongestPause)
-	case LateWaited:
+	case LateQueued:
 		return fmt.Sprintf("Late by its first event, after %v; it waited %v of that at the gateway for a slot.", e.FirstEvent, e.Waited)
-	case LateCameBack:
+	case LateRetried:
 		return fmt.Sprintf("Late by its first event: its caller had sent it first %v before it came to this gateway.", e.Age)
-	case LateEarlier:
+	case LateEarlierAttempts:
 		return fmt.Sprintf("Late by its first event, after %v; earlier attempts took %v of that.", e.FirstEvent, e.earlierAttemptsTook())
 	case LateUpstream:
 		return fmt.Sprintf("Late by its first event, after %v; the upstream %s took most of that.", e.FirstEvent, e.lastUpstream())
@@ -173,7 +173,7 @@
 	}
 }
 
-func (e *Ended) unansweredSentence(cause Cause) string {
+func (e *EndedRequest) unansweredSentence(cause Cause) string {
 	text := fmt.Sprintf("Ended with %d after %v; %s", e.Status, e.Took, cause)
 	switch {
 	case e.Why != "":
@@ -187,7 +187,7 @@
 	return text + "."
 }
 
-func (e *Ended) lastUpstream() string {
+func (e *EndedRequest) lastUpstream() string {
 	if len(e.attempts) == 0 {
 		return "(unknown)"
 	}
--- a/logread/logread_test.go
+++ b/logread/logread_test.go
@@ -19,10 +19,10 @@
 	return lines, skipped
 }
 
-func parseEnded(t *testing.T, rest string) logread.Ended {
+func parseEnded(t *testing.T, rest string) logread.EndedRequest {
 	lines, _ := readLines(t, linePrefix+`msg="Request ended." `+rest)
 	assert.Equal(t, len(lines), 1, rest)
-	e, ok := logread.ParseEnded(&lines[0])
+	e, ok := logread.ParseEndedRequest(&lines[0])
 	assert.Assert(t, ok)
 	return e
 }
@@ -40,7 +40,7 @@
 	assert.Equal(t, lines[1].Get("none"), "")
 	assert.Equal(t, lines[1].Source, "a.log")
 	assert.Assert(t, lines[1].At.Equal(time.Date(2026, 3, 1, 10, 0, 1, 5e8, time.UTC)))
-	_, ok := logread.ParseEnded(&lines[0])
+	_, ok := logread.ParseEndedRequest(&lines[0])
 	assert.Assert(t, !ok)
 }
 
@@ -57,22 +57,22 @@
 		cause    logread.Cause
 		sentence string
 	}{
-		{"status=200 reason= took_ms=20 attempts=u-1:answered:200:19", logread.InTime, "Answered in time, with 200 after 20ms."},
+		{"status=200 reason= took_ms=20 attempts=u-1:answered:200:19", logread.OnTime, "Answered in time, with 200 after 20ms."},
 		{
 			"status=200 reason= took_ms=900 attempts=u-1:answered:200:900 first_event_ms=100 longest_pause_ms=437 late=pause",
 			logread.LatePause, "Late by a pause of 437ms between two events.",
 		},
 		{
 			"status=200 reason= took_ms=1881 attempts=u-1:answered:200:1007 first_event_ms=1095 waited_ms=873 late=first-event",
-			logread.LateWaited, "Late by its first event, after 1.095s; it waited 873ms of that at the gateway for a slot.",
+			logread.LateQueued, "Late by its first event, after 1.095s; it waited 873ms of that at the gateway for a slot.",
 		},
 		{
 			"status=200 reason= took_ms=1881 attempts=u-1:answered:200:1007 first_event_ms=967 waited_ms=706 age_ms=1564 late=first-event",
-			logread.LateCameBack, "Late by its first event: its caller had sent it first 1.564s before it came to this gateway.",
+			logread.LateRetried, "Late by its first event: its caller had sent it first 1.564s before it came to this gateway.",
 		},
 		{
 			"status=200 reason= took_ms=2000 attempts=u-1:in-doubt:0:700,u-2:answered:200:800 first_event_ms=950 late=first-event",
-			logread.LateEarlier, "Late by its first event, after 950ms; earlier attempts took 700ms of that.",
+			logread.LateEarlierAttempts, "Late by its first event, after 950ms; earlier attempts took 700ms of that.",
 		},
 		{
 			"status=200 reason= took_ms=2000 attempts=u-1:answered:200:2000 first_event_ms=800 waited_ms=10 late=first-event",
@@ -92,7 +92,7 @@
 			"failed: in-doubt", "Ended with 502 after 31ms; failed: in-doubt (reset).",
 		},
 		{"status=404 reason=no-route took_ms=0 attempts=", "not allowed: no-route", "Ended with 404 after 0s; not allowed: no-route; it was sent to no upstream."},
-		{"status=0 reason=caller-gone took_ms=120 attempts=u-1:caller-gone:0:120", logread.CallerLeft, "Ended with 0 after 120ms; caller left."},
+		{"status=0 reason=caller-gone took_ms=120 attempts=u-1:caller-gone:0:120", logread.CallerGone, "Ended with 0 after 120ms; caller left."},
 	} {
 		e := parseEnded(t, c.line)
 		assert.Equal(t, e.Cause(), c.cause, c.line)
@@ -101,7 +101,7 @@
 }
 
 func TestLossesByWindow(t *testing.T) {
-	s := logread.NewLosses(2 * time.Second)
+	s := logread.NewCauseCounter(2 * time.Second)
 	at := time.Date(2026, 3, 1, 10, 0, 0, 0, time.UTC)
 	for i, rest := range []string{
 		"status=200 reason= took_ms=1 attempts=u:answered:200:1 lines_left_out=7", "status=503 reason=draining took_ms=1 attempts=", "status=503 reason=draining took_ms=1 attempts=",
@@ -113,10 +113,10 @@
 	w := s.Windows()
 	assert.Equal(t, len(w), 2)
 	assert.Assert(t, w[0].From.Equal(at) && w[1].From.Equal(at.Add(2*time.Second)))
-	assert.DeepEqual(t, w[0].Causes, map[logread.Cause]int{logread.InTime: 1, "refused: draining": 1})
+	assert.DeepEqual(t, w[0].Causes, map[logread.Cause]int{logread.OnTime: 1, "refused: draining": 1})
 	assert.Equal(t, s.Total().Ended, 3)
 	assert.Equal(t, s.Total().LeftOut, int64(7))
-	assert.DeepEqual(t, s.Total().ByNumber(), []logread.Cause{"refused: draining", logread.InTime})
+	assert.DeepEqual(t, s.Total().CausesByCount(), []logread.Cause{"refused: draining", logread.OnTime})
 }
 
 // Each line of any text must be either read or counted, and each ended request have a cause.
@@ -133,7 +133,7 @@
 		n := 0
 		skipped, err := logread.Read("a", strings.NewReader(strings.Join(lines, "\n")), func(l logread.Line) {
 			n++
-			if e, ok := logread.ParseEnded(&l); ok && (e.Cause() == "" || e.Sentence() == "") {
+			if e, ok := logread.ParseEndedRequest(&l); ok && (e.Cause() == "" || e.Sentence() == "") {
 				t.Fatalf("no cause: %s", l.Text)
 			}
 		})
--- a/logread/losses.go
+++ b/logread/losses.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Losses counts requests by cause in windows of time.
-type Losses struct {
+// CauseCounter counts requests by cause in windows of time.
+type CauseCounter struct {
 	window  time.Duration
 	windows map[time.Time]*Window
 }
@@ -23,13 +23,13 @@
 	Causes  map[Cause]int `json:"causes"`
 }
 
-// NewLosses returns a counter with windows of the given length.
-func NewLosses(window time.Duration) *Losses {
-	return &Losses{window: window, windows: map[time.Time]*Window{}}
+// NewCauseCounter returns a counter with windows of the given length.
+func NewCauseCounter(window time.Duration) *CauseCounter {
+	return &CauseCounter{window: window, windows: map[time.Time]*Window{}}
 }
 
 // Add counts a request.
-func (s *Losses) Add(e *Ended) {
+func (s *CauseCounter) Add(e *EndedRequest) {
 	from := e.At.Truncate(s.window)
 	w := s.windows[from]
 	if w == nil {
@@ -42,12 +42,12 @@
 }
 
 // Windows returns the windows in which requests ended, in order of time.
-func (s *Losses) Windows() []*Window {
+func (s *CauseCounter) Windows() []*Window {
 	return slices.SortedFunc(maps.Values(s.windows), func(a, b *Window) int { return a.From.Compare(b.From) })
 }
 
 // Total returns the counts over all windows. Its From is that of the first one.
-func (s *Losses) Total() *Window {
+func (s *CauseCounter) Total() *Window {
 	sum := &Window{Causes: map[Cause]int{}}
 	for _, w := range s.Windows() {
 		if sum.From.IsZero() {
@@ -62,8 +62,8 @@
 	return sum
 }
 
-// ByNumber returns the causes in a window, the most frequent first.
-func (w *Window) ByNumber() []Cause {
+// CausesByCount returns the causes in a window, the most frequent first.
+func (w *Window) CausesByCount() []Cause {
 	return slices.SortedFunc(maps.Keys(w.Causes), func(a, b Cause) int {
 		return cmp.Or(cmp.Compare(w.Causes[b], w.Causes[a]), cmp.Compare(a, b))
 	})
--- a/measure/capacity/memory.go
+++ b/measure/capacity/memory.go
@@ -133,7 +133,7 @@
 	began := meter.ProcessorTime()
 	for i := range uint64(views) {
 		row := rows[len(rows)-1-int(i%3)]
-		v, _ = v.With(2+i, []*wire.Row{row})
+		v, _ = v.WithChanges(2+i, []*wire.Row{row})
 	}
 	return meter.Micros(meter.ProcessorTime()-began) / views
 }
--- a/operators/quarantine.go
+++ b/operators/quarantine.go
@@ -14,7 +14,7 @@
 // SuspectedRequests lists the requests under which upstreams ended, as known to
 // one control replica.
 type SuspectedRequests struct {
-	Requests []quarantine.Shown `json:"requests"`
+	Requests []quarantine.SuspicionView `json:"requests"`
 }
 
 func (h *Handler) listSuspected(c *call) {
@@ -27,7 +27,7 @@
 		c.writeError(http.StatusServiceUnavailable, "No control replica answers.", err.Error())
 		return
 	}
-	kernel.WriteJSON(c.w, http.StatusOK, SuspectedRequests{Requests: quarantine.Show(reply.Suspicions)})
+	kernel.WriteJSON(c.w, http.StatusOK, SuspectedRequests{Requests: quarantine.SuspicionViews(reply.Suspicions)})
 }
 
 // liftQuarantine allows a quarantined request to be sent to upstreams again, and
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -20,23 +20,23 @@
 func BenchmarkTrial(b *testing.B) {
 	for _, size := range []int{1 << 10, 4 << 20} {
 		r := &fixedRequest{Team: "a", Method: "POST", Host: "h", URI: "/x", Body: []byte(strings.Repeat("x", size))}
-		other, alike := subject("b", "other"), Subject{Key: Key{1}, Hint: (*Request)(r).Hint()}
+		other, alike := subject("b", "other"), RequestInfo{Key: Key{1}, Hint: (*Request)(r).Hint()}
 		for _, c := range []struct {
 			name string
-			held []Subject
-		}{{"nothing", nil}, {"others", []Subject{other}}, {"alike", []Subject{alike}}} {
+			held []RequestInfo
+		}{{"nothing", nil}, {"others", []RequestInfo{other}}, {"alike", []RequestInfo{alike}}} {
 			b.Run(c.name+"/"+[]string{"1kB", "4MB"}[min(size>>20, 1)], func(b *testing.B) {
 				n := NewNode("e", log.NewNopLogger(), kernel.BootClock(), nil)
 				for _, s := range c.held {
-					n.Ended(End{Subject: s, Upstream: "up-1"})
+					n.RecordCrash(Crash{RequestInfo: s, Upstream: "up-1"})
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					var t Trial
+					var t RequestGuard
 					t.Init(n, r)
 					t.Verdict()
 					t.Begin()
-					t.Answered("id")
+					t.RecordAnswer("id")
 					t.Done()
 				}
 			})
@@ -51,7 +51,7 @@
 	var list []*wire.Suspicion
 	for i := range 1920 {
 		s := subject(fmt.Sprint("team-", i%24), fmt.Sprint(i))
-		from.Ended(start, s, crashedRun(fmt.Sprint("up-", i/10), start))
+		from.RecordCrash(start, s, crashedRun(fmt.Sprint("up-", i/10), start))
 		list = append(list, from.toSuspicion(start, from.records[s.Key]))
 	}
 	for _, quarantined := range []int{0, 64} {
@@ -62,7 +62,7 @@
 					crashThree(tb, subject("bad", fmt.Sprint(i)), start)
 				}
 				for _, m := range list {
-					tb.Learn(start, m)
+					tb.Merge(start, m)
 				}
 			}
 		})
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -14,8 +14,8 @@
 
 // Errors of this package.
 var (
-	// ErrKey is returned for text that is not a request key.
-	ErrKey = merry.Sentinel("invalid request key: 32 hexadecimal digits are needed")
-	// ErrMessage is returned for a message of a peer that is malformed or exceeds a limit.
-	ErrMessage = merry.Sentinel("invalid suspicion")
+	// ErrInvalidKey is returned for text that is not a request key.
+	ErrInvalidKey = merry.Sentinel("invalid request key: 32 hexadecimal digits are needed")
+	// ErrInvalidSuspicion is returned for a message of a peer that is malformed or exceeds a limit.
+	ErrInvalidSuspicion = merry.Sentinel("invalid suspicion")
 )
--- a/quarantine/eviction.go
+++ b/quarantine/eviction.go
@@ -7,13 +7,13 @@
 )
 
 // recordFor returns the record of a request. If there is none it creates one, which may evict others.
-func (t *Table) recordFor(now time.Time, s Subject) *record {
+func (t *Table) recordFor(now time.Time, s RequestInfo) *record {
 	r := t.records[s.Key]
 	if r != nil {
 		return r
 	}
 	t.evictIfFull(now, s.Team)
-	r = &record{Subject: s}
+	r = &record{RequestInfo: s}
 	t.records[s.Key] = r
 	t.hints[s.Hint]++
 	t.teams[s.Team]++
@@ -23,35 +23,35 @@
 // evictIfFull makes room for one more record of a team. It evicts many records at once, because each
 // eviction scans the whole table.
 func (t *Table) evictIfFull(now time.Time, team string) {
-	if t.teams[team] < t.settings.MostOfTeam && len(t.records) < t.settings.Most {
+	if t.teams[team] < t.settings.MaxRecordsPerTeam && len(t.records) < t.settings.MaxRecords {
 		return
 	}
 	t.Forget(now)
 	switch {
-	case t.teams[team] >= t.settings.MostOfTeam:
-		t.evictWeakest(now, team, t.settings.MostOfTeam/evictionDivisor)
-	case len(t.records) >= t.settings.Most:
-		t.evictWeakest(now, t.largestTeam(), t.settings.MostOfTeam/evictionDivisor)
+	case t.teams[team] >= t.settings.MaxRecordsPerTeam:
+		t.evictWeakest(now, team, t.settings.MaxRecordsPerTeam/evictionDivisor)
+	case len(t.records) >= t.settings.MaxRecords:
+		t.evictWeakest(now, t.largestTeam(), t.settings.MaxRecordsPerTeam/evictionDivisor)
 	}
 }
 
-// evictionDivisor divides MostOfTeam into the number of records that are evicted at once.
+// evictionDivisor divides MaxRecordsPerTeam into the number of records that are evicted at once.
 const evictionDivisor = 16
 
 // Forget drops the records of requests that are not suspected, have no copy in flight and were not
-// cleared within ClearedFor.
+// cleared within ClearedTTL.
 func (t *Table) Forget(now time.Time) {
 	for _, r := range t.records {
-		if t.standing(now, r) == Free && !t.clearedRecently(now, r) && r.inFlight == 0 {
+		if t.standing(now, r) == Unsuspected && !t.clearedRecently(now, r) && r.inFlight == 0 {
 			t.dropRecord(r)
 		}
 	}
 }
 
-// clearedRecently reports whether a request was cleared within ClearedFor, while peers are told of
+// clearedRecently reports whether a request was cleared within ClearedTTL, while peers are told of
 // it.
 func (t *Table) clearedRecently(now time.Time, r *record) bool {
-	return !r.clearedAt.IsZero() && now.Sub(r.clearedAt) <= t.settings.ClearedFor
+	return !r.clearedAt.IsZero() && now.Sub(r.clearedAt) <= t.settings.ClearedTTL
 }
 
 func (t *Table) dropRecord(r *record) {
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -18,12 +18,12 @@
 // String returns the key in hexadecimal, as in logs.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// ParseKey parses a key in the form that String returns. It returns ErrKey for other text.
+// ParseKey parses a key in the form that String returns. It returns ErrInvalidKey for other text.
 func ParseKey(text string) (Key, error) {
 	var k Key
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != keySize {
-		return k, ErrKey
+		return k, ErrInvalidKey
 	}
 	copy(k[:], data)
 	return k, nil
@@ -72,9 +72,9 @@
 	return k
 }
 
-// Subject returns the description of the request that peers exchange. It hashes the body.
-func (r *Request) Subject(route string) Subject {
-	return Subject{Key: r.Key(), Hint: r.Hint(), Team: r.Team, Route: route}
+// Info returns the description of the request that peers exchange. It hashes the body.
+func (r *Request) Info(route string) RequestInfo {
+	return RequestInfo{Key: r.Key(), Hint: r.Hint(), Team: r.Team, Route: route}
 }
 
 func (r *Request) hashedTexts() [4]string { return [4]string{r.Team, r.Method, r.Host, r.URI} }
--- a/quarantine/machine.go
+++ b/quarantine/machine.go
@@ -116,8 +116,8 @@
 	return 0
 }
 
-// Told returns all quarantines as messages, with times relative to now.
-func (m *Machine) Told(now time.Time) []*wire.Suspicion {
+// Suspicions returns all quarantines as messages, with times relative to now.
+func (m *Machine) Suspicions(now time.Time) []*wire.Suspicion {
 	list := make([]*wire.Suspicion, len(m.logged))
 	for i, q := range m.logged {
 		list[i] = suspicionFromLog(now, q)
@@ -125,8 +125,8 @@
 	return list
 }
 
-// Decided returns the message that announces a command that changed the state.
-func Decided(now time.Time, c *wire.QuarantineCommand) *wire.Suspicion {
+// CommandSuspicion returns the message that announces a command that changed the state.
+func CommandSuspicion(now time.Time, c *wire.QuarantineCommand) *wire.Suspicion {
 	if c.Put != nil {
 		return suspicionFromLog(now, c.Put)
 	}
@@ -148,8 +148,8 @@
 	return m
 }
 
-// Logged returns the form in which a quarantine is kept on the log, with absolute times.
-func Logged(now time.Time, s *wire.Suspicion) *wire.LoggedQuarantine {
+// NewLoggedQuarantine returns the form in which a quarantine is kept on the log, with absolute times.
+func NewLoggedQuarantine(now time.Time, s *wire.Suspicion) *wire.LoggedQuarantine {
 	r := &wire.Suspicion{Key: s.Key, Hint: s.Hint, Team: s.Team, Route: s.Route, Terms: s.Terms}
 	for _, run := range s.Runs {
 		r.Runs = append(r.Runs, &wire.EndedRun{Upstream: run.Upstream})
@@ -157,7 +157,7 @@
 	return &wire.LoggedQuarantine{
 		Request: r,
 		UntilMs: uint64(now.Add(fromMillis(s.QuarantineMs)).UnixMilli()),
-		EndedMs: uint64(now.Add(-Age(s)).UnixMilli()),
+		EndedMs: uint64(now.Add(-LastCrashAge(s)).UnixMilli()),
 	}
 }
 
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -18,37 +18,37 @@
 	maxNameBytes = 256
 	// maxTerms is above the number of quarantines from which on their duration no longer grows.
 	maxTerms = 64
-	// MostTold is the maximum number of suspicions in one message.
-	MostTold = 128
+	// MaxBatch is the maximum number of suspicions in one message.
+	MaxBatch = 128
 )
 
-// Check returns ErrMessage if a peer's message is malformed or exceeds a limit. Table.Learn must be
+// Check returns ErrInvalidSuspicion if a peer's message is malformed or exceeds a limit. Table.Merge must be
 // given only messages that passed it.
 func Check(m *wire.Suspicion) error {
 	switch {
 	case m == nil:
-		return merry.Prepend(ErrMessage, "message is nil")
+		return merry.Prepend(ErrInvalidSuspicion, "message is nil")
 	case len(m.Key) != keySize:
-		return merry.Prependf(ErrMessage, "key has %d bytes", len(m.Key))
+		return merry.Prependf(ErrInvalidSuspicion, "key has %d bytes", len(m.Key))
 	case len(m.Runs) > maxRuns:
-		return merry.Prependf(ErrMessage, "%d runs are too many", len(m.Runs))
+		return merry.Prependf(ErrInvalidSuspicion, "%d runs are too many", len(m.Runs))
 	case len(m.Team) > maxNameBytes || len(m.Route) > maxNameBytes:
-		return merry.Prepend(ErrMessage, "team or route name is too long")
+		return merry.Prepend(ErrInvalidSuspicion, "team or route name is too long")
 	case m.Terms > maxTerms:
-		return merry.Prependf(ErrMessage, "%d terms are too many", m.Terms)
+		return merry.Prependf(ErrInvalidSuspicion, "%d terms are too many", m.Terms)
 	case !m.Cleared && len(m.Runs) == 0:
-		return merry.Prepend(ErrMessage, "a suspicion that isn't cleared needs a run")
+		return merry.Prepend(ErrInvalidSuspicion, "a suspicion that isn't cleared needs a run")
 	}
 	for _, run := range m.Runs {
 		if run.GetUpstream() == "" || len(run.Upstream) > maxNameBytes {
-			return merry.Prepend(ErrMessage, "upstream name is empty or too long")
+			return merry.Prepend(ErrInvalidSuspicion, "upstream name is empty or too long")
 		}
 	}
 	return nil
 }
 
-// Told is a batch of changes to report to a peer.
-type Told struct {
+// Batch is a batch of changes to report to a peer.
+type Batch struct {
 	Suspicions []*wire.Suspicion
 	// Version is the table version up to which the peer has been told everything after this batch.
 	Version uint64
@@ -56,7 +56,7 @@
 
 // Since returns the changes after a version that peers act on: requests on their last trial or in
 // quarantine, and the clearing of requests that had got that far.
-func (t *Table) Since(now time.Time, version uint64) Told {
+func (t *Table) Since(now time.Time, version uint64) Batch {
 	return t.changesAfter(now, func(r *record) uint64 {
 		if t.standing(now, r) < LastTrial && !(r.announced && t.clearedRecently(now, r)) {
 			return 0
@@ -65,8 +65,8 @@
 	}, version)
 }
 
-// Own returns the changes after a version that this process observed itself.
-func (t *Table) Own(now time.Time, version uint64) Told {
+// LocalSince returns the changes after a version that this process observed itself.
+func (t *Table) LocalSince(now time.Time, version uint64) Batch {
 	return t.changesAfter(now, func(r *record) uint64 { return r.ownVersion }, version)
 }
 
@@ -74,7 +74,7 @@
 func (t *Table) All(now time.Time) []*wire.Suspicion {
 	var list []*wire.Suspicion
 	for _, r := range t.records {
-		if t.standing(now, r) != Free {
+		if t.standing(now, r) != Unsuspected {
 			list = append(list, t.toSuspicion(now, r))
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // changesAfter returns the records for which versionOf exceeds version, in ascending order of it
-// and at most MostTold of them.
-func (t *Table) changesAfter(now time.Time, versionOf func(*record) uint64, version uint64) Told {
+// and at most MaxBatch of them.
+func (t *Table) changesAfter(now time.Time, versionOf func(*record) uint64, version uint64) Batch {
 	if version == t.version {
-		return Told{Version: version}
+		return Batch{Version: version}
 	}
 	var list []*record
 	for _, r := range t.records {
@@ -95,10 +95,10 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(versionOf(a), versionOf(b)) })
-	batch := Told{Version: t.version}
-	if len(list) > MostTold {
-		list = list[:MostTold]
-		batch.Version = versionOf(list[MostTold-1])
+	batch := Batch{Version: t.version}
+	if len(list) > MaxBatch {
+		list = list[:MaxBatch]
+		batch.Version = versionOf(list[MaxBatch-1])
 	}
 	for _, r := range list {
 		if m := t.toSuspicion(now, r); Check(m) == nil {
@@ -119,7 +119,7 @@
 	return m
 }
 
-func toWireRuns(now time.Time, runs []Run) []*wire.EndedRun {
+func toWireRuns(now time.Time, runs []CrashedRun) []*wire.EndedRun {
 	list := make([]*wire.EndedRun, len(runs))
 	for i, run := range runs {
 		list[i] = &wire.EndedRun{Upstream: run.Upstream, AgeMs: toMillis(now.Sub(run.Ended)), RanMs: toMillis(run.Ended.Sub(run.Began))}
@@ -127,17 +127,17 @@
 	return list
 }
 
-func fromWireRuns(now time.Time, m *wire.Suspicion) []Run {
-	list := make([]Run, len(m.Runs))
+func fromWireRuns(now time.Time, m *wire.Suspicion) []CrashedRun {
+	list := make([]CrashedRun, len(m.Runs))
 	for i, run := range m.Runs {
 		ended := now.Add(-fromMillis(run.AgeMs))
-		list[i] = Run{Upstream: run.Upstream, Began: ended.Add(-fromMillis(run.RanMs)), Ended: ended}
+		list[i] = CrashedRun{Upstream: run.Upstream, Began: ended.Add(-fromMillis(run.RanMs)), Ended: ended}
 	}
 	return list
 }
 
-// Age returns the time since the latest crash in a message, or the longest Duration if it has none.
-func Age(m *wire.Suspicion) time.Duration {
+// LastCrashAge returns the time since the latest crash in a message, or the longest Duration if it has none.
+func LastCrashAge(m *wire.Suspicion) time.Duration {
 	age := time.Duration(math.MaxInt64)
 	for _, run := range m.Runs {
 		age = min(age, fromMillis(run.AgeMs))
@@ -145,8 +145,8 @@
 	return age
 }
 
-// Upstreams returns the IDs of the crashed upstreams in a message.
-func Upstreams(m *wire.Suspicion) []string {
+// CrashedUpstreams returns the IDs of the crashed upstreams in a message.
+func CrashedUpstreams(m *wire.Suspicion) []string {
 	list := make([]string, len(m.Runs))
 	for i, run := range m.Runs {
 		list[i] = run.Upstream
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -50,40 +50,40 @@
 	}
 }
 
-// End describes the crash of an upstream while it ran a request.
-type End struct {
-	Subject
+// Crash describes the crash of an upstream while it ran a request.
+type Crash struct {
+	RequestInfo
 	// RequestID is the caller's ID of the request, for logs.
 	RequestID string
 	// Upstream is the ID of the incarnation that crashed, Address where it was reached.
 	Upstream, Address string
-	// Ran is how long the request had been running there, Ago the time since it was cut off.
-	Ran, Ago time.Duration
-	// Sign tells how the crash was detected, for logs.
-	Sign string
+	// RunTime is how long the request had been running there, Ago the time since it was cut off.
+	RunTime, Age time.Duration
+	// DetectedBy tells how the crash was detected, for logs.
+	DetectedBy string
 }
 
-// Ended records a crash that was observed here, and returns the verdict on the request after it.
-func (n *Node) Ended(e End) (v Verdict) {
+// RecordCrash records a crash that was observed here, and returns the verdict on the request after it.
+func (n *Node) RecordCrash(e Crash) (v Verdict) {
 	n.updateTable(func(now time.Time, t *Table) bool {
-		ended := now.Add(-e.Ago)
-		v = t.Ended(now, e.Subject, Run{Upstream: e.Upstream, Began: ended.Add(-e.Ran), Ended: ended})
+		ended := now.Add(-e.Age)
+		v = t.RecordCrash(now, e.RequestInfo, CrashedRun{Upstream: e.Upstream, Began: ended.Add(-e.RunTime), Ended: ended})
 		return true
 	})
 	n.logInfo("Upstream ended under a request.", "request", e.RequestID, "key", e.Key, "route", e.Route, "team", e.Team,
-		"upstream", e.Upstream, "addr", e.Address, "sign", e.Sign, "ends", v.Ends, "standing", v.Standing)
+		"upstream", e.Upstream, "addr", e.Address, "sign", e.DetectedBy, "ends", v.Crashes, "standing", v.Standing)
 	return v
 }
 
-// Hear merges the suspicions in a message and logs the requests whose standing changes. The name of
+// ApplyReport merges the suspicions in a message and logs the requests whose standing changes. The name of
 // the sender is only logged.
-func (n *Node) Hear(from string, list []*wire.Suspicion) {
+func (n *Node) ApplyReport(from string, list []*wire.Suspicion) {
 	if len(list) == 0 {
 		return
 	}
 	for _, c := range n.merge(from, list) {
 		n.logInfo("Request standing changed.", "replica", from, "key", c.key, "route", c.suspicion.Route, "team", c.suspicion.Team,
-			"standing", c.verdict.Standing, "ends", c.verdict.Ends, "upstreams", strings.Join(c.verdict.Upstreams, ","),
+			"standing", c.verdict.Standing, "ends", c.verdict.Crashes, "upstreams", strings.Join(c.verdict.Upstreams, ","),
 			"left_ms", c.verdict.Left.Milliseconds())
 	}
 }
@@ -105,9 +105,9 @@
 				continue
 			}
 			k := Key(m.Key)
-			before := t.Judge(now, k).Standing
-			t.Learn(now, m)
-			if v := t.Judge(now, k); v.Standing != before {
+			before := t.Verdict(now, k).Standing
+			t.Merge(now, m)
+			if v := t.Verdict(now, k); v.Standing != before {
 				changes = append(changes, standingChange{key: k, suspicion: m, verdict: v})
 			}
 		}
@@ -144,7 +144,7 @@
 func (n *Node) Dump() any {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return Show(n.table.All(n.now()))
+	return SuspicionViews(n.table.All(n.now()))
 }
 
 // updateTable calls f with the table. If f returns true, the reporters are notified.
--- a/quarantine/property_test.go
+++ b/quarantine/property_test.go
@@ -31,7 +31,7 @@
 			table := tables[rapid.IntRange(0, 2).Draw(t, "table")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				if table.Answered(now, poison.Key) {
+				if table.RecordAnswer(now, poison.Key) {
 					lastAnswer = now
 				}
 			case 1, 2, 3:
@@ -39,22 +39,22 @@
 					continue
 				}
 				i := rapid.IntRange(0, len(messages)-1).Draw(t, "word")
-				table.Learn(now, delayed(messages[i], now.Sub(sentAt[i])))
+				table.Merge(now, delayed(messages[i], now.Sub(sentAt[i])))
 			case 4, 5:
-				for _, m := range table.Own(now, 0).Suspicions {
+				for _, m := range table.LocalSince(now, 0).Suspicions {
 					messages, sentAt = append(messages, m), append(sentAt, now)
 				}
 			default:
 				crashes++
-				table.Ended(now, poison, crashedRun(fmt.Sprint("up-", crashes%6), now))
+				table.RecordCrash(now, poison, crashedRun(fmt.Sprint("up-", crashes%6), now))
 			}
 		}
 		for range 2 * len(tables) {
 			exchangeAll(now, tables)
 		}
-		first := tables[0].Judge(now, poison.Key)
+		first := tables[0].Verdict(now, poison.Key)
 		for _, table := range tables {
-			v := table.Judge(now, poison.Key)
+			v := table.Verdict(now, poison.Key)
 			assert.Equal(t, v.Standing == Quarantined, first.Standing == Quarantined)
 			assert.DeepEqual(t, sortedCopy(v.Upstreams), sortedCopy(first.Upstreams))
 			if r := table.records[poison.Key]; r != nil {
@@ -94,7 +94,7 @@
 		}
 		for _, to := range tables {
 			for _, m := range list {
-				to.Learn(now, m)
+				to.Merge(now, m)
 			}
 		}
 	}
@@ -117,16 +117,16 @@
 			return
 		}
 		table := NewTable(DefaultSettings())
-		table.Learn(start, m)
-		table.Learn(after(time.Second), m)
-		v := table.Ended(after(2*time.Second), Subject{Key: Key(m.Key)}, crashedRun("up-x", after(2*time.Second)))
-		assert.Assert(t, v.Standing != Free && len(v.Upstreams) <= maxRuns)
+		table.Merge(start, m)
+		table.Merge(after(time.Second), m)
+		v := table.RecordCrash(after(2*time.Second), RequestInfo{Key: Key(m.Key)}, crashedRun("up-x", after(2*time.Second)))
+		assert.Assert(t, v.Standing != Unsuspected && len(v.Upstreams) <= maxRuns)
 		assert.Assert(t, v.Left <= 50*24*time.Hour)
 		for _, out := range table.Since(after(2*time.Second), 0).Suspicions {
 			assert.NilError(t, Check(out))
 		}
 		machine := &Machine{}
-		machine.Apply(&wire.QuarantineCommand{Put: Logged(start, m), AtMs: 1})
-		machine.Told(after(time.Minute))
+		machine.Apply(&wire.QuarantineCommand{Put: NewLoggedQuarantine(start, m), AtMs: 1})
+		machine.Suspicions(after(time.Minute))
 	})
 }
--- a/quarantine/reporter.go
+++ b/quarantine/reporter.go
@@ -14,7 +14,7 @@
 	// upstream are known within milliseconds.
 	reportDelay = 5 * time.Millisecond
 	// reportTimeout limits one call, reportRetryDelay is the pause after a failed one, and
-	// reportAttempts is the number of calls until the reporter waits for the next change or TellAgain.
+	// reportAttempts is the number of calls until the reporter waits for the next change or ReportAll.
 	reportTimeout    = time.Second
 	reportRetryDelay = 150 * time.Millisecond
 	reportAttempts   = 4
@@ -44,9 +44,9 @@
 	directory.FollowList(ctx, replicas, n.reportTo)
 }
 
-// TellAgain has everything reported to a replica again, because it may have restarted with an empty
+// ReportAll has everything reported to a replica again, because it may have restarted with an empty
 // table.
-func (n *Node) TellAgain(replica string) {
+func (n *Node) ReportAll(replica string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if r := n.reporters[replica]; r != nil && n.table.Len() > 0 {
@@ -103,17 +103,17 @@
 
 // pending returns the next batch that a replica hasn't been told yet, and the version after which it
 // begins.
-func (n *Node) pending(r *reporter) (batch Told, from uint64) {
+func (n *Node) pending(r *reporter) (batch Batch, from uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	batch, from = n.table.Own(n.now(), r.version), r.version
+	batch, from = n.table.LocalSince(n.now(), r.version), r.version
 	if len(batch.Suspicions) == 0 {
 		r.version = batch.Version
 	}
 	return batch, from
 }
 
-// markReported notes that a replica was told everything up to version, unless TellAgain has reset the
+// markReported notes that a replica was told everything up to version, unless ReportAll has reset the
 // reporter since pending returned from.
 func (n *Node) markReported(r *reporter, from, version uint64) {
 	n.mu.Lock()
@@ -138,7 +138,7 @@
 	for _, key := range reply.Lifted {
 		lifted = append(lifted, &wire.Suspicion{Key: key, Cleared: true})
 	}
-	n.Hear(addr, lifted)
+	n.ApplyReport(addr, lifted)
 	return nil
 }
 
--- a/quarantine/show.go
+++ b/quarantine/show.go
@@ -6,8 +6,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Shown is a suspected request as operators see it.
-type Shown struct {
+// SuspicionView is a suspected request as operators see it.
+type SuspicionView struct {
 	// Key identifies the request by its content, as in log lines.
 	Key   string `json:"key"`
 	Team  string `json:"team,omitempty"`
@@ -23,12 +23,12 @@
 	Terms uint32 `json:"terms,omitempty"`
 }
 
-// Show returns suspicions as operators see them.
-func Show(list []*wire.Suspicion) []Shown {
-	shown := []Shown{}
+// SuspicionViews returns suspicions as operators see them.
+func SuspicionViews(list []*wire.Suspicion) []SuspicionView {
+	shown := []SuspicionView{}
 	for _, m := range list {
-		shown = append(shown, Shown{
-			Key: hex.EncodeToString(m.Key), Team: m.Team, Route: m.Route, Upstreams: Upstreams(m), AgeMS: Age(m).Milliseconds(),
+		shown = append(shown, SuspicionView{
+			Key: hex.EncodeToString(m.Key), Team: m.Team, Route: m.Route, Upstreams: CrashedUpstreams(m), AgeMS: LastCrashAge(m).Milliseconds(),
 			Quarantined: m.QuarantineMs > 0, LeftMS: m.QuarantineMs, Terms: m.Terms,
 		})
 	}
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -74,7 +74,7 @@
 }
 
 type simRequest struct {
-	Subject
+	RequestInfo
 	poison bool
 	// attempts is the number of attempts of this send, sendsLeft the number of further sends by the caller.
 	attempts, sendsLeft int
@@ -198,8 +198,8 @@
 
 func (s *sim) restartReplica(i int) {
 	s.replicas[i] = NewTable(DefaultSettings())
-	for _, m := range s.machine.Told(s.now) {
-		s.replicas[i].Learn(s.now, m)
+	for _, m := range s.machine.Suspicions(s.now) {
+		s.replicas[i].Merge(s.now, m)
 	}
 	for _, e := range s.entries {
 		e.reportedVersion, e.learnedVersions[i] = 0, 0
@@ -212,20 +212,20 @@
 		if s.now.Before(e.partitionedUntil) {
 			continue
 		}
-		told := e.table.Own(s.now, e.reportedVersion)
+		told := e.table.LocalSince(s.now, e.reportedVersion)
 		for _, m := range told.Suspicions {
 			if Check(m) != nil {
 				panic("a message that Check refuses")
 			}
 			for i := range s.replicas {
-				s.after(time.Duration(5+s.rnd.IntN(30))*time.Millisecond, func() { s.replicas[i].Learn(s.now, m) })
+				s.after(time.Duration(5+s.rnd.IntN(30))*time.Millisecond, func() { s.replicas[i].Merge(s.now, m) })
 			}
 		}
 		e.reportedVersion = told.Version
 		for i, r := range s.replicas {
 			told := r.Since(s.now, e.learnedVersions[i])
 			for _, m := range told.Suspicions {
-				e.table.Learn(s.now, m)
+				e.table.Merge(s.now, m)
 			}
 			e.learnedVersions[i] = told.Version
 		}
@@ -234,21 +234,21 @@
 		return
 	}
 	for _, r := range s.replicas {
-		for _, q := range s.machine.Told(s.now) {
+		for _, q := range s.machine.Suspicions(s.now) {
 			if rec := r.records[Key(q.Key)]; rec != nil && len(rec.runs) == 0 && r.clearedRecently(s.now, rec) {
 				s.machine.Apply(&wire.QuarantineCommand{Lift: q.Key, AtMs: uint64(s.now.UnixMilli())})
 			}
 		}
 		for _, m := range r.All(s.now) {
 			if m.QuarantineMs > 0 && !s.machine.Covers(s.now, m) {
-				s.machine.Apply(&wire.QuarantineCommand{Put: Logged(s.now, m)})
+				s.machine.Apply(&wire.QuarantineCommand{Put: NewLoggedQuarantine(s.now, m)})
 			}
 		}
 	}
 }
 
-func (s *sim) sendPoison(sub Subject) {
-	s.send(&simRequest{Subject: sub, poison: true, entry: s.rnd.IntN(len(s.entries))})
+func (s *sim) sendPoison(sub RequestInfo) {
+	s.send(&simRequest{RequestInfo: sub, poison: true, entry: s.rnd.IntN(len(s.entries))})
 	s.after(time.Duration(300+s.rnd.IntN(1200))*time.Millisecond, func() { s.sendPoison(sub) })
 }
 
@@ -258,13 +258,13 @@
 		body %= uint64(s.opts.distinct)
 	}
 	s.harmless.sent++
-	s.send(&simRequest{Subject: subject(fmt.Sprint("t", body%10), fmt.Sprint(body)), sendsLeft: 1, entry: s.rnd.IntN(len(s.entries))})
+	s.send(&simRequest{RequestInfo: subject(fmt.Sprint("t", body%10), fmt.Sprint(body)), sendsLeft: 1, entry: s.rnd.IntN(len(s.entries))})
 }
 
 // send makes one attempt of a request.
 func (s *sim) send(r *simRequest) {
 	e := s.entries[r.entry]
-	v := e.table.Judge(s.now, r.Key)
+	v := e.table.Verdict(s.now, r.Key)
 	u := s.pickUpstream()
 	switch {
 	case v.Standing == Quarantined:
@@ -293,7 +293,7 @@
 			delete(u.running, r)
 			s.harmless.served++
 			s.entries[r.entry].table.Done(r.Key)
-			s.entries[r.entry].table.Answered(s.now, r.Key)
+			s.entries[r.entry].table.RecordAnswer(s.now, r.Key)
 		}
 	})
 }
@@ -339,7 +339,7 @@
 		}
 		e := s.entries[r.entry]
 		e.table.Done(r.Key)
-		e.table.Ended(s.now, r.Subject, Run{Upstream: incarnation, Began: interrupted[r], Ended: s.now})
+		e.table.RecordCrash(s.now, r.RequestInfo, CrashedRun{Upstream: incarnation, Began: interrupted[r], Ended: s.now})
 		s.after(5*time.Millisecond, func() { s.retry(r) })
 	}
 	s.after(simRestartDelay, func() { s.startUpstream(u) })
@@ -363,7 +363,7 @@
 
 // retry makes a second attempt, or leaves it to the caller.
 func (s *sim) retry(r *simRequest) {
-	if r.attempts < 2 && s.entries[r.entry].table.Judge(s.now, r.Key).Standing < LastTrial {
+	if r.attempts < 2 && s.entries[r.entry].table.Verdict(s.now, r.Key).Standing < LastTrial {
 		s.send(r)
 		return
 	}
@@ -375,7 +375,7 @@
 	if r.sendsLeft == 0 {
 		return
 	}
-	next := &simRequest{Subject: r.Subject, poison: r.poison, sendsLeft: r.sendsLeft - 1, entry: s.rnd.IntN(len(s.entries))}
+	next := &simRequest{RequestInfo: r.RequestInfo, poison: r.poison, sendsLeft: r.sendsLeft - 1, entry: s.rnd.IntN(len(s.entries))}
 	s.after(time.Duration(200+s.rnd.IntN(500))*time.Millisecond, func() { s.send(next) })
 }
 
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -9,47 +9,47 @@
 
 // Settings are the thresholds and limits of a Table.
 type Settings struct {
-	// Ends is the number of upstream crashes that puts a request in quarantine. It should exceed two:
+	// CrashThreshold is the number of upstream crashes that puts a request in quarantine. It should exceed two:
 	// a harmless request that runs beside a poison one may be sent again and meet it twice.
-	Ends int
-	// Apart is how long after a crash another run must have begun to count as following it. It also is
+	CrashThreshold int
+	// MinSeparation is how long after a crash another run must have begun to count as following it. It also is
 	// the distance within which crashes count as simultaneous. Other entries learn of a crash some tens
 	// of milliseconds late.
-	Apart time.Duration
-	// AtOnce is the number of upstreams that crash simultaneously from which on the crashes are taken
+	MinSeparation time.Duration
+	// OutageThreshold is the number of upstreams that crash simultaneously from which on the crashes are taken
 	// for an outage, not for the effect of copies of one request.
-	AtOnce int
-	// Memory is how long crashes are held against a request that has not been in quarantine.
-	Memory time.Duration
-	// Term is the duration of the first quarantine. Each further one is twice as long as the one
-	// before, up to MostTerm. MostTerm is also how long a request that was in quarantine stays
+	OutageThreshold int
+	// SuspicionTTL is how long crashes are held against a request that has not been in quarantine.
+	SuspicionTTL time.Duration
+	// BaseDuration is the duration of the first quarantine. Each further one is twice as long as the one
+	// before, up to MaxDuration. MaxDuration is also how long a request that was in quarantine stays
 	// suspected afterwards.
-	Term, MostTerm time.Duration
-	// ClearedFor is how long peers are told that a request was cleared.
-	ClearedFor time.Duration
-	// Most is the maximum number of remembered requests, MostOfTeam the maximum per team.
-	Most, MostOfTeam int
+	BaseDuration, MaxDuration time.Duration
+	// ClearedTTL is how long peers are told that a request was cleared.
+	ClearedTTL time.Duration
+	// MaxRecords is the maximum number of remembered requests, MaxRecordsPerTeam the maximum per team.
+	MaxRecords, MaxRecordsPerTeam int
 }
 
 // DefaultSettings returns the settings that all processes use.
 func DefaultSettings() Settings {
 	return Settings{
-		Ends: 3, Apart: 100 * time.Millisecond, AtOnce: 4, Memory: 15 * time.Minute, Term: 15 * time.Minute, MostTerm: 24 * time.Hour,
-		ClearedFor: time.Minute, Most: 1024, MostOfTeam: 256,
+		CrashThreshold: 3, MinSeparation: 100 * time.Millisecond, OutageThreshold: 4, SuspicionTTL: 15 * time.Minute, BaseDuration: 15 * time.Minute, MaxDuration: 24 * time.Hour,
+		ClearedTTL: time.Minute, MaxRecords: 1024, MaxRecordsPerTeam: 256,
 	}
 }
 
 // quarantineDuration returns the duration of a request's n-th quarantine.
 func (s *Settings) quarantineDuration(n int) time.Duration {
-	d := s.Term
-	for i := 1; i < n && d < s.MostTerm; i++ {
+	d := s.BaseDuration
+	for i := 1; i < n && d < s.MaxDuration; i++ {
 		d *= 2
 	}
-	return min(d, s.MostTerm)
+	return min(d, s.MaxDuration)
 }
 
-// Subject describes a request to a Table.
-type Subject struct {
+// RequestInfo describes a request to a Table.
+type RequestInfo struct {
 	Key         Key
 	Hint        Hint
 	Team, Route string
@@ -59,8 +59,8 @@
 type Standing int
 
 const (
-	// Free: the request is not suspected.
-	Free Standing = iota
+	// Unsuspected: the request is not suspected.
+	Unsuspected Standing = iota
 	// Suspect: upstreams crashed while running it. It may be sent to another upstream within the same
 	// caller's request.
 	Suspect
@@ -79,15 +79,15 @@
 // Verdict is a request's standing and the reasons for it.
 type Verdict struct {
 	Standing Standing
-	// Ends is the number of upstreams that crashed while running it, Upstreams their IDs.
-	Ends      int
+	// Crashes is the number of upstreams that crashed while running it, Upstreams their IDs.
+	Crashes   int
 	Upstreams []string
 	// Left is the remaining time of its quarantine, Age the time since the last crash.
 	Left, Age time.Duration
 }
 
-// Run is a run of a request during which its upstream crashed.
-type Run struct {
+// CrashedRun is a run of a request during which its upstream crashed.
+type CrashedRun struct {
 	// Upstream is the ID of the incarnation that crashed.
 	Upstream     string
 	Began, Ended time.Time
@@ -95,10 +95,10 @@
 
 // record is what a Table knows of one request.
 type record struct {
-	Subject
+	RequestInfo
 	// runs are those during which an upstream crashed. Each incarnation counts once, however many
 	// copies ran there.
-	runs      []Run
+	runs      []CrashedRun
 	lastCrash time.Time
 	// until is the end of its latest quarantine, terms the number of its quarantines.
 	until time.Time
@@ -144,7 +144,7 @@
 func (t *Table) Count(now time.Time) (suspected, quarantined int) {
 	for _, r := range t.records {
 		switch t.standing(now, r) {
-		case Free:
+		case Unsuspected:
 		case Quarantined:
 			quarantined++
 			suspected++
@@ -155,8 +155,8 @@
 	return suspected, quarantined
 }
 
-// MayKnow reports whether a request with this hint may be remembered. False is definite.
-func (t *Table) MayKnow(h Hint) bool { return t.hints[h] > 0 }
+// MayContain reports whether a request with this hint may be remembered. False is definite.
+func (t *Table) MayContain(h Hint) bool { return t.hints[h] > 0 }
 
 // Version returns a number that grows with each change of the table.
 func (t *Table) Version() uint64 { return t.version }
@@ -166,8 +166,8 @@
 	case now.Before(r.until):
 		return Quarantined
 	case len(r.runs) == 0 || t.isExpired(now, r):
-		return Free
-	case r.terms > 0 || len(r.runs) >= t.settings.Ends-1:
+		return Unsuspected
+	case r.terms > 0 || len(r.runs) >= t.settings.CrashThreshold-1:
 		// A request whose quarantine has lapsed is tried one more time.
 		return LastTrial
 	}
@@ -177,22 +177,22 @@
 // isExpired reports whether the crashes are too long ago to be held against the request.
 func (t *Table) isExpired(now time.Time, r *record) bool {
 	if r.terms > 0 {
-		return now.Sub(r.until) > t.settings.MostTerm
+		return now.Sub(r.until) > t.settings.MaxDuration
 	}
-	return now.Sub(r.lastCrash) > t.settings.Memory
+	return now.Sub(r.lastCrash) > t.settings.SuspicionTTL
 }
 
-// Judge returns the verdict on a request.
-func (t *Table) Judge(now time.Time, k Key) Verdict {
+// Verdict returns the verdict on a request.
+func (t *Table) Verdict(now time.Time, k Key) Verdict {
 	r := t.records[k]
 	if r == nil {
 		return Verdict{}
 	}
 	v := Verdict{Standing: t.standing(now, r)}
-	if v.Standing == Free {
+	if v.Standing == Unsuspected {
 		return v
 	}
-	v.Ends, v.Upstreams, v.Age = len(r.runs), r.upstreams(), now.Sub(r.lastCrash)
+	v.Crashes, v.Upstreams, v.Age = len(r.runs), r.upstreams(), now.Sub(r.lastCrash)
 	v.Left = max(r.until.Sub(now), 0)
 	return v
 }
@@ -221,20 +221,20 @@
 	}
 }
 
-// Ended records a run from this process during which an upstream crashed, and returns the verdict
+// RecordCrash records a run from this process during which an upstream crashed, and returns the verdict
 // after it.
-func (t *Table) Ended(now time.Time, s Subject, run Run) Verdict {
+func (t *Table) RecordCrash(now time.Time, s RequestInfo, run CrashedRun) Verdict {
 	r := t.recordFor(now, s)
-	if t.addRuns(now, r, []Run{run}) {
+	if t.addRuns(now, r, []CrashedRun{run}) {
 		t.reassess(now, r)
 		r.ownVersion = t.version
 	}
-	return t.Judge(now, s.Key)
+	return t.Verdict(now, s.Key)
 }
 
-// Answered records that an upstream answered a request completely: it doesn't crash every upstream
+// RecordAnswer records that an upstream answered a request completely: it doesn't crash every upstream
 // that runs it. The request is cleared. Answered reports whether anything was held against it.
-func (t *Table) Answered(now time.Time, k Key) bool {
+func (t *Table) RecordAnswer(now time.Time, k Key) bool {
 	r := t.records[k]
 	if r == nil || len(r.runs) == 0 {
 		return false
@@ -244,15 +244,15 @@
 	return true
 }
 
-// Learn merges a message of another process, which must have passed Check, and reports whether that
+// Merge merges a message of another process, which must have passed Check, and reports whether that
 // changed anything.
-func (t *Table) Learn(now time.Time, m *wire.Suspicion) bool {
+func (t *Table) Merge(now time.Time, m *wire.Suspicion) bool {
 	k := Key(m.Key)
 	cleared := m.Cleared && t.learnCleared(k, now.Add(-fromMillis(m.ClearedAgeMs)))
 	if len(m.Runs) == 0 {
 		return cleared
 	}
-	r := t.recordFor(now, Subject{Key: k, Hint: Hint(m.Hint), Team: m.Team, Route: m.Route})
+	r := t.recordFor(now, RequestInfo{Key: k, Hint: Hint(m.Hint), Team: m.Team, Route: m.Route})
 	runs := fromWireRuns(now, m)
 	changed := t.addRuns(now, r, runs)
 	// A quarantine that rests on crashes from before the last clearing doesn't count.
@@ -278,8 +278,8 @@
 }
 
 // clearedSince reports whether the request was cleared after any of these runs had ended.
-func (r *record) clearedSince(runs []Run) bool {
-	return slices.ContainsFunc(runs, func(run Run) bool { return !run.Ended.After(r.clearedAt) })
+func (r *record) clearedSince(runs []CrashedRun) bool {
+	return slices.ContainsFunc(runs, func(run CrashedRun) bool { return !run.Ended.After(r.clearedAt) })
 }
 
 // learnCleared clears a request unless a clearing as late is known already.
@@ -333,7 +333,7 @@
 	if r.terms > 0 {
 		return len(r.runs) > 0
 	}
-	return len(r.runs) >= t.settings.Ends && t.countCrashes(r) >= t.settings.Ends && r.countSequential(t.settings.Apart) > 1
+	return len(r.runs) >= t.settings.CrashThreshold && t.countCrashes(r) >= t.settings.CrashThreshold && r.countSequential(t.settings.MinSeparation) > 1
 }
 
 // countCrashes counts the crashes held against a request. Those of one outage, in which many
@@ -341,8 +341,8 @@
 func (t *Table) countCrashes(r *record) (n int) {
 	var outage time.Time
 	for _, run := range r.runsByEnd() {
-		if t.upstreamsCrashedNear(run.Ended) >= t.settings.AtOnce {
-			if !outage.IsZero() && run.Ended.Sub(outage) <= 2*t.settings.Apart {
+		if t.upstreamsCrashedNear(run.Ended) >= t.settings.OutageThreshold {
+			if !outage.IsZero() && run.Ended.Sub(outage) <= 2*t.settings.MinSeparation {
 				continue
 			}
 			outage = run.Ended
@@ -358,7 +358,7 @@
 	ended := map[string]bool{}
 	for _, r := range t.records {
 		for _, run := range r.runs {
-			if run.Ended.Sub(at).Abs() <= t.settings.Apart {
+			if run.Ended.Sub(at).Abs() <= t.settings.MinSeparation {
 				ended[run.Upstream] = true
 			}
 		}
@@ -367,8 +367,8 @@
 }
 
 // runsByEnd returns the runs in the order in which they ended.
-func (r *record) runsByEnd() []Run {
-	return slices.SortedFunc(slices.Values(r.runs), func(a, b Run) int { return a.Ended.Compare(b.Ended) })
+func (r *record) runsByEnd() []CrashedRun {
+	return slices.SortedFunc(slices.Values(r.runs), func(a, b CrashedRun) int { return a.Ended.Compare(b.Ended) })
 }
 
 // countSequential returns how many runs followed one another, each begun more than apart after the
@@ -393,14 +393,14 @@
 
 // crashedDuring reports whether the upstream crashed while running the request.
 func (r *record) crashedDuring(upstream string) bool {
-	return slices.ContainsFunc(r.runs, func(run Run) bool { return run.Upstream == upstream })
+	return slices.ContainsFunc(r.runs, func(run CrashedRun) bool { return run.Upstream == upstream })
 }
 
 // addRuns adds runs to a record and reports whether any of them was added. It skips crashes from
 // before the last clearing, of upstreams that are counted already, and those that are attributed to
 // another request. The first run added to an expired record replaces its former runs and
 // quarantines.
-func (t *Table) addRuns(now time.Time, r *record, runs []Run) (changed bool) {
+func (t *Table) addRuns(now time.Time, r *record, runs []CrashedRun) (changed bool) {
 	expired := len(r.runs) > 0 && t.isExpired(now, r)
 	for _, run := range runs {
 		if !run.Ended.After(r.clearedAt) || r.crashedDuring(run.Upstream) || t.isAttributed(now, r, run.Upstream) {
@@ -444,7 +444,7 @@
 			continue
 		}
 		before := len(r.runs)
-		r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return cause.crashedDuring(run.Upstream) })
+		r.runs = slices.DeleteFunc(r.runs, func(run CrashedRun) bool { return cause.crashedDuring(run.Upstream) })
 		if len(r.runs) < before {
 			changed = append(changed, r)
 		}
@@ -460,7 +460,7 @@
 func (t *Table) clearRecord(r *record, at time.Time) {
 	r.clearedAt, r.until, r.terms = at, time.Time{}, 0
 	delete(t.everQuarantined, r.Key)
-	r.runs = slices.DeleteFunc(r.runs, func(run Run) bool { return !run.Ended.After(at) })
+	r.runs = slices.DeleteFunc(r.runs, func(run CrashedRun) bool { return !run.Ended.After(at) })
 	t.bumpVersion(r)
 }
 
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -15,21 +15,21 @@
 // after returns the time d after start.
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-func subject(team, body string) Subject {
+func subject(team, body string) RequestInfo {
 	r := &Request{Team: team, Method: "POST", Host: "h", URI: "/x", Body: []byte(body)}
-	return Subject{Key: r.Key(), Hint: r.Hint(), Team: team, Route: "r"}
+	return RequestInfo{Key: r.Key(), Hint: r.Hint(), Team: team, Route: "r"}
 }
 
 // crashedRun returns a run of 10 ms that ended with the crash of its upstream.
-func crashedRun(upstream string, ended time.Time) Run {
-	return Run{Upstream: upstream, Began: ended.Add(-10 * time.Millisecond), Ended: ended}
+func crashedRun(upstream string, ended time.Time) CrashedRun {
+	return CrashedRun{Upstream: upstream, Began: ended.Add(-10 * time.Millisecond), Ended: ended}
 }
 
 // crashThree has three upstreams crash one after the other while running a request.
-func crashThree(tb *Table, s Subject, last time.Time) {
+func crashThree(tb *Table, s RequestInfo, last time.Time) {
 	for i := range 3 {
 		at := last.Add(time.Duration(i-2) * time.Second)
-		tb.Ended(at, s, crashedRun(fmt.Sprint("up-", i), at))
+		tb.RecordCrash(at, s, crashedRun(fmt.Sprint("up-", i), at))
 	}
 }
 
@@ -53,7 +53,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, parsed, base.Key())
 	_, err = ParseKey("12")
-	assert.ErrorIs(t, err, ErrKey)
+	assert.ErrorIs(t, err, ErrInvalidKey)
 }
 
 // A request is suspected after one crash, on its last trial after two and in quarantine after three.
@@ -61,15 +61,15 @@
 func TestThirdCrashQuarantines(t *testing.T) {
 	tb := NewTable(DefaultSettings())
 	poison := subject("a", "bad")
-	assert.Equal(t, tb.Judge(start, poison.Key).Standing, Free)
+	assert.Equal(t, tb.Verdict(start, poison.Key).Standing, Unsuspected)
 	for range 5 {
-		assert.Equal(t, tb.Ended(start, poison, crashedRun("up-1", start)).Standing, Suspect)
+		assert.Equal(t, tb.RecordCrash(start, poison, crashedRun("up-1", start)).Standing, Suspect)
 	}
-	assert.Equal(t, tb.Ended(after(time.Second), poison, crashedRun("up-2", after(time.Second))).Standing, LastTrial)
-	v := tb.Ended(after(2*time.Second), poison, crashedRun("up-3", after(2*time.Second)))
+	assert.Equal(t, tb.RecordCrash(after(time.Second), poison, crashedRun("up-2", after(time.Second))).Standing, LastTrial)
+	v := tb.RecordCrash(after(2*time.Second), poison, crashedRun("up-3", after(2*time.Second)))
 	assert.Equal(t, v.Standing, Quarantined)
-	assert.Equal(t, v.Ends, 3)
-	assert.Equal(t, v.Left, DefaultSettings().Term)
+	assert.Equal(t, v.Crashes, 3)
+	assert.Equal(t, v.Left, DefaultSettings().BaseDuration)
 	assert.Assert(t, !tb.Begin(after(3*time.Second), poison.Key))
 }
 
@@ -80,12 +80,12 @@
 	harmless := subject("a", "fine")
 	for n := range 30 {
 		now := after(time.Duration(n) * time.Second)
-		assert.Assert(t, tb.Ended(now, harmless, crashedRun(fmt.Sprint("up-", 2*n), now)).Standing < Quarantined)
-		assert.Assert(t, tb.Ended(now, harmless, crashedRun(fmt.Sprint("up-", 2*n+1), now)).Standing < Quarantined)
-		assert.Assert(t, tb.Answered(now, harmless.Key))
-		assert.Equal(t, tb.Judge(now, harmless.Key).Standing, Free)
+		assert.Assert(t, tb.RecordCrash(now, harmless, crashedRun(fmt.Sprint("up-", 2*n), now)).Standing < Quarantined)
+		assert.Assert(t, tb.RecordCrash(now, harmless, crashedRun(fmt.Sprint("up-", 2*n+1), now)).Standing < Quarantined)
+		assert.Assert(t, tb.RecordAnswer(now, harmless.Key))
+		assert.Equal(t, tb.Verdict(now, harmless.Key).Standing, Unsuspected)
 	}
-	assert.Assert(t, !tb.Answered(after(time.Hour), harmless.Key), "nothing is held against it")
+	assert.Assert(t, !tb.RecordAnswer(after(time.Hour), harmless.Key), "nothing is held against it")
 }
 
 // Copies of a harmless request run at several upstreams that crash simultaneously. That puts it on its
@@ -96,20 +96,20 @@
 	for i := range 6 {
 		// The crashes are 10 ms apart, after runs of different lengths.
 		ended := after(time.Duration(10*i) * time.Millisecond)
-		v := tb.Ended(ended, popular, Run{Upstream: fmt.Sprint("up-", i), Began: ended.Add(-time.Duration(20*i) * time.Millisecond), Ended: ended})
+		v := tb.RecordCrash(ended, popular, CrashedRun{Upstream: fmt.Sprint("up-", i), Began: ended.Add(-time.Duration(20*i) * time.Millisecond), Ended: ended})
 		assert.Assert(t, v.Standing < Quarantined)
 	}
-	assert.Equal(t, tb.Judge(after(time.Second), popular.Key).Standing, LastTrial)
+	assert.Equal(t, tb.Verdict(after(time.Second), popular.Key).Standing, LastTrial)
 	answered := NewTable(DefaultSettings())
-	for _, m := range tb.Own(start, 0).Suspicions {
-		answered.Learn(after(time.Second), m)
+	for _, m := range tb.LocalSince(start, 0).Suspicions {
+		answered.Merge(after(time.Second), m)
 	}
-	assert.Assert(t, answered.Answered(after(time.Second), popular.Key))
-	assert.Equal(t, answered.Judge(after(time.Second), popular.Key).Standing, Free)
+	assert.Assert(t, answered.RecordAnswer(after(time.Second), popular.Key))
+	assert.Equal(t, answered.Verdict(after(time.Second), popular.Key).Standing, Unsuspected)
 	late := after(2 * time.Second)
-	assert.Equal(t, tb.Ended(late, popular, crashedRun("up-8", late)).Standing, LastTrial)
+	assert.Equal(t, tb.RecordCrash(late, popular, crashedRun("up-8", late)).Standing, LastTrial)
 	later := after(3 * time.Second)
-	assert.Equal(t, tb.Ended(later, popular, crashedRun("up-9", later)).Standing, Quarantined)
+	assert.Equal(t, tb.RecordCrash(later, popular, crashedRun("up-9", later)).Standing, Quarantined)
 }
 
 // Concurrent copies of a request on its last trial would each crash an upstream before the first
@@ -117,12 +117,12 @@
 func TestLastTrialAllowsOneCopy(t *testing.T) {
 	tb := NewTable(DefaultSettings())
 	poison := subject("a", "bad")
-	tb.Ended(start, poison, crashedRun("up-1", start))
+	tb.RecordCrash(start, poison, crashedRun("up-1", start))
 	assert.Assert(t, tb.Begin(start, poison.Key))
 	assert.Assert(t, tb.Begin(start, poison.Key))
 	tb.Done(poison.Key)
 	tb.Done(poison.Key)
-	tb.Ended(start, poison, crashedRun("up-2", start))
+	tb.RecordCrash(start, poison, crashedRun("up-2", start))
 	assert.Assert(t, tb.Begin(start, poison.Key))
 	assert.Assert(t, !tb.Begin(start, poison.Key))
 	tb.Done(poison.Key)
@@ -136,17 +136,17 @@
 	tb := NewTable(s)
 	poison := subject("a", "bad")
 	crashThree(tb, poison, start)
-	assert.Equal(t, tb.Judge(after(s.Term-time.Second), poison.Key).Standing, Quarantined)
-	lapsed := after(s.Term + time.Second)
-	assert.Equal(t, tb.Judge(lapsed, poison.Key).Standing, LastTrial)
-	v := tb.Ended(lapsed, poison, crashedRun("up-9", lapsed))
+	assert.Equal(t, tb.Verdict(after(s.BaseDuration-time.Second), poison.Key).Standing, Quarantined)
+	lapsed := after(s.BaseDuration + time.Second)
+	assert.Equal(t, tb.Verdict(lapsed, poison.Key).Standing, LastTrial)
+	v := tb.RecordCrash(lapsed, poison, crashedRun("up-9", lapsed))
 	assert.Equal(t, v.Standing, Quarantined)
-	assert.Equal(t, v.Left, 2*s.Term)
-	again := lapsed.Add(2*s.Term + time.Second)
-	assert.Assert(t, tb.Answered(again, poison.Key))
+	assert.Equal(t, v.Left, 2*s.BaseDuration)
+	again := lapsed.Add(2*s.BaseDuration + time.Second)
+	assert.Assert(t, tb.RecordAnswer(again, poison.Key))
 	later := again.Add(time.Second)
-	assert.Equal(t, tb.Ended(later, poison, crashedRun("up-10", later)).Standing, Suspect)
-	assert.Equal(t, s.quarantineDuration(100), s.MostTerm)
+	assert.Equal(t, tb.RecordCrash(later, poison, crashedRun("up-10", later)).Standing, Suspect)
+	assert.Equal(t, s.quarantineDuration(100), s.MaxDuration)
 }
 
 // Crashes of a request in quarantine aren't held against requests that ran beside it, whether they are
@@ -155,19 +155,19 @@
 	tb := NewTable(DefaultSettings())
 	poison, once, twice := subject("a", "bad"), subject("b", "once"), subject("c", "twice")
 	before := after(-time.Second)
-	tb.Ended(before, once, crashedRun("up-1", before))
-	tb.Ended(before, twice, crashedRun("up-1", before))
-	tb.Ended(before, poison, crashedRun("up-1", before))
-	tb.Ended(start, twice, crashedRun("up-2", start))
-	tb.Ended(start, poison, crashedRun("up-2", start))
-	assert.Equal(t, tb.Judge(start, twice.Key).Standing, LastTrial)
-	tb.Ended(start, poison, crashedRun("up-3", start))
-	assert.Equal(t, tb.Judge(start, poison.Key).Standing, Quarantined)
-	assert.Equal(t, tb.Judge(start, once.Key).Standing, Free)
-	assert.Equal(t, tb.Judge(start, twice.Key).Standing, Free)
+	tb.RecordCrash(before, once, crashedRun("up-1", before))
+	tb.RecordCrash(before, twice, crashedRun("up-1", before))
+	tb.RecordCrash(before, poison, crashedRun("up-1", before))
+	tb.RecordCrash(start, twice, crashedRun("up-2", start))
+	tb.RecordCrash(start, poison, crashedRun("up-2", start))
+	assert.Equal(t, tb.Verdict(start, twice.Key).Standing, LastTrial)
+	tb.RecordCrash(start, poison, crashedRun("up-3", start))
+	assert.Equal(t, tb.Verdict(start, poison.Key).Standing, Quarantined)
+	assert.Equal(t, tb.Verdict(start, once.Key).Standing, Unsuspected)
+	assert.Equal(t, tb.Verdict(start, twice.Key).Standing, Unsuspected)
 	// A crash that is reported during the quarantine isn't held against it either.
-	assert.Equal(t, tb.Ended(start, twice, crashedRun("up-3", start)).Standing, Free)
-	assert.Equal(t, tb.Ended(start, twice, crashedRun("up-4", start)).Standing, Suspect)
+	assert.Equal(t, tb.RecordCrash(start, twice, crashedRun("up-3", start)).Standing, Unsuspected)
+	assert.Equal(t, tb.RecordCrash(start, twice, crashedRun("up-4", start)).Standing, Suspect)
 }
 
 // Three tables observe one crash each; what they report adds up to a quarantine in all of them, and a
@@ -177,26 +177,26 @@
 	tables := []*Table{NewTable(DefaultSettings()), NewTable(DefaultSettings()), NewTable(DefaultSettings())}
 	replica := NewTable(DefaultSettings())
 	for i, tb := range tables {
-		tb.Ended(start, poison, crashedRun(fmt.Sprint("up-", i), after(time.Duration(i-2)*time.Second)))
-		for _, m := range tb.Own(start, 0).Suspicions {
+		tb.RecordCrash(start, poison, crashedRun(fmt.Sprint("up-", i), after(time.Duration(i-2)*time.Second)))
+		for _, m := range tb.LocalSince(start, 0).Suspicions {
 			assert.NilError(t, Check(m))
-			assert.Assert(t, replica.Learn(start, m))
-			assert.Assert(t, !replica.Learn(start, m), "nothing new the second time")
+			assert.Assert(t, replica.Merge(start, m))
+			assert.Assert(t, !replica.Merge(start, m), "nothing new the second time")
 		}
 	}
 	told := replica.Since(start, 0)
 	assert.Equal(t, len(told.Suspicions), 1)
 	for _, tb := range tables {
-		tb.Learn(start, told.Suspicions[0])
-		assert.Equal(t, tb.Judge(start, poison.Key).Standing, Quarantined)
+		tb.Merge(start, told.Suspicions[0])
+		assert.Equal(t, tb.Verdict(start, poison.Key).Standing, Quarantined)
 	}
 	assert.Equal(t, len(replica.Since(start, told.Version).Suspicions), 0)
-	tables[0].Answered(start, poison.Key)
-	replica.Learn(start, tables[0].Own(start, 0).Suspicions[0])
+	tables[0].RecordAnswer(start, poison.Key)
+	replica.Merge(start, tables[0].LocalSince(start, 0).Suspicions[0])
 	told = replica.Since(start, told.Version)
 	assert.Assert(t, told.Suspicions[0].Cleared)
-	tables[1].Learn(start, told.Suspicions[0])
-	assert.Equal(t, tables[1].Judge(start, poison.Key).Standing, Free)
+	tables[1].Merge(start, told.Suspicions[0])
+	assert.Equal(t, tables[1].Verdict(start, poison.Key).Standing, Unsuspected)
 }
 
 // When a group is lost, each request that ran there has a single crash. Reporting all of them would
@@ -204,11 +204,11 @@
 func TestSinceOmitsSingleCrashes(t *testing.T) {
 	replica := NewTable(DefaultSettings())
 	for i := range 500 {
-		replica.Ended(start, subject("a", fmt.Sprint(i)), crashedRun("up-1", start))
+		replica.RecordCrash(start, subject("a", fmt.Sprint(i)), crashedRun("up-1", start))
 	}
 	assert.Equal(t, len(replica.Since(start, 0).Suspicions), 0)
 	for i := range 500 {
-		replica.Answered(start, subject("a", fmt.Sprint(i)).Key)
+		replica.RecordAnswer(start, subject("a", fmt.Sprint(i)).Key)
 	}
 	assert.Equal(t, len(replica.Since(start, 0).Suspicions), 0)
 }
@@ -218,13 +218,13 @@
 	replica := NewTable(DefaultSettings())
 	for i := range 300 {
 		s := subject(fmt.Sprint("team-", i%4), fmt.Sprint(i))
-		replica.Ended(start, s, crashedRun("up-1", start))
-		replica.Ended(start, s, crashedRun("up-2", start))
+		replica.RecordCrash(start, s, crashedRun("up-1", start))
+		replica.RecordCrash(start, s, crashedRun("up-2", start))
 	}
 	seen, version := 0, uint64(0)
 	for range 10 {
 		told := replica.Since(start, version)
-		assert.Assert(t, len(told.Suspicions) <= MostTold)
+		assert.Assert(t, len(told.Suspicions) <= MaxBatch)
 		seen, version = seen+len(told.Suspicions), told.Version
 	}
 	assert.Equal(t, seen, 300)
@@ -239,19 +239,19 @@
 	held := subject("b", "held")
 	crashThree(tb, held, start)
 	strong := subject("a", "strong")
-	tb.Ended(start, strong, crashedRun("up-3", start))
-	tb.Ended(start, strong, crashedRun("up-4", start))
-	for i := range 3 * s.Most {
-		tb.Ended(after(time.Duration(i)*time.Millisecond), subject("a", fmt.Sprint(i)), crashedRun("up-5", start))
+	tb.RecordCrash(start, strong, crashedRun("up-3", start))
+	tb.RecordCrash(start, strong, crashedRun("up-4", start))
+	for i := range 3 * s.MaxRecords {
+		tb.RecordCrash(after(time.Duration(i)*time.Millisecond), subject("a", fmt.Sprint(i)), crashedRun("up-5", start))
 	}
-	assert.Assert(t, tb.Len() <= s.MostOfTeam+1, tb.Len())
-	assert.Equal(t, tb.Judge(after(time.Second), held.Key).Standing, Quarantined)
-	assert.Equal(t, tb.Judge(after(time.Second), strong.Key).Standing, LastTrial)
-	for i := range 3 * s.Most {
-		tb.Ended(after(time.Minute), subject(fmt.Sprint("t-", i%50), fmt.Sprint(i)), crashedRun("up-6", after(time.Minute)))
+	assert.Assert(t, tb.Len() <= s.MaxRecordsPerTeam+1, tb.Len())
+	assert.Equal(t, tb.Verdict(after(time.Second), held.Key).Standing, Quarantined)
+	assert.Equal(t, tb.Verdict(after(time.Second), strong.Key).Standing, LastTrial)
+	for i := range 3 * s.MaxRecords {
+		tb.RecordCrash(after(time.Minute), subject(fmt.Sprint("t-", i%50), fmt.Sprint(i)), crashedRun("up-6", after(time.Minute)))
 	}
-	assert.Assert(t, tb.Len() <= s.Most, tb.Len())
-	assert.Equal(t, tb.Judge(after(time.Minute), held.Key).Standing, Quarantined)
+	assert.Assert(t, tb.Len() <= s.MaxRecords, tb.Len())
+	assert.Equal(t, tb.Verdict(after(time.Minute), held.Key).Standing, Quarantined)
 }
 
 // The hint of a forgotten request is forgotten too, so that no bodies are hashed for it.
@@ -259,13 +259,13 @@
 	s := DefaultSettings()
 	tb := NewTable(s)
 	one := subject("a", "one")
-	tb.Ended(start, one, crashedRun("up-1", start))
-	assert.Assert(t, tb.MayKnow(one.Hint))
-	late := after(s.Memory + time.Second)
-	assert.Equal(t, tb.Judge(late, one.Key).Standing, Free)
+	tb.RecordCrash(start, one, crashedRun("up-1", start))
+	assert.Assert(t, tb.MayContain(one.Hint))
+	late := after(s.SuspicionTTL + time.Second)
+	assert.Equal(t, tb.Verdict(late, one.Key).Standing, Unsuspected)
 	tb.Forget(late)
 	assert.Equal(t, tb.Len(), 0)
-	assert.Assert(t, !tb.MayKnow(one.Hint))
+	assert.Assert(t, !tb.MayContain(one.Hint))
 }
 
 // A table that starts empty learns current and lapsed quarantines from the log, and a repeated command
@@ -276,7 +276,7 @@
 	crashThree(tb, poison, start)
 	s := tb.All(start)[0]
 	assert.Assert(t, !m.Covers(start, s))
-	put := &wire.QuarantineCommand{Put: Logged(start, s)}
+	put := &wire.QuarantineCommand{Put: NewLoggedQuarantine(start, s)}
 	assert.Assert(t, m.Apply(put).Changed)
 	assert.Assert(t, !m.Apply(put).Changed)
 	assert.Assert(t, m.Covers(after(time.Minute), tb.All(after(time.Minute))[0]))
@@ -284,20 +284,20 @@
 	restored := &Machine{}
 	restored.Restore(m.Snapshot())
 	fresh := NewTable(DefaultSettings())
-	fresh.Learn(after(time.Minute), restored.Told(after(time.Minute))[0])
-	v := fresh.Judge(after(time.Minute), poison.Key)
+	fresh.Merge(after(time.Minute), restored.Suspicions(after(time.Minute))[0])
+	v := fresh.Verdict(after(time.Minute), poison.Key)
 	assert.Equal(t, v.Standing, Quarantined)
-	assert.Equal(t, v.Left, DefaultSettings().Term-time.Minute)
+	assert.Equal(t, v.Left, DefaultSettings().BaseDuration-time.Minute)
 
-	lapsed := after(DefaultSettings().Term + time.Minute)
+	lapsed := after(DefaultSettings().BaseDuration + time.Minute)
 	later := NewTable(DefaultSettings())
-	later.Learn(lapsed, restored.Told(lapsed)[0])
-	assert.Equal(t, later.Judge(lapsed, poison.Key).Standing, LastTrial)
-	assert.Equal(t, later.Ended(lapsed, poison, crashedRun("up-9", lapsed)).Standing, Quarantined)
+	later.Merge(lapsed, restored.Suspicions(lapsed)[0])
+	assert.Equal(t, later.Verdict(lapsed, poison.Key).Standing, LastTrial)
+	assert.Equal(t, later.RecordCrash(lapsed, poison, crashedRun("up-9", lapsed)).Standing, Quarantined)
 
 	assert.Assert(t, m.Apply(&wire.QuarantineCommand{Lift: poison.Key[:], AtMs: 7}).Changed)
 	assert.Equal(t, m.LiftedAt(poison.Key[:]), uint64(7))
-	assert.Equal(t, len(m.Told(start)), 0)
+	assert.Equal(t, len(m.Suspicions(start)), 0)
 	assert.Assert(t, !m.Apply(&wire.QuarantineCommand{Lift: poison.Key[:], AtMs: 9}).Changed, "it isn't there any more")
 }
 
@@ -307,15 +307,15 @@
 	tb, m := NewTable(DefaultSettings()), &Machine{}
 	poison := subject("a", "bad")
 	crashThree(tb, poison, start)
-	old := Logged(start, tb.All(start)[0])
+	old := NewLoggedQuarantine(start, tb.All(start)[0])
 	lifted := after(time.Minute)
 	again := after(time.Hour)
 	fresh := NewTable(DefaultSettings())
 	for i := range 3 {
 		at := again.Add(time.Duration(i) * time.Second)
-		fresh.Ended(at, poison, crashedRun(fmt.Sprint("new-", i), at))
+		fresh.RecordCrash(at, poison, crashedRun(fmt.Sprint("new-", i), at))
 	}
-	put := Logged(again.Add(2*time.Second), fresh.All(again.Add(2 * time.Second))[0])
+	put := NewLoggedQuarantine(again.Add(2*time.Second), fresh.All(again.Add(2 * time.Second))[0])
 	commands := []*wire.QuarantineCommand{
 		{Put: old, AtMs: uint64(start.UnixMilli())}, {Lift: poison.Key[:], AtMs: uint64(lifted.UnixMilli())},
 		{Put: old, AtMs: uint64(lifted.UnixMilli())}, {Put: put, AtMs: uint64(again.UnixMilli())},
@@ -325,10 +325,10 @@
 		changed := m.Apply(c).Changed
 		assert.Equal(t, changed, i != 2)
 		if changed {
-			replayed.Learn(late, Decided(late, c))
+			replayed.Merge(late, CommandSuspicion(late, c))
 		}
 	}
-	v := replayed.Judge(late, poison.Key)
+	v := replayed.Verdict(late, poison.Key)
 	assert.Equal(t, v.Standing, Quarantined)
 	assert.DeepEqual(t, v.Upstreams, []string{"new-0", "new-1", "new-2"})
 }
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// Requester provides the identity of a request. It is called only while the node remembers any
+// Identifier provides the identity of a request. It is called only while the node remembers any
 // request.
-type Requester interface {
+type Identifier interface {
 	// Identity returns the parts of the request that identify it when it is sent again.
 	Identity() *Request
 }
 
-// Trial checks one caller's request against a Node and records its runs. The zero value suspects no
+// RequestGuard checks one caller's request against a Node and records its runs. The zero value suspects no
 // request. Its methods are safe for concurrent use, except Begin and Done.
-type Trial struct {
+type RequestGuard struct {
 	node      *Node
-	requester Requester
+	requester Identifier
 	// key identifies the request by its content; nil until it is needed.
 	key        atomic.Pointer[Key]
 	registered bool
 }
 
 // Init sets the node and the request of the trial.
-func (t *Trial) Init(n *Node, of Requester) { t.node, t.requester = n, of }
+func (t *RequestGuard) Init(n *Node, of Identifier) { t.node, t.requester = n, of }
 
 // suspectedKey returns the key of a request against which something may be held. It hashes the body
 // only if the hint of the request is known.
-func (t *Trial) suspectedKey() (Key, bool) {
+func (t *RequestGuard) suspectedKey() (Key, bool) {
 	if t.node == nil || t.node.recordCount.Load() == 0 {
 		return Key{}, false
 	}
@@ -38,7 +38,7 @@
 	}
 	r := t.requester.Identity()
 	t.node.mu.Lock()
-	known := t.node.table.MayKnow(r.Hint())
+	known := t.node.table.MayContain(r.Hint())
 	t.node.mu.Unlock()
 	if !known {
 		return Key{}, false
@@ -49,19 +49,19 @@
 }
 
 // Verdict returns the current verdict on the request.
-func (t *Trial) Verdict() Verdict {
+func (t *RequestGuard) Verdict() Verdict {
 	k, ok := t.suspectedKey()
 	if !ok {
 		return Verdict{}
 	}
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
-	return t.node.table.Judge(t.node.now(), k)
+	return t.node.table.Verdict(t.node.now(), k)
 }
 
 // Begin registers that the request is about to be sent. It returns false if the request is in
 // quarantine, or on its last trial while a copy of it runs from this process. Done must follow.
-func (t *Trial) Begin() bool {
+func (t *RequestGuard) Begin() bool {
 	k, ok := t.suspectedKey()
 	if !ok {
 		return true
@@ -73,7 +73,7 @@
 }
 
 // Done unregisters the run that Begin registered, if any.
-func (t *Trial) Done() {
+func (t *RequestGuard) Done() {
 	if !t.registered {
 		return
 	}
@@ -83,15 +83,15 @@
 	t.node.table.Done(*t.key.Load())
 }
 
-// Answered records that an upstream answered the request completely, which clears it, and reports
+// RecordAnswer records that an upstream answered the request completely, which clears it, and reports
 // whether anything was held against it.
-func (t *Trial) Answered(requestID string) (cleared bool) {
+func (t *RequestGuard) RecordAnswer(requestID string) (cleared bool) {
 	k, ok := t.suspectedKey()
 	if !ok {
 		return false
 	}
 	t.node.updateTable(func(now time.Time, table *Table) bool {
-		cleared = table.Judge(now, k).Standing != Free && table.Answered(now, k)
+		cleared = table.Verdict(now, k).Standing != Unsuspected && table.RecordAnswer(now, k)
 		return cleared
 	})
 	if cleared {
@@ -100,12 +100,12 @@
 	return cleared
 }
 
-// Why describes the inputs of a verdict for logs and callers. It is empty if the request's key was
+// Explain describes the inputs of a verdict for logs and callers. It is empty if the request's key was
 // never needed.
-func (t *Trial) Why(v Verdict) string {
+func (t *RequestGuard) Explain(v Verdict) string {
 	k := t.key.Load()
 	if k == nil {
 		return ""
 	}
-	return fmt.Sprintf("key %s: %d upstreams crashed while running it (%s), the last %d ms ago", k, v.Ends, strings.Join(v.Upstreams, " "), v.Age.Milliseconds())
+	return fmt.Sprintf("key %s: %d upstreams crashed while running it (%s), the last %d ms ago", k, v.Crashes, strings.Join(v.Upstreams, " "), v.Age.Milliseconds())
 }
--- a/table/follower.go
+++ b/table/follower.go
@@ -47,12 +47,12 @@
 // Revision returns the revision of the rows held, after which a watch should continue.
 func (f *Follower) Revision() uint64 { return f.revision }
 
-// Floored reports whether SetFloor has succeeded.
-func (f *Follower) Floored() bool { return f.hasFloor }
+// HasFloor reports whether SetFloor has succeeded.
+func (f *Follower) HasFloor() bool { return f.hasFloor }
 
-// Confirmed returns when the rows held were last known to be current, or the zero time if they never
+// ConfirmedAt returns when the rows held were last known to be current, or the zero time if they never
 // were.
-func (f *Follower) Confirmed() time.Time { return f.confirmedAt }
+func (f *Follower) ConfirmedAt() time.Time { return f.confirmedAt }
 
 // Apply applies an update. It returns the view that takes effect, or nil if nothing changed or the
 // floor hasn't been reached.
@@ -83,7 +83,7 @@
 	if f.view == nil {
 		v, err = NewView(f.revision, f.rowList())
 	} else {
-		v, err = f.view.With(f.revision, f.pending)
+		v, err = f.view.WithChanges(f.revision, f.pending)
 	}
 	// After an error v is nil, so the next view is built from all rows.
 	f.view, f.pending = v, nil
--- a/table/follower_test.go
+++ b/table/follower_test.go
@@ -55,9 +55,9 @@
 	u := poolUpdate(1, "1")
 	_, err := f.Apply(now, u)
 	assert.NilError(t, err)
-	assert.Equal(t, f.Confirmed(), now)
+	assert.Equal(t, f.ConfirmedAt(), now)
 	late := &wire.TableUpdate{Revision: 1, Cluster: "c", ConfirmedAgeMs: 5000}
 	_, err = f.Apply(now.Add(time.Second), late)
 	assert.NilError(t, err)
-	assert.Equal(t, f.Confirmed(), now)
+	assert.Equal(t, f.ConfirmedAt(), now)
 }
--- a/table/machine.go
+++ b/table/machine.go
@@ -54,10 +54,10 @@
 // Revision returns the log index of the latest accepted edit.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// Check checks the kinds, keys and columns of an edit, without reference to other rows. It returns the
+// CheckEdit checks the kinds, keys and columns of an edit, without reference to other rows. It returns the
 // reply to an invalid edit, or nil. Edits are checked before they are proposed, so that invalid ones
 // don't reach the log.
-func Check(e *wire.TableEdit) *wire.EditReply {
+func CheckEdit(e *wire.TableEdit) *wire.EditReply {
 	if r := checkShape(e); r != nil {
 		return r
 	}
@@ -105,10 +105,10 @@
 	return invalid(id.String(), "", err.Error())
 }
 
-// Stored returns the reply to an edit that was accepted before, marked as replayed, or nil if there is
+// StoredReply returns the reply to an edit that was accepted before, marked as replayed, or nil if there is
 // none. If the ID was used for another edit, it returns the reply to an invalid edit. Replies to
 // conflicts aren't stored, since the rows may have changed meanwhile.
-func (m *Machine) Stored(e *wire.TableEdit) *wire.EditReply {
+func (m *Machine) StoredReply(e *wire.TableEdit) *wire.EditReply {
 	s, ok := m.edits[e.EditId]
 	if !ok {
 		return nil
@@ -125,7 +125,7 @@
 // replica of another release, or one that replays its log after an upgrade, would refuse an edit that
 // was accepted, and its rows would diverge.
 func (m *Machine) Apply(index uint64, e *wire.TableEdit) *wire.EditReply {
-	if r := m.Stored(e); r != nil {
+	if r := m.StoredReply(e); r != nil {
 		return r
 	}
 	if r := checkShape(e); r != nil {
--- a/table/machine_encoding_test.go
+++ b/table/machine_encoding_test.go
@@ -33,11 +33,11 @@
 		}
 	}
 	for i, e := range edits {
-		reply := next.Stored(e)
-		assert.Assert(t, proto.Equal(reply, m.Stored(e)))
+		reply := next.StoredReply(e)
+		assert.Assert(t, proto.Equal(reply, m.StoredReply(e)))
 		assert.Equal(t, reply.Revision, uint64(i+1))
 		assert.Equal(t, reply.Rows[0].Columns["slots"], fmt.Sprint(i+1))
 	}
 	other := edit("e3", row(KindPool, "p0", 0))
-	assert.Equal(t, next.Stored(other).Status, wire.EditStatus_EDIT_STATUS_INVALID)
+	assert.Equal(t, next.StoredReply(other).Status, wire.EditStatus_EDIT_STATUS_INVALID)
 }
--- a/table/machine_test.go
+++ b/table/machine_test.go
@@ -49,7 +49,7 @@
 
 // checkAndApply checks and applies an edit, as it is done for operators.
 func checkAndApply(m *Machine, index uint64, e *wire.TableEdit) *wire.EditReply {
-	if r := Check(e); r != nil {
+	if r := CheckEdit(e); r != nil {
 		return r
 	}
 	return m.Apply(index, e)
@@ -60,7 +60,7 @@
 func TestApplySkipsColumnChecks(t *testing.T) {
 	m := newTestMachine(t)
 	e := edit("before", row(KindPool, "old", 0, "slots=0", "column_of_old=1"))
-	assert.Assert(t, Check(e) != nil, "this release would refuse it")
+	assert.Assert(t, CheckEdit(e) != nil, "this release would refuse it")
 	r := m.Apply(9, e)
 	assert.Equal(t, r.Status, accepted, r.Detail)
 	assert.Equal(t, m.Get(KindPool, "old").Columns["column_of_old"], "1")
--- a/table/viewchange.go
+++ b/table/viewchange.go
@@ -7,10 +7,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// With returns the view with some rows changed or deleted; of several rows with the same kind and key
+// WithChanges returns the view with some rows changed or deleted; of several rows with the same kind and key
 // the last one counts. v doesn't change, since requests in progress read it; it shares the maps of
 // unchanged kinds with the new view.
-func (v *View) With(revision uint64, rows []*wire.Row) (*View, error) {
+func (v *View) WithChanges(revision uint64, rows []*wire.Row) (*View, error) {
 	last := map[rowID]*wire.Row{}
 	for _, r := range rows {
 		last[rowID{r.Kind, r.Key}] = r
