--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -65,7 +65,7 @@
 // resetForwarder replaces the forwarder by one without knowledge of earlier answers.
 func (r *relayFixture) resetForwarder(t *testing.T) {
 	t.Helper()
-	r.forwarder = forward.New(r.connections, route.Place{Entry: "e", FailureDomain: "hall-a"}, time.Now)
+	r.forwarder = forward.New(r.connections, route.EntryInfo{ID: "e", FailureDomain: "hall-a"}, time.Now)
 	r.setUpstreams(t, route.Upstream{ID: "up-1", Address: r.address, FailureDomain: "hall-a"})
 }
 
@@ -97,7 +97,7 @@
 	c := &recordingCaller{}
 	res := r.forwarder.Do(ctx, &forward.Call{
 		Head: &wire.RunHead{RequestId: id, Team: "t", Service: "s", Method: http.MethodPost, Path: path},
-		Body: body, Pool: r.pool, Route: &route.Request{}, Deadline: time.Now().Add(time.Minute), MaxAnswer: 4 << 20,
+		Body: body, Pool: r.pool, Route: &route.Request{}, Deadline: time.Now().Add(time.Minute), MaxResponseBytes: 4 << 20,
 	}, c)
 	return c, res
 }
@@ -161,7 +161,7 @@
 			assert.Assert(t, res.Reason != 0, "%s %d", path, n)
 			assert.Equal(t, res.Outcome, wire.Outcome_OUTCOME_UNKNOWN, "%s %d", path, n)
 			if path == "/whole" {
-				assert.Assert(t, c.head == nil && c.body.Len() == 0 && !res.Begun, "%s %d", path, n)
+				assert.Assert(t, c.head == nil && c.body.Len() == 0 && !res.StreamBegun, "%s %d", path, n)
 				continue
 			}
 			assert.Assert(t, bytes.HasPrefix(patternBytes(n), c.body.Bytes()), "%s %d", path, n)
--- a/agent/ticket_forward_test.go
+++ b/agent/ticket_forward_test.go
@@ -36,7 +36,7 @@
 	conns := transport.NewPool(sec)
 	t.Cleanup(conns.Close)
 	f := &testCluster{
-		forwarder: forward.New(conns, route.Place{Entry: "e", Seed: 1}, time.Now),
+		forwarder: forward.New(conns, route.EntryInfo{ID: "e", Seed: 1}, time.Now),
 		pool:      &table.Pool{Name: "p", Route: "least-loaded"}, runCounts: map[string]int{},
 	}
 	ups := make([]route.Upstream, n)
@@ -83,7 +83,7 @@
 	go func() {
 		done <- f.forwarder.Do(ctx, &forward.Call{
 			Head: &wire.RunHead{RequestId: path, Team: "t", Service: "s", Method: http.MethodPost, Path: path},
-			Pool: f.pool, Route: &route.Request{}, Deadline: time.Now().Add(time.Minute), MaxAnswer: 4 << 20,
+			Pool: f.pool, Route: &route.Request{}, Deadline: time.Now().Add(time.Minute), MaxResponseBytes: 4 << 20,
 		}, discardCaller{})
 	}()
 	return done
--- a/direct/client.go
+++ b/direct/client.go
@@ -20,12 +20,12 @@
 	// ErrNotSent is returned if no byte of the request was sent, in general because the
 	// connection could not be opened. The request was not executed.
 	ErrNotSent = merry.Sentinel("request was not sent to upstream")
-	// ErrBroken is returned if the connection failed before the complete response was
+	// ErrConnectionFailed is returned if the connection failed before the complete response was
 	// read. The request may have been executed.
-	ErrBroken = merry.Sentinel("connection to upstream failed before the response was complete")
-	// ErrMalformed is returned if the upstream sent something other than a response to
+	ErrConnectionFailed = merry.Sentinel("connection to upstream failed before the response was complete")
+	// ErrInvalidResponse is returned if the upstream sent something other than a response to
 	// the request. The request may have been executed.
-	ErrMalformed = merry.Sentinel("upstream sent an invalid response")
+	ErrInvalidResponse = merry.Sentinel("upstream sent an invalid response")
 )
 
 const (
@@ -154,8 +154,8 @@
 	c.idle[addr] = append(c.idle[addr], cn)
 }
 
-// Forget closes the idle connections to all addresses that are not in keep.
-func (c *Client) Forget(keep map[string]bool) {
+// CloseIdleExcept closes the idle connections to all addresses that are not in keep.
+func (c *Client) CloseIdleExcept(keep map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, list := range c.idle {
@@ -170,7 +170,7 @@
 }
 
 // Close closes all idle connections.
-func (c *Client) Close() { c.Forget(nil) }
+func (c *Client) Close() { c.CloseIdleExcept(nil) }
 
 // exchange sends a request and reads the head of the first response that accept accepts.
 func (c *Client) exchange(cn *conn, r *Request, accept func(int, http.Header) bool) (*http.Response, error) {
@@ -178,7 +178,7 @@
 		if n == 0 {
 			return nil, merry.Prepend(ErrNotSent, err.Error())
 		}
-		return nil, merry.Prepend(ErrBroken, err.Error())
+		return nil, merry.Prepend(ErrConnectionFailed, err.Error())
 	}
 	for range maxResponses {
 		resp, err := readHead(cn, r.Method)
@@ -193,7 +193,7 @@
 			return nil, err
 		}
 	}
-	return nil, merry.Prepend(ErrMalformed, "only responses to other attempts")
+	return nil, merry.Prepend(ErrInvalidResponse, "only responses to other attempts")
 }
 
 // readHead reads the head of the next response, skipping informational ones (1xx).
@@ -201,13 +201,13 @@
 	for {
 		resp, err := http.ReadResponse(cn.br, &http.Request{Method: method})
 		if err != nil {
-			return nil, merry.Prepend(ErrBroken, err.Error())
+			return nil, merry.Prepend(ErrConnectionFailed, err.Error())
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, merry.Prepend(ErrMalformed, resp.Status)
+			return nil, merry.Prepend(ErrInvalidResponse, resp.Status)
 		}
 	}
 }
@@ -215,14 +215,14 @@
 // discardResponse reads the rest of a response that is discarded.
 func discardResponse(resp *http.Response) error {
 	if !hasFraming(resp) {
-		return merry.Prepend(ErrMalformed, "response to another attempt has no length")
+		return merry.Prepend(ErrInvalidResponse, "response to another attempt has no length")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardedBytes))
 	if err != nil {
-		return merry.Prepend(ErrBroken, err.Error())
+		return merry.Prepend(ErrConnectionFailed, err.Error())
 	}
 	if n == maxDiscardedBytes {
-		return merry.Prepend(ErrMalformed, "response to another attempt is too long")
+		return merry.Prepend(ErrInvalidResponse, "response to another attempt is too long")
 	}
 	return nil
 }
@@ -275,7 +275,7 @@
 	closed   bool
 }
 
-// Read reads from the body. It returns io.EOF only at the end of the body, and ErrBroken
+// Read reads from the body. It returns io.EOF only at the end of the body, and ErrConnectionFailed
 // if the connection failed before.
 func (b *Body) Read(p []byte) (int, error) {
 	n, err := b.resp.Body.Read(p)
@@ -284,7 +284,7 @@
 		return n, io.EOF
 	}
 	if err != nil {
-		return n, merry.Prepend(ErrBroken, err.Error())
+		return n, merry.Prepend(ErrConnectionFailed, err.Error())
 	}
 	return n, nil
 }
--- a/direct/client_test.go
+++ b/direct/client_test.go
@@ -150,7 +150,7 @@
 		"no HTTP":     "+OK ready\r\nFIN",
 	} {
 		_, err := call(t, newClient(), newTestUpstream(t, script), "1")
-		assert.ErrorIs(t, err, direct.ErrBroken, name)
+		assert.ErrorIs(t, err, direct.ErrConnectionFailed, name)
 	}
 	body, err := call(t, newClient(), newTestUpstream(t, head+"\r\nabcFIN"), "1")
 	assert.NilError(t, err)
@@ -160,7 +160,7 @@
 func TestOnlyResponsesToOtherAttempts(t *testing.T) {
 	u := newTestUpstream(t, strings.Repeat(okResponse("9", "x"), 3))
 	_, err := call(t, newClient(), u, "1")
-	assert.ErrorIs(t, err, direct.ErrMalformed)
+	assert.ErrorIs(t, err, direct.ErrInvalidResponse)
 }
 
 // A refused connection must be reported as ErrNotSent, since any request may then be
@@ -202,7 +202,7 @@
 
 func TestEventsAreReadWhole(t *testing.T) {
 	const text = "id: 1\ndata: a\n\n: note\r\nid:2\r\ndata: b\r\n\r\n"
-	e := direct.NewEvents(strings.NewReader(text))
+	e := direct.NewEventReader(strings.NewReader(text))
 	var raw, ids string
 	for {
 		ev, err := e.Next()
@@ -216,7 +216,7 @@
 	assert.Equal(t, raw, text)
 	assert.Equal(t, ids, "1,2,")
 	// A stream that ends in the middle of an event is incomplete.
-	e = direct.NewEvents(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
+	e = direct.NewEventReader(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
 	_, err := e.Next()
 	assert.NilError(t, err)
 	_, err = e.Next()
@@ -229,7 +229,7 @@
 	f.Add("\n\n\n")
 	f.Add("id:\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		e := direct.NewEvents(strings.NewReader(text))
+		e := direct.NewEventReader(strings.NewReader(text))
 		out := ""
 		for {
 			ev, err := e.Next()
--- a/direct/events.go
+++ b/direct/events.go
@@ -23,19 +23,21 @@
 	ID string
 }
 
-// Events reads a text/event-stream body. It returns only complete events: a stream that
+// EventReader reads a text/event-stream body. It returns only complete events: a stream that
 // is resumed at another upstream must not continue in the middle of an event.
-type Events struct {
+type EventReader struct {
 	br *bufio.Reader
 }
 
-// NewEvents creates a reader of the events in a body.
-func NewEvents(r io.Reader) *Events { return &Events{br: bufio.NewReaderSize(r, readBufferSize)} }
+// NewEventReader creates a reader of the events in a body.
+func NewEventReader(r io.Reader) *EventReader {
+	return &EventReader{br: bufio.NewReaderSize(r, readBufferSize)}
+}
 
 // Next returns the next event. It returns io.EOF at the end of the stream,
-// ErrPartialEvent if the stream ends in the middle of an event, and ErrMalformed if an
+// ErrPartialEvent if the stream ends in the middle of an event, and ErrInvalidResponse if an
 // event is too long.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	var ev Event
 	for {
 		line, err := e.br.ReadBytes('\n')
@@ -44,7 +46,7 @@
 			return Event{}, streamEnd(ev, err)
 		}
 		if len(ev.Raw) > maxEventBytes {
-			return Event{}, merry.Prepend(ErrMalformed, "event is too long")
+			return Event{}, merry.Prepend(ErrInvalidResponse, "event is too long")
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
--- a/direct/probe.go
+++ b/direct/probe.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Refuses reports whether connections to an address are refused: its host is reachable, but no
+// RefusesConnections reports whether connections to an address are refused: its host is reachable, but no
 // process listens there. It returns false for an unreachable host, and for an upstream that
 // accepts the connection, which is then kept for a later call.
-func (c *Client) Refuses(ctx context.Context, addr string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, addr string) bool {
 	nc, err := c.dial(ctx, "tcp", addr)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -120,7 +120,7 @@
 	if e.operatorsTLS, err = e.publicTLS(s.OperatorsTLS); err != nil {
 		return nil, err
 	}
-	place := route.Place{Entry: s.ID, FailureDomain: s.FailureDomain, Seed: xxhash.Sum64String(s.ID)}
+	place := route.EntryInfo{ID: s.ID, FailureDomain: s.FailureDomain, Seed: xxhash.Sum64String(s.ID)}
 	e.fwd = forward.New(e.pool, place, s.Now)
 	e.node = directory.NewNode(directory.DefaultSettings(), s.Now, e.updateRouting)
 	e.controlTargets = directory.NewTargets(s.ID, s.FailureDomain, s.replicas())
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -17,7 +17,7 @@
 	return &quarantine.Request{Team: q.team.Name, Method: q.r.Method, Host: q.service.Name, URI: q.path, Body: q.body}
 }
 
-// MaySend implements forward.Trial.
+// MaySend implements forward.AttemptGuard.
 func (q *request) MaySend(attempts int) bool {
 	switch q.trial.Verdict().Standing {
 	case quarantine.Quarantined:
@@ -28,8 +28,8 @@
 	return true
 }
 
-// Ended implements forward.Trial.
-func (q *request) Ended(up route.Upstream, incarnation string, ran time.Duration) {
+// UpstreamEnded implements forward.AttemptGuard.
+func (q *request) UpstreamEnded(up route.Upstream, incarnation string, ran time.Duration) {
 	q.entry.quarantine.RecordCrash(quarantine.Crash{
 		RequestInfo: q.Identity().Info(q.service.Name),
 		RequestID:   q.id, Upstream: incarnation, Address: up.Address, RunTime: ran, DetectedBy: signAgentReport,
--- a/entry/request.go
+++ b/entry/request.go
@@ -337,9 +337,9 @@
 			Path: q.path, Headers: upstream.PassedHeaders(q.r.Header, headerIdempotencyKey), Tokens: uint32(q.tokens),
 		},
 		Body: q.body, Pool: q.view.Pools[q.service.Pool], Deadline: deadline,
-		Route:     &route.Request{Priority: prio, Tokens: q.tokens, Prefix: q.prefix},
-		MaxAnswer: q.service.MaxBody,
-		Trial:     q,
+		Route:            &route.Request{Priority: prio, Tokens: q.tokens, Prefix: q.prefix},
+		MaxResponseBytes: q.service.MaxBody,
+		Guard:            q,
 	})
 }
 
@@ -372,7 +372,7 @@
 		q.trial.RecordAnswer(q.id)
 		return nil
 	}
-	if res.Begun || sink.started {
+	if res.StreamBegun || sink.started {
 		// The caller may have received part of the answer. A normal end of the response
 		// would make it look complete; aborting the connection (HTTP/1.1) or resetting
 		// the stream (HTTP/2) shows that it is truncated.
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -19,9 +19,9 @@
 )
 
 var (
-	// ErrInvalidAnswer means that a response is malformed, too large or belongs to
+	// ErrInvalidResponse means that a response is malformed, too large or belongs to
 	// another attempt.
-	ErrInvalidAnswer = merry.Sentinel("response is invalid")
+	ErrInvalidResponse = merry.Sentinel("response is invalid")
 	// ErrCallerGone means that the response could not be written to the caller.
 	ErrCallerGone = merry.Sentinel("caller disconnected")
 )
@@ -42,10 +42,10 @@
 	Pool     *table.Pool
 	Route    *route.Request
 	Deadline time.Time
-	// MaxAnswer bounds the body of an unstreamed response in bytes.
-	MaxAnswer int64
-	// Trial guards and observes the request's attempts; it may be nil.
-	Trial Trial
+	// MaxResponseBytes bounds the body of an unstreamed response in bytes.
+	MaxResponseBytes int64
+	// Guard guards and observes the request's attempts; it may be nil.
+	Guard AttemptGuard
 
 	// mayReroute allows the agent of the next attempt to refuse it if it has no free slot.
 	mayReroute bool
@@ -55,15 +55,15 @@
 	reservation *queuedTicket
 }
 
-// Trial limits the attempts of a request and observes the upstreams that die while they
+// AttemptGuard limits the attempts of a request and observes the upstreams that die while they
 // run it.
-type Trial interface {
+type AttemptGuard interface {
 	// MaySend reports whether the request may be sent to an upstream now, given the number
 	// of earlier attempts that may have run.
 	MaySend(ran int) bool
-	// Ended records that an upstream ended after it had run the request for the given
+	// UpstreamEnded records that an upstream ended after it had run the request for the given
 	// time. life is the agent's identifier of the upstream instance that ended.
-	Ended(upstream route.Upstream, life string, ran time.Duration)
+	UpstreamEnded(upstream route.Upstream, life string, ran time.Duration)
 }
 
 // Sink receives a response. The body of an unstreamed response is passed in a single
@@ -79,9 +79,9 @@
 	// Reason is 0 if the response is complete.
 	Reason wire.Reason
 	Detail string
-	// Begun is true once the head of a streamed response has been passed to the sink. If
+	// StreamBegun is true once the head of a streamed response has been passed to the sink. If
 	// Reason is set, the caller must then get a truncated response, not a refusal.
-	Begun bool
+	StreamBegun bool
 	// Attempts holds the attempts that failed, in order.
 	Attempts []*wire.RefusedAttempt
 }
@@ -89,7 +89,7 @@
 // Forwarder forwards the requests of one entry. It is safe for concurrent use.
 type Forwarder struct {
 	pool  *transport.Pool
-	entry route.Place
+	entry route.EntryInfo
 	now   func() time.Time
 
 	mu sync.Mutex
@@ -102,12 +102,12 @@
 type poolBalancer struct {
 	route.Balancer
 	plugin string
-	budget *Budget
+	budget *RetryBudget
 	ups    []route.Upstream
 }
 
 // New creates a forwarder for an entry, with the clock now.
-func New(pool *transport.Pool, entry route.Place, now func() time.Time) *Forwarder {
+func New(pool *transport.Pool, entry route.EntryInfo, now func() time.Time) *Forwarder {
 	return &Forwarder{pool: pool, entry: entry, now: now, balancers: map[string]*poolBalancer{}}
 }
 
@@ -120,7 +120,7 @@
 		return err
 	}
 	b.ups = ups
-	b.Update(f.now(), ups)
+	b.SetUpstreams(f.now(), ups)
 	return nil
 }
 
@@ -129,17 +129,17 @@
 func (f *Forwarder) balancerFor(p *table.Pool) (*poolBalancer, error) {
 	b := f.balancers[p.Name]
 	if b != nil && b.plugin == p.Route {
-		b.budget.Configure(float64(p.RetryPercent) / 100)
+		b.budget.SetRatio(float64(p.RetryPercent) / 100)
 		return b, nil
 	}
 	created, err := route.New(p.Route, f.entry)
 	if err != nil {
 		return nil, err
 	}
-	next := &poolBalancer{Balancer: created, plugin: p.Route, budget: NewBudget(float64(p.RetryPercent) / 100)}
+	next := &poolBalancer{Balancer: created, plugin: p.Route, budget: NewRetryBudget(float64(p.RetryPercent) / 100)}
 	if b != nil {
 		next.ups = b.ups
-		next.Update(f.now(), b.ups)
+		next.SetUpstreams(f.now(), b.ups)
 	}
 	f.balancers[p.Name] = next
 	return next, nil
@@ -151,9 +151,9 @@
 	defer f.mu.Unlock()
 	now := f.now()
 	for _, b := range f.balancers {
-		b.Report(now, r.Upstream, r.Incarnation, r.Load)
+		b.ApplyLoadReport(now, r.Upstream, r.Incarnation, r.Load)
 		if len(r.Cache) > 0 {
-			b.Cache(now, r.Upstream, r.Incarnation, r.Cache)
+			b.ApplyCacheEvents(now, r.Upstream, r.Incarnation, r.Cache)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	var res Result
 	reroutes := 0
 	for n := 1; ; n++ {
-		if c.Trial != nil && !c.Trial.MaySend(res.possibleRuns()) {
+		if c.Guard != nil && !c.Guard.MaySend(res.possibleRuns()) {
 			res.Outcome = overallOutcome(res)
 			if res.possibleRuns() == 0 {
 				res.Reason, res.Outcome = wire.Reason_REASON_QUARANTINED, wire.Outcome_OUTCOME_NOT_RUN
@@ -193,7 +193,7 @@
 		}
 		c.mayReroute = reroutes < maxReroutes && !c.queuesFull && len(c.Body) <= transport.BodyFrame
 		up, end := f.attempt(ctx, c, sink, n)
-		res.Outcome, res.Reason, res.Detail, res.Begun = end.outcome, end.reason, end.detail, end.begun
+		res.Outcome, res.Reason, res.Detail, res.StreamBegun = end.outcome, end.reason, end.detail, end.begun
 		if end.reason == 0 {
 			return res
 		}
@@ -202,8 +202,8 @@
 				Upstream: up.ID, Outcome: end.outcome, Reason: end.reason, Detail: end.detail,
 			})
 		}
-		if end.endedUpstream != "" && c.Trial != nil {
-			c.Trial.Ended(up, end.endedUpstream, end.took)
+		if end.endedUpstream != "" && c.Guard != nil {
+			c.Guard.UpstreamEnded(up, end.endedUpstream, end.took)
 		}
 		if end.noSlot && c.mayReroute && f.beforeDeadline(ctx, c) {
 			reroutes++
@@ -277,7 +277,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := f.balancers[c.Pool.Name]
-	return b != nil && b.budget.Take()
+	return b != nil && b.budget.TakeRetry()
 }
 
 // attemptResult describes how an attempt ended.
@@ -383,7 +383,7 @@
 		return route.Choice{}, err
 	}
 	if n == 1 {
-		b.budget.Offer()
+		b.budget.RecordRequest()
 	}
 	choice, ok := b.Pick(f.now(), c.Route)
 	if !ok {
@@ -422,7 +422,7 @@
 		}
 		return notRunResult(wire.Reason_REASON_UPSTREAM_FAILED, err)
 	}
-	rd := &responseReader{stream: stream, head: head, sink: sink, maxBody: c.MaxAnswer}
+	rd := &responseReader{stream: stream, head: head, sink: sink, maxBody: c.MaxResponseBytes}
 	e := rd.read(ctx)
 	if e.reason != 0 && !e.streamEnded {
 		// Cancelling the call keeps the rest of the response from reaching the next
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -103,7 +103,7 @@
 	r := &harness{pool: &table.Pool{Name: "lm", Route: plugin, RetryPercent: retryPercent}}
 	sec := transport.Security{Secret: []byte("forward test")}
 	conns := transport.NewPool(sec)
-	r.fwd = New(conns, route.Place{Entry: "entry-1", Seed: 1}, r.now)
+	r.fwd = New(conns, route.EntryInfo{ID: "entry-1", Seed: 1}, r.now)
 	ctx, cancel := context.WithCancel(context.Background())
 	var ups []route.Upstream
 	for i := range agents {
@@ -133,7 +133,7 @@
 	sink := &recordingSink{}
 	res := r.fwd.Do(context.Background(), &Call{
 		Head: &wire.RunHead{RequestId: "q", Idempotent: idempotent, Method: "POST", Path: "/"},
-		Pool: r.pool, Route: &route.Request{}, Deadline: r.now().Add(time.Minute), MaxAnswer: 1000,
+		Pool: r.pool, Route: &route.Request{}, Deadline: r.now().Add(time.Minute), MaxResponseBytes: 1000,
 	}, sink)
 	return res, sink
 }
@@ -283,7 +283,7 @@
 
 func (h *recordingTrial) MaySend(ran int) bool { return h.maySend(ran) }
 
-func (h *recordingTrial) Ended(_ route.Upstream, life string, _ time.Duration) {
+func (h *recordingTrial) UpstreamEnded(_ route.Upstream, life string, _ time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lives = append(h.lives, life)
@@ -309,7 +309,7 @@
 		trial := &recordingTrial{maySend: c.maySend}
 		res := r.fwd.Do(context.Background(), &Call{
 			Head: &wire.RunHead{RequestId: "q", Idempotent: true, Method: "POST", Path: "/"},
-			Pool: r.pool, Route: &route.Request{}, Deadline: r.now().Add(time.Minute), MaxAnswer: 1000, Trial: trial,
+			Pool: r.pool, Route: &route.Request{}, Deadline: r.now().Add(time.Minute), MaxResponseBytes: 1000, Guard: trial,
 		}, &recordingSink{})
 		assert.Equal(t, r.attempts(), c.attempts)
 		assert.Equal(t, len(trial.lives), c.attempts)
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -87,7 +87,7 @@
 	if request == r.head.RequestId && attempt == r.head.AttemptId {
 		return nil
 	}
-	return merry.Prependf(ErrInvalidAnswer, "frame of attempt %q in the response to attempt %q", attempt, r.head.AttemptId)
+	return merry.Prependf(ErrInvalidResponse, "frame of attempt %q in the response to attempt %q", attempt, r.head.AttemptId)
 }
 
 func (r *responseReader) handleHead(h *wire.RunReplyHead) error {
@@ -95,10 +95,10 @@
 		return err
 	}
 	if r.reply != nil {
-		return merry.Prepend(ErrInvalidAnswer, "more than one head")
+		return merry.Prepend(ErrInvalidResponse, "more than one head")
 	}
 	if h.Status < 200 || h.Status > 599 {
-		return merry.Prependf(ErrInvalidAnswer, "status %d is out of range", h.Status)
+		return merry.Prependf(ErrInvalidResponse, "status %d is out of range", h.Status)
 	}
 	r.reply = h
 	if !h.Streaming {
@@ -110,14 +110,14 @@
 
 func (r *responseReader) handleBody(b []byte) error {
 	if r.reply == nil {
-		return merry.Prepend(ErrInvalidAnswer, "body before head")
+		return merry.Prepend(ErrInvalidResponse, "body before head")
 	}
 	r.received += uint64(len(b))
 	if r.reply.Streaming {
 		return callerErr(r.sink.Write(b))
 	}
 	if int64(r.received) > r.maxBody {
-		return merry.Prependf(ErrInvalidAnswer, "body exceeds %d bytes", r.maxBody)
+		return merry.Prependf(ErrInvalidResponse, "body exceeds %d bytes", r.maxBody)
 	}
 	if r.body == nil {
 		r.body = b
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -164,13 +164,13 @@
 // If every request is retried as often as the budget allows, the number of attempts must
 // be close to, but at most (1 + ratio) times the number of requests, plus one burst.
 func TestBudgetBoundsRetries(t *testing.T) {
-	b := NewBudget(0.1)
+	b := NewRetryBudget(0.1)
 	attempts := 0
 	const requests = 10_000
 	for range requests {
-		b.Offer()
+		b.RecordRequest()
 		attempts++
-		for n := 1; n < maxAttempts && b.Take(); n++ {
+		for n := 1; n < maxAttempts && b.TakeRetry(); n++ {
 			attempts++
 		}
 	}
--- a/forward/wait.go
+++ b/forward/wait.go
@@ -20,9 +20,9 @@
 	withdrawTimeout = time.Second
 )
 
-// Tickets returns the maximum number of upstreams at which a call of a priority waits at
+// MaxTickets returns the maximum number of upstreams at which a call of a priority waits at
 // once.
-func Tickets(p wire.Priority) int {
+func MaxTickets(p wire.Priority) int {
 	if p == wire.Priority_PRIORITY_URGENT {
 		return maxUrgentTickets
 	}
@@ -82,18 +82,18 @@
 
 // newTickets returns the tickets to queue for a call; none if the balancer does not
 // support waiting at several upstreams.
-func (f *Forwarder) newTickets(c *Call, n int) (route.Waiter, []queuedTicket) {
+func (f *Forwarder) newTickets(c *Call, n int) (route.LateBinder, []queuedTicket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := f.balancers[c.Pool.Name]
 	if b == nil {
 		return nil, nil
 	}
-	waiter, ok := b.Balancer.(route.Waiter)
+	waiter, ok := b.Balancer.(route.LateBinder)
 	if !ok {
 		return nil, nil
 	}
-	ups := waiter.Places(f.now(), c.Route, Tickets(c.Head.Priority))
+	ups := waiter.QueueCandidates(f.now(), c.Route, MaxTickets(c.Head.Priority))
 	tickets := make([]queuedTicket, len(ups))
 	for i, up := range ups {
 		tickets[i] = queuedTicket{up: up, ticket: c.Head.RequestId + ".w" + strconv.Itoa(n) + "." + strconv.Itoa(i), total: len(ups)}
@@ -103,10 +103,10 @@
 
 // startReserved counts the attempt as in flight at an upstream that holds a slot. It
 // returns false if the upstream is gone.
-func (f *Forwarder) startReserved(w route.Waiter, up route.Upstream, c *Call) bool {
+func (f *Forwarder) startReserved(w route.LateBinder, up route.Upstream, c *Call) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return w.Take(f.now(), up, c.Route)
+	return w.StartReserved(f.now(), up, c.Route)
 }
 
 // queueTicket queues a ticket and waits for its result.
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -209,7 +209,7 @@
 
 // classifyError returns the outcome of an attempt that got no head, or whose body ended early.
 func (c *call) classifyError(a *attempt, err error) outcome {
-	a.cut = errors.Is(err, direct.ErrBroken) || errors.Is(err, direct.ErrPartialEvent)
+	a.cut = errors.Is(err, direct.ErrConnectionFailed) || errors.Is(err, direct.ErrPartialEvent)
 	switch {
 	case errors.Is(err, direct.ErrNotSent) && c.ctx.Err() == nil:
 		return outcomeNotSent
@@ -296,7 +296,7 @@
 			return o, false
 		}
 		buffered = resp
-		return o, resp.status < http.StatusInternalServerError || !routing.Repeatable(c.route)
+		return o, resp.status < http.StatusInternalServerError || !routing.Retryable(c.route)
 	})
 	if buffered != nil {
 		c.writeResponse(buffered)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -212,7 +212,7 @@
 		kernel.Warn(g.log, "Updating the upstreams failed.", "err", err)
 	}
 	g.resolvePendingExits(known)
-	g.client.Forget(g.services.addresses())
+	g.client.CloseIdleExcept(g.services.addresses())
 	g.warmup.notify()
 }
 
@@ -283,7 +283,7 @@
 			return c, &refusal{status: http.StatusUnauthorized, reason: reasonUnknownKey}
 		}
 	}
-	c.service = routing.Choose(c.route, rand.Float64())
+	c.service = routing.ChooseService(c.route, rand.Float64())
 	c.fixedPass = fixedPassTime(t.Service(c.service).GetEngine())
 	c.waitForService(r.Context())
 	c.deadline = began.Add(time.Duration(c.route.TimeoutMs) * time.Millisecond)
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -140,7 +140,7 @@
 	}
 	g.occupancy = float64(requests) / float64(slots)
 	g.occupancyAt, g.surveyedAt, g.reportedInflight = now, now, g.inflight
-	g.rounding = v.Turn()
+	g.rounding = v.Offset()
 	if g.occupancy >= minOccupancyForShare {
 		g.ownFraction += shareSmoothing * (min(float64(g.reportedInflight)/float64(requests), 1) - g.ownFraction)
 	}
--- a/gateway/limiter_test.go
+++ b/gateway/limiter_test.go
@@ -32,8 +32,8 @@
 
 // singleGroup returns the pool of a service with one group, and that group's limiter.
 func singleGroup(insts []*directory.Instance) (*servicePool, *groupLimiter) {
-	p := newServicePool(route.Place{Entry: "e"})
-	if err := p.update(start, route.Place{Entry: "e"}, insts); err != nil {
+	p := newServicePool(route.EntryInfo{ID: "e"})
+	if err := p.update(start, route.EntryInfo{ID: "e"}, insts); err != nil {
 		panic(err)
 	}
 	return p, &p.sorted[0].limiter
@@ -137,7 +137,7 @@
 	g := &groupLimiter{inflight: held}
 	g.setUpstreams(start, registeredRanks(16, 1, false))
 	g.occupancy, g.occupancyAt, g.reportedInflight = float64(total)/192, start, held
-	g.rounding = (&route.Survey{Index: index, Entries: gateways, Number: number}).Turn()
+	g.rounding = (&route.Survey{Index: index, Entries: gateways, Number: number}).Offset()
 	return g
 }
 
--- a/gateway/policy.go
+++ b/gateway/policy.go
@@ -67,7 +67,7 @@
 	if h.sent >= int(r.MaxAttempts) || h.unsent >= maxUnsent {
 		return false
 	}
-	return routing.Repeatable(r) || !h.inDoubt
+	return routing.Retryable(r) || !h.inDoubt
 }
 
 // refusal is a response by the gateway itself.
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -52,12 +52,12 @@
 	stats passStats
 }
 
-func newServicePool(place route.Place) *servicePool {
+func newServicePool(place route.EntryInfo) *servicePool {
 	return &servicePool{groups: map[string]*groupPool{}, rng: rand.New(rand.NewPCG(place.Seed, 3))}
 }
 
 // update replaces the upstreams that are up.
-func (p *servicePool) update(now time.Time, place route.Place, insts []*directory.Instance) error {
+func (p *servicePool) update(now time.Time, place route.EntryInfo, insts []*directory.Instance) error {
 	byGroup := map[string][]*directory.Instance{}
 	for _, i := range insts {
 		byGroup[i.Group] = append(byGroup[i.Group], i)
@@ -92,13 +92,13 @@
 			Load: &wire.Load{Seq: firstLoad, Slots: i.Direct.Slots},
 		})
 	}
-	g.balancer.Update(now, upstreams)
+	g.balancer.SetUpstreams(now, upstreams)
 	g.limiter.setUpstreams(now, insts)
 }
 
 // applySurvey applies a survey of the group's ranks that are known here.
 func (g *groupPool) applySurvey(now time.Time, v *route.Survey) {
-	if b, ok := g.balancer.(route.Surveyed); ok {
+	if b, ok := g.balancer.(route.SurveyReceiver); ok {
 		b.Survey(now, v)
 	}
 	g.limiter.applySurvey(now, v, g.upstreams)
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -22,7 +22,7 @@
 
 // serviceManager holds the state of each service over the upstreams that are up.
 type serviceManager struct {
-	place route.Place
+	place route.EntryInfo
 
 	mu       sync.Mutex
 	services map[string]*servicePool
@@ -39,7 +39,7 @@
 
 func newServiceManager(s *Settings) *serviceManager {
 	return &serviceManager{
-		place:    route.Place{Entry: s.ID, FailureDomain: s.FailureDomain, Seed: rand.Uint64()},
+		place:    route.EntryInfo{ID: s.ID, FailureDomain: s.FailureDomain, Seed: rand.Uint64()},
 		services: map[string]*servicePool{}, loadSeq: firstLoad,
 	}
 }
@@ -219,8 +219,8 @@
 		group.limiter.recordProgress(now)
 		group.service.recordHeadTime(after)
 	}
-	if b, ok := group.balancer.(route.Answered); ok {
-		b.Answered(now, upstream, l, after)
+	if b, ok := group.balancer.(route.ResponseStartObserver); ok {
+		b.ResponseStarted(now, upstream, l, after)
 	}
 }
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -65,7 +65,7 @@
 // forward passes events on as they arrive. It returns outcomeAnswered only if the upstream
 // completed the stream.
 func (s *stream) forward(a *attempt, resp *direct.Response) outcome {
-	events := direct.NewEvents(resp.Body)
+	events := direct.NewEventReader(resp.Body)
 	for {
 		ev, err := events.Next()
 		a.watchdog.recordProgress()
--- a/gateway/upstreamexit.go
+++ b/gateway/upstreamexit.go
@@ -100,7 +100,7 @@
 	refuses, _, _ := g.exits.probes.Do(address, func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), exitProbeTimeout)
 		defer cancel()
-		return g.client.Refuses(ctx, address), nil
+		return g.client.RefusesConnections(ctx, address), nil
 	})
 	return refuses.(bool)
 }
--- a/gateway/watchdog.go
+++ b/gateway/watchdog.go
@@ -36,7 +36,7 @@
 
 // watchAttempt starts the watchdog of an attempt. It returns nil if the request isn't repeatable.
 func (c *call) watchAttempt(upstream string, cancel context.CancelFunc) *silenceWatchdog {
-	if !routing.Repeatable(c.route) {
+	if !routing.Retryable(c.route) {
 		return nil
 	}
 	w := &silenceWatchdog{call: c, upstream: upstream, group: c.group, cancel: cancel, timeout: c.services.silenceLimit(c.group), startedAt: time.Now()}
--- a/measure/admit/tickets.go
+++ b/measure/admit/tickets.go
@@ -25,7 +25,7 @@
 	if !m.policy.randomEngine {
 		slices.SortStableFunc(order, func(a, b int) int { return m.load[a] - m.load[b] })
 	}
-	for _, i := range order[:min(forward.Tickets(r.class), engines)] {
+	for _, i := range order[:min(forward.MaxTickets(r.class), engines)] {
 		r.tickets = append(r.tickets, &ticket{request: r, engine: i})
 	}
 	r.pendingTickets = len(r.tickets)
--- a/measure/route/bound.go
+++ b/measure/route/bound.go
@@ -62,10 +62,10 @@
 	rnd    *rand.Rand
 }
 
-func (p *perfect) Update(time.Time, []route.Upstream)                           {}
-func (p *perfect) Report(time.Time, string, uint64, *wire.Load)                 {}
-func (p *perfect) Cache(time.Time, string, uint64, []*wire.CacheEvent)          {}
-func (p *perfect) Done(time.Time, route.Upstream, *route.Request, route.Result) {}
+func (p *perfect) SetUpstreams(time.Time, []route.Upstream)                       {}
+func (p *perfect) ApplyLoadReport(time.Time, string, uint64, *wire.Load)          {}
+func (p *perfect) ApplyCacheEvents(time.Time, string, uint64, []*wire.CacheEvent) {}
+func (p *perfect) Done(time.Time, route.Upstream, *route.Request, route.Result)   {}
 
 func (p *perfect) Pick(_ time.Time, r *route.Request) (route.Choice, bool) {
 	best, least := -1, 0.0
@@ -78,7 +78,7 @@
 		if len(r.Prefix) > 0 && e.spec.cache > 0 {
 			worth := perfectWorth
 			if p.system.prefix != nil {
-				worth = p.system.prefix.Worth
+				worth = p.system.prefix.PrefixBonus
 			}
 			score -= worth * float64(e.cache.cachedPrefixLen(r.Prefix)) / float64(len(r.Prefix))
 		}
--- a/measure/route/main.go
+++ b/measure/route/main.go
@@ -304,7 +304,7 @@
 	for _, load := range []float64{0.7, 0.95} {
 		ours := route.DefaultPrefixSettings()
 		longest := ours
-		longest.Worth = 100
+		longest.PrefixBonus = 100
 		list := []variant{
 			{spec: cachedSpec(), policy: "perfect", load: load, lag: time.Second},
 			{spec: cachedSpec(), policy: "perfect", load: load, lag: time.Second, prefix: &ours},
@@ -323,7 +323,7 @@
 		for i, o := range outs {
 			name := list[i].policy
 			if list[i].prefix != nil {
-				name = fmt.Sprintf("worth %g", list[i].prefix.Worth)
+				name = fmt.Sprintf("worth %g", list[i].prefix.PrefixBonus)
 			}
 			fmt.Printf("%-13s %4.0f%% %6v %7.1f%% %9.1f%% %s\n", name, load*100, list[i].lag,
 				100*rate(o), 100*rate(o)/rate(outs[0]), formatMillis(o.all))
@@ -338,13 +338,13 @@
 	var list []variant
 	for _, w := range []float64{0.1, 0.25, 0.5, 0.75, 1, 2} {
 		s := route.DefaultPrefixSettings()
-		s.Worth = w
+		s.PrefixBonus = w
 		for _, lag := range reportLags[:2] {
 			list = append(list, variant{spec: cachedSpec(), policy: "prefix", load: 0.95, lag: lag, prefix: &s})
 		}
 	}
 	for i, o := range b.runAll(list) {
-		fmt.Printf("%6.2f %6v %7.1f%% %s %8.1f %8.2f\n", list[i].prefix.Worth, list[i].lag,
+		fmt.Printf("%6.2f %6v %7.1f%% %s %8.1f %8.2f\n", list[i].prefix.PrefixBonus, list[i].lag,
 			100*float64(o.hits)/float64(max(o.blocks, 1)), formatMillis(o.all), o.answer.Mean()/1e3, o.perRequest(o.tickets))
 	}
 }
--- a/measure/route/system.go
+++ b/measure/route/system.go
@@ -87,9 +87,9 @@
 
 type entryNode struct {
 	balancer route.Balancer
-	budget   *forward.Budget
+	budget   *forward.RetryBudget
 	// hedges limits hedged attempts, as budget limits retries.
-	hedges *forward.Budget
+	hedges *forward.RetryBudget
 	domain string
 }
 
@@ -138,14 +138,14 @@
 
 func (m *system) newEntry(i int) *entryNode {
 	name := fmt.Sprintf("entry-%d", i+1)
-	place := route.Place{Entry: name, FailureDomain: domains[i%len(domains)], Seed: xxhash.Sum64String(name)}
+	place := route.EntryInfo{ID: name, FailureDomain: domains[i%len(domains)], Seed: xxhash.Sum64String(name)}
 	var b route.Balancer
 	switch {
 	case m.policy == "perfect":
 		b = &perfect{system: m, rnd: rand.New(rand.NewPCG(place.Seed, 2))}
 	case m.policy == "prefix" && m.prefix != nil:
-		p := route.NewPrefix(*m.prefix)
-		p.SetPlace(place)
+		p := route.NewPrefixAffinity(*m.prefix)
+		p.SetEntryInfo(place)
 		b = p
 	default:
 		var err error
@@ -156,7 +156,7 @@
 	if l, ok := b.(*route.LeastLoaded); ok && m.choices > 0 {
 		l.SetChoices(m.choices)
 	}
-	return &entryNode{balancer: b, budget: forward.NewBudget(retryShare), hedges: forward.NewBudget(retryShare), domain: place.FailureDomain}
+	return &entryNode{balancer: b, budget: forward.NewRetryBudget(retryShare), hedges: forward.NewRetryBudget(retryShare), domain: place.FailureDomain}
 }
 
 func (m *system) clockTime() time.Time { return time.Unix(0, 0).Add(m.clock.now) }
@@ -170,7 +170,7 @@
 		}
 	}
 	for _, n := range m.entries {
-		n.balancer.Update(m.clockTime(), ups)
+		n.balancer.SetUpstreams(m.clockTime(), ups)
 	}
 }
 
@@ -218,8 +218,8 @@
 		Request: route.Request{Priority: a.class, Tokens: a.tokens, Prefix: a.prefix, Exclude: map[string]bool{}},
 		jobs:    map[*job]*engine{},
 	}
-	m.entries[a.entry].budget.Offer()
-	m.entries[a.entry].hedges.Offer()
+	m.entries[a.entry].budget.RecordRequest()
+	m.entries[a.entry].hedges.RecordRequest()
 	m.tryUpstream(a, r, 1)
 }
 
@@ -321,7 +321,7 @@
 	if m.tickets > 0 {
 		return m.tickets
 	}
-	return forward.Tickets(a.class)
+	return forward.MaxTickets(a.class)
 }
 
 // ticketGroup is a request that waits at several upstreams.
@@ -330,7 +330,7 @@
 	arrival *arrival
 	request *request
 	attempt int
-	waiter  route.Waiter
+	waiter  route.LateBinder
 	places  []route.Upstream
 	tickets []*job
 	won     bool
@@ -342,8 +342,8 @@
 // waitAt takes tickets at several upstreams, by the forwarder's rules. The first one
 // with a free slot gets the request.
 func (m *system) waitAt(a *arrival, r *request, attempt int) {
-	w := m.entries[a.entry].balancer.(route.Waiter)
-	q := &ticketGroup{system: m, arrival: a, request: r, attempt: attempt, waiter: w, places: w.Places(m.clockTime(), &r.Request, m.ticketsFor(a))}
+	w := m.entries[a.entry].balancer.(route.LateBinder)
+	q := &ticketGroup{system: m, arrival: a, request: r, attempt: attempt, waiter: w, places: w.QueueCandidates(m.clockTime(), &r.Request, m.ticketsFor(a))}
 	q.pending = len(q.places)
 	if q.pending == 0 {
 		m.tryUpstream(a, r, attempt)
@@ -404,7 +404,7 @@
 // granted uses the first granted slot and withdraws the other tickets.
 func (q *ticketGroup) granted(i int) {
 	m := q.system
-	if q.won || q.request.done || !q.waiter.Take(m.clockTime(), q.places[i], &q.request.Request) {
+	if q.won || q.request.done || !q.waiter.StartReserved(m.clockTime(), q.places[i], &q.request.Request) {
 		m.out.unused++
 		q.withdraw(i)
 		q.ticketFailed(false)
@@ -456,7 +456,7 @@
 		return
 	}
 	m.clock.schedule(m.hedge, func() {
-		if r.done || r.hedged || !m.entries[a.entry].hedges.Take() {
+		if r.done || r.hedged || !m.entries[a.entry].hedges.TakeRetry() {
 			return
 		}
 		r.hedged = true
@@ -470,7 +470,7 @@
 		return
 	}
 	late := m.clock.now >= a.at+m.spec.timeout
-	if late || attempt-r.moves >= maxAttempts || !n.budget.Take() {
+	if late || attempt-r.moves >= maxAttempts || !n.budget.TakeRetry() {
 		if o == wire.Outcome_OUTCOME_NOT_RUN {
 			m.refuse(a)
 		} else if m.measured(a) {
@@ -517,9 +517,9 @@
 	for _, n := range m.entries {
 		lost := m.rnd.Float64() < lostEvents
 		m.clock.schedule(m.lag/2, func() {
-			n.balancer.Report(m.clockTime(), upstreamID(i), 1, load)
+			n.balancer.ApplyLoadReport(m.clockTime(), upstreamID(i), 1, load)
 			if len(cache) > 0 && !lost {
-				n.balancer.Cache(m.clockTime(), upstreamID(i), 1, cache)
+				n.balancer.ApplyCacheEvents(m.clockTime(), upstreamID(i), 1, cache)
 			}
 		})
 	}
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -11,13 +11,13 @@
 var poolSizes = []int{19, 64, 500, 5500}
 
 func makeBalancer(name string, ups []Upstream) Balancer {
-	b, err := New(name, Place{Entry: "entry-1", FailureDomain: "hall-a", Seed: 1})
+	b, err := New(name, EntryInfo{ID: "entry-1", FailureDomain: "hall-a", Seed: 1})
 	if err != nil {
 		panic(err)
 	}
-	b.Update(testStart, ups)
+	b.SetUpstreams(testStart, ups)
 	for i, u := range ups {
-		b.Report(testStart, u.ID, 1, testLoad(1, i%8))
+		b.ApplyLoadReport(testStart, u.ID, 1, testLoad(1, i%8))
 	}
 	return b
 }
@@ -68,7 +68,7 @@
 			bal := makeBalancer("least-loaded", ups)
 			b.ReportAllocs()
 			for range b.N {
-				bal.Update(testStart, ups)
+				bal.SetUpstreams(testStart, ups)
 			}
 		})
 	}
@@ -76,15 +76,15 @@
 
 // BenchmarkCacheEventGap measures a gap in an upstream's cache events with a full index.
 func BenchmarkCacheEventGap(b *testing.B) {
-	bal := NewPrefix(DefaultPrefixSettings())
-	bal.Update(testStart, testUpstreams(19))
+	bal := NewPrefixAffinity(DefaultPrefixSettings())
+	bal.SetUpstreams(testStart, testUpstreams(19))
 	for i := range bal.settings.MaxBlocks {
 		bal.index.add(uint64(i), 1<<(i%19)|1<<((i+1)%19))
 	}
 	seq := uint64(1)
 	for range b.N {
 		seq += 2
-		bal.Cache(testStart, "up-3", 1, cacheEvents(seq, seq))
+		bal.ApplyCacheEvents(testStart, "up-3", 1, cacheEvents(seq, seq))
 	}
 }
 
--- a/route/dump.go
+++ b/route/dump.go
@@ -60,7 +60,7 @@
 }
 
 // Dump implements Dumper.
-func (b *Prefix) Dump(now time.Time) []UpstreamState {
+func (b *PrefixAffinity) Dump(now time.Time) []UpstreamState {
 	list := b.pool.Dump(now)
 	for i := range list {
 		list[i].CacheSeq = b.cacheSeqs[b.byID[list[i].ID].bit]
--- a/route/health.go
+++ b/route/health.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// Answered implements Answered.
-func (p *pool) Answered(now time.Time, up Upstream, l *wire.Load, after time.Duration) {
+// ResponseStarted implements Answered.
+func (p *pool) ResponseStarted(now time.Time, up Upstream, l *wire.Load, after time.Duration) {
 	s := p.byID[up.ID]
 	if s == nil || s.Incarnation != up.Incarnation {
 		return
--- a/route/latebinding.go
+++ b/route/latebinding.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Waiter is implemented by balancers that support late binding: a request that found
+// LateBinder is implemented by balancers that support late binding: a request that found
 // no free slot queues at several upstreams at once and runs at the first that reserves
 // a slot for it (Ousterhout et al.: Sparrow, SOSP 2013).
-type Waiter interface {
-	// Places returns up to n upstreams to queue at, the best first. None of them counts
+type LateBinder interface {
+	// QueueCandidates returns up to n upstreams to queue at, the best first. None of them counts
 	// the request as in flight yet. It returns none if requests run too briefly for a
 	// reserved slot to be worth its idle time.
-	Places(now time.Time, r *Request, n int) []Upstream
-	// Take starts the attempt at an upstream that has reserved a slot; it counts as in
+	QueueCandidates(now time.Time, r *Request, n int) []Upstream
+	// StartReserved starts the attempt at an upstream that has reserved a slot; it counts as in
 	// flight until Done. It returns false if the upstream is gone.
-	Take(now time.Time, up Upstream, r *Request) bool
+	StartReserved(now time.Time, up Upstream, r *Request) bool
 }
 
 // scoredCandidate is a candidate with its score; lower is better.
@@ -55,8 +55,8 @@
 	return list
 }
 
-// Take implements Waiter.
-func (p *pool) Take(now time.Time, up Upstream, r *Request) bool {
+// StartReserved implements Waiter.
+func (p *pool) StartReserved(now time.Time, up Upstream, r *Request) bool {
 	s := p.byID[up.ID]
 	if s == nil || s.Incarnation != up.Incarnation || s.leaving {
 		return false
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Places implements Waiter.
-func (b *LeastLoaded) Places(now time.Time, r *Request, n int) []Upstream {
+// QueueCandidates implements Waiter.
+func (b *LeastLoaded) QueueCandidates(now time.Time, r *Request, n int) []Upstream {
 	list := b.sample(now, r, b.choices)
 	if haveShortRuns(list) {
 		return nil
@@ -79,10 +79,10 @@
 	return best.upstreams()
 }
 
-// Places implements Waiter. It trades cached prefixes against load, as Pick does.
-func (b *Prefix) Places(now time.Time, r *Request, n int) []Upstream {
+// QueueCandidates implements Waiter. It trades cached prefixes against load, as Pick does.
+func (b *PrefixAffinity) QueueCandidates(now time.Time, r *Request, n int) []Upstream {
 	holders := b.matchPrefix(r.Prefix)
-	list := b.sample(now, r, b.settings.Choices)
+	list := b.sample(now, r, b.settings.RandomChoices)
 	if haveShortRuns(list) {
 		return nil
 	}
--- a/route/latebinding_test.go
+++ b/route/latebinding_test.go
@@ -13,7 +13,7 @@
 	for i := range n {
 		l := testLoad(1, requests+i)
 		l.RunUs = uint32(run.Microseconds())
-		b.Report(testStart, fmt.Sprintf("up-%d", i), 1, l)
+		b.ApplyLoadReport(testStart, fmt.Sprintf("up-%d", i), 1, l)
 	}
 }
 
@@ -22,7 +22,7 @@
 func TestPlacesAreLeastLoaded(t *testing.T) {
 	b := newLeastLoaded(8)
 	reportAll(b, 8, 0, time.Second)
-	places := b.Places(testStart, &Request{Exclude: map[string]bool{"up-0": true}}, 3)
+	places := b.QueueCandidates(testStart, &Request{Exclude: map[string]bool{"up-0": true}}, 3)
 	var ids []string
 	for _, up := range places {
 		ids = append(ids, up.ID)
@@ -36,7 +36,7 @@
 func TestShortRunsDoNotReserveSlots(t *testing.T) {
 	b := newLeastLoaded(4)
 	reportAll(b, 4, 2, 20*time.Millisecond)
-	assert.Equal(t, len(b.Places(testStart, &Request{}, 4)), 0)
+	assert.Equal(t, len(b.QueueCandidates(testStart, &Request{}, 4)), 0)
 	c, _ := b.Pick(testStart, &Request{})
 	assert.Assert(t, c.NoWait, "free slots elsewhere")
 	b = newLeastLoaded(4)
@@ -48,16 +48,16 @@
 // Take must reject an upstream that has restarted or is leaving since it reserved a slot.
 func TestTakeRejectsGoneUpstream(t *testing.T) {
 	b := newLeastLoaded(2)
-	up := b.Places(testStart, &Request{}, 1)[0]
+	up := b.QueueCandidates(testStart, &Request{}, 1)[0]
 	ups := testUpstreams(2)
 	for i := range ups {
 		ups[i].Incarnation = 2
 	}
-	b.Update(testStart, ups)
-	assert.Assert(t, !b.Take(testStart, up, &Request{}))
+	b.SetUpstreams(testStart, ups)
+	assert.Assert(t, !b.StartReserved(testStart, up, &Request{}))
 	up.Incarnation = 2
-	assert.Assert(t, b.Take(testStart, up, &Request{}))
+	assert.Assert(t, b.StartReserved(testStart, up, &Request{}))
 	assert.Equal(t, b.byID[up.ID].inflight, 1)
 	b.byID[up.ID].leaving = true
-	assert.Assert(t, !b.Take(testStart, up, &Request{}))
+	assert.Assert(t, !b.StartReserved(testStart, up, &Request{}))
 }
--- a/route/leastloaded.go
+++ b/route/leastloaded.go
@@ -30,16 +30,16 @@
 // benchmarks and simulations.
 func (b *LeastLoaded) SetChoices(n int) { b.choices = n }
 
-// Update implements Balancer.
-func (b *LeastLoaded) Update(now time.Time, ups []Upstream) { b.setUpstreams(now, ups) }
+// SetUpstreams implements Balancer.
+func (b *LeastLoaded) SetUpstreams(now time.Time, ups []Upstream) { b.setUpstreams(now, ups) }
 
-// Report implements Balancer.
-func (b *LeastLoaded) Report(now time.Time, id string, incarnation uint64, l *wire.Load) {
+// ApplyLoadReport implements Balancer.
+func (b *LeastLoaded) ApplyLoadReport(now time.Time, id string, incarnation uint64, l *wire.Load) {
 	b.applyReport(now, id, incarnation, l)
 }
 
-// Cache implements Balancer.
-func (b *LeastLoaded) Cache(time.Time, string, uint64, []*wire.CacheEvent) {}
+// ApplyCacheEvents implements Balancer.
+func (b *LeastLoaded) ApplyCacheEvents(time.Time, string, uint64, []*wire.CacheEvent) {}
 
 // Pick implements Balancer.
 func (b *LeastLoaded) Pick(now time.Time, r *Request) (Choice, bool) {
--- a/route/loadinterpretation.go
+++ b/route/loadinterpretation.go
@@ -54,17 +54,17 @@
 	Number uint64
 }
 
-// Turn returns this entry's offset in [0, 1). The offsets of all entries are evenly
+// Offset returns this entry's offset in [0, 1). The offsets of all entries are evenly
 // spaced, and each survey rotates them by the same amount.
-func (s *Survey) Turn() float64 { return entryOffset(s.Index, s.Entries, s.Number) }
+func (s *Survey) Offset() float64 { return entryOffset(s.Index, s.Entries, s.Number) }
 
 func entryOffset(index, entries int, number uint64) float64 {
 	offset := (float64(index)+0.5)/float64(max(entries, 1)) + float64(number%rotationPeriod)*goldenRatio
 	return offset - math.Floor(offset)
 }
 
-// Surveyed is implemented by balancers that use surveys.
-type Surveyed interface {
+// SurveyReceiver is implemented by balancers that use surveys.
+type SurveyReceiver interface {
 	Survey(now time.Time, s *Survey)
 }
 
@@ -130,9 +130,9 @@
 	}
 }
 
-// Update implements Balancer.
-func (b *LoadInterpretation) Update(now time.Time, ups []Upstream) {
-	b.LeastLoaded.Update(now, ups)
+// SetUpstreams implements Balancer.
+func (b *LoadInterpretation) SetUpstreams(now time.Time, ups []Upstream) {
+	b.LeastLoaded.SetUpstreams(now, ups)
 	b.allocation = allocation{}
 }
 
--- a/route/loadinterpretation_test.go
+++ b/route/loadinterpretation_test.go
@@ -52,8 +52,8 @@
 	}
 	for i := range entries {
 		b := newBalancer()
-		b.(Placed).SetPlace(Place{Entry: fmt.Sprint("entry-", i), FailureDomain: "hall-a", Seed: seed*1000 + uint64(i)})
-		b.Update(testStart, list)
+		b.(EntryInfoSetter).SetEntryInfo(EntryInfo{ID: fmt.Sprint("entry-", i), FailureDomain: "hall-a", Seed: seed*1000 + uint64(i)})
+		b.SetUpstreams(testStart, list)
 		c.entries = append(c.entries, b)
 	}
 	return c
@@ -91,7 +91,7 @@
 		c.seq++
 		l := testLoad(c.seq, c.running[i])
 		l.Slots = simSlots
-		c.entries[e].(Answered).Answered(now, choice.Upstream, l, 100*time.Millisecond)
+		c.entries[e].(ResponseStartObserver).ResponseStarted(now, choice.Upstream, l, 100*time.Millisecond)
 		run := time.Duration(c.rnd.ExpFloat64() * float64(simRunTime))
 		c.pending = append(c.pending, simulatedRequest{now.Add(run), e, choice.Upstream})
 	}
@@ -120,7 +120,7 @@
 		v.Loads = append(v.Loads, SurveyedLoad{ID: fmt.Sprintf("up-%d", i), Requests: n})
 	}
 	for i, b := range c.entries {
-		if s, ok := b.(Surveyed); ok {
+		if s, ok := b.(SurveyReceiver); ok {
 			own := withAge(v, simSurveyDelay)
 			own.Index = i
 			s.Survey(now.Add(simSurveyDelay), own)
@@ -189,8 +189,8 @@
 // slow, and its share again afterwards. If most ranks are slow, none is left out.
 func TestSlowRankGetsNoRequests(t *testing.T) {
 	b := &LoadInterpretation{LeastLoaded: LeastLoaded{pool: newPool(), choices: defaultChoices}}
-	b.SetPlace(Place{Entry: "entry-1", Seed: 1})
-	b.Update(testStart, testUpstreams(6))
+	b.SetEntryInfo(EntryInfo{ID: "entry-1", Seed: 1})
+	b.SetUpstreams(testStart, testUpstreams(6))
 	now, seq := testStart, uint64(10)
 	picks := func(slow func(i int) bool) (n [6]int) {
 		for range 600 {
@@ -219,13 +219,13 @@
 // After the last survey has expired, requests are routed by loads in responses.
 func TestExpiredSurveyIsIgnored(t *testing.T) {
 	b := &LoadInterpretation{LeastLoaded: LeastLoaded{pool: newPool(), choices: defaultChoices}}
-	b.SetPlace(Place{Entry: "entry-1", Seed: 1})
+	b.SetEntryInfo(EntryInfo{ID: "entry-1", Seed: 1})
 	ups := testUpstreams(2)
-	b.Update(testStart, ups)
+	b.SetUpstreams(testStart, ups)
 	b.Survey(testStart, &Survey{Entries: 1, Seq: 5, Loads: []SurveyedLoad{{ID: "up-0", Requests: 0}, {ID: "up-1", Requests: 7}}})
 	later := testStart.Add(surveyMaxAge + time.Millisecond)
 	for i := range ups {
-		b.Answered(later, ups[i], testLoad(uint64(10+i), []int{8, 1}[i]), time.Millisecond)
+		b.ResponseStarted(later, ups[i], testLoad(uint64(10+i), []int{8, 1}[i]), time.Millisecond)
 	}
 	for range 5 {
 		c, ok := b.Pick(later, &Request{})
@@ -254,8 +254,8 @@
 // probe succeeds, also if surveys arrive all the time.
 func TestEjectedRankIsProbedDespiteSurveys(t *testing.T) {
 	b := &LoadInterpretation{LeastLoaded: LeastLoaded{pool: newPool(), choices: defaultChoices}}
-	b.SetPlace(Place{Entry: "entry-1", Seed: 1})
-	b.Update(testStart, testUpstreams(4))
+	b.SetEntryInfo(EntryInfo{ID: "entry-1", Seed: 1})
+	b.SetUpstreams(testStart, testUpstreams(4))
 	const faulty = "up-2"
 	now, seq, failures, after := testStart, uint64(10), 0, 0
 	for range 1000 {
--- a/route/pool.go
+++ b/route/pool.go
@@ -30,7 +30,7 @@
 // pool holds the state that the balancers have in common: the candidates with their
 // estimated load and health.
 type pool struct {
-	entry      Place
+	entry      EntryInfo
 	rnd        *rand.Rand
 	candidates []*candidate
 	byID       map[string]*candidate
@@ -58,8 +58,8 @@
 	return pool{byID: map[string]*candidate{}, rnd: rand.New(rand.NewPCG(1, 1)), freeBits: ^uint64(0)}
 }
 
-// SetPlace implements Placed.
-func (p *pool) SetPlace(entry Place) {
+// SetEntryInfo implements Placed.
+func (p *pool) SetEntryInfo(entry EntryInfo) {
 	p.entry = entry
 	p.rnd = rand.New(rand.NewPCG(entry.Seed, 2))
 }
@@ -67,7 +67,7 @@
 // setUpstreams replaces the candidates. It returns the mask of the bits of upstreams
 // that are gone or have restarted.
 func (p *pool) setUpstreams(now time.Time, ups []Upstream) (released uint64) {
-	ups = Subset(p.entry.Entry, ups, MaxCandidates)
+	ups = Subset(p.entry.ID, ups, MaxCandidates)
 	old := p.byID
 	p.byID = make(map[string]*candidate, len(ups))
 	p.candidates = p.candidates[:0]
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -12,33 +12,33 @@
 	kernel.Register(kernel.Module{
 		ID:  "route.prefix",
 		Doc: "the longest cached prefix of the prompt, traded against load",
-		New: func() any { return NewPrefix(DefaultPrefixSettings()) },
+		New: func() any { return NewPrefixAffinity(DefaultPrefixSettings()) },
 	})
 }
 
 // PrefixSettings are the settings of Prefix.
 type PrefixSettings struct {
-	// Choices is the number of random upstreams that are compared besides those that
+	// RandomChoices is the number of random upstreams that are compared besides those that
 	// hold a prefix.
-	Choices int
+	RandomChoices int
 	// MaxHolders is the maximum number of upstreams with the longest cached prefixes
 	// that are compared.
 	MaxHolders int
 	// MaxBlocks is the maximum number of blocks in the prefix index.
 	MaxBlocks int
-	// Worth is the additional utilization, as a share of its slots, that is accepted of
+	// PrefixBonus is the additional utilization, as a share of its slots, that is accepted of
 	// an upstream that holds the whole prompt.
-	Worth float64
+	PrefixBonus float64
 }
 
 // DefaultPrefixSettings returns the settings of the plug-in "prefix".
 func DefaultPrefixSettings() PrefixSettings {
-	return PrefixSettings{Choices: defaultChoices, MaxHolders: 4, MaxBlocks: 1 << 17, Worth: 0.5}
+	return PrefixSettings{RandomChoices: defaultChoices, MaxHolders: 4, MaxBlocks: 1 << 17, PrefixBonus: 0.5}
 }
 
-// Prefix is a balancer with prefix-cache affinity: it prefers upstreams that hold a long
+// PrefixAffinity is a balancer with prefix-cache affinity: it prefers upstreams that hold a long
 // prefix of the prompt in their cache, unless they are too heavily loaded.
-type Prefix struct {
+type PrefixAffinity struct {
 	pool
 	settings PrefixSettings
 	index    prefixIndex
@@ -53,13 +53,13 @@
 	holders []*candidate
 }
 
-// NewPrefix creates a Prefix balancer.
-func NewPrefix(s PrefixSettings) *Prefix {
-	return &Prefix{pool: newPool(), settings: s, index: newPrefixIndex(s.MaxBlocks)}
+// NewPrefixAffinity creates a Prefix balancer.
+func NewPrefixAffinity(s PrefixSettings) *PrefixAffinity {
+	return &PrefixAffinity{pool: newPool(), settings: s, index: newPrefixIndex(s.MaxBlocks)}
 }
 
-// Update implements Balancer.
-func (b *Prefix) Update(now time.Time, ups []Upstream) {
+// SetUpstreams implements Balancer.
+func (b *PrefixAffinity) SetUpstreams(now time.Time, ups []Upstream) {
 	if released := b.setUpstreams(now, ups); released != 0 {
 		b.index.removeUpstreams(released)
 		for m := released; m != 0; m &= m - 1 {
@@ -72,13 +72,13 @@
 	}
 }
 
-// Report implements Balancer.
-func (b *Prefix) Report(now time.Time, id string, incarnation uint64, l *wire.Load) {
+// ApplyLoadReport implements Balancer.
+func (b *PrefixAffinity) ApplyLoadReport(now time.Time, id string, incarnation uint64, l *wire.Load) {
 	b.applyReport(now, id, incarnation, l)
 }
 
-// Cache implements Balancer.
-func (b *Prefix) Cache(_ time.Time, id string, incarnation uint64, events []*wire.CacheEvent) {
+// ApplyCacheEvents implements Balancer.
+func (b *PrefixAffinity) ApplyCacheEvents(_ time.Time, id string, incarnation uint64, events []*wire.CacheEvent) {
 	s := b.byID[id]
 	if s == nil || s.Incarnation != incarnation {
 		return
@@ -106,9 +106,9 @@
 }
 
 // Pick implements Balancer.
-func (b *Prefix) Pick(now time.Time, r *Request) (Choice, bool) {
+func (b *PrefixAffinity) Pick(now time.Time, r *Request) (Choice, bool) {
 	holders := b.matchPrefix(r.Prefix)
-	list := b.sample(now, r, b.settings.Choices)
+	list := b.sample(now, r, b.settings.RandomChoices)
 	mean := meanLoadPerSlot(list)
 	c := selection{queueInPlace: mean >= queueInPlaceLoad && haveShortRuns(list)}
 	for _, s := range list {
@@ -130,7 +130,7 @@
 
 // matchPrefix returns the mask of the upstreams that hold at least the first block, and
 // sets depths for them.
-func (b *Prefix) matchPrefix(blocks []uint64) (holders uint64) {
+func (b *PrefixAffinity) matchPrefix(blocks []uint64) (holders uint64) {
 	mask := ^uint64(0)
 	for i, block := range blocks {
 		next := mask & b.index.holders(block)
@@ -150,7 +150,7 @@
 	return holders
 }
 
-func (b *Prefix) setDepth(mask uint64, depth int) {
+func (b *PrefixAffinity) setDepth(mask uint64, depth int) {
 	for ; mask != 0; mask &= mask - 1 {
 		b.depths[bits.TrailingZeros64(mask)] = depth
 	}
@@ -158,7 +158,7 @@
 
 // longestHolders returns the usable upstreams with the longest cached prefixes, at most
 // MaxHolders. The slice is valid until the next call.
-func (b *Prefix) longestHolders(now time.Time, r *Request, holders uint64) []*candidate {
+func (b *PrefixAffinity) longestHolders(now time.Time, r *Request, holders uint64) []*candidate {
 	b.holders = b.holders[:0]
 	for m := holders; m != 0; m &= m - 1 {
 		s := b.byBit[bits.TrailingZeros64(m)]
@@ -170,7 +170,7 @@
 	return b.holders
 }
 
-func (b *Prefix) addHolder(s *candidate) {
+func (b *PrefixAffinity) addHolder(s *candidate) {
 	if len(b.holders) < b.settings.MaxHolders {
 		b.holders = append(b.holders, s)
 		return
@@ -188,14 +188,14 @@
 
 // prefixBonus returns the additional utilization that is accepted of an upstream for
 // the part of the prompt that it holds.
-func (b *Prefix) prefixBonus(r *Request, s *candidate, holders uint64) float64 {
+func (b *PrefixAffinity) prefixBonus(r *Request, s *candidate, holders uint64) float64 {
 	if holders&(1<<s.bit) == 0 {
 		return 0
 	}
-	return b.settings.Worth * float64(b.depths[s.bit]) / float64(len(r.Prefix))
+	return b.settings.PrefixBonus * float64(b.depths[s.bit]) / float64(len(r.Prefix))
 }
 
 // Done implements Balancer.
-func (b *Prefix) Done(now time.Time, up Upstream, r *Request, res Result) {
+func (b *PrefixAffinity) Done(now time.Time, up Upstream, r *Request, res Result) {
 	b.finishAttempt(now, up, r, res)
 }
--- a/route/prefix_test.go
+++ b/route/prefix_test.go
@@ -11,12 +11,12 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-func newTestPrefix(n int) *Prefix {
-	b := NewPrefix(DefaultPrefixSettings())
-	b.SetPlace(Place{Entry: "entry-1", FailureDomain: "none", Seed: 1})
-	b.Update(testStart, testUpstreams(n))
+func newTestPrefix(n int) *PrefixAffinity {
+	b := NewPrefixAffinity(DefaultPrefixSettings())
+	b.SetEntryInfo(EntryInfo{ID: "entry-1", FailureDomain: "none", Seed: 1})
+	b.SetUpstreams(testStart, testUpstreams(n))
 	for _, u := range testUpstreams(n) {
-		b.Report(testStart, u.ID, 1, testLoad(1, 2))
+		b.ApplyLoadReport(testStart, u.ID, 1, testLoad(1, 2))
 	}
 	return b
 }
@@ -26,7 +26,7 @@
 }
 
 // pickAndEnd picks an upstream and ends the attempt at once, leaving the load unchanged.
-func pickAndEnd(t *testing.T, b *Prefix, blocks ...uint64) string {
+func pickAndEnd(t *testing.T, b *PrefixAffinity, blocks ...uint64) string {
 	t.Helper()
 	r := &Request{Prefix: blocks}
 	c, ok := b.Pick(testStart, r)
@@ -37,16 +37,16 @@
 
 func TestLongestCachedPrefixWins(t *testing.T) {
 	b := newTestPrefix(8)
-	b.Cache(testStart, "up-3", 1, cacheEvents(1, 1, 2))
-	b.Cache(testStart, "up-5", 1, cacheEvents(1, 1, 2, 3))
+	b.ApplyCacheEvents(testStart, "up-3", 1, cacheEvents(1, 1, 2))
+	b.ApplyCacheEvents(testStart, "up-5", 1, cacheEvents(1, 1, 2, 3))
 	assert.Equal(t, pickAndEnd(t, b, 1, 2, 3, 4), "up-5")
 }
 
 // A cached prefix must not attract a request to an upstream with a long queue.
 func TestQueueOutweighsCachedPrefix(t *testing.T) {
 	b := newTestPrefix(8)
-	b.Cache(testStart, "up-3", 1, cacheEvents(1, 1, 2))
-	b.Report(testStart, "up-3", 1, testLoad(2, 30))
+	b.ApplyCacheEvents(testStart, "up-3", 1, cacheEvents(1, 1, 2))
+	b.ApplyLoadReport(testStart, "up-3", 1, testLoad(2, 30))
 	assert.Assert(t, pickAndEnd(t, b, 1, 2) != "up-3")
 }
 
@@ -64,9 +64,9 @@
 // events may have removed any of them. Later events and other upstreams are unaffected.
 func TestCacheEventGapDropsBlocksOfUpstream(t *testing.T) {
 	b := newTestPrefix(8)
-	b.Cache(testStart, "up-3", 1, cacheEvents(1, 1, 2))
-	b.Cache(testStart, "up-4", 1, cacheEvents(1, 5))
-	b.Cache(testStart, "up-3", 1, cacheEvents(3, 9))
+	b.ApplyCacheEvents(testStart, "up-3", 1, cacheEvents(1, 1, 2))
+	b.ApplyCacheEvents(testStart, "up-4", 1, cacheEvents(1, 5))
+	b.ApplyCacheEvents(testStart, "up-3", 1, cacheEvents(3, 9))
 	up3, up4 := uint64(1)<<b.byID["up-3"].bit, uint64(1)<<b.byID["up-4"].bit
 	assert.Equal(t, b.index.holders(1)&up3, uint64(0))
 	assert.Equal(t, b.index.holders(9)&up3, up3)
@@ -78,25 +78,25 @@
 // A removed block must not come back by a duplicate or late cache event.
 func TestStaleCacheEventsAreIgnored(t *testing.T) {
 	b := newTestPrefix(2)
-	b.Cache(testStart, "up-0", 1, cacheEvents(1, 1))
-	b.Cache(testStart, "up-0", 1, []*wire.CacheEvent{{Seq: 2, Removed: []uint64{1}}})
-	b.Cache(testStart, "up-0", 1, cacheEvents(1, 1))
-	b.Cache(testStart, "up-0", 7, cacheEvents(3, 1))
+	b.ApplyCacheEvents(testStart, "up-0", 1, cacheEvents(1, 1))
+	b.ApplyCacheEvents(testStart, "up-0", 1, []*wire.CacheEvent{{Seq: 2, Removed: []uint64{1}}})
+	b.ApplyCacheEvents(testStart, "up-0", 1, cacheEvents(1, 1))
+	b.ApplyCacheEvents(testStart, "up-0", 7, cacheEvents(3, 1))
 	assert.Equal(t, b.index.holders(1), uint64(0))
 }
 
 // An engine that restarts or reports a cleared cache no longer holds earlier blocks.
 func TestRestartAndClearDropBlocks(t *testing.T) {
 	b := newTestPrefix(2)
-	b.Cache(testStart, "up-0", 1, cacheEvents(1, 1))
-	b.Cache(testStart, "up-1", 1, cacheEvents(1, 1))
+	b.ApplyCacheEvents(testStart, "up-0", 1, cacheEvents(1, 1))
+	b.ApplyCacheEvents(testStart, "up-1", 1, cacheEvents(1, 1))
 	ups := testUpstreams(2)
 	ups[0].Incarnation = 2
-	b.Update(testStart, ups)
+	b.SetUpstreams(testStart, ups)
 	assert.Equal(t, b.index.holders(1), uint64(1)<<b.byID["up-1"].bit)
-	b.Cache(testStart, "up-0", 2, cacheEvents(1, 4))
+	b.ApplyCacheEvents(testStart, "up-0", 2, cacheEvents(1, 4))
 	assert.Assert(t, b.index.holders(4) != 0)
-	b.Cache(testStart, "up-1", 1, []*wire.CacheEvent{{Seq: 2, Cleared: true, Added: []uint64{6}}})
+	b.ApplyCacheEvents(testStart, "up-1", 1, []*wire.CacheEvent{{Seq: 2, Cleared: true, Added: []uint64{6}}})
 	assert.Equal(t, b.index.holders(1), uint64(0))
 	assert.Equal(t, b.index.holders(6), uint64(1)<<b.byID["up-1"].bit)
 }
@@ -175,12 +175,12 @@
 }
 
 func TestPrefixHashesAreChained(t *testing.T) {
-	common := strings.Repeat("a", 2*PrefixBlock)
-	x := PrefixHashes("m", common+strings.Repeat("b", PrefixBlock))
-	y := PrefixHashes("m", common+strings.Repeat("c", PrefixBlock+1))
+	common := strings.Repeat("a", 2*PrefixBlockBytes)
+	x := PrefixHashes("m", common+strings.Repeat("b", PrefixBlockBytes))
+	y := PrefixHashes("m", common+strings.Repeat("c", PrefixBlockBytes+1))
 	assert.Equal(t, len(x), 3)
 	assert.DeepEqual(t, x[:2], y[:2])
 	assert.Assert(t, x[2] != y[2])
 	assert.Assert(t, PrefixHashes("other", common)[0] != x[0])
-	assert.Equal(t, len(PrefixHashes("m", strings.Repeat("a", 100*PrefixBlock))), MaxPrefix)
+	assert.Equal(t, len(PrefixHashes("m", strings.Repeat("a", 100*PrefixBlockBytes))), MaxPrefixBlocks)
 }
--- a/route/prefixhash.go
+++ b/route/prefixhash.go
@@ -3,10 +3,10 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// PrefixBlock is the length in bytes of the blocks in which prompts are hashed.
-	PrefixBlock = 256
-	// MaxPrefix is the maximum number of blocks hashed per prompt.
-	MaxPrefix = 64
+	// PrefixBlockBytes is the length in bytes of the blocks in which prompts are hashed.
+	PrefixBlockBytes = 256
+	// MaxPrefixBlocks is the maximum number of blocks hashed per prompt.
+	MaxPrefixBlocks = 64
 )
 
 // PrefixHashes returns the chained hashes of a prompt's complete blocks, shortest
@@ -19,13 +19,13 @@
 	d.Reset()
 	_, _ = d.WriteString(model)
 	_, _ = d.WriteString("\x00")
-	blocks := min(len(prompt)/PrefixBlock, MaxPrefix)
+	blocks := min(len(prompt)/PrefixBlockBytes, MaxPrefixBlocks)
 	if blocks == 0 {
 		return nil
 	}
 	list := make([]uint64, blocks)
 	for i := range list {
-		_, _ = d.WriteString(prompt[i*PrefixBlock : (i+1)*PrefixBlock])
+		_, _ = d.WriteString(prompt[i*PrefixBlockBytes : (i+1)*PrefixBlockBytes])
 		list[i] = d.Sum64()
 	}
 	return list
--- a/route/roundrobin.go
+++ b/route/roundrobin.go
@@ -21,14 +21,14 @@
 	next int
 }
 
-// Update implements Balancer.
-func (b *RoundRobin) Update(_ time.Time, ups []Upstream) { b.ups = ups }
+// SetUpstreams implements Balancer.
+func (b *RoundRobin) SetUpstreams(_ time.Time, ups []Upstream) { b.ups = ups }
 
-// Report implements Balancer.
-func (b *RoundRobin) Report(time.Time, string, uint64, *wire.Load) {}
+// ApplyLoadReport implements Balancer.
+func (b *RoundRobin) ApplyLoadReport(time.Time, string, uint64, *wire.Load) {}
 
-// Cache implements Balancer.
-func (b *RoundRobin) Cache(time.Time, string, uint64, []*wire.CacheEvent) {}
+// ApplyCacheEvents implements Balancer.
+func (b *RoundRobin) ApplyCacheEvents(time.Time, string, uint64, []*wire.CacheEvent) {}
 
 // Done implements Balancer.
 func (b *RoundRobin) Done(time.Time, Upstream, *Request, Result) {}
--- a/route/route.go
+++ b/route/route.go
@@ -60,12 +60,12 @@
 // Balancer selects among the upstreams of one pool on behalf of one entry. It starts
 // no goroutines and reads no clock. It is not safe for concurrent use.
 type Balancer interface {
-	// Update replaces the candidates with the upstreams that are up.
-	Update(now time.Time, ups []Upstream)
-	// Report applies a load report. Reports of another incarnation are ignored.
-	Report(now time.Time, id string, incarnation uint64, l *wire.Load)
-	// Cache applies cache events. Events of another incarnation are ignored.
-	Cache(now time.Time, id string, incarnation uint64, events []*wire.CacheEvent)
+	// SetUpstreams replaces the candidates with the upstreams that are up.
+	SetUpstreams(now time.Time, ups []Upstream)
+	// ApplyLoadReport applies a load report. Reports of another incarnation are ignored.
+	ApplyLoadReport(now time.Time, id string, incarnation uint64, l *wire.Load)
+	// ApplyCacheEvents applies cache events. Events of another incarnation are ignored.
+	ApplyCacheEvents(now time.Time, id string, incarnation uint64, events []*wire.CacheEvent)
 	// Pick selects an upstream, or returns false if there is none. The attempt counts
 	// as in flight until Done.
 	Pick(now time.Time, r *Request) (Choice, bool)
@@ -73,20 +73,20 @@
 	Done(now time.Time, up Upstream, r *Request, res Result)
 }
 
-// Place describes the entry that a balancer works for.
-type Place struct {
-	// Entry is the entry's ID.
-	Entry         string
+// EntryInfo describes the entry that a balancer works for.
+type EntryInfo struct {
+	// ID is the entry's ID.
+	ID            string
 	FailureDomain string
 	// Seed seeds the balancer's random choices; it differs between entries.
 	Seed uint64
 }
 
-// Placed is implemented by balancers that depend on the entry they work for.
-type Placed interface{ SetPlace(Place) }
+// EntryInfoSetter is implemented by balancers that depend on the entry they work for.
+type EntryInfoSetter interface{ SetEntryInfo(EntryInfo) }
 
 // New creates the balancer of the given name for an entry.
-func New(name string, place Place) (Balancer, error) {
+func New(name string, place EntryInfo) (Balancer, error) {
 	v, err := kernel.Load("route."+name, nil)
 	if err != nil {
 		return nil, err
@@ -95,17 +95,17 @@
 	if !ok {
 		return nil, merry.Prependf(ErrNotBalancer, "%q", name)
 	}
-	if p, ok := v.(Placed); ok {
-		p.SetPlace(place)
+	if p, ok := v.(EntryInfoSetter); ok {
+		p.SetEntryInfo(place)
 	}
 	return b, nil
 }
 
-// Answered is implemented by balancers that also use response heads. The head of a
+// ResponseStartObserver is implemented by balancers that also use response heads. The head of a
 // streamed response shows that the upstream is alive, and its load, seconds before
 // Done does.
-type Answered interface {
-	// Answered reports that the response head arrived, with its load, the given time
+type ResponseStartObserver interface {
+	// ResponseStarted reports that the response head arrived, with its load, the given time
 	// after the request was sent.
-	Answered(now time.Time, up Upstream, l *wire.Load, after time.Duration)
+	ResponseStarted(now time.Time, up Upstream, l *wire.Load, after time.Duration)
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -27,8 +27,8 @@
 
 func newLeastLoaded(n int) *LeastLoaded {
 	b := &LeastLoaded{pool: newPool(), choices: defaultChoices}
-	b.SetPlace(Place{Entry: "entry-1", FailureDomain: "hall-a", Seed: 1})
-	b.Update(testStart, testUpstreams(n))
+	b.SetEntryInfo(EntryInfo{ID: "entry-1", FailureDomain: "hall-a", Seed: 1})
+	b.SetUpstreams(testStart, testUpstreams(n))
 	return b
 }
 
@@ -46,10 +46,10 @@
 // must be ignored: they would make a busy upstream seem idle.
 func TestStaleLoadReportsAreIgnored(t *testing.T) {
 	b := newLeastLoaded(2)
-	b.Report(testStart, "up-0", 1, testLoad(5, 7))
-	b.Report(testStart, "up-0", 1, testLoad(4, 0))
-	b.Report(testStart, "up-0", 2, testLoad(9, 0))
-	b.Report(testStart, "up-9", 1, testLoad(9, 0))
+	b.ApplyLoadReport(testStart, "up-0", 1, testLoad(5, 7))
+	b.ApplyLoadReport(testStart, "up-0", 1, testLoad(4, 0))
+	b.ApplyLoadReport(testStart, "up-0", 2, testLoad(9, 0))
+	b.ApplyLoadReport(testStart, "up-9", 1, testLoad(9, 0))
 	assert.Equal(t, b.byID["up-0"].requests(), 7)
 }
 
@@ -61,7 +61,7 @@
 	for i := range 32 {
 		now := afterStart(time.Duration(i) * 10 * time.Millisecond)
 		for u := range 4 {
-			b.Report(now, fmt.Sprintf("up-%d", u), 1, testLoad(uint64(i+1), 0))
+			b.ApplyLoadReport(now, fmt.Sprintf("up-%d", u), 1, testLoad(uint64(i+1), 0))
 		}
 		c, ok := b.Pick(now, &Request{})
 		assert.Assert(t, ok)
@@ -94,11 +94,11 @@
 func TestOwnFailureDomainBreaksTies(t *testing.T) {
 	b := newLeastLoaded(3)
 	for i, requests := range []int{3, 3, 3} {
-		b.Report(testStart, fmt.Sprintf("up-%d", i), 1, testLoad(1, requests))
+		b.ApplyLoadReport(testStart, fmt.Sprintf("up-%d", i), 1, testLoad(1, requests))
 	}
 	c, _ := b.Pick(testStart, &Request{})
 	assert.Equal(t, c.FailureDomain, "hall-a")
-	b.Report(testStart, "up-0", 1, testLoad(2, 5))
+	b.ApplyLoadReport(testStart, "up-0", 1, testLoad(2, 5))
 	c, _ = b.Pick(testStart, &Request{})
 	assert.Assert(t, c.FailureDomain != "hall-a")
 }
@@ -108,12 +108,12 @@
 func TestSlowStartAfterRestart(t *testing.T) {
 	b := newLeastLoaded(4)
 	for i := range 4 {
-		b.Report(testStart, fmt.Sprintf("up-%d", i), 1, testLoad(1, 4))
+		b.ApplyLoadReport(testStart, fmt.Sprintf("up-%d", i), 1, testLoad(1, 4))
 	}
 	ups := testUpstreams(4)
 	ups[1].Incarnation = 2
-	b.Update(testStart, ups)
-	b.Report(testStart, "up-1", 2, testLoad(1, 0))
+	b.SetUpstreams(testStart, ups)
+	b.ApplyLoadReport(testStart, "up-1", 2, testLoad(1, 0))
 	picked := func(now time.Time) int {
 		n := 0
 		for range 12 {
@@ -131,8 +131,8 @@
 // start; one that appears much later does.
 func TestNoSlowStartDuringEntryStartup(t *testing.T) {
 	b := newLeastLoaded(1)
-	b.Update(afterStart(time.Second), testUpstreams(2))
-	b.Update(afterStart(time.Minute), testUpstreams(3))
+	b.SetUpstreams(afterStart(time.Second), testUpstreams(2))
+	b.SetUpstreams(afterStart(time.Minute), testUpstreams(3))
 	assert.Equal(t, b.byID["up-1"].slowStartShare(afterStart(time.Minute)), 1.0)
 	assert.Equal(t, b.byID["up-2"].slowStartShare(afterStart(time.Minute)), slowStartInitialShare)
 }
@@ -173,7 +173,7 @@
 		}
 	}
 	assert.Equal(t, b.ejectedCount, 4)
-	b.Update(testStart, testUpstreams(4))
+	b.SetUpstreams(testStart, testUpstreams(4))
 	assert.Equal(t, b.ejectedCount, 2)
 }
 
@@ -202,7 +202,7 @@
 	got := 0
 	for i := range 400 {
 		now := afterStart(time.Duration(i) * 50 * time.Millisecond)
-		b.Report(now, "up-1", 1, testLoad(uint64(i+1), 0))
+		b.ApplyLoadReport(now, "up-1", 1, testLoad(uint64(i+1), 0))
 		c, _ := b.Pick(now, &Request{})
 		if c.ID == "up-1" {
 			got++
@@ -288,7 +288,7 @@
 		var b Balancer
 		var p *pool
 		if prefix {
-			x := NewPrefix(PrefixSettings{Choices: 3, MaxHolders: 2, MaxBlocks: 16, Worth: 1})
+			x := NewPrefixAffinity(PrefixSettings{RandomChoices: 3, MaxHolders: 2, MaxBlocks: 16, PrefixBonus: 1})
 			b, p = x, &x.pool
 		} else {
 			x := &LeastLoaded{pool: newPool(), choices: 3}
@@ -296,7 +296,7 @@
 		}
 		now := testStart
 		ups := testUpstreams(rapid.IntRange(0, 8).Draw(t, "upstreams"))
-		b.Update(now, ups)
+		b.SetUpstreams(now, ups)
 		type attempt struct {
 			up Upstream
 			r  *Request
@@ -333,8 +333,8 @@
 				b.Done(now, a.up, a.r, res)
 			case 4:
 				id := fmt.Sprintf("up-%d", rapid.IntRange(0, 8).Draw(t, "id"))
-				b.Report(now, id, 1, testLoad(rapid.Uint64Range(0, 50).Draw(t, "seq"), rapid.IntRange(0, 20).Draw(t, "load")))
-				b.Cache(now, id, 1, []*wire.CacheEvent{{
+				b.ApplyLoadReport(now, id, 1, testLoad(rapid.Uint64Range(0, 50).Draw(t, "seq"), rapid.IntRange(0, 20).Draw(t, "load")))
+				b.ApplyCacheEvents(now, id, 1, []*wire.CacheEvent{{
 					Seq:   rapid.Uint64Range(1, 9).Draw(t, "event"),
 					Added: rapid.SliceOfN(rapid.Uint64Range(0, 9), 0, 4).Draw(t, "added"),
 				}})
@@ -343,7 +343,7 @@
 				if len(ups) > 0 {
 					ups[0].Incarnation = rapid.Uint64Range(1, 3).Draw(t, "incarnation")
 				}
-				b.Update(now, ups)
+				b.SetUpstreams(now, ups)
 			}
 			ejected := 0
 			for _, s := range p.candidates {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -138,7 +138,7 @@
 	r := &wire.Route{Split: []*wire.WeightedService{{Service: "a", Weight: 90}, {Service: "none"}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[routing.Choose(r, float64(i)/1000)]++
+		counts[routing.ChooseService(r, float64(i)/1000)]++
 	}
 	assert.DeepEqual(t, counts, map[string]int{"a": 900, "b": 100})
 }
@@ -153,10 +153,10 @@
 		{&wire.Route{Kind: wire.RouteKind_ROUTE_KIND_STREAMING}, false},
 		{&wire.Route{Kind: wire.RouteKind_ROUTE_KIND_STREAMING, Resume: true}, true},
 	} {
-		assert.Equal(t, routing.Repeatable(c.route), c.repeatable, "%v", c.route)
+		assert.Equal(t, routing.Retryable(c.route), c.repeatable, "%v", c.route)
 	}
-	assert.Equal(t, routing.Urgency(&wire.Route{Priority: 4}, nil), uint32(4))
-	assert.Equal(t, routing.Urgency(&wire.Route{Priority: 4}, &wire.KeyedTeam{HasPriority: true}), uint32(0))
+	assert.Equal(t, routing.RequestPriority(&wire.Route{Priority: 4}, nil), uint32(4))
+	assert.Equal(t, routing.RequestPriority(&wire.Route{Priority: 4}, &wire.KeyedTeam{HasPriority: true}), uint32(0))
 }
 
 // A packed configuration must decode to the original without its Source, be smaller, and
--- a/routing/table.go
+++ b/routing/table.go
@@ -85,9 +85,9 @@
 // NeedsKey reports whether requests on a route must carry an API key.
 func (t *Table) NeedsKey(r *wire.Route) bool { return len(t.Config.Teams) > 0 && !r.Anonymous }
 
-// Choose selects the service of a request by the weights of the route's split. draw is a
+// ChooseService selects the service of a request by the weights of the route's split. draw is a
 // uniformly distributed random number in [0, 1).
-func Choose(r *wire.Route, draw float64) string {
+func ChooseService(r *wire.Route, draw float64) string {
 	total := uint64(0)
 	for _, s := range r.Split {
 		total += uint64(s.Weight)
@@ -102,14 +102,14 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Repeatable reports whether requests on a route may be executed more than once.
-func Repeatable(r *wire.Route) bool {
+// Retryable reports whether requests on a route may be executed more than once.
+func Retryable(r *wire.Route) bool {
 	return r.Kind == wire.RouteKind_ROUTE_KIND_SAFE || r.Kind == wire.RouteKind_ROUTE_KIND_STREAMING && r.Resume
 }
 
-// Urgency returns the priority of a request: that of its team if it has one, otherwise
+// RequestPriority returns the priority of a request: that of its team if it has one, otherwise
 // that of its route. 0 is the highest priority.
-func Urgency(r *wire.Route, team *wire.KeyedTeam) uint32 {
+func RequestPriority(r *wire.Route, team *wire.KeyedTeam) uint32 {
 	if team.GetHasPriority() {
 		return team.Priority
 	}
