--- a/control/groupplan.go
+++ b/control/groupplan.go
@@ -116,7 +116,7 @@
 // been paused or pinned or has lost its row.
 func (d *groupDriver) applyDecision(planner string, current *wire.GroupMap, decision placement.Decision) {
 	d.lastDecision = &wire.MapReason{
-		By: "planner " + planner, Why: decision.Why, Moves: uint32(len(decision.Moves)),
+		By: "planner " + planner, Why: decision.Reason, Moves: uint32(len(decision.Moves)),
 		SkewBefore: decision.SkewBefore, SkewAfter: decision.SkewAfter, Gain: decision.Gain, Price: decision.Price,
 		AtMs: d.clock().UnixMilli(),
 	}
--- a/control/groups_test.go
+++ b/control/groups_test.go
@@ -49,11 +49,11 @@
 
 func (p *rotatingPlanner) Plan(_ time.Time, m *placement.Map) placement.Decision {
 	if p.windows == 0 {
-		return placement.Decision{Why: "no counters yet"}
+		return placement.Decision{Reason: "no counters yet"}
 	}
 	slots := p.shape.Slots
 	next := &placement.Map{Slots: append(slices.Clone(m.Slots[slots:]), m.Slots[:slots]...)}
-	return placement.Decision{Next: next, Why: fmt.Sprintf("rotated after %d windows%s", p.windows, p.slowRankReport)}
+	return placement.Decision{Next: next, Reason: fmt.Sprintf("rotated after %d windows%s", p.windows, p.slowRankReport)}
 }
 
 // groupCluster runs a cluster of control replicas and a fake group with an agent for each
--- a/control/lockstepcalls.go
+++ b/control/lockstepcalls.go
@@ -37,7 +37,7 @@
 // relayPart returns the part of the group, served by one relay, in which a rank is called
 // now. It is noPart if the rank is called on its own, e.g. while its sidecar doesn't answer.
 func (g *lockstepGroup) relayPart(now time.Time, rank int) int {
-	part, ok := g.relays.Part(rank)
+	part, ok := g.relays.PartOf(rank)
 	if !ok || g.settings.SidecarPort == 0 || !now.After(g.links[rank].sidecarRetryAt) {
 		return noPart
 	}
@@ -50,14 +50,14 @@
 	if part == noPart || len(ranks) < 2 {
 		return 0, false
 	}
-	return g.relays.Via(now, part)
+	return g.relays.RelayFor(now, part)
 }
 
 // markRelayFailed records that a sidecar did not answer as a relay.
 func (g *lockstepGroup) markRelayFailed(via int, err error) {
 	kernel.Info(g.log, "Relay doesn't answer.", "group", g.name, "rank", via, "upstream", g.links[via].instance, "err", err)
 	g.metrics.Count("lockstep.relays.failed")
-	g.relays.Failed(g.clock(), via)
+	g.relays.MarkFailed(g.clock(), via)
 }
 
 // sidecarAddress returns the address of a rank's sidecar; empty if there is none.
@@ -228,7 +228,7 @@
 	}
 	kernel.Debug(g.log, "Order answered.", "group", g.name, "rank", o.Rank, "order", o.Kind, "version", o.Version, "step", o.Step,
 		"expect", o.ExpectSequence, "status", reply.GetStatus(), "after", reply.GetAfter(), "err", err)
-	switcher.Replied(g.clock(), o.Rank, o.RankOrder, reply)
+	switcher.HandleReply(g.clock(), o.Rank, o.RankOrder, reply)
 }
 
 // callRank calls a rank through its sidecar, or directly if it has none or the sidecar
--- a/control/lockstepgroup.go
+++ b/control/lockstepgroup.go
@@ -26,8 +26,8 @@
 	links         []*rankLink
 	relays        *lockstep.Relays
 	switcher      *lockstep.Switcher
-	demand        *lockstep.Demand
-	replan        lockstep.Replan
+	demand        *lockstep.DemandEstimate
+	replan        lockstep.PlanSchedule
 	planning      bool
 	loggedPhase   lockstep.Phase
 	proposal      lockstep.Proposal
@@ -93,26 +93,26 @@
 	g.relays = lockstep.NewRelays(found.failureDomains())
 	cfg := lockstep.DefaultConfig(shape.Ranks, g.token, epoch)
 	if g.switcher != nil {
-		cfg.Used = g.switcher.Used()
+		cfg.LastVersion = g.switcher.LastVersion()
 	}
 	g.switcher = lockstep.New(cfg)
 	if g.demand == nil || len(g.links) != shape.Ranks {
 		// The estimate is kept when the group forms again: the demand is the callers'.
-		g.demand = lockstep.NewDemand(lockstep.DemandSettingsFor(g.readPeriod), shape)
+		g.demand = lockstep.NewDemandEstimate(lockstep.DemandSettingsFor(g.readPeriod), shape)
 	}
 	g.links = make([]*rankLink, shape.Ranks)
 	for i := range g.links {
 		g.links[i] = &rankLink{}
 	}
 	g.loggedPhase = lockstep.Idle
-	kernel.Info(g.log, "Group formed.", "group", g.name, "epoch", epoch, "ranks", shape.Ranks, "calls", g.relays.Calls(), "read_ms", g.readPeriod.Milliseconds(), "token", g.token)
+	kernel.Info(g.log, "Group formed.", "group", g.name, "epoch", epoch, "ranks", shape.Ranks, "calls", g.relays.CallCount(), "read_ms", g.readPeriod.Milliseconds(), "token", g.token)
 }
 
 // startPlanning looks for a better map in a goroutine of its own and begins the switch to
 // it.
 func (g *lockstepGroup) startPlanning(ctx context.Context, now time.Time) {
 	pace := g.rankPaces()
-	if g.planning || !g.canBeginSwitch(now) || !g.demand.Settled() || !g.replan.Due(now, g.demand.Shifts(), pace) {
+	if g.planning || !g.canBeginSwitch(now) || !g.demand.Stable() || !g.replan.StartIfDue(now, g.demand.Shifts(), pace) {
 		return
 	}
 	g.planning = true
@@ -124,7 +124,7 @@
 		defer g.mu.Unlock()
 		g.planning = false
 		if !ok {
-			g.replan.FoundNothing()
+			g.replan.MarkNoResult()
 		}
 		if !ok || ctx.Err() != nil || g.switcher != switcher || !g.canBeginSwitch(g.clock()) {
 			return
--- a/control/locksteplog.go
+++ b/control/locksteplog.go
@@ -27,7 +27,7 @@
 	skew, latest := 0.0, 0.0
 	if load := g.demand.Load(); load != nil {
 		skew = g.switcher.Current().Skew(load, g.rankPaces())
-		latest = g.switcher.Current().Skew(g.demand.Latest(), g.rankPaces())
+		latest = g.switcher.Current().Skew(g.demand.LatestShares(), g.rankPaces())
 	}
 	kernel.Info(g.log, "Group's state.", "group", g.name, "epoch", g.epoch, "pass", g.switcher.PassTime().Round(time.Millisecond), "skew", math.Round(100*skew)/100, "latest_skew", math.Round(100*latest)/100,
 		"running", running, "waiting", waiting, "busiest", busiest, "oldest_ms", oldest.Milliseconds(), "phase", g.switcher.Phase(), "windows", g.demand.Windows())
@@ -63,7 +63,7 @@
 	g.recordPhase(now, phase)
 	kv := []any{"group", g.name, "epoch", g.epoch, "version", g.switcher.Version(), "phase", phase, "after", now.Sub(g.switchBeganAt).Round(time.Millisecond)}
 	if phase == lockstep.Preparing {
-		kv = append(kv, "copies", g.proposal.Copies, "skew", g.proposal.Before, "skew_after", g.proposal.After, "windows", g.demand.Windows())
+		kv = append(kv, "copies", g.proposal.Copies, "skew", g.proposal.SkewBefore, "skew_after", g.proposal.SkewAfter, "windows", g.demand.Windows())
 	}
 	if phase == lockstep.Idle || phase == lockstep.Cleaning {
 		kv = append(kv, "outcome", g.switcher.Outcome())
--- a/control/lockstepranks.go
+++ b/control/lockstepranks.go
@@ -102,7 +102,7 @@
 func (g *lockstepGroup) dueRead(now time.Time, i int, link *rankLink) (key readBatchKey, ok bool) {
 	usual := g.readPeriod
 	period := usual
-	if g.switcher.Awaits(i) {
+	if g.switcher.AwaitsRank(i) {
 		period, key.copying = min(usual, switchReadPeriod), g.switcher.Phase() == lockstep.Preparing
 	}
 	if link.instance == "" || link.readInFlight || now.Sub(link.lastReadAt) < period {
@@ -176,7 +176,7 @@
 	g.updatePace(i, link, reading.Report.Pace)
 	link.running, link.waiting = reading.Report.Running, reading.Report.Waiting
 	link.stateAt = at.Add(-time.Duration(reading.Report.AgeMs) * time.Millisecond)
-	g.switcher.Heard(at, i, link.instance, reading.Report)
+	g.switcher.HandleReport(at, i, link.instance, reading.Report)
 	if req.AwaitPrepared != 0 && reading.Report.Prepared == req.AwaitPrepared {
 		g.requestTick()
 	}
@@ -188,7 +188,7 @@
 
 // updatePace records the pace of a rank, and logs when the rank becomes slow or recovers.
 func (g *lockstepGroup) updatePace(i int, link *rankLink, pace float64) {
-	if (pace < lockstep.SlowPace) != (link.pace < lockstep.SlowPace) {
+	if (pace < lockstep.StragglerSlowdown) != (link.pace < lockstep.StragglerSlowdown) {
 		kernel.Info(g.log, "Rank pace changed.", "group", g.name, "rank", i, "upstream", link.instance, "pace", pace, "before", link.pace)
 	}
 	link.pace = pace
@@ -254,14 +254,14 @@
 
 // rankPaces returns the pace of each rank, with 1 for those that aren't slow; nil if none
 // is slow.
-func (g *lockstepGroup) rankPaces() lockstep.Pace {
-	var pace lockstep.Pace
+func (g *lockstepGroup) rankPaces() lockstep.Slowdown {
+	var pace lockstep.Slowdown
 	for i, link := range g.links {
-		if link.pace < lockstep.SlowPace {
+		if link.pace < lockstep.StragglerSlowdown {
 			continue
 		}
 		if pace == nil {
-			pace = slices.Repeat(lockstep.Pace{1}, len(g.links))
+			pace = slices.Repeat(lockstep.Slowdown{1}, len(g.links))
 		}
 		pace[i] = link.pace
 	}
--- a/control/settings.go
+++ b/control/settings.go
@@ -77,7 +77,7 @@
 func (s *LockstepSettings) readPeriodFor(groups []int) time.Duration {
 	readings := 0
 	for _, ranks := range groups {
-		if calls, relayed := lockstep.CallsFor(ranks); relayed {
+		if calls, relayed := lockstep.EstimateCalls(ranks); relayed {
 			readings += readingsPerRelayCall * calls
 		} else {
 			readings += calls
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -97,7 +97,7 @@
 	for i, r := range ranks {
 		loads[i] = route.SurveyedLoad{
 			ID: r.Upstream, Requests: int(r.Running + r.Waiting),
-			Slow: paceOf(r) >= lockstep.SlowPace, Age: time.Duration(r.AgeMs) * time.Millisecond,
+			Slow: paceOf(r) >= lockstep.StragglerSlowdown, Age: time.Duration(r.AgeMs) * time.Millisecond,
 		}
 	}
 	return loads
--- a/lockstep/bench_test.go
+++ b/lockstep/bench_test.go
@@ -56,7 +56,7 @@
 		chosen[i] = uint32(i % 40)
 	}
 	data := PackChoices(chosen)
-	d := NewDemand(DefaultDemandSettings(), huge)
+	d := NewDemandEstimate(DefaultDemandSettings(), huge)
 	for b.Loop() {
 		got, err := UnpackChoices(data)
 		if err != nil {
--- a/lockstep/choices.go
+++ b/lockstep/choices.go
@@ -6,10 +6,10 @@
 // that hasn't noticed its replacement, and a new one.
 const maxReaders = 3
 
-// Choices turns the cumulative counters of one rank, how often its requests chose each expert,
+// ChoiceCounter turns the cumulative counters of one rank, how often its requests chose each expert,
 // into the increase since the last reading of each reader. It runs on the rank's host, so that
 // a relay that sums up many ranks needs no state. Choices is safe for concurrent use.
-type Choices struct {
+type ChoiceCounter struct {
 	mu      sync.Mutex
 	readers []readerCounts
 }
@@ -21,10 +21,10 @@
 	counts      []uint64
 }
 
-// Since returns the increase of each counter since the reader's last reading. It returns nil
+// Delta returns the increase of each counter since the reader's last reading. It returns nil
 // for the first reading of an incarnation of the rank, because the counters then cover the
 // whole time since its start, and if a counter has decreased.
-func (c *Choices) Since(reader, incarnation uint64, counts []uint64) []uint32 {
+func (c *ChoiceCounter) Delta(reader, incarnation uint64, counts []uint64) []uint32 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := c.takeLast(reader)
@@ -38,7 +38,7 @@
 
 // takeLast removes and returns a reader's last reading. If the reader is unknown it makes room
 // for it by dropping the oldest reading, and returns the zero value.
-func (c *Choices) takeLast(reader uint64) readerCounts {
+func (c *ChoiceCounter) takeLast(reader uint64) readerCounts {
 	for i, r := range c.readers {
 		if r.reader == reader {
 			c.readers = append(c.readers[:i], c.readers[i+1:]...)
--- a/lockstep/choices_test.go
+++ b/lockstep/choices_test.go
@@ -10,13 +10,13 @@
 // A replaced leader may keep reading for a moment. Each reader must get every increase exactly
 // once, whatever others read.
 func TestChoicesReportsEachIncreaseOncePerReader(t *testing.T) {
-	var c Choices
+	var c ChoiceCounter
 	counts := []uint64{100, 50}
 	read := func(reader uint64, more ...uint64) []uint32 {
 		for i, n := range more {
 			counts[i] += n
 		}
-		return c.Since(reader, 1, slices.Clone(counts))
+		return c.Delta(reader, 1, slices.Clone(counts))
 	}
 	assert.Assert(t, read(1) == nil, "the first reading counts since the start of the rank")
 	assert.Assert(t, read(2, 1, 0) == nil)
@@ -28,21 +28,21 @@
 // A restarted rank counts from zero, under a new incarnation or not; its counters must not be
 // taken for an increase.
 func TestChoicesAfterRankRestart(t *testing.T) {
-	var c Choices
-	c.Since(1, 7, []uint64{10, 10})
-	assert.Assert(t, c.Since(1, 8, []uint64{11, 11}) == nil)
-	assert.DeepEqual(t, c.Since(1, 8, []uint64{12, 11}), []uint32{1, 0})
-	assert.Assert(t, c.Since(1, 8, []uint64{3, 20}) == nil)
-	assert.DeepEqual(t, c.Since(1, 8, []uint64{4, 20}), []uint32{1, 0})
+	var c ChoiceCounter
+	c.Delta(1, 7, []uint64{10, 10})
+	assert.Assert(t, c.Delta(1, 8, []uint64{11, 11}) == nil)
+	assert.DeepEqual(t, c.Delta(1, 8, []uint64{12, 11}), []uint32{1, 0})
+	assert.Assert(t, c.Delta(1, 8, []uint64{3, 20}) == nil)
+	assert.DeepEqual(t, c.Delta(1, 8, []uint64{4, 20}), []uint32{1, 0})
 }
 
 func TestChoicesBoundsReaders(t *testing.T) {
-	var c Choices
+	var c ChoiceCounter
 	for reader := range uint64(100) {
-		c.Since(reader, 1, []uint64{1})
+		c.Delta(reader, 1, []uint64{1})
 	}
 	assert.Equal(t, len(c.readers), maxReaders)
-	assert.DeepEqual(t, c.Since(99, 1, []uint64{3}), []uint32{2})
+	assert.DeepEqual(t, c.Delta(99, 1, []uint64{3}), []uint32{2})
 }
 
 func TestAddChoices(t *testing.T) {
--- a/lockstep/demand.go
+++ b/lockstep/demand.go
@@ -39,10 +39,10 @@
 // DefaultDemandSettings returns the settings for default windows.
 func DefaultDemandSettings() DemandSettings { return DemandSettingsFor(defaultWindow) }
 
-// Demand estimates the share of each expert in the choices of its set, from the increase of the
+// DemandEstimate estimates the share of each expert in the choices of its set, from the increase of the
 // ranks' counters. Ranks may be observed at different times, one at a time or summed up, and
 // observations may be missing.
-type Demand struct {
+type DemandEstimate struct {
 	settings DemandSettings
 	shape    Shape
 	// window counts the choices of the open window, which began at windowBegan.
@@ -58,9 +58,9 @@
 	shifts  int
 }
 
-// NewDemand returns an estimate without observations.
-func NewDemand(settings DemandSettings, s Shape) *Demand {
-	return &Demand{settings: settings, shape: s, window: zeros(s)}
+// NewDemandEstimate returns an estimate without observations.
+func NewDemandEstimate(settings DemandSettings, s Shape) *DemandEstimate {
+	return &DemandEstimate{settings: settings, shape: s, window: zeros(s)}
 }
 
 func zeros(s Shape) [][]float64 {
@@ -73,7 +73,7 @@
 
 // Observe adds choices of one or more ranks, ordered by set and expert. It reports whether a
 // window has been closed.
-func (d *Demand) Observe(now time.Time, chosen []uint32) bool {
+func (d *DemandEstimate) Observe(now time.Time, chosen []uint32) bool {
 	if len(chosen) != d.shape.Sets*d.shape.Experts {
 		return false
 	}
@@ -93,7 +93,7 @@
 
 // closeWindow ends the window. If a set has no choices yet, the window isn't used and its
 // counts are carried over to the next one.
-func (d *Demand) closeWindow(now time.Time) bool {
+func (d *DemandEstimate) closeWindow(now time.Time) bool {
 	d.windowBegan = now
 	shares := normalize(d.window)
 	if shares == nil {
@@ -212,18 +212,18 @@
 // for. The first window may still hold choices from before the shift.
 const settledWindows = 2
 
-// Settled reports whether the estimate can be planned for.
-func (d *Demand) Settled() bool { return d.load != nil && d.windows >= settledWindows }
+// Stable reports whether the estimate can be planned for.
+func (d *DemandEstimate) Stable() bool { return d.load != nil && d.windows >= settledWindows }
 
 // Load returns the estimated share of each expert in its set, nil before the first window.
-func (d *Demand) Load() [][]float64 { return d.load }
+func (d *DemandEstimate) Load() [][]float64 { return d.load }
 
-// Latest returns each expert's share in the newest closed window, without smoothing; nil before
+// LatestShares returns each expert's share in the newest closed window, without smoothing; nil before
 // the first window.
-func (d *Demand) Latest() [][]float64 { return d.latest }
+func (d *DemandEstimate) LatestShares() [][]float64 { return d.latest }
 
 // Shifts returns the number of detected shifts.
-func (d *Demand) Shifts() int { return d.shifts }
+func (d *DemandEstimate) Shifts() int { return d.shifts }
 
 // Windows returns the number of windows since the last shift.
-func (d *Demand) Windows() int { return d.windows }
+func (d *DemandEstimate) Windows() int { return d.windows }
--- a/lockstep/demand_test.go
+++ b/lockstep/demand_test.go
@@ -27,7 +27,7 @@
 func TestSmallShiftIsDetectedAtLowNoise(t *testing.T) {
 	shape := Shape{Ranks: 192, Sets: 2, Experts: 384, Places: 3, Spare: 2}
 	settings := DefaultDemandSettings()
-	d := NewDemand(settings, shape)
+	d := NewDemandEstimate(settings, shape)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	before := zipf(shape, 0.8, 0)
 	after := zipf(shape, 0.8, 0)
@@ -53,7 +53,7 @@
 	for range 3 {
 		window(after)
 	}
-	assert.Assert(t, d.Settled())
+	assert.Assert(t, d.Stable())
 	for range 200 {
 		window(after)
 	}
--- a/lockstep/expertmap.go
+++ b/lockstep/expertmap.go
@@ -84,15 +84,15 @@
 	return nil
 }
 
-// SlowPace is the pace from which a rank counts as slow. Below it, the difference is within the
+// StragglerSlowdown is the pace from which a rank counts as slow. Below it, the difference is within the
 // error of the load estimate.
-const SlowPace = 1.2
+const StragglerSlowdown = 1.2
 
-// Pace is the factor by which each rank takes longer than usual for the same work; nil means
+// Slowdown is the factor by which each rank takes longer than usual for the same work; nil means
 // that no rank is slow.
-type Pace []float64
+type Slowdown []float64
 
-func (p Pace) of(rank int) float64 {
+func (p Slowdown) of(rank int) float64 {
 	if p == nil {
 		return 1
 	}
@@ -101,7 +101,7 @@
 
 // Skew returns the load of the busiest rank, weighted by pace, over the mean load, averaged
 // over the sets. A set without load counts as 1.
-func (m Map) Skew(load [][]float64, pace Pace) float64 {
+func (m Map) Skew(load [][]float64, pace Slowdown) float64 {
 	sum := 0.0
 	for set, ranks := range m {
 		longest, total := 0.0, 0.0
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -55,21 +55,21 @@
 	Map Map
 	// Copies is the number of experts that ranks must copy.
 	Copies int
-	// Before and After are the skews of the current and the proposed map under the estimated
+	// SkewBefore and After are the skews of the current and the proposed map under the estimated
 	// load.
-	Before, After float64
+	SkewBefore, SkewAfter float64
 }
 
 // Plan looks for a better map than the current one, given the load of each expert and the pace
 // of each rank. ok is false if the improvement is below MinTotalGain or no expert would be copied.
-func Plan(s Shape, settings PlanSettings, current Map, load [][]float64, pace Pace) (p Proposal, ok bool) {
-	p.Before = current.Skew(load, pace)
-	if p.Before < 1+settings.MinTotalGain {
+func Plan(s Shape, settings PlanSettings, current Map, load [][]float64, pace Slowdown) (p Proposal, ok bool) {
+	p.SkewBefore = current.Skew(load, pace)
+	if p.SkewBefore < 1+settings.MinTotalGain {
 		// The skew of a map is at least 1, so MinTotalGain can't be saved.
 		return p, false
 	}
 	p.Map = current.Clone()
-	if p.Before < settings.HighSkew {
+	if p.SkewBefore < settings.HighSkew {
 		settings.MaxCopiesHighSkew = settings.MaxCopiesLowSkew
 	}
 	copies := make([]int, s.Ranks)
@@ -86,8 +86,8 @@
 		st.restoreOrder()
 		p.Map[st.set] = st.held
 	}
-	p.After = p.Map.Skew(load, pace)
-	return p, p.Before-p.After >= settings.MinTotalGain && p.Copies > 0
+	p.SkewAfter = p.Map.Skew(load, pace)
+	return p, p.SkewBefore-p.SkewAfter >= settings.MinTotalGain && p.Copies > 0
 }
 
 // improveSets makes one change at a time in the set with the highest skew, so that the copies
@@ -111,7 +111,7 @@
 type setState struct {
 	s        Shape
 	settings PlanSettings
-	pace     Pace
+	pace     Slowdown
 	// load is that of each expert, held lists the experts of each rank.
 	load []float64
 	held [][]uint32
@@ -135,7 +135,7 @@
 }
 
 // newSetState returns nil for a set without load.
-func newSetState(s Shape, settings PlanSettings, held [][]uint32, load []float64, pace Pace) *setState {
+func newSetState(s Shape, settings PlanSettings, held [][]uint32, load []float64, pace Slowdown) *setState {
 	total := 0.0
 	for _, v := range load {
 		total += v
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -70,10 +70,10 @@
 		assert.NilError(t, p.Map.Check(small))
 		perSet, perRank := maxCopies(current, p.Map)
 		assert.Assert(t, perSet <= small.Spare)
-		if p.Before >= DefaultPlanSettings().HighSkew {
-			assert.Assert(t, perRank <= 1, "%d copies at one rank while the skew is %f", perRank, p.Before)
+		if p.SkewBefore >= DefaultPlanSettings().HighSkew {
+			assert.Assert(t, perRank <= 1, "%d copies at one rank while the skew is %f", perRank, p.SkewBefore)
 		}
-		assert.Assert(t, p.After < p.Before)
+		assert.Assert(t, p.SkewAfter < p.SkewBefore)
 		current = p.Map
 	}
 	assert.Assert(t, current.Skew(load, nil) < 1.5, "skew %f after %d switches", current.Skew(load, nil), switches)
@@ -95,8 +95,8 @@
 		}
 		_, perRank := maxCopies(current, p.Map)
 		assert.Assert(t, perRank <= 2, "%d copies at a rank in switch %d", perRank, n)
-		if n >= 1 && p.Before > 1.4 {
-			assert.Assert(t, p.Before-p.After > 0.1, "switch %d: %f to %f", n, p.Before, p.After)
+		if n >= 1 && p.SkewBefore > 1.4 {
+			assert.Assert(t, p.SkewBefore-p.SkewAfter > 0.1, "switch %d: %f to %f", n, p.SkewBefore, p.SkewAfter)
 		}
 		current = p.Map
 	}
@@ -132,7 +132,7 @@
 		}
 		current := initialMap(s)
 		before := current.Clone()
-		var pace Pace
+		var pace Slowdown
 		if rapid.Bool().Draw(t, "some slow") {
 			for range s.Ranks {
 				pace = append(pace, rapid.SampledFrom([]float64{1, 1, 1.5, 5}).Draw(t, "pace"))
@@ -150,8 +150,8 @@
 		if perSet, _ := maxCopies(current, p.Map); perSet > s.Spare {
 			t.Fatalf("%d copies in one set of a rank", perSet)
 		}
-		if p.After > p.Before+1e-9 {
-			t.Fatalf("skew %f, %f before", p.After, p.Before)
+		if p.SkewAfter > p.SkewBefore+1e-9 {
+			t.Fatalf("skew %f, %f before", p.SkewAfter, p.SkewBefore)
 		}
 	})
 }
@@ -175,40 +175,40 @@
 // estimate must follow the new demand only. A rank restart is not a shift.
 func TestShiftIsDetectedWithinTwoWindows(t *testing.T) {
 	settings := DefaultDemandSettings()
-	d := NewDemand(settings, small)
+	d := NewDemandEstimate(settings, small)
 	counts := make([][]uint64, small.Ranks)
 	for r := range counts {
 		counts[r] = make([]uint64, small.Sets*small.Experts)
 	}
-	choices := make([]Choices, small.Ranks)
+	choices := make([]ChoiceCounter, small.Ranks)
 	incarnations := slices.Repeat([]uint64{1}, small.Ranks)
 	now := time.Unix(1000, 0)
 	window := func(load [][]float64) {
 		now = now.Add(settings.Window)
 		addCounts(counts, load, 10_000)
 		for r := range counts {
-			d.Observe(now, choices[r].Since(1, incarnations[r], slices.Clone(counts[r])))
+			d.Observe(now, choices[r].Delta(1, incarnations[r], slices.Clone(counts[r])))
 		}
 	}
 	before, after := zipf(small, 1.1, 0), zipf(small, 1.1, 29)
 	for range 20 {
 		window(before)
 	}
-	assert.Assert(t, d.Settled())
+	assert.Assert(t, d.Stable())
 	assert.Equal(t, d.Shifts(), 0)
 	assert.Assert(t, distance(d.Load(), normalize(before)) < 0.01)
 	window(after)
 	window(after)
 	assert.Equal(t, d.Shifts(), 1)
-	assert.Assert(t, !d.Settled(), "the first window may hold choices from before")
+	assert.Assert(t, !d.Stable(), "the first window may hold choices from before")
 	window(after)
-	assert.Assert(t, d.Settled())
+	assert.Assert(t, d.Stable())
 	assert.Assert(t, distance(d.Load(), normalize(after)) < 0.05, "%f", distance(d.Load(), normalize(after)))
 
 	shifts := d.Shifts()
 	clear(counts[3])
 	incarnations[3] = 2
-	d.Observe(now, choices[3].Since(1, incarnations[3], slices.Clone(counts[3])))
+	d.Observe(now, choices[3].Delta(1, incarnations[3], slices.Clone(counts[3])))
 	for range 5 {
 		window(after)
 	}
@@ -223,7 +223,7 @@
 			const slow = 3
 			load := zipf(shape, 0.5, 0)
 			current := initialMap(shape)
-			pace := slices.Repeat(Pace{1}, shape.Ranks)
+			pace := slices.Repeat(Slowdown{1}, shape.Ranks)
 			pace[slow] = 5
 			assert.Assert(t, current.Skew(load, pace) > 4, "%f", current.Skew(load, pace))
 			switches := 0
--- a/lockstep/relays.go
+++ b/lockstep/relays.go
@@ -62,9 +62,9 @@
 // maxPartSize returns the maximum number of ranks that share a relay in a group of n.
 func maxPartSize(n int) int { return int(math.Ceil(math.Sqrt(float64(n)))) }
 
-// CallsFor returns the approximate number of calls that reach all ranks of a group, and whether
+// EstimateCalls returns the approximate number of calls that reach all ranks of a group, and whether
 // they go to relays. Failure domains may add some calls.
-func CallsFor(ranks int) (calls int, relayed bool) {
+func EstimateCalls(ranks int) (calls int, relayed bool) {
 	if ranks <= maxDirectRanks {
 		return ranks, false
 	}
@@ -84,21 +84,21 @@
 	}
 }
 
-// Calls returns the number of calls that reach all ranks.
-func (r *Relays) Calls() int {
+// CallCount returns the number of calls that reach all ranks.
+func (r *Relays) CallCount() int {
 	if len(r.parts) == 0 {
 		return len(r.partOf)
 	}
 	return len(r.parts)
 }
 
-// Part returns the number of the part, the ranks that share a relay, that a rank belongs to; ok
+// PartOf returns the number of the part, the ranks that share a relay, that a rank belongs to; ok
 // is false for a rank that is called directly.
-func (r *Relays) Part(rank int) (part int, ok bool) { return r.partOf[rank], r.partOf[rank] >= 0 }
+func (r *Relays) PartOf(rank int) (part int, ok bool) { return r.partOf[rank], r.partOf[rank] >= 0 }
 
-// Via returns the rank whose sidecar currently relays for a part; ok is false if all of them
+// RelayFor returns the rank whose sidecar currently relays for a part; ok is false if all of them
 // have failed within relayRetryDelay.
-func (r *Relays) Via(now time.Time, part int) (rank int, ok bool) {
+func (r *Relays) RelayFor(now time.Time, part int) (rank int, ok bool) {
 	for _, rank := range r.parts[part] {
 		if r.failedAt[rank].IsZero() || now.Sub(r.failedAt[rank]) >= relayRetryDelay {
 			return rank, true
@@ -107,5 +107,5 @@
 	return 0, false
 }
 
-// Failed records that a rank's sidecar didn't answer as a relay.
-func (r *Relays) Failed(now time.Time, rank int) { r.failedAt[rank] = now }
+// MarkFailed records that a rank's sidecar didn't answer as a relay.
+func (r *Relays) MarkFailed(now time.Time, rank int) { r.failedAt[rank] = now }
--- a/lockstep/relays_test.go
+++ b/lockstep/relays_test.go
@@ -17,13 +17,13 @@
 		r := NewRelays(domains)
 		now := time.Unix(100, 0)
 		for rank, domain := range domains {
-			part, ok := r.Part(rank)
+			part, ok := r.PartOf(rank)
 			assert.Assert(t, ok)
-			via, ok := r.Via(now, part)
+			via, ok := r.RelayFor(now, part)
 			assert.Assert(t, ok)
 			assert.Equal(t, domains[via], domain)
 		}
-		assert.Assert(t, r.Calls()*r.Calls() <= 4*len(domains)+10*r.Calls(), "%d calls for %d ranks", r.Calls(), len(domains))
+		assert.Assert(t, r.CallCount()*r.CallCount() <= 4*len(domains)+10*r.CallCount(), "%d calls for %d ranks", r.CallCount(), len(domains))
 	})
 }
 
@@ -32,14 +32,14 @@
 	for i := range 192 {
 		domains = append(domains, fmt.Sprint("d", i%5))
 	}
-	assert.Equal(t, NewRelays(domains).Calls(), 15)
+	assert.Equal(t, NewRelays(domains).CallCount(), 15)
 }
 
 func TestSmallGroupsAreCalledDirectly(t *testing.T) {
 	r := NewRelays(make([]string, maxDirectRanks))
-	_, ok := r.Part(3)
+	_, ok := r.PartOf(3)
 	assert.Assert(t, !ok)
-	assert.Equal(t, r.Calls(), maxDirectRanks)
+	assert.Equal(t, r.CallCount(), maxDirectRanks)
 }
 
 // A failed relay is replaced by another rank of its part. If all have failed, the ranks are
@@ -48,20 +48,20 @@
 	domains := make([]string, 25)
 	r := NewRelays(domains)
 	now := time.Unix(100, 0)
-	part, _ := r.Part(0)
-	first, _ := r.Via(now, part)
-	r.Failed(now, first)
-	second, ok := r.Via(now, part)
+	part, _ := r.PartOf(0)
+	first, _ := r.RelayFor(now, part)
+	r.MarkFailed(now, first)
+	second, ok := r.RelayFor(now, part)
 	assert.Assert(t, ok)
 	assert.Assert(t, second != first)
 	for {
-		via, ok := r.Via(now, part)
+		via, ok := r.RelayFor(now, part)
 		if !ok {
 			break
 		}
-		r.Failed(now, via)
+		r.MarkFailed(now, via)
 	}
-	again, ok := r.Via(now.Add(relayRetryDelay), part)
+	again, ok := r.RelayFor(now.Add(relayRetryDelay), part)
 	assert.Assert(t, ok)
 	assert.Equal(t, again, first)
 }
--- a/lockstep/relaysim_test.go
+++ b/lockstep/relaysim_test.go
@@ -60,7 +60,7 @@
 	}
 	s.after(250*time.Millisecond, func() {
 		for _, o := range list {
-			l.switcher.Replied(s.time(), o.Rank, o.RankOrder, nil)
+			l.switcher.HandleReply(s.time(), o.Rank, o.RankOrder, nil)
 		}
 	})
 }
@@ -83,7 +83,7 @@
 		}
 		s.after(s.ms(1, 8), func() {
 			for n, o := range list {
-				l.switcher.Replied(s.time(), o.Rank, o.RankOrder, replies[n])
+				l.switcher.HandleReply(s.time(), o.Rank, o.RankOrder, replies[n])
 			}
 		})
 	}
--- a/lockstep/replan.go
+++ b/lockstep/replan.go
@@ -14,16 +14,16 @@
 	idleReplanPeriod = 1500 * time.Millisecond
 )
 
-// Replan schedules the plans of a group.
-type Replan struct {
+// PlanSchedule schedules the plans of a group.
+type PlanSchedule struct {
 	plannedAt time.Time
 	shifts    int
-	pace      Pace
+	pace      Slowdown
 	idle      bool
 }
 
-// Due reports whether to plan now. If so, it records the plan as started.
-func (r *Replan) Due(now time.Time, shifts int, pace Pace) bool {
+// StartIfDue reports whether to plan now. If so, it records the plan as started.
+func (r *PlanSchedule) StartIfDue(now time.Time, shifts int, pace Slowdown) bool {
 	period := replanPeriod
 	if r.idle && shifts == r.shifts && slices.Equal(pace, r.pace) {
 		period = idleReplanPeriod
@@ -31,9 +31,9 @@
 	if now.Sub(r.plannedAt) < period {
 		return false
 	}
-	*r = Replan{plannedAt: now, shifts: shifts, pace: pace}
+	*r = PlanSchedule{plannedAt: now, shifts: shifts, pace: pace}
 	return true
 }
 
-// FoundNothing records that the latest plan found no map worth a switch.
-func (r *Replan) FoundNothing() { r.idle = true }
+// MarkNoResult records that the latest plan found no map worth a switch.
+func (r *PlanSchedule) MarkNoResult() { r.idle = true }
--- a/lockstep/replan_test.go
+++ b/lockstep/replan_test.go
@@ -10,23 +10,23 @@
 // After a plan without result, planning is less frequent until the demand shifts or a pace
 // changes.
 func TestReplanIsLessFrequentAfterPlanWithoutResult(t *testing.T) {
-	var r Replan
+	var r PlanSchedule
 	now := time.Unix(100, 0)
-	plans := func(d time.Duration, shifts int, pace Pace) (n int) {
+	plans := func(d time.Duration, shifts int, pace Slowdown) (n int) {
 		for end := now.Add(d); now.Before(end); now = now.Add(25 * time.Millisecond) {
-			if r.Due(now, shifts, pace) {
-				r.FoundNothing()
+			if r.StartIfDue(now, shifts, pace) {
+				r.MarkNoResult()
 				n++
 			}
 		}
 		return n
 	}
 	assert.Equal(t, plans(15*time.Second, 0, nil), 10)
-	assert.Assert(t, r.Due(now, 1, nil), "a shift must be planned for at once")
-	r.FoundNothing()
+	assert.Assert(t, r.StartIfDue(now, 1, nil), "a shift must be planned for at once")
+	r.MarkNoResult()
 	now = now.Add(replanPeriod)
-	assert.Assert(t, r.Due(now, 1, Pace{1, 3}), "a changed pace must be planned for at once")
-	r.FoundNothing()
+	assert.Assert(t, r.StartIfDue(now, 1, Slowdown{1, 3}), "a changed pace must be planned for at once")
+	r.MarkNoResult()
 	now = now.Add(replanPeriod / 2)
-	assert.Assert(t, !r.Due(now, 2, nil), "plans must be at least replanPeriod apart")
+	assert.Assert(t, !r.StartIfDue(now, 2, nil), "plans must be at least replanPeriod apart")
 }
--- a/lockstep/sim_test.go
+++ b/lockstep/sim_test.go
@@ -206,7 +206,7 @@
 			// This leader was elected after the group had formed again.
 			return
 		}
-		used := l.switcher.Used()
+		used := l.switcher.LastVersion()
 		*l = *s.newLeader()
 		l.switcher.lastVersion = max(l.switcher.lastVersion, used)
 	})
@@ -292,12 +292,12 @@
 	}
 	at := s.time()
 	instance, rep := s.report(i)
-	s.after(s.ms(1, 20), func() { l.switcher.Heard(at, i, instance, rep) })
+	s.after(s.ms(1, 20), func() { l.switcher.HandleReport(at, i, instance, rep) })
 }
 
 // send sends an order and passes the reply to the leader, or nil after a timeout.
 func (s *sim) send(l *simLeader, o Order) {
-	answer := s.firstOnly(func(reply *wire.RankOrderReply) { l.switcher.Replied(s.time(), o.Rank, o.RankOrder, reply) })
+	answer := s.firstOnly(func(reply *wire.RankOrderReply) { l.switcher.HandleReply(s.time(), o.Rank, o.RankOrder, reply) })
 	s.after(250*time.Millisecond, func() { answer(nil) })
 	s.deliver(o, func(reply *wire.RankOrderReply) { s.after(s.ms(1, 8), func() { answer(reply) }) })
 }
--- a/lockstep/switcher.go
+++ b/lockstep/switcher.go
@@ -37,9 +37,9 @@
 	Token uint64
 	// Epoch identifies the current formation of the group.
 	Epoch uint64
-	// Used is the highest map version that this leader used in an earlier epoch. Ranks that
+	// LastVersion is the highest map version that this leader used in an earlier epoch. Ranks that
 	// have been running since then reject all versions up to it.
-	Used uint64
+	LastVersion uint64
 	// Lead is the minimum time from the hold order to the held step: the hold must arrive
 	// before the group gets there.
 	Lead time.Duration
@@ -174,7 +174,7 @@
 
 // New returns a Switcher in phase Idle that knows nothing of the ranks.
 func New(cfg Config) *Switcher {
-	return &Switcher{cfg: cfg, ranks: make([]rank, cfg.Ranks), phase: Idle, lastVersion: max(cfg.Token<<versionBits, cfg.Used)}
+	return &Switcher{cfg: cfg, ranks: make([]rank, cfg.Ranks), phase: Idle, lastVersion: max(cfg.Token<<versionBits, cfg.LastVersion)}
 }
 
 // Phase returns the current phase.
@@ -189,8 +189,8 @@
 // Current returns the current map, nil if it is unknown.
 func (s *Switcher) Current() Map { return s.current }
 
-// Used returns the highest map version that was used.
-func (s *Switcher) Used() uint64 { return s.lastVersion }
+// LastVersion returns the highest map version that was used.
+func (s *Switcher) LastVersion() uint64 { return s.lastVersion }
 
 // Version returns the version of the latest switch.
 func (s *Switcher) Version() uint64 { return s.version }
@@ -210,9 +210,9 @@
 	return true
 }
 
-// Awaits reports whether the switch is waiting for the state of a rank to change. Other ranks
+// AwaitsRank reports whether the switch is waiting for the state of a rank to change. Other ranks
 // can be read less often.
-func (s *Switcher) Awaits(i int) bool {
+func (s *Switcher) AwaitsRank(i int) bool {
 	r := &s.ranks[i]
 	switch {
 	case s.phase == Idle:
@@ -263,9 +263,9 @@
 	s.enterPhase(now, Cleaning)
 }
 
-// Heard takes the state of a rank as read at a given time. An older state than the known one is
+// HandleReport takes the state of a rank as read at a given time. An older state than the known one is
 // ignored.
-func (s *Switcher) Heard(at time.Time, i int, instance string, report *wire.RankReport) {
+func (s *Switcher) HandleReport(at time.Time, i int, instance string, report *wire.RankReport) {
 	if i < 0 || i >= len(s.ranks) || report == nil {
 		return
 	}
@@ -306,8 +306,8 @@
 	return s.passTime
 }
 
-// Replied takes the reply to an order, nil if there was none.
-func (s *Switcher) Replied(at time.Time, i int, o *wire.RankOrder, reply *wire.RankOrderReply) {
+// HandleReply takes the reply to an order, nil if there was none.
+func (s *Switcher) HandleReply(at time.Time, i int, o *wire.RankOrder, reply *wire.RankOrderReply) {
 	r := &s.ranks[i]
 	if r.pending != o {
 		return
@@ -325,7 +325,7 @@
 		s.outcome = "another leader has a higher fencing token"
 	}
 	if reply.GetAfter() != nil {
-		s.Heard(at, i, o.Instance, reply.After)
+		s.HandleReport(at, i, o.Instance, reply.After)
 	}
 }
 
--- a/lockstep/switcher_test.go
+++ b/lockstep/switcher_test.go
@@ -74,14 +74,14 @@
 	s := New(cfg)
 	now := time.Unix(0, 0)
 	for i := range large.Ranks {
-		s.Heard(now, i, "instance", &wire.RankReport{Step: 1})
+		s.HandleReport(now, i, "instance", &wire.RankReport{Step: 1})
 	}
 	s.SetCurrent(initialMap(large))
 	s.Begin(now, initialMap(large))
 	orders := s.Tick(now)
 	assert.Equal(t, len(orders), large.Ranks)
 	for _, o := range orders[1:] {
-		s.Replied(now, o.Rank, o.RankOrder, &wire.RankOrderReply{Status: wire.RankOrderStatus_RANK_ORDER_STATUS_BEGUN})
+		s.HandleReply(now, o.Rank, o.RankOrder, &wire.RankOrderReply{Status: wire.RankOrderStatus_RANK_ORDER_STATUS_BEGUN})
 	}
 	waiting := testing.AllocsPerRun(10, func() {
 		now = now.Add(time.Second)
@@ -91,7 +91,7 @@
 
 	s = New(cfg)
 	for i := range large.Ranks {
-		s.Heard(now, i, "instance", &wire.RankReport{Step: 1})
+		s.HandleReport(now, i, "instance", &wire.RankReport{Step: 1})
 	}
 	s.Begin(now, initialMap(large))
 	first := testing.AllocsPerRun(1, func() { s.Tick(now) })
@@ -105,11 +105,11 @@
 	now := time.Unix(0, 0)
 	report := func(i int, r *wire.RankReport) {
 		now = now.Add(time.Millisecond)
-		s.Heard(now, i, "instance", r)
+		s.HandleReport(now, i, "instance", r)
 	}
 	awaited := func() (list []int) {
 		for i := range 4 {
-			if s.Awaits(i) {
+			if s.AwaitsRank(i) {
 				list = append(list, i)
 			}
 		}
@@ -140,7 +140,7 @@
 	other := (s.holder + 1) % 4
 	report(other, &wire.RankReport{Step: 1, Prepared: s.Version(), Armed: s.Version()})
 	assert.Equal(t, len(awaited()), 3)
-	assert.Assert(t, !s.Awaits(other) && s.Awaits(s.holder))
+	assert.Assert(t, !s.AwaitsRank(other) && s.AwaitsRank(s.holder))
 
 	for i := range 4 {
 		if i != s.holder {
@@ -155,7 +155,7 @@
 	assert.Equal(t, len(awaited()), 4, "the next switch may begin when no rank is armed any more")
 	report(other, &wire.RankReport{Step: 9, Map: s.Version()})
 	assert.Equal(t, len(awaited()), 3)
-	assert.Assert(t, !s.Awaits(other))
+	assert.Assert(t, !s.AwaitsRank(other))
 }
 
 // After a restart of its sidecar, a rank lacks the base of the changes. It must get the full
@@ -164,7 +164,7 @@
 	s := New(DefaultConfig(2, 1, 1))
 	now := time.Unix(100, 0)
 	for i := range 2 {
-		s.Heard(now, i, "r", &wire.RankReport{Step: 1, Map: 5})
+		s.HandleReport(now, i, "r", &wire.RankReport{Step: 1, Map: 5})
 	}
 	current := roundRobinMap(2, 40, 8)
 	s.SetCurrent(current)
@@ -178,8 +178,8 @@
 		assert.NilError(t, err)
 		assert.DeepEqual(t, got, next)
 	}
-	s.Replied(now, 0, orders[0].RankOrder, &wire.RankOrderReply{Status: wire.RankOrderStatus_RANK_ORDER_STATUS_BEGUN, After: &wire.RankReport{Step: 1, Map: 5}})
-	s.Replied(now, 1, orders[1].RankOrder, &wire.RankOrderReply{Status: wire.RankOrderStatus_RANK_ORDER_STATUS_NO_BASE, After: &wire.RankReport{Step: 1, Map: 5}})
+	s.HandleReply(now, 0, orders[0].RankOrder, &wire.RankOrderReply{Status: wire.RankOrderStatus_RANK_ORDER_STATUS_BEGUN, After: &wire.RankReport{Step: 1, Map: 5}})
+	s.HandleReply(now, 1, orders[1].RankOrder, &wire.RankOrderReply{Status: wire.RankOrderStatus_RANK_ORDER_STATUS_NO_BASE, After: &wire.RankReport{Step: 1, Map: 5}})
 	again := s.Tick(now.Add(time.Millisecond))
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].Rank, 1)
--- a/measure/placement/main.go
+++ b/measure/placement/main.go
@@ -49,8 +49,8 @@
 // The auction trust weighs skew more, and the lift service moves. Each other trace has
 // the weights of the more similar user.
 var users = []user{
-	{"auction trust", trace.Auction, 4, 1},
-	{"lift service", trace.Lift, 1, 4},
+	{"auction trust", trace.Diurnal, 4, 1},
+	{"lift service", trace.Bursty, 1, 4},
 	{"stationary", trace.Stationary, 4, 1},
 	{"adversarial", trace.Adversarial, 1, 4},
 	{"noisy counters", trace.Noisy, 4, 1},
--- a/measure/placement/plots.go
+++ b/measure/placement/plots.go
@@ -66,7 +66,7 @@
 	var lost, moved plotter.Values
 	for _, name := range names {
 		r := resultOf(results, name)
-		skewPart := z.cost(u).SkewWeight * r.obj.Lost.Seconds()
+		skewPart := z.cost(u).SkewWeight * r.obj.TimeLost.Seconds()
 		lost = append(lost, skewPart)
 		moved = append(moved, r.j-skewPart)
 	}
--- a/measure/placement/report.go
+++ b/measure/placement/report.go
@@ -23,7 +23,7 @@
 }
 
 func add(a, b placement.Objective) placement.Objective {
-	a.Lost += b.Lost
+	a.TimeLost += b.TimeLost
 	a.Moves += b.Moves
 	a.Bytes += b.Bytes
 	a.CapacityLost += b.CapacityLost
@@ -56,7 +56,7 @@
 		"planner", "p50", "p95", "lost", "moves", "GB", "cap.lost", "J", "plan")
 	for _, r := range results {
 		fmt.Printf("%-16s %7.3f %7.3f %8.0fs %8d %9.1f %8.1fs %10.0f %9v\n", r.name, r.p50, r.p95,
-			r.obj.Lost.Seconds(), r.obj.Moves, r.obj.Bytes/1e9, r.obj.CapacityLost.Seconds(), r.j, r.slowest.Round(10*time.Microsecond))
+			r.obj.TimeLost.Seconds(), r.obj.Moves, r.obj.Bytes/1e9, r.obj.CapacityLost.Seconds(), r.j, r.slowest.Round(10*time.Microsecond))
 	}
 }
 
@@ -73,6 +73,6 @@
 	fmt.Printf("J: ours / better baseline (%s) %.2f; ours / offline (%s) %.2f\n", base.name, incremental.j/base.j, off.name, incremental.j/off.j)
 	for _, r := range []result{incremental, fewer} {
 		fmt.Printf("moves: repack 30m / %s %.1f, time lost %.2f of repack's\n", r.name,
-			float64(repack30m.obj.Moves)/float64(max(r.obj.Moves, 1)), r.obj.Lost.Seconds()/repack30m.obj.Lost.Seconds())
+			float64(repack30m.obj.Moves)/float64(max(r.obj.Moves, 1)), r.obj.TimeLost.Seconds()/repack30m.obj.TimeLost.Seconds())
 	}
 }
--- a/measure/placement/sim.go
+++ b/measure/placement/sim.go
@@ -63,9 +63,9 @@
 	for w := range t.Windows {
 		sm.window(w)
 	}
-	results := []result{sm.summary("bound", sm.bound, placement.Objective{Lost: sm.lost(sm.bound)})}
+	results := []result{sm.summary("bound", sm.bound, placement.Objective{TimeLost: sm.lost(sm.bound)})}
 	for _, r := range runs {
-		r.obj.Lost = sm.lost(r.skews)
+		r.obj.TimeLost = sm.lost(r.skews)
 		res := sm.summary(r.name, r.skews, r.obj)
 		res.slowest = r.slowest
 		results = append(results, res)
@@ -89,7 +89,7 @@
 	}
 	sum := 0.0
 	for layer := range sm.shape.Layers {
-		sum += placement.Bound(sm.shape, layer, load)
+		sum += placement.SkewBound(sm.shape, layer, load)
 	}
 	sm.bound = append(sm.bound, sum/float64(sm.shape.Layers))
 	sm.upcoming = slices.Delete(sm.upcoming, 0, 1)
@@ -151,7 +151,7 @@
 func (sm *sim) summary(name string, skews []float64, obj placement.Objective) result {
 	sorted := slices.Sorted(slices.Values(skews))
 	at := func(q float64) float64 { return sorted[int(math.Ceil(q*float64(len(sorted))))-1] }
-	return result{name: name, p50: at(0.5), p95: at(0.95), obj: obj, j: obj.J(sm.cost), skews: skews}
+	return result{name: name, p50: at(0.5), p95: at(0.95), obj: obj, j: obj.Value(sm.cost), skews: skews}
 }
 
 // groupSkew returns the time of a step relative to balanced ranks: the mean over the
--- a/measure/placement/straggler.go
+++ b/measure/placement/straggler.go
@@ -22,11 +22,11 @@
 		}
 		for _, lighten := range []bool{false, true} {
 			p := placement.NewIncremental()
-			p.Lighten = lighten
+			p.ReduceStragglerLoad = lighten
 			r := &run{name: "ours", planner: p}
 			res := simulateStraggler(z, u, seed, r)
 			fmt.Printf("%-15s lighten %-5v p50 %.3f p95 %.3f lost %.0fs moves %d J %.0f\n",
-				u.name, lighten, res.p50, res.p95, res.obj.Lost.Seconds(), res.obj.Moves, res.j)
+				u.name, lighten, res.p50, res.p95, res.obj.TimeLost.Seconds(), res.obj.Moves, res.j)
 		}
 	}
 	return nil
@@ -51,7 +51,7 @@
 		r.skews = append(r.skews, skew)
 		r.planner.(placement.TimesObserver).ObserveTimes(times, r.current)
 	}
-	r.obj.Lost = sm.lost(r.skews)
+	r.obj.TimeLost = sm.lost(r.skews)
 	return sm.summary(r.name, r.skews, r.obj)
 }
 
--- a/measure/rollout/sockets.go
+++ b/measure/rollout/sockets.go
@@ -27,7 +27,7 @@
 
 // Plan implements placement.Planner.
 func (p *rotatingPlanner) Plan(_ time.Time, m *placement.Map) placement.Decision {
-	d := placement.Decision{Next: &placement.Map{}, Why: "rotated by one rank"}
+	d := placement.Decision{Next: &placement.Map{}, Reason: "rotated by one rank"}
 	per := p.shape.Ranks * p.shape.Slots
 	for layer := range p.shape.Layers {
 		slots := m.Slots[layer*per : (layer+1)*per]
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -10,8 +10,8 @@
 // Objective accumulates what a planner is judged by: time lost to skew, and the cost of the
 // moves.
 type Objective struct {
-	// Lost is the time by which steps took longer than with equally loaded ranks.
-	Lost time.Duration
+	// TimeLost is the time by which steps took longer than with equally loaded ranks.
+	TimeLost time.Duration
 	// Moves is the number of experts loaded.
 	Moves int
 	// Bytes is the amount of weights read from the store.
@@ -21,14 +21,14 @@
 	CapacityLost time.Duration
 }
 
-// J returns the value of the objective in weighted seconds of group time: SkewWeight x time
+// Value returns the value of the objective in weighted seconds of group time: SkewWeight x time
 // lost to skew + MoveWeight x (time of the weight store for the bytes moved + capacity lost).
-func (o Objective) J(c Cost) float64 {
+func (o Objective) Value(c Cost) float64 {
 	moved := 0.0
 	if o.Bytes > 0 {
 		moved = o.Bytes / c.StoreRate
 	}
-	return c.SkewWeight*o.Lost.Seconds() + c.MoveWeight*(moved+o.CapacityLost.Seconds())
+	return c.SkewWeight*o.TimeLost.Seconds() + c.MoveWeight*(moved+o.CapacityLost.Seconds())
 }
 
 // LoadTime returns the time that the store needs to deliver one expert, 0 if its rate is
--- a/placement/incremental.go
+++ b/placement/incremental.go
@@ -67,8 +67,8 @@
 	// RegimeShare is the fraction of the mean duration of regimes for which a gain is expected
 	// to last. It replaces HorizonFactor once a regime has ended.
 	RegimeShare float64 `toml:"regime_share"`
-	// Lighten gives stragglers less load.
-	Lighten bool `toml:"lighten"`
+	// ReduceStragglerLoad gives stragglers less load.
+	ReduceStragglerLoad bool `toml:"lighten"`
 
 	shape          Shape
 	cost           Cost
@@ -92,7 +92,7 @@
 		AheadSeconds:         defaultLookahead.Seconds(),
 		NoiseGain:            defaultNoiseGain,
 		RegimeShare:          defaultRegimeShare,
-		Lighten:              true,
+		ReduceStragglerLoad:  true,
 	}
 }
 
@@ -140,10 +140,10 @@
 // Plan implements Planner.
 func (p *Incremental) Plan(now time.Time, current *Map) Decision {
 	if reason := p.reasonToWait(now, current); reason != "" {
-		return Decision{Why: "incremental: " + reason + p.detector.summary()}
+		return Decision{Reason: "incremental: " + reason + p.detector.summary()}
 	}
 	d := Improve(p.shape, p.cost, current, p.forecast.Load(), p.Limits())
-	d.Why = "incremental: " + d.Why + p.detector.summary()
+	d.Reason = "incremental: " + d.Reason + p.detector.summary()
 	p.storeBusyUntil = now.Add(time.Duration(len(d.Moves)) * p.cost.LoadTime())
 	return d
 }
@@ -178,7 +178,7 @@
 		lim.Horizons = append(lim.Horizons, time.Duration(horizon))
 		lim.MinGains = append(lim.MinGains, max(p.MinGain, p.noiseGain(layer)))
 	}
-	if p.Lighten {
+	if p.ReduceStragglerLoad {
 		lim.Slowdown = p.detector.stragglers()
 	}
 	if loadTime := p.cost.LoadTime().Seconds(); loadTime > 0 {
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -39,7 +39,7 @@
 		for range 4 {
 			p.Observe(now, drawLoad(t, s))
 			d := p.Plan(now, current)
-			assert.Assert(t, d.Why != "")
+			assert.Assert(t, d.Reason != "")
 			if d.Next != nil {
 				checkPrefixes(t, s, current, d.Moves, d.Next)
 				current = d.Next
@@ -134,9 +134,9 @@
 // on every rank, the load can be spread evenly.
 func TestBoundWithOneHotExpert(t *testing.T) {
 	load := Load{3, 1}
-	assert.Assert(t, math.Abs(Bound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 1}, 0, load)-1.5) < 1e-9)
-	assert.Equal(t, Bound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 2}, 0, load), 1.0)
-	assert.Equal(t, Bound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 1}, 0, Load{0, 0}), 1.0)
+	assert.Assert(t, math.Abs(SkewBound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 1}, 0, load)-1.5) < 1e-9)
+	assert.Equal(t, SkewBound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 2}, 0, load), 1.0)
+	assert.Equal(t, SkewBound(Shape{Ranks: 2, Experts: 2, Layers: 1, Slots: 1}, 0, Load{0, 0}), 1.0)
 }
 
 // Compares with all maps of tiny shapes: none may be below the bound, and repeated planning
@@ -152,7 +152,7 @@
 		}
 		best := math.Inf(1)
 		allMaps(s, func(m *Map) { best = min(best, m.Skew(s, 0, load)) })
-		bound := Bound(s, 0, load)
+		bound := SkewBound(s, 0, load)
 		assert.Assert(t, bound <= best+1e-9, "seed %d: bound %v, best map %v", seed, bound, best)
 
 		p := NewIncremental()
@@ -221,7 +221,7 @@
 	p.Observe(startTime, Load{1, 100, 1, 1})
 	d := p.Plan(startTime.Add(11*time.Minute), Contiguous(s))
 	assert.Assert(t, d.Next == nil)
-	assert.Equal(t, d.Why, "incremental: counters are 11m0s old")
+	assert.Equal(t, d.Reason, "incremental: counters are 11m0s old")
 	assert.Assert(t, p.Plan(startTime.Add(time.Minute), Contiguous(s)).Next != nil)
 }
 
@@ -238,7 +238,7 @@
 	assert.Assert(t, first.Next != nil)
 	assert.Assert(t, len(first.Moves) <= 2)
 	again := p.Plan(startTime.Add(29*time.Second), Contiguous(s))
-	assert.Equal(t, again.Why, "incremental: weight store is still serving the last plan")
+	assert.Equal(t, again.Reason, "incremental: weight store is still serving the last plan")
 }
 
 // Windows of another size, with a negative, infinite or NaN value, and duplicates are dropped.
--- a/placement/regimes_test.go
+++ b/placement/regimes_test.go
@@ -157,7 +157,7 @@
 	f.Reset(s)
 	f.Observe(startTime, load)
 	d := Improve(s, testCost(4, 1), m, f.Load(), Limits{Horizon: time.Hour, Margin: 1})
-	assert.Assert(t, d.Next != nil, d.Why)
-	assert.Assert(t, d.SkewAfter < 1.08, d.Why)
+	assert.Assert(t, d.Next != nil, d.Reason)
+	assert.Assert(t, d.SkewAfter < 1.08, d.Reason)
 	checkPrefixes(t, s, m, d.Moves, d.Next)
 }
--- a/placement/repack.go
+++ b/placement/repack.go
@@ -48,24 +48,24 @@
 // Plan implements Planner.
 func (p *Repack) Plan(now time.Time, current *Map) Decision {
 	if p.load == nil {
-		return Decision{Why: "repack: no counters yet"}
+		return Decision{Reason: "repack: no counters yet"}
 	}
 	if now.Before(p.planAt) {
-		return Decision{Why: "repack: period has not elapsed"}
+		return Decision{Reason: "repack: period has not elapsed"}
 	}
 	moves, next, err := Order(p.shape, current, Pack(p.shape, p.load))
 	if err != nil {
-		return Decision{Why: "repack: " + err.Error()}
+		return Decision{Reason: "repack: " + err.Error()}
 	}
 	p.planAt = now.Add(time.Duration(p.PeriodSeconds) * time.Second)
 	if len(moves) == 0 {
-		return Decision{Why: "repack: nothing to move"}
+		return Decision{Reason: "repack: nothing to move"}
 	}
 	d := Decision{Next: next, Moves: moves}
 	d.SkewBefore = meanSkew(p.shape, current, p.load)
 	d.SkewAfter = meanSkew(p.shape, next, p.load)
 	d.Price = p.cost.Price(p.shape, len(moves))
-	d.Why = fmt.Sprintf("repack: %d moves, skew %.3f to %.3f", len(moves), d.SkewBefore, d.SkewAfter)
+	d.Reason = fmt.Sprintf("repack: %d moves, skew %.3f to %.3f", len(moves), d.SkewBefore, d.SkewAfter)
 	return d
 }
 
--- a/placement/search.go
+++ b/placement/search.go
@@ -84,15 +84,15 @@
 	d.SkewAfter = before - gain/float64(s.Layers)
 	d.Price = sr.price * float64(len(d.Moves))
 	if len(d.Moves) == 0 {
-		d.Why = fmt.Sprintf("skew %.3f, no move is worth its cost", d.SkewBefore)
+		d.Reason = fmt.Sprintf("skew %.3f, no move is worth its cost", d.SkewBefore)
 		return d
 	}
 	next, err := Apply(s, m, d.Moves)
 	if err != nil {
-		return Decision{Why: err.Error()}
+		return Decision{Reason: err.Error()}
 	}
 	d.Next = next
-	d.Why = fmt.Sprintf("%d moves in %d layers, skew %.3f to %.3f, gain %.3g s at a cost of %.3g s",
+	d.Reason = fmt.Sprintf("%d moves in %d layers, skew %.3f to %.3f, gain %.3g s at a cost of %.3g s",
 		len(d.Moves), len(chosen), d.SkewBefore, d.SkewAfter, d.Gain, d.Price)
 	return d
 }
--- a/placement/static.go
+++ b/placement/static.go
@@ -25,5 +25,5 @@
 
 // Plan implements Planner.
 func (*Static) Plan(time.Time, *Map) Decision {
-	return Decision{Why: "static: never changes the map"}
+	return Decision{Reason: "static: never changes the map"}
 }
--- a/placement/straggler.go
+++ b/placement/straggler.go
@@ -111,7 +111,7 @@
 	return out
 }
 
-// summary describes the stragglers for Decision.Why.
+// summary describes the stragglers for Decision.Reason.
 func (w *stragglerDetector) summary() string {
 	var b strings.Builder
 	for r, v := range w.stragglers() {
--- a/placement/straggler_test.go
+++ b/placement/straggler_test.go
@@ -24,13 +24,13 @@
 	times := evenTimes(s)
 	times[2] = 6500 * time.Microsecond
 	for i := range stragglerWindows {
-		why := p.Plan(startTime, m).Why
+		why := p.Plan(startTime, m).Reason
 		assert.Assert(t, !strings.Contains(why, "rank 2"), "after %d windows: %s", i, why)
 		p.ObserveTimes(times, m)
 	}
-	assert.Assert(t, strings.Contains(p.Plan(startTime, m).Why, "rank 2 takes 1.30 times as long as its load explains"))
+	assert.Assert(t, strings.Contains(p.Plan(startTime, m).Reason, "rank 2 takes 1.30 times as long as its load explains"))
 	p.ObserveTimes(evenTimes(s), m)
-	assert.Assert(t, !strings.Contains(p.Plan(startTime, m).Why, "rank 2"))
+	assert.Assert(t, !strings.Contains(p.Plan(startTime, m).Reason, "rank 2"))
 }
 
 // A rank that takes longer because it holds the hottest expert is not a straggler.
--- a/placement/trace/trace.go
+++ b/placement/trace/trace.go
@@ -16,12 +16,12 @@
 
 // Kinds of traces.
 const (
-	// Auction is a diurnal load: it drifts smoothly and far over the day, and the days are
+	// Diurnal is a diurnal load: it drifts smoothly and far over the day, and the days are
 	// alike.
-	Auction Kind = "auction"
-	// Lift is a bursty load: frequent, sudden bursts on one of a few recurring sets of hot
+	Diurnal Kind = "auction"
+	// Bursty is a bursty load: frequent, sudden bursts on one of a few recurring sets of hot
 	// experts.
-	Lift Kind = "lift"
+	Bursty Kind = "lift"
 	// Stationary doesn't change.
 	Stationary Kind = "stationary"
 	// Adversarial changes its hot experts at random times and never repeats a set, so that
@@ -33,7 +33,7 @@
 )
 
 // Kinds lists all kinds.
-var Kinds = []Kind{Auction, Lift, Stationary, Adversarial, Noisy}
+var Kinds = []Kind{Diurnal, Bursty, Stationary, Adversarial, Noisy}
 
 const day = 24 * time.Hour
 
@@ -85,9 +85,9 @@
 		t.jitter = append(t.jitter, time.Duration(rnd.NormFloat64()*float64(10*time.Minute)))
 	}
 	switch p.Kind {
-	case Auction, Noisy:
+	case Diurnal, Noisy:
 		t.initDiurnal(rnd)
-	case Lift:
+	case Bursty:
 		t.initBursty(rnd)
 	case Adversarial:
 		t.initAdversarial(rnd)
--- a/placement/trace/trace_test.go
+++ b/placement/trace/trace_test.go
@@ -76,9 +76,9 @@
 		}
 		return most
 	}
-	assert.Assert(t, shiftedShare(newTestTrace(Auction, 1).Load(0), newTestTrace(Auction, 1).Load(400)) > 0.1)
-	assert.Assert(t, maxChange(newTestTrace(Auction, 1)) < 0.01)
-	assert.Assert(t, maxChange(newTestTrace(Lift, 1)) > 0.05)
+	assert.Assert(t, shiftedShare(newTestTrace(Diurnal, 1).Load(0), newTestTrace(Diurnal, 1).Load(400)) > 0.1)
+	assert.Assert(t, maxChange(newTestTrace(Diurnal, 1)) < 0.01)
+	assert.Assert(t, maxChange(newTestTrace(Bursty, 1)) > 0.05)
 	assert.Equal(t, maxChange(newTestTrace(Stationary, 1)), 0.0)
 }
 
--- a/placement/types.go
+++ b/placement/types.go
@@ -75,8 +75,8 @@
 	// Gain and Price are what the moves are expected to save and to cost, in seconds of group
 	// time weighted by the group's row.
 	Gain, Price float64
-	// Why explains the decision to an operator.
-	Why string
+	// Reason explains the decision to an operator.
+	Reason string
 }
 
 // Planner is a module in the "placement" namespace. Each instance plans for one group and keeps
--- a/quickstart/group_test.go
+++ b/quickstart/group_test.go
@@ -28,7 +28,7 @@
 func (p *rotatePlanner) Observe(time.Time, placement.Load) {}
 
 func (p *rotatePlanner) Plan(_ time.Time, m *placement.Map) placement.Decision {
-	d := placement.Decision{Next: &placement.Map{}, Why: "rotated by one rank", SkewBefore: 1.5, SkewAfter: 1.25}
+	d := placement.Decision{Next: &placement.Map{}, Reason: "rotated by one rank", SkewBefore: 1.5, SkewAfter: 1.25}
 	per := p.shape.Ranks * p.shape.Slots
 	for layer := range p.shape.Layers {
 		slots := m.Slots[layer*per : (layer+1)*per]
--- a/scenario/group.go
+++ b/scenario/group.go
@@ -37,7 +37,7 @@
 		slots := m.Slots[layer*per : (layer+1)*per]
 		next.Slots = append(append(next.Slots, slots[p.shape.Slots:]...), slots[:p.shape.Slots]...)
 	}
-	return placement.Decision{Next: next, Why: "rotated by one rank", SkewBefore: 1, SkewAfter: 1}
+	return placement.Decision{Next: next, Reason: "rotated by one rank", SkewBefore: 1, SkewAfter: 1}
 }
 
 // cmdMaps waits until the group has switched to N more maps and has run steps since
--- a/sidecar/rank.go
+++ b/sidecar/rank.go
@@ -38,7 +38,7 @@
 	// status is unknown.
 	orderTimeout time.Duration
 	// choices computes the increments of the rank's counters for each leader.
-	choices    lockstep.Choices
+	choices    lockstep.ChoiceCounter
 	recentMaps recentMaps
 }
 
@@ -61,7 +61,7 @@
 		_, err = get(ctx, r, calls.Counts, req.Instance, func(body []byte) (zero struct{}, err error) {
 			var counts []uint64
 			if out.Epoch, counts, err = r.dialect.DecodeCounts(body); err == nil {
-				out.Chosen = lockstep.PackChoices(r.choices.Since(req.Reader, out.Report.Incarnation, counts))
+				out.Chosen = lockstep.PackChoices(r.choices.Delta(req.Reader, out.Report.Incarnation, counts))
 			}
 			return zero, err
 		})
