--- a/control/control_test.go
+++ b/control/control_test.go
@@ -97,7 +97,7 @@
 	assert.NilError(c.t, err)
 	node := directory.NewNode(directory.DefaultSettings(), time.Now, nil)
 	assert.NilError(c.t, wire.DRPCRegisterDirectory(r.srv.Mux, node))
-	r.ctl.SetUpstreams(control.UpstreamsOf(node))
+	r.ctl.SetUpstreams(control.UpstreamLister(node))
 	assert.NilError(c.t, r.ctl.Register(r.srv.Mux))
 	go r.srv.Serve(context.Background(), lis)
 	place := control.Place{Name: fmt.Sprintf("c%d", i), Address: c.addrs[i], FailureDomain: fmt.Sprintf("hall-%d", i)}
--- a/control/daemon.go
+++ b/control/daemon.go
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	d.node.SetReplicas(d.control.DirectoryReplicas)
-	d.control.SetUpstreams(UpstreamsOf(d.node))
+	d.control.SetUpstreams(UpstreamLister(d.node))
 	if err := d.control.Register(d.srv.Mux); err != nil {
 		return nil, err
 	}
--- a/control/feed.go
+++ b/control/feed.go
@@ -62,11 +62,11 @@
 	return s.changes[i:], true
 }
 
-// confirm records when the rows were last known to be current.
-func (f *feed) confirm(at time.Duration) { f.confirmed.Store(int64(at)) }
+// setConfirmedAt records when the rows were last known to be current.
+func (f *feed) setConfirmedAt(at time.Duration) { f.confirmed.Store(int64(at)) }
 
-// age returns the time since the rows were last known to be current.
-func (f *feed) age(now time.Duration) time.Duration {
+// confirmedAge returns the time since the rows were last known to be current.
+func (f *feed) confirmedAge(now time.Duration) time.Duration {
 	return max(now-time.Duration(f.confirmed.Load()), 0)
 }
 
@@ -74,5 +74,5 @@
 // confirms them with each heartbeat.
 const maxCurrentAge = time.Second
 
-// current reports whether the age is below maxCurrentAge.
-func (f *feed) current(now time.Duration) bool { return f.age(now) < maxCurrentAge }
+// isCurrent reports whether the age is below maxCurrentAge.
+func (f *feed) isCurrent(now time.Duration) bool { return f.confirmedAge(now) < maxCurrentAge }
--- a/control/groups.go
+++ b/control/groups.go
@@ -20,8 +20,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// ErrLease is returned when a group's lease can't be acquired.
-var ErrLease = merry.Sentinel("group lease can't be acquired")
+// ErrLeaseHeld is returned when a group's lease can't be acquired.
+var ErrLeaseHeld = merry.Sentinel("group lease can't be acquired")
 
 const (
 	// groupTick is the tick interval while a group has work in progress, and
@@ -34,8 +34,8 @@
 	leaseTimeout = 2 * time.Second
 )
 
-// UpstreamsOf returns a function that lists the upstreams in a directory that aren't gone.
-func UpstreamsOf(n *directory.Node) func() []*wire.Announcement {
+// UpstreamLister returns a function that lists the upstreams in a directory that aren't gone.
+func UpstreamLister(n *directory.Node) func() []*wire.Announcement {
 	return func() []*wire.Announcement {
 		var list []*wire.Announcement
 		for _, i := range n.Instances(wire.Role_ROLE_UPSTREAM) {
@@ -241,7 +241,7 @@
 // acquireGroupLease acquires a group's lease for this replica and returns the fencing
 // token. It doesn't wait until the lease of another control replica expires: agents that
 // know the new token reject the orders of the former holder, and the log its commands. It
-// returns ErrLease if the holder of an unexpired lease isn't a control replica.
+// returns ErrLeaseHeld if the holder of an unexpired lease isn't a control replica.
 func (r *Replica) acquireGroupLease(ctx context.Context, group string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
@@ -250,12 +250,12 @@
 	var expired bool
 	if err := r.do(ctx, func() {
 		held = r.machine.fence.Get(group)
-		expired = held.Token == 0 || r.leads.over(group, r.clock())
+		expired = held.Token == 0 || r.leads.expired(group, r.clock())
 	}); err != nil {
 		return 0, err
 	}
 	if len(held.Holder) > 0 && !isControlHolder(held.Holder) && !expired {
-		return 0, merry.Prependf(ErrLease, "held by %s", held.Holder)
+		return 0, merry.Prependf(ErrLeaseHeld, "held by %s", held.Holder)
 	}
 	v, err := r.propose(ctx, &wire.Command{Command: &wire.Command_Lease{
 		Lease: &wire.LeaseGrant{Group: group, Holder: holder, Replaces: held.Token},
@@ -265,7 +265,7 @@
 	}
 	l := v.(*wire.Lease)
 	if l.Holder != holder {
-		return 0, merry.Prependf(ErrLease, "held by %s", l.Holder)
+		return 0, merry.Prependf(ErrLeaseHeld, "held by %s", l.Holder)
 	}
 	return l.Token, nil
 }
--- a/control/leader.go
+++ b/control/leader.go
@@ -28,7 +28,7 @@
 	}
 	st := r.node.Status()
 	kernel.Info(r.log, "Leader changed.", "leads", leads, "leader", st.Leader, "term", st.Term, "role", st.Role,
-		"commit", st.Commit, "last", st.Last, "confirmed_age_ms", millis(r.feed.age(r.now())))
+		"commit", st.Commit, "last", st.Last, "confirmed_age_ms", millis(r.feed.confirmedAge(r.now())))
 	close(r.leader.changed)
 	r.leader = leaderState{leads: leads, address: address, changed: make(chan struct{})}
 }
--- a/control/raftservice.go
+++ b/control/raftservice.go
@@ -64,7 +64,7 @@
 		}
 		if p.Address == id.Address {
 			// Only one process can listen at an address, so the earlier incarnation has ended.
-			r.leads.end(p.Id)
+			r.leads.markReplaced(p.Id)
 			continue
 		}
 		if r.presumedLive(p.Id) {
--- a/control/replica.go
+++ b/control/replica.go
@@ -66,11 +66,11 @@
 	// refusedChange is the last membership change if it was refused.
 	refusedChange   membershipChange
 	lastMaintenance time.Time
-	leads           leaseClock
+	leads           leadershipTimes
 	leader          leaderState
 	ticks           tickMonitor
 	rings           ringTracker
-	shares          shareHome
+	shares          shareState
 	// pools is also read outside the loop, by announcements.
 	pools atomic.Pointer[poolSettings]
 	// routingVersion is the version of the applied configuration. It is also read outside the
@@ -121,7 +121,7 @@
 		pendingReads: map[uint64]chan<- error{},
 		queued:       map[uint64][]uint64{},
 		hardState:    st.Hard,
-		leads:        leaseClock{expires: map[string]time.Time{}},
+		leads:        leadershipTimes{expires: map[string]time.Time{}},
 		leader:       leaderState{changed: make(chan struct{})},
 		rings:        ringTracker{changed: s.Now()},
 	}
@@ -140,9 +140,9 @@
 	if r.failed != nil {
 		return
 	}
-	before := r.feed.current(r.now())
-	r.feed.confirm(r.now() - r.node.ConfirmedAge(r.now()))
-	if !before && r.feed.current(r.now()) {
+	before := r.feed.isCurrent(r.now())
+	r.feed.setConfirmedAt(r.now() - r.node.ConfirmedAge(r.now()))
+	if !before && r.feed.isCurrent(r.now()) {
 		r.watchers.Wake()
 	}
 }
@@ -276,7 +276,7 @@
 		r.rings.setEpoch(r.machine.ring.Epoch, r.clock())
 		r.entriesSinceSnapshot++
 	}
-	r.followRows(r.clock())
+	r.applyRowChanges(r.clock())
 	r.routingVersion.Store(r.machine.routing.Current().GetVersion())
 	if len(rd.Apply) > 0 {
 		r.feed.add(r.machine.table.Revision(), changed, r.machine.ring, r.rings.changed)
--- a/control/ring.go
+++ b/control/ring.go
@@ -168,7 +168,7 @@
 	now := r.clock()
 	up := r.liveEntries()
 	r.rings.recordLive(up, now)
-	next := r.rings.nextRing(r.machine.ring, up, r.leads.since, now)
+	next := r.rings.nextRing(r.machine.ring, up, r.leads.leadingSince, now)
 	if next == nil || r.ringProposedRecently(next.Epoch) {
 		return
 	}
--- a/control/routing.go
+++ b/control/routing.go
@@ -183,7 +183,7 @@
 	sent, current, due := uint64(0), false, true
 	suspicionVersion := uint64(0)
 	for {
-		version, confirmed := r.routingVersion.Load(), r.feed.current(r.now())
+		version, confirmed := r.routingVersion.Load(), r.feed.isCurrent(r.now())
 		changes := s.suspicions.changesSince(suspicionVersion)
 		if due || version != sent || confirmed && !current || len(changes.Suspicions) > 0 {
 			next := directory.SpeakInterval(routingConfirmInterval, int(s.routingWatchers.Load()))
@@ -210,7 +210,7 @@
 }
 
 func sendVersion(stream wire.DRPCRouting_WatchStream, r *Replica, version uint64, next time.Duration, suspicions []*wire.Suspicion) error {
-	v := &wire.RoutingVersion{Version: version, ConfirmedAgeMs: millis(r.feed.age(r.now())), NextMs: millis(next), Suspicions: suspicions}
+	v := &wire.RoutingVersion{Version: version, ConfirmedAgeMs: millis(r.feed.confirmedAge(r.now())), NextMs: millis(next), Suspicions: suspicions}
 	err := stream.Send(v)
 	if err != nil {
 		return fmt.Errorf("routing watch: %w", err)
--- a/control/service.go
+++ b/control/service.go
@@ -173,7 +173,7 @@
 	u := &wire.TableUpdate{
 		Cluster: s.currentIdentity().Cluster, Revision: st.revision, Ring: st.ring,
 		RingAgeMs:      millis(s.current().clock().Sub(st.ringAt)),
-		ConfirmedAgeMs: millis(r.feed.age(r.now())),
+		ConfirmedAgeMs: millis(r.feed.confirmedAge(r.now())),
 	}
 	if rows, ok := st.since(from); ok {
 		u.Rows = rows
@@ -236,7 +236,7 @@
 	l := r.machine.fence.Get(req.Group)
 	reply.Holder, reply.Token = l.Holder, l.Token
 	now := r.clock()
-	expired := l.Token == 0 || r.leads.over(req.Group, now)
+	expired := l.Token == 0 || r.leads.expired(req.Group, now)
 	switch {
 	case l.Holder != req.Holder:
 		return l.Token, !expired
--- a/control/share.go
+++ b/control/share.go
@@ -14,10 +14,10 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// shareHome is the state from which a leader divides limits between entries. The
+// shareState is the state from which a leader divides limits between entries. The
 // allocator lasts for one leadership; the next leader's waits until all grants of the
 // previous one have expired.
-type shareHome struct {
+type shareState struct {
 	allocator *admit.ShareAllocator
 	term      uint64
 	// allocatorCount counts the allocators created by this process.
@@ -33,8 +33,8 @@
 	appliedRevision uint64
 }
 
-// followHome creates an allocator when a leadership begins and drops it when it ends.
-func (r *Replica) followHome() {
+// syncShareAllocator creates an allocator when a leadership begins and drops it when it ends.
+func (r *Replica) syncShareAllocator() {
 	if !r.leads.leading {
 		r.shares.allocator = nil
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *shareHome) dump(now time.Time) []admit.SubjectState {
+func (s *shareState) dump(now time.Time) []admit.SubjectState {
 	if s.allocator == nil {
 		return nil
 	}
@@ -79,7 +79,7 @@
 
 // grantShares fills in the reply to an entry's request; it runs in the replica's loop.
 func (r *Replica) grantShares(req *wire.ShareRequest, reply *wire.ShareReply) error {
-	r.followHome()
+	r.syncShareAllocator()
 	if !r.node.IsLeader(r.now()) || r.shares.allocator == nil {
 		return merry.Prepend(ErrUnavailable, "not the leader")
 	}
@@ -168,10 +168,10 @@
 	return table.NewView(t.Revision(), t.Rows(""))
 }
 
-// followRows applies the service and pool rows that have changed: the timeouts of every
+// applyRowChanges applies the service and pool rows that have changed: the timeouts of every
 // version of a service in order, and the queue settings of pools. After a restart, all
 // versions that the table keeps count as changed now.
-func (r *Replica) followRows(now time.Time) {
+func (r *Replica) applyRowChanges(now time.Time) {
 	rev := r.machine.table.Revision()
 	if rev == r.shares.appliedRevision {
 		return
--- a/control/share_test.go
+++ b/control/share_test.go
@@ -29,12 +29,12 @@
 	put(2, 0, 40_000)
 	put(3, 1, 1000)
 	now := time.Unix(1000, 0)
-	r.followRows(now)
+	r.applyRowChanges(now)
 	all := admit.Subject{Team: "growers", Service: "*"}
 	assert.Equal(t, r.shares.requestTimeouts.Longest(now.Add(39*time.Second), all), 40*time.Second)
 	assert.Equal(t, r.shares.requestTimeouts.Longest(now.Add(50*time.Second), all), time.Second)
 	put(4, 2, 60_000)
-	r.followRows(now.Add(time.Minute))
+	r.applyRowChanges(now.Add(time.Minute))
 	assert.Equal(t, r.shares.requestTimeouts.Longest(now.Add(time.Minute), admit.Subject{Team: "growers", Service: "lm"}), time.Minute)
 	assert.Equal(t, r.shares.requestTimeouts.Longest(now.Add(time.Minute), admit.Subject{Team: "growers", Service: "other"}), time.Duration(0))
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -185,7 +185,7 @@
 	c.RegisterMetrics(e.metrics)
 	c.SetEntries(e.ringMembers)
 	e.node.SetReplicas(c.DirectoryReplicas)
-	c.SetUpstreams(control.UpstreamsOf(e.node))
+	c.SetUpstreams(control.UpstreamLister(e.node))
 	e.dumps.Add("control", c.Dump)
 	return c.Register(e.srv.Mux)
 }
