--- a/agent/orders.go
+++ b/agent/orders.go
@@ -54,7 +54,7 @@
 			return token, err
 		},
 		eachGroupState: func(ctx context.Context, group string, f func(*wire.GroupState) bool) {
-			client.Each(ctx, groupStateTimeout, func(ctx context.Context, c wire.DRPCControlClient) bool {
+			client.ForEachReplica(ctx, groupStateTimeout, func(ctx context.Context, c wire.DRPCControlClient) bool {
 				state, err := c.GroupMaps(ctx, &wire.GroupsRequest{Group: group})
 				return err == nil && f(state)
 			})
--- a/control/api.go
+++ b/control/api.go
@@ -30,8 +30,8 @@
 	Discovery string `toml:"discovery_listen"`
 	// Dialect names the plug-in that defines the paths and formats of the API.
 	Dialect string `toml:"dialect"`
-	// Keep is how long a caller may cache the list of entries.
-	Keep kernel.Duration `toml:"keep"`
+	// EntryListTTL is how long a caller may cache the list of entries.
+	EntryListTTL kernel.Duration `toml:"keep"`
 	// Lease is how long a registration lasts unless it is repeated.
 	Lease kernel.Duration `toml:"registration_lease"`
 }
@@ -56,7 +56,7 @@
 	switch {
 	case s.Dialect == "":
 		return kernel.BadKey("api.dialect", "must not be empty")
-	case s.Keep <= 0:
+	case s.EntryListTTL <= 0:
 		return kernel.BadKey("api.keep", "must be positive")
 	case s.Lease <= 0:
 		return kernel.BadKey("api.registration_lease", "must be positive")
@@ -217,7 +217,7 @@
 		a.writeError(w, http.StatusServiceUnavailable, "no entry is known to be ready")
 		return
 	}
-	a.writeJSON(w, http.StatusOK, a.dialect.EncodeEntries(list, a.settings.Keep.D()))
+	a.writeJSON(w, http.StatusOK, a.dialect.EncodeEntries(list, a.settings.EntryListTTL.D()))
 }
 
 func (a *api) readyEntryAddresses() []string {
--- a/control/client.go
+++ b/control/client.go
@@ -71,9 +71,9 @@
 // retryInterval is the delay between two rounds of calls to all replicas.
 const retryInterval = 100 * time.Millisecond
 
-// Each calls f for the replicas in turn, each with its own timeout, until f returns true or
+// ForEachReplica calls f for the replicas in turn, each with its own timeout, until f returns true or
 // ctx ends.
-func (c *Client) Each(ctx context.Context, timeout time.Duration, f func(context.Context, wire.DRPCControlClient) bool) {
+func (c *Client) ForEachReplica(ctx context.Context, timeout time.Duration, f func(context.Context, wire.DRPCControlClient) bool) {
 	for _, addr := range c.addrs {
 		one, cancel := context.WithTimeout(ctx, timeout)
 		done := f(one, wire.NewDRPCControlClient(c.pool.Conn(one, addr)))
--- a/control/control.go
+++ b/control/control.go
@@ -36,8 +36,8 @@
 	reopenInterval = 500 * time.Millisecond
 )
 
-// Place is the name and location of a control replica.
-type Place struct {
+// ReplicaInfo is the name and location of a control replica.
+type ReplicaInfo struct {
 	// Name must be unique among the members.
 	Name          string
 	Address       string
@@ -52,7 +52,7 @@
 	routingWatchers atomic.Int64
 
 	settings Settings
-	place    Place
+	place    ReplicaInfo
 	log      log.Logger
 	pool     *transport.Pool
 
@@ -84,13 +84,13 @@
 	return c, err
 }
 
-// SetEntries sets the source from which a leader learns which entries are up. It must be
+// SetEntrySource sets the source from which a leader learns which entries are up. It must be
 // called before Start; without it there is no ring of claim registers.
-func (c *Control) SetEntries(f func() []*wire.RingMember) { c.entries = f }
+func (c *Control) SetEntrySource(f func() []*wire.RingMember) { c.entries = f }
 
-// SetUpstreams sets the source from which a leader learns which ranks of groups are up. It
+// SetUpstreamSource sets the source from which a leader learns which ranks of groups are up. It
 // must be called before Start; without it groups are not managed.
-func (c *Control) SetUpstreams(f func() []*wire.Announcement) {
+func (c *Control) SetUpstreamSource(f func() []*wire.Announcement) {
 	c.groups.upstreams = f
 	if c.lockstep != nil {
 		c.lockstep.upstreams = f
@@ -113,7 +113,7 @@
 
 // Start opens the journal. If the replica belongs to a cluster, Start runs it; otherwise it
 // forms or joins a cluster in the background.
-func (c *Control) Start(ctx context.Context, p Place) error {
+func (c *Control) Start(ctx context.Context, p ReplicaInfo) error {
 	c.place = p
 	ctx, c.cancel = context.WithCancel(ctx)
 	j, st, err := c.openJournal()
@@ -160,8 +160,8 @@
 	return c.identity
 }
 
-// current returns the running replica, or nil.
-func (c *Control) current() *Replica {
+// currentReplica returns the running replica, or nil.
+func (c *Control) currentReplica() *Replica {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.replica
@@ -406,10 +406,10 @@
 // Formed reports whether the cluster is formed and accepts edits. It is false if the replica
 // doesn't run or ctx ends.
 func (c *Control) Formed(ctx context.Context) bool {
-	r := c.current()
+	r := c.currentReplica()
 	formed := false
 	if r != nil {
-		_ = r.do(ctx, func() { formed = r.machine.formed })
+		_ = r.runInLoop(ctx, func() { formed = r.machine.formed })
 	}
 	return formed
 }
@@ -425,8 +425,8 @@
 		// Suspicions are about requests that may crash upstreams.
 		Suspicions []quarantine.SuspicionView `json:"suspicions"`
 	}{Identity: c.currentIdentity(), Groups: c.groups.dump(), Suspicions: quarantine.SuspicionViews(c.suspicions.all())}
-	if r := c.current(); r != nil {
-		_ = r.do(ctx, func() { d.Replica = r.dump() })
+	if r := c.currentReplica(); r != nil {
+		_ = r.runInLoop(ctx, func() { d.Replica = r.dump() })
 	}
 	return d
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -97,10 +97,10 @@
 	assert.NilError(c.t, err)
 	node := directory.NewNode(directory.DefaultSettings(), time.Now, nil)
 	assert.NilError(c.t, wire.DRPCRegisterDirectory(r.srv.Mux, node))
-	r.ctl.SetUpstreams(control.UpstreamLister(node))
+	r.ctl.SetUpstreamSource(control.UpstreamLister(node))
 	assert.NilError(c.t, r.ctl.Register(r.srv.Mux))
 	go r.srv.Serve(context.Background(), lis)
-	place := control.Place{Name: fmt.Sprintf("c%d", i), Address: c.addrs[i], FailureDomain: fmt.Sprintf("hall-%d", i)}
+	place := control.ReplicaInfo{Name: fmt.Sprintf("c%d", i), Address: c.addrs[i], FailureDomain: fmt.Sprintf("hall-%d", i)}
 	assert.NilError(c.t, r.ctl.Start(context.Background(), place))
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stopFollowing = cancel
@@ -121,12 +121,12 @@
 	r.pool.Close()
 }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // edit sends an edit until it is accepted or refused.
 func (c *cluster) edit(e *wire.TableEdit) *wire.EditReply {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
 		reply, err := c.client.Edit(ctx, e)
@@ -169,7 +169,7 @@
 func (c *cluster) waitHealth(want string) []*wire.Member {
 	c.t.Helper()
 	var got string
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		health, members := c.health()
 		if got = health; got == want {
 			return members
@@ -193,7 +193,7 @@
 }
 
 func (c *cluster) waitHealthAny() []*wire.Member {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		if _, members := c.health(); members != nil {
 			return members
 		}
@@ -203,7 +203,7 @@
 
 func (c *cluster) rows() map[string]string {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
 		reply, err := c.client.Read(ctx, &wire.ReadRequest{Kind: "pool", Linearizable: true})
@@ -297,7 +297,7 @@
 		if m.Address != c.addrs[(leader+2)%3] {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		assert.NilError(t, c.client.Call(ctx, func(ctx context.Context, cc wire.DRPCControlClient) (err error) {
 			reply, err = cc.Members(ctx, &wire.MembersRequest{Verb: control.VerbRemove, Member: m})
@@ -321,7 +321,7 @@
 	}
 	gauge := func(i int, name string) int64 { return registries[i].Get(name).(metrics.Gauge).Value() }
 	leader := -1
-	for end := time.Now().Add(patience); leader < 0 && time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); leader < 0 && time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		for i := range registries {
 			if gauge(i, "control.leader") == 1 {
 				leader = i
--- a/control/daemon.go
+++ b/control/daemon.go
@@ -38,8 +38,8 @@
 	// defaults to the listener's address.
 	Listen    string `toml:"listen"`
 	Advertise string `toml:"advertise"`
-	// Operators is the HTTP address of the metrics and the state dump; empty disables it.
-	Operators string `toml:"operators_listen"`
+	// OperatorsListen is the HTTP address of the metrics and the state dump; empty disables it.
+	OperatorsListen string `toml:"operators_listen"`
 	// API configures the HTTP API; nil disables it.
 	API       *APISettings    `toml:"api"`
 	Control   Settings        `toml:"control"`
@@ -82,7 +82,7 @@
 func (s *DaemonSettings) SetDefaults() {
 	s.Control.SetDefaults()
 	if s.API != nil {
-		s.API.Keep = cmp.Or(s.API.Keep, kernel.Duration(defaultKeep))
+		s.API.EntryListTTL = cmp.Or(s.API.EntryListTTL, kernel.Duration(defaultKeep))
 		s.API.Lease = cmp.Or(s.API.Lease, kernel.Duration(defaultRegistrationLease))
 	}
 }
@@ -125,12 +125,12 @@
 	d.dumps.Add("directory", d.node.Dump)
 	if s.API == nil {
 		// Entries without agents make no claims, so there is no ring of registers.
-		d.control.SetEntries(d.node.RingMembers)
+		d.control.SetEntrySource(d.node.RingMembers)
 	} else if d.api, err = newAPI(*s.API, d.control, d.node, l); err != nil {
 		return nil, err
 	}
 	d.node.SetReplicas(d.control.DirectoryReplicas)
-	d.control.SetUpstreams(UpstreamLister(d.node))
+	d.control.SetUpstreamSource(UpstreamLister(d.node))
 	if err := d.control.Register(d.srv.Mux); err != nil {
 		return nil, err
 	}
@@ -150,7 +150,7 @@
 	ctx, d.cancel = context.WithCancel(ctx)
 	go d.srv.Serve(ctx, lis)
 	go d.node.Run(ctx)
-	place := Place{Name: d.settings.ID, Address: d.address(), FailureDomain: d.settings.FailureDomain}
+	place := ReplicaInfo{Name: d.settings.ID, Address: d.address(), FailureDomain: d.settings.FailureDomain}
 	if err := d.control.Start(ctx, place); err != nil {
 		return err
 	}
@@ -176,10 +176,10 @@
 }
 
 func (d *Daemon) startOperators() error {
-	if d.settings.Operators == "" {
+	if d.settings.OperatorsListen == "" {
 		return nil
 	}
-	lis, err := net.Listen("tcp", d.settings.Operators)
+	lis, err := net.Listen("tcp", d.settings.OperatorsListen)
 	if err != nil {
 		return merry.Prepend(ErrStart, err.Error())
 	}
--- a/control/gauges.go
+++ b/control/gauges.go
@@ -34,7 +34,7 @@
 // readGauge returns a value that is computed in the replica's loop, or -1 if there is no
 // replica or its loop doesn't answer within gaugeTimeout.
 func (c *Control) readGauge(value func(*Replica, consensus.Status) int64) int64 {
-	r := c.current()
+	r := c.currentReplica()
 	if r == nil {
 		return -1
 	}
--- a/control/groups.go
+++ b/control/groups.go
@@ -149,9 +149,9 @@
 	g.mu.Lock()
 	delete(g.drivers, d.name)
 	g.mu.Unlock()
-	err := r.do(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		if r.machine.fence.Token(d.name) == d.token {
-			r.leads.renew(d.name, time.Now(), 0)
+			r.leadership.renew(d.name, time.Now(), 0)
 		}
 	})
 	kernel.Info(g.log, "Stopped leading a group whose row was deleted.", "group", d.name, "token", d.token, "err", err)
@@ -161,7 +161,7 @@
 // tokens of the driven groups, which may be neither in the log nor in the table any more.
 func (r *Replica) readGroups(ctx context.Context, driven []string) groupsSnapshot {
 	snap := groupsSnapshot{states: map[string]*wire.GroupState{}, tokens: map[string]uint64{}}
-	err := r.do(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		v, err := r.tableView()
 		if err != nil || !r.node.IsLeader(r.now()) || r.failed != nil {
 			return
@@ -248,9 +248,9 @@
 	holder := leaseHolderPrefix + idOf(r.identity)
 	var held *wire.Lease
 	var expired bool
-	if err := r.do(ctx, func() {
+	if err := r.runInLoop(ctx, func() {
 		held = r.machine.fence.Get(group)
-		expired = held.Token == 0 || r.leads.expired(group, r.clock())
+		expired = held.Token == 0 || r.leadership.expired(group, r.clock())
 	}); err != nil {
 		return 0, err
 	}
--- a/control/groups_test.go
+++ b/control/groups_test.go
@@ -132,7 +132,7 @@
 func (r *groupCluster) waitFor(what string, ok func(v *wire.GroupView) bool) *wire.GroupView {
 	r.t.Helper()
 	var v *wire.GroupView
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if v = r.groupView(); ok(v) {
 			return v
 		}
@@ -157,7 +157,7 @@
 // changeGroup requests a change of the group, and repeats the request until it is answered.
 func (r *groupCluster) changeGroup(verb string, epoch uint64) *wire.GroupChangeReply {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for {
 		var reply *wire.GroupChangeReply
@@ -290,7 +290,7 @@
 	r.waitFor("an error", func(v *wire.GroupView) bool {
 		return strings.Contains(v.Error, "upstreams rank-1-1 and rank-1-4 both announce rank 1")
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	assert.NilError(t, r.agents[4].Drain(ctx))
 	r.agents[4].Stop()
@@ -345,7 +345,7 @@
 
 func (r *groupCluster) requestLease(req *wire.LeaseRequest) (reply *wire.LeaseReply) {
 	r.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	assert.NilError(r.t, r.client.Call(ctx, func(ctx context.Context, c wire.DRPCControlClient) (err error) {
 		reply, err = c.Acquire(ctx, req)
--- a/control/groupservice.go
+++ b/control/groupservice.go
@@ -21,7 +21,7 @@
 
 // Groups implements the Control service.
 func (s *service) Groups(ctx context.Context, req *wire.GroupsRequest) (*wire.GroupsReply, error) {
-	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.GroupsReply, error) {
+	reply, done, err := forwardToLeader(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.GroupsReply, error) {
 		return c.Groups(ctx, req)
 	})
 	if done || err != nil {
@@ -78,12 +78,12 @@
 // GroupMaps implements the Control service. It answers from this replica's own state,
 // so that agents learn of decisions while the leader can't be reached.
 func (s *service) GroupMaps(ctx context.Context, req *wire.GroupsRequest) (*wire.GroupState, error) {
-	r := s.current()
+	r := s.currentReplica()
 	if r == nil {
 		return nil, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
 	state := &wire.GroupState{}
-	err := r.do(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		if st := r.machine.groups.Get(req.Group); st != nil {
 			state = st
 		}
@@ -93,18 +93,18 @@
 
 // ChangeGroup implements the Control service.
 func (s *service) ChangeGroup(ctx context.Context, req *wire.GroupChangeRequest) (*wire.GroupChangeReply, error) {
-	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.GroupChangeReply, error) {
+	reply, done, err := forwardToLeader(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.GroupChangeReply, error) {
 		return c.ChangeGroup(ctx, req)
 	})
 	if done || err != nil {
 		return reply, err
 	}
-	r := s.current()
+	r := s.currentReplica()
 	if err := r.barrier(ctx); err != nil {
 		return nil, err
 	}
 	var state *wire.GroupState
-	if err := r.do(ctx, func() { state = r.machine.groups.Get(req.Group) }); err != nil {
+	if err := r.runInLoop(ctx, func() { state = r.machine.groups.Get(req.Group) }); err != nil {
 		return nil, err
 	}
 	pin, detail := pinForRequest(state, req)
--- a/control/leader.go
+++ b/control/leader.go
@@ -22,19 +22,21 @@
 // updateLeaderState updates the leader state and, if it has changed, wakes the calls that wait
 // for a leader.
 func (r *Replica) updateLeaderState() {
-	leads, address := r.takesCalls(), r.leaderAddress()
+	leads, address := r.acceptsLeaderCalls(), r.leaderAddress()
 	if leads == r.leader.leads && address == r.leader.address {
 		return
 	}
 	st := r.node.Status()
 	kernel.Info(r.log, "Leader changed.", "leads", leads, "leader", st.Leader, "term", st.Term, "role", st.Role,
-		"commit", st.Commit, "last", st.Last, "confirmed_age_ms", millis(r.feed.confirmedAge(r.now())))
+		"commit", st.Commit, "last", st.Last, "confirmed_age_ms", clampedMillis(r.feed.confirmedAge(r.now())))
 	close(r.leader.changed)
 	r.leader = leaderState{leads: leads, address: address, changed: make(chan struct{})}
 }
 
-// takesCalls reports whether this replica leads and isn't transferring leadership.
-func (r *Replica) takesCalls() bool { return r.node.IsLeader(r.now()) && !r.node.Transferring() }
+// acceptsLeaderCalls reports whether this replica leads and isn't transferring leadership.
+func (r *Replica) acceptsLeaderCalls() bool {
+	return r.node.IsLeader(r.now()) && !r.node.Transferring()
+}
 
 // leaderAddress returns the address of another replica that leads, or "".
 func (r *Replica) leaderAddress() string {
@@ -54,7 +56,7 @@
 	defer limit.Stop()
 	for {
 		var changed <-chan struct{}
-		err = r.do(ctx, func() {
+		err = r.runInLoop(ctx, func() {
 			r.updateLeaderState()
 			leads, address, changed = r.leader.leads, r.leader.address, r.leader.changed
 		})
--- a/control/leadertransfer.go
+++ b/control/leadertransfer.go
@@ -20,7 +20,7 @@
 // edits don't wait for an election timeout. It gives up after leaderTransferAttempts election
 // timeouts; the other replicas then elect a leader as after a crash.
 func (c *Control) Drain(ctx context.Context) {
-	r := c.current()
+	r := c.currentReplica()
 	if r == nil {
 		return
 	}
@@ -44,7 +44,7 @@
 	defer tick.Stop()
 	for {
 		var st transferState
-		err := r.do(ctx, func() { st = r.transferLeadershipStep(led) })
+		err := r.runInLoop(ctx, func() { st = r.transferLeadershipStep(led) })
 		led = led || st.leads
 		if err != nil || st.done {
 			return led, st.next
--- a/control/leadertransfer_test.go
+++ b/control/leadertransfer_test.go
@@ -28,13 +28,13 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			key := fmt.Sprintf("p%d", i)
 			replies[i], _ = c.client.Edit(ctx, poolEdit(key, key, "9", 0))
 		}()
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c.running[old].ctl.Drain(ctx)
 	assert.NilError(t, ctx.Err())
@@ -54,7 +54,7 @@
 	c := newClusterWith(t, 3, func(s *control.Settings) { s.ElectionTimeout = kernel.Duration(time.Minute) })
 	c.accept(poolEdit("a", "lm", "8", 0))
 	c.waitHealth(control.HealthOK)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	leader := c.leader()
 	c.running[(leader+1)%3].ctl.Drain(ctx)
@@ -78,7 +78,7 @@
 	for i := range 2 {
 		dead := (leader + 1 + i) % 3
 		c.stop(dead)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		c.running[leader].ctl.Drain(ctx)
 		assert.NilError(t, ctx.Err())
 		cancel()
--- a/control/lockstep.go
+++ b/control/lockstep.go
@@ -96,8 +96,8 @@
 
 func (r *Replica) readLockstepState(ctx context.Context, groups []string) lockstepLogState {
 	state := lockstepLogState{tokens: map[string]uint64{}}
-	_ = r.do(ctx, func() {
-		state.isLeader = r.failed == nil && r.takesCalls()
+	_ = r.runInLoop(ctx, func() {
+		state.isLeader = r.failed == nil && r.acceptsLeaderCalls()
 		state.config = r.machine.routing.Current()
 		for _, name := range groups {
 			state.tokens[name] = r.machine.fence.Token(lockstepLeasePrefix + name)
--- a/control/lockstepranks.go
+++ b/control/lockstepranks.go
@@ -31,7 +31,7 @@
 // rankLink holds the address of one rank and what was last read from it.
 type rankLink struct {
 	instance string
-	// incarnation distinguishes runs under one instance ID; it is onlyIncarnation if the
+	// incarnation distinguishes runs under one instance ID; it is defaultIncarnation if the
 	// rank doesn't report one.
 	incarnation  uint64
 	address      string
--- a/control/loopcalls.go
+++ b/control/loopcalls.go
@@ -30,7 +30,7 @@
 	}
 	delete(r.proposals, e.Index)
 	if p.term != e.Term {
-		p.reply <- proposalResult{err: ErrLost}
+		p.reply <- proposalResult{err: ErrProposalLost}
 		return
 	}
 	p.reply <- proposalResult{value: v}
@@ -81,10 +81,10 @@
 	callAbandoned
 )
 
-// do runs f in the loop and waits until it has returned. If ctx ends before f starts, e.g.
+// runInLoop runs f in the loop and waits until it has returned. If ctx ends before f starts, e.g.
 // because a disk sync blocks the loop, do returns ErrUnavailable and f is never run, so that f
 // doesn't write to the caller's variables later. It returns ErrStopped if the loop has ended.
-func (r *Replica) do(ctx context.Context, f func()) error {
+func (r *Replica) runInLoop(ctx context.Context, f func()) error {
 	ran := make(chan struct{})
 	var state atomic.Int32
 	call := func() {
@@ -138,7 +138,7 @@
 	}
 	reply := make(chan proposalResult, 1)
 	var perr error
-	if err := r.do(ctx, func() { perr = r.proposeInLoop(data, reply) }); err != nil {
+	if err := r.runInLoop(ctx, func() { perr = r.proposeInLoop(data, reply) }); err != nil {
 		return nil, err
 	}
 	if perr != nil {
@@ -164,7 +164,7 @@
 	}
 	if old, ok := r.proposals[index]; ok {
 		// A newer leader has overwritten the entry of the earlier proposal.
-		old.reply <- proposalResult{err: ErrLost}
+		old.reply <- proposalResult{err: ErrProposalLost}
 	}
 	r.proposals[index] = pendingProposal{term: term, reply: reply}
 	return nil
@@ -174,7 +174,7 @@
 // was committed before the call. It returns ErrUnavailable if this replica doesn't lead.
 func (r *Replica) barrier(ctx context.Context) error {
 	ch := make(chan error, 1)
-	err := r.do(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		if r.failed != nil {
 			ch <- merry.Prepend(ErrStopped, r.failed.Error())
 			return
--- a/control/loopcalls_test.go
+++ b/control/loopcalls_test.go
@@ -14,7 +14,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := false
 	ended := make(chan error, 1)
-	go func() { ended <- r.do(ctx, func() { ran = true }) }()
+	go func() { ended <- r.runInLoop(ctx, func() { ran = true }) }()
 	queued := <-r.calls
 	cancel()
 	assert.ErrorIs(t, <-ended, ErrUnavailable)
--- a/control/machine.go
+++ b/control/machine.go
@@ -18,10 +18,10 @@
 
 // Errors of decoding replicated state.
 var (
-	// ErrMachine is returned for a snapshot that this release can't restore.
-	ErrMachine = merry.Sentinel("snapshot of replicated state can't be read")
-	// ErrCommand is returned for a committed command that this release can't apply.
-	ErrCommand = merry.Sentinel("committed command is not supported by this release")
+	// ErrSnapshot is returned for a snapshot that this release can't restore.
+	ErrSnapshot = merry.Sentinel("snapshot of replicated state can't be read")
+	// ErrUnsupportedCommand is returned for a committed command that this release can't apply.
+	ErrUnsupportedCommand = merry.Sentinel("committed command is not supported by this release")
 )
 
 // commandVersion is the highest version of the command format and of the apply logic that
@@ -95,22 +95,22 @@
 	return proto.Marshal(&wire.Command{Rules: deflatedCommandVersion, Command: &wire.Command_Deflated{Deflated: packed}})
 }
 
-// decode returns the command of a log entry. It returns ErrCommand if the entry is malformed
+// decode returns the command of a log entry. It returns ErrUnsupportedCommand if the entry is malformed
 // or needs a higher version than commandVersion.
 func decode(index uint64, data []byte) (*wire.Command, error) {
 	c := &wire.Command{}
 	if err := proto.Unmarshal(data, c); err != nil {
-		return nil, merry.Prependf(ErrCommand, "entry %d: %v", index, err)
+		return nil, merry.Prependf(ErrUnsupportedCommand, "entry %d: %v", index, err)
 	}
 	if c.Rules > commandVersion {
-		return nil, merry.Prependf(ErrCommand, "entry %d: command version %d, this release supports up to %d", index, c.Rules, commandVersion)
+		return nil, merry.Prependf(ErrUnsupportedCommand, "entry %d: command version %d, this release supports up to %d", index, c.Rules, commandVersion)
 	}
 	if c.GetDeflated() == nil {
 		return c, nil
 	}
 	data, err := deflate.Unpack(c.GetDeflated(), maxInflatedSize)
 	if err != nil {
-		return nil, merry.Prependf(ErrCommand, "entry %d: %v", index, err)
+		return nil, merry.Prependf(ErrUnsupportedCommand, "entry %d: %v", index, err)
 	}
 	return decode(index, data)
 }
@@ -118,7 +118,7 @@
 // apply applies a committed command. The result is a *wire.EditReply, a *wire.Lease, a
 // rollout.Result, a routingResult, a quarantineResult or nil.
 //
-// It returns ErrCommand for a command that this release doesn't support. The replica must
+// It returns ErrUnsupportedCommand for a command that this release doesn't support. The replica must
 // then stop until it is upgraded: skipping the command would let its state diverge from that
 // of the other replicas.
 func (m *machine) apply(index uint64, data []byte) (any, error) {
@@ -146,7 +146,7 @@
 			m.ring = r
 		}
 	default:
-		return nil, merry.Prependf(ErrCommand, "entry %d: unknown kind of command", index)
+		return nil, merry.Prependf(ErrUnsupportedCommand, "entry %d: unknown kind of command", index)
 	}
 	return nil, nil
 }
@@ -168,10 +168,10 @@
 func (m *machine) restore(data []byte) error {
 	s := &wire.MachineSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
-		return merry.Prepend(ErrMachine, err.Error())
+		return merry.Prepend(ErrSnapshot, err.Error())
 	}
 	if s.Rules > commandVersion {
-		return merry.Prependf(ErrMachine, "snapshot version %d, this release supports up to %d", s.Rules, commandVersion)
+		return merry.Prependf(ErrSnapshot, "snapshot version %d, this release supports up to %d", s.Rules, commandVersion)
 	}
 	m.table.Restore(s.Table)
 	m.fence.Restore(s.Fence)
--- a/control/machine_test.go
+++ b/control/machine_test.go
@@ -29,14 +29,14 @@
 		"entry 8":                 {0xff},
 	} {
 		_, err := m.apply(8, data)
-		assert.ErrorIs(t, err, ErrCommand)
+		assert.ErrorIs(t, err, ErrUnsupportedCommand)
 		assert.ErrorContains(t, err, message)
 	}
 
 	snap, err := m.snapshot()
 	assert.NilError(t, err)
 	assert.NilError(t, newMachine().restore(snap))
-	assert.ErrorIs(t, newMachine().restore(append(snap, 15<<3, commandVersion+1)), ErrMachine)
+	assert.ErrorIs(t, newMachine().restore(append(snap, 15<<3, commandVersion+1)), ErrSnapshot)
 }
 
 // A large routing configuration is compressed on the log and applied to the same state. A
@@ -71,5 +71,5 @@
 	damaged, err := proto.Marshal(outer)
 	assert.NilError(t, err)
 	_, err = m.apply(2, damaged)
-	assert.ErrorIs(t, err, ErrCommand)
+	assert.ErrorIs(t, err, ErrUnsupportedCommand)
 }
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -9,7 +9,7 @@
 // proposes, at most once per membershipInterval, that the cluster is formed, the next ring of
 // claim registers and the next membership change.
 func (r *Replica) maintainMembership() {
-	r.leads.updateLeadership(r.node.IsLeader(r.now()), r.clock())
+	r.leadership.updateLeadership(r.node.IsLeader(r.now()), r.clock())
 	r.syncShareAllocator()
 	if !r.node.IsLeader(r.now()) || r.clock().Sub(r.lastMaintenance) < membershipInterval {
 		return
@@ -58,11 +58,11 @@
 // counts from the start of this leadership. A replica whose address another incarnation has
 // taken over is never presumed live.
 func (r *Replica) presumedLive(id string) bool {
-	if r.node.Live(id) && !r.leads.replaced[id] {
-		r.leads.recordContact(id, r.clock())
+	if r.node.Live(id) && !r.leadership.replaced[id] {
+		r.leadership.recordContact(id, r.clock())
 		return true
 	}
-	return !r.leads.silentFor(id, r.clock(), r.settings.ReplaceAfter.D())
+	return !r.leadership.silentFor(id, r.clock(), r.settings.ReplaceAfter.D())
 }
 
 func (r *Replica) proposeFormed() {
--- a/control/membership.go
+++ b/control/membership.go
@@ -15,8 +15,8 @@
 	caughtUp bool
 }
 
-// NameOf returns the name part of a replica ID of the form NAME/INCARNATION.
-func NameOf(id string) string {
+// ReplicaName returns the name part of a replica ID of the form NAME/INCARNATION.
+func ReplicaName(id string) string {
 	name, _, _ := strings.Cut(id, "/")
 	return name
 }
@@ -157,7 +157,7 @@
 		return nil
 	}
 	for i, m := range members {
-		if m.Id != dead.Id && NameOf(m.Id) == NameOf(dead.Id) && m.live && m.caughtUp {
+		if m.Id != dead.Id && ReplicaName(m.Id) == ReplicaName(dead.Id) && m.live && m.caughtUp {
 			return &members[i]
 		}
 	}
--- a/control/peers.go
+++ b/control/peers.go
@@ -136,12 +136,12 @@
 // DirectoryReplicas lists the replicas in the membership, all of which accept announcements.
 // It returns nil if this replica belongs to no cluster yet.
 func (c *Control) DirectoryReplicas(ctx context.Context) []*wire.DirectoryReplica {
-	r := c.current()
+	r := c.currentReplica()
 	if r == nil {
 		return nil
 	}
 	var list []*wire.DirectoryReplica
-	_ = r.do(ctx, func() {
+	_ = r.runInLoop(ctx, func() {
 		for _, p := range r.node.Peers() {
 			list = append(list, &wire.DirectoryReplica{Address: p.Address, FailureDomain: p.FailureDomain})
 		}
--- a/control/pools.go
+++ b/control/pools.go
@@ -12,8 +12,8 @@
 // poolSettings maps pool names to queue settings. It is immutable: a change makes a new map.
 type poolSettings map[string]*wire.PoolSettings
 
-// with returns a copy of the settings that includes a changed or deleted pool row.
-func (p poolSettings) with(row *wire.Row) poolSettings {
+// withRow returns a copy of the settings that includes a changed or deleted pool row.
+func (p poolSettings) withRow(row *wire.Row) poolSettings {
 	next := poolSettings{}
 	for key, s := range p {
 		next[key] = s
@@ -22,16 +22,16 @@
 	if !row.Deleted {
 		next[row.Key] = &wire.PoolSettings{
 			Pool: row.Key, Revision: row.Revision,
-			Slots:         uint32(cell(row, "slots")),
-			MaxQueue:      uint32(cell(row, "max_queue")),
-			UrgentPercent: uint32(cell(row, "urgent_percent")),
+			Slots:         uint32(intCell(row, "slots")),
+			MaxQueue:      uint32(intCell(row, "max_queue")),
+			UrgentPercent: uint32(intCell(row, "urgent_percent")),
 		}
 	}
 	return next
 }
 
-// cell returns the number in a column of a validated row, or the column's default.
-func cell(row *wire.Row, name string) int {
+// intCell returns the number in a column of a validated row, or the column's default.
+func intCell(row *wire.Row, name string) int {
 	text := row.Columns[name]
 	for _, col := range table.Schema[row.Kind] {
 		if col.Name == name && text == "" {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := d.control.current()
+	r := d.control.currentReplica()
 	if r == nil {
 		return reply, nil
 	}
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -101,7 +101,7 @@
 	if len(known) == 0 {
 		return nil
 	}
-	err := r.do(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		for _, m := range known {
 			if m.QuarantineMs > 0 && !r.machine.quarantine.Covers(r.clock(), m) {
 				missing = append(missing, m)
@@ -135,13 +135,13 @@
 			return nil, err
 		}
 	}
-	r := s.current()
+	r := s.currentReplica()
 	if r == nil {
 		return nil, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
 	reply := &wire.TellSuspicionsReply{}
 	var accepted, lift []*wire.Suspicion
-	err := r.do(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		for _, m := range req.Suspicions {
 			ended := r.clock().Add(-quarantine.LastCrashAge(m))
 			switch {
@@ -187,9 +187,9 @@
 	if done || err != nil {
 		return reply, err
 	}
-	r := s.current()
+	r := s.currentReplica()
 	covered := false
-	if err := r.do(ctx, func() { covered = r.machine.quarantine.Covers(r.clock(), m) }); err != nil {
+	if err := r.runInLoop(ctx, func() { covered = r.machine.quarantine.Covers(r.clock(), m) }); err != nil {
 		return nil, err
 	}
 	if covered {
@@ -212,9 +212,9 @@
 	if done || err != nil {
 		return reply, err
 	}
-	r := s.current()
+	r := s.currentReplica()
 	found := false
-	if err := r.do(ctx, func() { found = r.machine.quarantine.Get(req.Key) != nil }); err != nil || !found {
+	if err := r.runInLoop(ctx, func() { found = r.machine.quarantine.Get(req.Key) != nil }); err != nil || !found {
 		return &wire.LiftQuarantineReply{}, err
 	}
 	v, err := r.propose(ctx, quarantineCommand(&wire.QuarantineCommand{Lift: req.Key, AtMs: uint64(r.clock().UnixMilli())}))
--- a/control/raftservice.go
+++ b/control/raftservice.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			return err
 		}
-		r := c.current()
+		r := c.currentReplica()
 		if r == nil || env.Message == nil {
 			continue
 		}
@@ -37,7 +37,7 @@
 // Join implements the Raft service. A leader adds the caller as a learner; another replica
 // returns the addresses of the members that it knows.
 func (c raftService) Join(ctx context.Context, req *wire.JoinRequest) (*wire.JoinReply, error) {
-	r := c.current()
+	r := c.currentReplica()
 	id := req.Identity
 	if r == nil || id == nil {
 		return &wire.JoinReply{Detail: "replica belongs to no cluster yet"}, nil
@@ -46,7 +46,7 @@
 		return &wire.JoinReply{Detail: "replica belongs to another cluster"}, nil
 	}
 	reply := &wire.JoinReply{}
-	err := r.do(ctx, func() { r.handleJoin(id, reply) })
+	err := r.runInLoop(ctx, func() { r.handleJoin(id, reply) })
 	return reply, err
 }
 
@@ -59,12 +59,12 @@
 		return
 	}
 	for _, p := range r.node.Peers() {
-		if NameOf(p.Id) != id.Name || p.Id == idOf(id) {
+		if ReplicaName(p.Id) != id.Name || p.Id == idOf(id) {
 			continue
 		}
 		if p.Address == id.Address {
 			// Only one process can listen at an address, so the earlier incarnation has ended.
-			r.leads.markReplaced(p.Id)
+			r.leadership.markReplaced(p.Id)
 			continue
 		}
 		if r.presumedLive(p.Id) {
@@ -86,7 +86,7 @@
 // membershipStatus reports whether the membership includes this replica, and whether it knows
 // a leader, which may be itself.
 func (r *Replica) membershipStatus(ctx context.Context) (member, hasLeader bool) {
-	_ = r.do(ctx, func() {
+	_ = r.runInLoop(ctx, func() {
 		for _, p := range r.node.Peers() {
 			member = member || p.Id == idOf(r.identity)
 		}
--- a/control/registrations.go
+++ b/control/registrations.go
@@ -19,9 +19,9 @@
 	// departureNotifyTimeout bounds how long an upstream that leaves waits for the other
 	// replicas to be notified.
 	departureNotifyTimeout = 400 * time.Millisecond
-	// onlyIncarnation is the incarnation of upstreams that register without one; they take a
+	// defaultIncarnation is the incarnation of upstreams that register without one; they take a
 	// new ID at each start. It is lower than any incarnation that upstreams send.
-	onlyIncarnation = 1
+	defaultIncarnation = 1
 	// maxRejectionLogsPerSecond bounds the log records about rejected registrations, since a
 	// faulty upstream may repeat its registration.
 	maxRejectionLogsPerSecond = 4
@@ -39,7 +39,7 @@
 		return
 	}
 	if msg.Incarnation == 0 {
-		msg.Incarnation = onlyIncarnation
+		msg.Incarnation = defaultIncarnation
 	}
 	if a.node.Contradicts(msg) {
 		a.rejectRegistration(w, id, "the same run of the upstream has registered at another address or for another service")
@@ -63,7 +63,7 @@
 func (a *api) deregister(w http.ResponseWriter, r *http.Request) {
 	id := mux.Vars(r)[a.dialect.Calls().InstanceID]
 	a.announce(w, r, &wire.Announcement{
-		Id: id, Role: wire.Role_ROLE_UPSTREAM, Incarnation: max(a.node.Incarnation(id), onlyIncarnation),
+		Id: id, Role: wire.Role_ROLE_UPSTREAM, Incarnation: max(a.node.Incarnation(id), defaultIncarnation),
 		Phase: wire.Phase_PHASE_GONE, Seq: math.MaxUint64,
 	})
 }
--- a/control/replacement_test.go
+++ b/control/replacement_test.go
@@ -69,7 +69,7 @@
 	}
 	for _, m := range reply.Members {
 		if !m.Learner {
-			names[control.NameOf(m.Id)] = true
+			names[control.ReplicaName(m.Id)] = true
 		}
 	}
 	return names
--- a/control/replica.go
+++ b/control/replica.go
@@ -25,9 +25,9 @@
 	// ErrUnavailable is returned if a call can't be answered now. A command that was proposed
 	// may still be committed.
 	ErrUnavailable = merry.Sentinel("control replica can't answer now")
-	// ErrLost is returned for a command that was not accepted because another leader's entry
+	// ErrProposalLost is returned for a command that was not accepted because another leader's entry
 	// took its place on the log.
-	ErrLost = merry.Sentinel("command was not accepted")
+	ErrProposalLost = merry.Sentinel("command was not accepted")
 	// ErrStopped is returned if the replica has stopped or failed.
 	ErrStopped = merry.Sentinel("control replica has stopped")
 )
@@ -66,10 +66,10 @@
 	// refusedChange is the last membership change if it was refused.
 	refusedChange   membershipChange
 	lastMaintenance time.Time
-	leads           leadershipTimes
+	leadership      leadershipTimes
 	leader          leaderState
 	ticks           tickMonitor
-	rings           ringTracker
+	ringTracker     ringTracker
 	shares          shareState
 	// pools is also read outside the loop, by announcements.
 	pools atomic.Pointer[poolSettings]
@@ -121,11 +121,11 @@
 		pendingReads: map[uint64]chan<- error{},
 		queued:       map[uint64][]uint64{},
 		hardState:    st.Hard,
-		leads:        leadershipTimes{expires: map[string]time.Time{}},
+		leadership:   leadershipTimes{expires: map[string]time.Time{}},
 		leader:       leaderState{changed: make(chan struct{})},
-		rings:        ringTracker{changed: s.Now()},
+		ringTracker:  ringTracker{changed: s.Now()},
 	}
-	r.feed.reset(m.table.Revision(), m.ring, r.rings.changed)
+	r.feed.reset(m.table.Revision(), m.ring, r.ringTracker.changed)
 	r.routingVersion.Store(m.routing.Current().GetVersion())
 	r.updateConfirmation()
 	return r, nil
@@ -251,7 +251,7 @@
 		if err := r.machine.restore(rd.Snapshot.Data); err != nil {
 			return err
 		}
-		r.feed.reset(r.machine.table.Revision(), r.machine.ring, r.rings.changed)
+		r.feed.reset(r.machine.table.Revision(), r.machine.ring, r.ringTracker.changed)
 		r.routingVersion.Store(r.machine.routing.Current().GetVersion())
 		r.failSnapshottedProposals(rd.Snapshot.Index)
 		r.notifyQuarantines(r.machine.quarantine.Suspicions(r.clock())...)
@@ -273,13 +273,13 @@
 			r.handleQuarantineResult(q)
 		}
 		r.completeProposal(e, v)
-		r.rings.setEpoch(r.machine.ring.Epoch, r.clock())
+		r.ringTracker.setEpoch(r.machine.ring.Epoch, r.clock())
 		r.entriesSinceSnapshot++
 	}
 	r.applyRowChanges(r.clock())
 	r.routingVersion.Store(r.machine.routing.Current().GetVersion())
 	if len(rd.Apply) > 0 {
-		r.feed.add(r.machine.table.Revision(), changed, r.machine.ring, r.rings.changed)
+		r.feed.add(r.machine.table.Revision(), changed, r.machine.ring, r.ringTracker.changed)
 		r.watchers.Wake()
 	}
 	for _, rs := range rd.Reads {
--- a/control/ring.go
+++ b/control/ring.go
@@ -167,8 +167,8 @@
 	}
 	now := r.clock()
 	up := r.liveEntries()
-	r.rings.recordLive(up, now)
-	next := r.rings.nextRing(r.machine.ring, up, r.leads.leadingSince, now)
+	r.ringTracker.recordLive(up, now)
+	next := r.ringTracker.nextRing(r.machine.ring, up, r.leadership.leadingSince, now)
 	if next == nil || r.ringProposedRecently(next.Epoch) {
 		return
 	}
--- a/control/routing.go
+++ b/control/routing.go
@@ -61,7 +61,7 @@
 	if !s.Formed(ctx) {
 		return nil, merry.Prepend(ErrUnavailable, "the cluster is being formed")
 	}
-	r := s.current()
+	r := s.currentReplica()
 	old, err := s.replyIfNotNewer(ctx, r, c.Version)
 	if err != nil {
 		return nil, err
@@ -91,7 +91,7 @@
 // a lost reply.
 func (s routingService) replyIfNotNewer(ctx context.Context, r *Replica, version uint64) (*wire.PutRoutingReply, error) {
 	var applied uint64
-	if err := r.do(ctx, func() { applied = r.machine.routing.Current().GetVersion() }); err != nil {
+	if err := r.runInLoop(ctx, func() { applied = r.machine.routing.Current().GetVersion() }); err != nil {
 		return nil, err
 	}
 	if version > applied {
@@ -110,7 +110,7 @@
 	if done || err != nil {
 		return reply, err
 	}
-	r := s.current()
+	r := s.currentReplica()
 	if err := r.barrier(ctx); err != nil {
 		return nil, err
 	}
@@ -120,12 +120,12 @@
 // appliedConfig returns the configuration that this replica has applied. Its version is 0 if
 // there is none.
 func (s routingService) appliedConfig(ctx context.Context) (*wire.RoutingConfig, error) {
-	r := s.current()
+	r := s.currentReplica()
 	if r == nil {
 		return nil, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
 	var c *wire.RoutingConfig
-	if err := r.do(ctx, func() { c = r.machine.routing.Current() }); err != nil {
+	if err := r.runInLoop(ctx, func() { c = r.machine.routing.Current() }); err != nil {
 		return nil, err
 	}
 	if c == nil {
@@ -170,7 +170,7 @@
 // Watch implements the Routing service. It sends the applied version and new suspicions when
 // they change or the replica becomes current, and otherwise at intervals.
 func (s routingService) Watch(_ *wire.WatchRoutingRequest, stream wire.DRPCRouting_WatchStream) error {
-	r := s.current()
+	r := s.currentReplica()
 	if r == nil {
 		return merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
@@ -210,7 +210,7 @@
 }
 
 func sendVersion(stream wire.DRPCRouting_WatchStream, r *Replica, version uint64, next time.Duration, suspicions []*wire.Suspicion) error {
-	v := &wire.RoutingVersion{Version: version, ConfirmedAgeMs: millis(r.feed.confirmedAge(r.now())), NextMs: millis(next), Suspicions: suspicions}
+	v := &wire.RoutingVersion{Version: version, ConfirmedAgeMs: clampedMillis(r.feed.confirmedAge(r.now())), NextMs: clampedMillis(next), Suspicions: suspicions}
 	err := stream.Send(v)
 	if err != nil {
 		return fmt.Errorf("routing watch: %w", err)
--- a/control/service.go
+++ b/control/service.go
@@ -28,15 +28,15 @@
 // need the leader are forwarded to it, at most once.
 type service struct{ *Control }
 
-// passOn forwards a call of the Control service to the leader if this replica isn't the
+// forwardToLeader forwards a call of the Control service to the leader if this replica isn't the
 // leader. done is false if this replica is the leader and must answer itself.
-func passOn[R any](ctx context.Context, s *service, call func(context.Context, wire.DRPCControlClient) (R, error)) (reply R, done bool, err error) {
+func forwardToLeader[R any](ctx context.Context, s *service, call func(context.Context, wire.DRPCControlClient) (R, error)) (reply R, done bool, err error) {
 	return forwardServiceToLeader(ctx, s, wire.NewDRPCControlClient, call)
 }
 
-// forwardServiceToLeader is passOn for any service; client makes the service's client.
+// forwardServiceToLeader is forwardToLeader for any service; client makes the service's client.
 func forwardServiceToLeader[R, C any](ctx context.Context, s *service, client func(drpc.Conn) C, call func(context.Context, C) (R, error)) (reply R, done bool, err error) {
-	r := s.current()
+	r := s.currentReplica()
 	if r == nil {
 		return reply, true, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
@@ -66,7 +66,7 @@
 	if bad := table.CheckEdit(e); bad != nil {
 		return bad, nil
 	}
-	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.EditReply, error) {
+	reply, done, err := forwardToLeader(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.EditReply, error) {
 		return c.Edit(ctx, e)
 	})
 	if err != nil {
@@ -78,8 +78,8 @@
 	if !s.Formed(ctx) {
 		return unavailableReply(merry.Prepend(ErrUnavailable, "the cluster is being formed")), nil
 	}
-	e.AtMs = s.current().clock().UnixMilli()
-	v, err := s.current().propose(ctx, &wire.Command{Command: &wire.Command_Edit{Edit: e}})
+	e.AtMs = s.currentReplica().clock().UnixMilli()
+	v, err := s.currentReplica().propose(ctx, &wire.Command{Command: &wire.Command_Edit{Edit: e}})
 	if err != nil {
 		return unavailableReply(err), nil
 	}
@@ -89,22 +89,22 @@
 // Read implements the Control service. A linearizable read is answered by the leader.
 func (s *service) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error) {
 	if req.Linearizable {
-		reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.ReadReply, error) {
+		reply, done, err := forwardToLeader(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.ReadReply, error) {
 			return c.Read(ctx, req)
 		})
 		if done || err != nil {
 			return reply, err
 		}
-		if err := s.current().barrier(ctx); err != nil {
+		if err := s.currentReplica().barrier(ctx); err != nil {
 			return nil, err
 		}
 	}
-	r := s.current()
+	r := s.currentReplica()
 	if r == nil {
 		return nil, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
 	reply := &wire.ReadReply{Cluster: s.currentIdentity().Cluster}
-	err := r.do(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		reply.Revision = r.machine.table.Revision()
 		if req.Key == "" {
 			reply.Rows = r.machine.table.Rows(req.Kind)
@@ -117,18 +117,18 @@
 
 // History implements the Control service.
 func (s *service) History(ctx context.Context, req *wire.HistoryRequest) (*wire.HistoryReply, error) {
-	r := s.current()
+	r := s.currentReplica()
 	if r == nil {
 		return nil, merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
 	reply := &wire.HistoryReply{}
-	err := r.do(ctx, func() { reply.Rows = r.machine.table.History(req.Kind, req.Key, req.AtRevision) })
+	err := r.runInLoop(ctx, func() { reply.Rows = r.machine.table.History(req.Kind, req.Key, req.AtRevision) })
 	return reply, err
 }
 
 // WatchTable implements the Control service.
 func (s *service) WatchTable(req *wire.TableWatchRequest, stream wire.DRPCControl_WatchTableStream) error {
-	r := s.current()
+	r := s.currentReplica()
 	if r == nil {
 		return merry.Prepend(ErrUnavailable, "replica belongs to no cluster yet")
 	}
@@ -172,34 +172,34 @@
 	st := r.feed.state.Load()
 	u := &wire.TableUpdate{
 		Cluster: s.currentIdentity().Cluster, Revision: st.revision, Ring: st.ring,
-		RingAgeMs:      millis(s.current().clock().Sub(st.ringAt)),
-		ConfirmedAgeMs: millis(r.feed.confirmedAge(r.now())),
+		RingAgeMs:      clampedMillis(s.currentReplica().clock().Sub(st.ringAt)),
+		ConfirmedAgeMs: clampedMillis(r.feed.confirmedAge(r.now())),
 	}
 	if rows, ok := st.since(from); ok {
 		u.Rows = rows
 		return u, nil
 	}
-	err := r.do(ctx, func() {
+	err := r.runInLoop(ctx, func() {
 		u.Revision = r.machine.table.Revision()
 		u.Rows, u.Snapshot = r.machine.table.Since(from)
 	})
 	return u, err
 }
 
-// millis returns d in milliseconds, limited to the range of a message field. Without the
+// clampedMillis returns d in milliseconds, limited to the range of a message field. Without the
 // limit, the age of a replica that is partitioned for weeks would wrap around, and watchers
 // would consider it current.
-func millis(d time.Duration) uint32 { return uint32(min(max(0, d.Milliseconds()), 1<<31)) }
+func clampedMillis(d time.Duration) uint32 { return uint32(min(max(0, d.Milliseconds()), 1<<31)) }
 
 // Acquire implements the Control service.
 func (s *service) Acquire(ctx context.Context, req *wire.LeaseRequest) (*wire.LeaseReply, error) {
-	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.LeaseReply, error) {
+	reply, done, err := forwardToLeader(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.LeaseReply, error) {
 		return c.Acquire(ctx, req)
 	})
 	if done || err != nil {
 		return reply, err
 	}
-	return s.current().acquireLease(ctx, req)
+	return s.currentReplica().acquireLease(ctx, req)
 }
 
 // acquireLease grants, renews or releases a group's lease. The TTL is clamped to the range from
@@ -212,7 +212,7 @@
 	reply := &wire.LeaseReply{TtlMs: uint32(ttl.Milliseconds())}
 	var replaces uint64
 	answered := false
-	err := r.do(ctx, func() { replaces, answered = r.renewLease(req, ttl, reply) })
+	err := r.runInLoop(ctx, func() { replaces, answered = r.renewLease(req, ttl, reply) })
 	if err != nil || answered {
 		return reply, err
 	}
@@ -225,7 +225,7 @@
 	l := v.(*wire.Lease)
 	reply.Holder, reply.Token = l.Holder, l.Token
 	reply.Granted = l.Holder == req.Holder
-	err = r.do(ctx, func() { r.leads.renew(req.Group, r.clock(), ttl) })
+	err = r.runInLoop(ctx, func() { r.leadership.renew(req.Group, r.clock(), ttl) })
 	return reply, err
 }
 
@@ -236,50 +236,50 @@
 	l := r.machine.fence.Get(req.Group)
 	reply.Holder, reply.Token = l.Holder, l.Token
 	now := r.clock()
-	expired := l.Token == 0 || r.leads.expired(req.Group, now)
+	expired := l.Token == 0 || r.leadership.expired(req.Group, now)
 	switch {
 	case l.Holder != req.Holder:
 		return l.Token, !expired
 	case req.Release:
-		r.leads.renew(req.Group, now, 0)
+		r.leadership.renew(req.Group, now, 0)
 		return l.Token, true
 	case expired:
 		// An expired lease is granted again with a new token, because another requester may
 		// have been told meanwhile that the lease is free.
 		return l.Token, false
 	}
-	r.leads.renew(req.Group, now, ttl)
+	r.leadership.renew(req.Group, now, ttl)
 	reply.Granted = true
 	return l.Token, true
 }
 
 // Token implements the Control service.
 func (s *service) Token(ctx context.Context, req *wire.TokenRequest) (*wire.TokenReply, error) {
-	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.TokenReply, error) {
+	reply, done, err := forwardToLeader(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.TokenReply, error) {
 		return c.Token(ctx, req)
 	})
 	if done || err != nil {
 		return reply, err
 	}
-	r := s.current()
+	r := s.currentReplica()
 	if err := r.barrier(ctx); err != nil {
 		return nil, err
 	}
 	reply = &wire.TokenReply{}
-	err = r.do(ctx, func() { reply.Token = r.machine.fence.Token(req.Group) })
+	err = r.runInLoop(ctx, func() { reply.Token = r.machine.fence.Token(req.Group) })
 	return reply, err
 }
 
 // Members implements the Control service.
 func (s *service) Members(ctx context.Context, req *wire.MembersRequest) (*wire.MembersReply, error) {
-	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.MembersReply, error) {
+	reply, done, err := forwardToLeader(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.MembersReply, error) {
 		return c.Members(ctx, req)
 	})
 	if done || err != nil {
 		return reply, err
 	}
-	r := s.current()
+	r := s.currentReplica()
 	reply = &wire.MembersReply{}
-	err = r.do(ctx, func() { r.handleMembers(req, reply) })
+	err = r.runInLoop(ctx, func() { r.handleMembers(req, reply) })
 	return reply, err
 }
--- a/control/share.go
+++ b/control/share.go
@@ -35,7 +35,7 @@
 
 // syncShareAllocator creates an allocator when a leadership begins and drops it when it ends.
 func (r *Replica) syncShareAllocator() {
-	if !r.leads.leading {
+	if !r.leadership.leading {
 		r.shares.allocator = nil
 		return
 	}
@@ -61,16 +61,16 @@
 // Share implements the Control service. Only a leader with a valid lease grants shares:
 // two allocators at a time would each divide the whole limit.
 func (s *service) Share(ctx context.Context, req *wire.ShareRequest) (*wire.ShareReply, error) {
-	reply, done, err := passOn(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.ShareReply, error) {
+	reply, done, err := forwardToLeader(ctx, s, func(ctx context.Context, c wire.DRPCControlClient) (*wire.ShareReply, error) {
 		return c.Share(ctx, req)
 	})
 	if done || err != nil {
 		return reply, err
 	}
-	r := s.current()
+	r := s.currentReplica()
 	reply = &wire.ShareReply{}
 	var grantErr error
-	err = r.do(ctx, func() { grantErr = r.grantShares(req, reply) })
+	err = r.runInLoop(ctx, func() { grantErr = r.grantShares(req, reply) })
 	if err == nil {
 		err = grantErr
 	}
@@ -114,7 +114,7 @@
 // lists are rebuilt only when the ring has changed, as every entry asks about once a second.
 func (r *Replica) updateRingMembership(now time.Time) {
 	ring, allocator := r.machine.ring, r.shares.allocator
-	unchanged := now.Sub(r.rings.changed)
+	unchanged := now.Sub(r.ringTracker.changed)
 	if r.shares.appliedRing == ring {
 		allocator.SetUnchangedFor(unchanged)
 		return
@@ -186,7 +186,7 @@
 		case table.KindService:
 			r.recordTimeouts(now, row)
 		case table.KindPool:
-			pools = pools.with(row)
+			pools = pools.withRow(row)
 		}
 	}
 	r.pools.Store(&pools)
@@ -209,5 +209,5 @@
 	if row.Deleted {
 		return 0
 	}
-	return time.Duration(cell(row, "timeout_ms")) * time.Millisecond
+	return time.Duration(intCell(row, "timeout_ms")) * time.Millisecond
 }
--- a/control/surveys.go
+++ b/control/surveys.go
@@ -92,7 +92,7 @@
 		if next == nil {
 			continue
 		}
-		msg := &wire.RankSurvey{Number: next.number, States: next.states, AgeMs: millis(s.settings.Now().Sub(next.takenAt))}
+		msg := &wire.RankSurvey{Number: next.number, States: next.states, AgeMs: clampedMillis(s.settings.Now().Sub(next.takenAt))}
 		if err := stream.Send(msg); err != nil {
 			return merry.Prepend(ErrUnavailable, err.Error())
 		}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -183,9 +183,9 @@
 	}
 	e.control = c
 	c.RegisterMetrics(e.metrics)
-	c.SetEntries(e.ringMembers)
+	c.SetEntrySource(e.ringMembers)
 	e.node.SetReplicas(c.DirectoryReplicas)
-	c.SetUpstreams(control.UpstreamLister(e.node))
+	c.SetUpstreamSource(control.UpstreamLister(e.node))
 	e.dumps.Add("control", c.Dump)
 	return c.Register(e.srv.Mux)
 }
@@ -261,7 +261,7 @@
 	}
 	go e.srv.Serve(ctx, e.internalListener)
 	if e.control != nil {
-		place := control.Place{Name: e.settings.ID, Address: e.InternalAddress(), FailureDomain: e.settings.FailureDomain}
+		place := control.ReplicaInfo{Name: e.settings.ID, Address: e.InternalAddress(), FailureDomain: e.settings.FailureDomain}
 		if err := e.control.Start(ctx, place); err != nil {
 			return err
 		}
--- a/measure/capacity/sharecalls.go
+++ b/measure/capacity/sharecalls.go
@@ -53,7 +53,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	l.stop = cancel
 	go l.srv.Serve(ctx, l.lis)
-	if err := l.ctl.Start(ctx, control.Place{Name: "c0", Address: l.address(), FailureDomain: "hall-00"}); err != nil {
+	if err := l.ctl.Start(ctx, control.ReplicaInfo{Name: "c0", Address: l.address(), FailureDomain: "hall-00"}); err != nil {
 		return nil, err
 	}
 	return l, l.putRows(ctx)
--- a/operators/system.go
+++ b/operators/system.go
@@ -127,7 +127,7 @@
 		return ""
 	}
 	for _, m := range reply.Members {
-		if m.Id == id || control.NameOf(m.Id) == id {
+		if m.Id == id || control.ReplicaName(m.Id) == id {
 			return m.Address
 		}
 	}
--- a/quickstart/parts.go
+++ b/quickstart/parts.go
@@ -296,7 +296,7 @@
 	p.start = func(ctx context.Context) (kernel.Daemon, error) {
 		set := control.DefaultDaemonSettings()
 		set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, Secret
-		set.Listen, set.Operators = s.controlAddrs[i], operators
+		set.Listen, set.OperatorsListen = s.controlAddrs[i], operators
 		set.Control = s.controlSettings(p)
 		set.Dial = s.dialer(p.name)
 		d, err := control.NewDaemon(set, s.opts.Log)
