--- a/agent/resolve.go
+++ b/agent/resolve.go
@@ -52,7 +52,7 @@
 		return
 	}
 	a.orders.eachGroupState(ctx, group, func(state *wire.GroupState) bool {
-		verb, o, ok := rollout.Settle(state, status)
+		verb, o, ok := rollout.OutcomeOrder(state, status)
 		if !ok {
 			return false
 		}
--- a/consensus/example_test.go
+++ b/consensus/example_test.go
@@ -19,9 +19,9 @@
 	step := func() {
 		for rd := node.Ready(); !rd.Empty(); rd = node.Ready() {
 			// Make rd.Hard, rd.Snapshot and rd.Entries durable here.
-			node.Persisted()
+			node.MarkPersisted()
 			// Send rd.Messages here.
-			for _, e := range rd.Apply {
+			for _, e := range rd.CommittedEntries {
 				if e.Type == wire.EntryType_ENTRY_TYPE_COMMAND {
 					fmt.Printf("applied %s at %d\n", e.Data, e.Index)
 				}
--- a/consensus/fence_test.go
+++ b/consensus/fence_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		return 0
 	}
-	l.node.Flush()
+	l.node.SendProposals()
 	s.processReady(l)
 	for end := s.now + timeout; s.now < end; {
 		s.step()
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -305,7 +305,7 @@
 }
 
 // Propose appends a command to the log. The command is accepted once an entry with the
-// returned index and term appears in Ready.Apply. The error is ErrNotLeader,
+// returned index and term appears in Ready.CommittedEntries. The error is ErrNotLeader,
 // ErrTransferring or ErrTooManyPending.
 func (n *Node) Propose(now Time, data []byte) (index, term uint64, err error) {
 	n.now = max(n.now, now)
@@ -322,8 +322,8 @@
 	return index, n.term, nil
 }
 
-// Flush sends the entries that were proposed since the last call, batched per peer.
-func (n *Node) Flush() {
+// SendProposals sends the entries that were proposed since the last call, batched per peer.
+func (n *Node) SendProposals() {
 	if n.role != Leader {
 		return
 	}
@@ -332,9 +332,9 @@
 	}
 }
 
-// Read requests a linearizable read; its outcome is a ReadState with this ID in a later
+// RequestRead requests a linearizable read; its outcome is a ReadState with this ID in a later
 // Ready. The error is ErrNotLeader or ErrNotReady.
-func (n *Node) Read(now Time, id uint64) error {
+func (n *Node) RequestRead(now Time, id uint64) error {
 	n.now = max(n.now, now)
 	if n.role != Leader {
 		return ErrNotLeader
--- a/consensus/members.go
+++ b/consensus/members.go
@@ -25,12 +25,12 @@
 	})
 }
 
-// Promote makes a learner a voter, or returns ErrNotCaughtUp if it is not known to hold
+// PromoteLearner makes a learner a voter, or returns ErrNotCaughtUp if it is not known to hold
 // all committed entries.
 //
 // A voter that has not caught up counts towards a majority without holding the log, so
 // that losing a second host right after could lose accepted entries.
-func (n *Node) Promote(now Time, id string) error {
+func (n *Node) PromoteLearner(now Time, id string) error {
 	if !n.CaughtUp(id) {
 		return merry.Prepend(ErrNotCaughtUp, id)
 	}
@@ -45,8 +45,8 @@
 	})
 }
 
-// Remove removes a replica from the membership.
-func (n *Node) Remove(now Time, id string) error {
+// RemovePeer removes a replica from the membership.
+func (n *Node) RemovePeer(now Time, id string) error {
 	return n.changeMembership(now, func(peers []*wire.Peer) ([]*wire.Peer, error) {
 		var kept []*wire.Peer
 		for _, p := range peers {
@@ -68,18 +68,18 @@
 	return n.role == Leader && p != nil && p.match >= n.log.committed
 }
 
-// Match returns the highest index that a peer is known to hold durably, or 0 if this
+// MatchIndex returns the highest index that a peer is known to hold durably, or 0 if this
 // replica is not the leader.
-func (n *Node) Match(id string) uint64 {
+func (n *Node) MatchIndex(id string) uint64 {
 	if p := n.progress[id]; p != nil {
 		return p.match
 	}
 	return 0
 }
 
-// Live reports whether a peer acknowledged an append that was sent within the election
+// IsLive reports whether a peer acknowledged an append that was sent within the election
 // timeout.
-func (n *Node) Live(id string) bool {
+func (n *Node) IsLive(id string) bool {
 	if id == n.cfg.ID {
 		return true
 	}
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// checkLiveQuorum returns ErrLastVoter for a membership whose live voters are no
+// checkLiveQuorum returns ErrNoQuorum for a membership whose live voters are no
 // majority: it could be neither committed nor undone.
 func (n *Node) checkLiveQuorum(c *wire.Configuration) error {
 	live, voters := 0, 0
@@ -140,12 +140,12 @@
 			continue
 		}
 		voters++
-		if n.Live(p.Id) {
+		if n.IsLive(p.Id) {
 			live++
 		}
 	}
 	if voters == 0 || live <= voters/2 {
-		return merry.Prependf(ErrLastVoter, "%d of %d voters would be live", live, voters)
+		return merry.Prependf(ErrNoQuorum, "%d of %d voters would be live", live, voters)
 	}
 	return nil
 }
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -13,16 +13,16 @@
 
 // Errors returned by a Node.
 var (
-	ErrNotLeader      = merry.Sentinel("replica is not the leader")
-	ErrNotReady       = merry.Sentinel("leader has not committed an entry of its term yet")
-	ErrConfigPending  = merry.Sentinel("a membership change is in progress")
-	ErrLastVoter      = merry.Sentinel("change would leave the log without a quorum")
-	ErrUnknownPeer    = merry.Sentinel("no such replica")
-	ErrNotCaughtUp    = merry.Sentinel("replica has not caught up")
-	ErrRolledBack     = merry.Sentinel("data folder is older than what this replica has acknowledged")
-	ErrTooManyPending = merry.Sentinel("too many proposals are in progress")
-	ErrTransferring   = merry.Sentinel("leadership is being transferred")
-	ErrNoTarget       = merry.Sentinel("no other voter is live")
+	ErrNotLeader        = merry.Sentinel("replica is not the leader")
+	ErrNotReady         = merry.Sentinel("leader has not committed an entry of its term yet")
+	ErrConfigPending    = merry.Sentinel("a membership change is in progress")
+	ErrNoQuorum         = merry.Sentinel("change would leave the log without a quorum")
+	ErrUnknownPeer      = merry.Sentinel("no such replica")
+	ErrNotCaughtUp      = merry.Sentinel("replica has not caught up")
+	ErrRolledBack       = merry.Sentinel("data folder is older than what this replica has acknowledged")
+	ErrTooManyPending   = merry.Sentinel("too many proposals are in progress")
+	ErrTransferring     = merry.Sentinel("leadership is being transferred")
+	ErrNoTransferTarget = merry.Sentinel("no other voter is live")
 )
 
 // initialConfirmedAge is the ConfirmedAge of a replica when it starts.
@@ -103,38 +103,38 @@
 
 // Restored is the state that a replica read from its data folder.
 type Restored struct {
-	Hard     *wire.HardState
-	Snapshot *wire.LogSnapshot
-	Entries  []*wire.LogEntry
+	HardState *wire.HardState
+	Snapshot  *wire.LogSnapshot
+	Entries   []*wire.LogEntry
 	// Fresh reports that the folder is new. Nothing was acknowledged from it, so
 	// the replica takes part without asking its peers for its observed position.
 	Fresh bool
 }
 
 // Ready is the work for a driver, in this order: send the Early messages, make
-// Hard, Snapshot and Entries durable, call Node.Persisted, send Messages, restore
+// Hard, Snapshot and Entries durable, call Node.MarkPersisted, send Messages, restore
 // the state machine from Snapshot if it is set, apply the entries of Apply, and
 // answer the reads. Early messages need not wait for the records to be durable.
 type Ready struct {
-	Early    []*wire.RaftMessage
-	Hard     *wire.HardState
-	Snapshot *wire.LogSnapshot
-	Entries  []*wire.LogEntry
-	Messages []*wire.RaftMessage
-	// Apply holds committed entries in log order. Each is returned once per process.
-	Apply []*wire.LogEntry
+	EarlyMessages []*wire.RaftMessage
+	HardState     *wire.HardState
+	Snapshot      *wire.LogSnapshot
+	Entries       []*wire.LogEntry
+	Messages      []*wire.RaftMessage
+	// CommittedEntries holds committed entries in log order. Each is returned once per process.
+	CommittedEntries []*wire.LogEntry
 	// Reads may be answered once the state machine has applied up to their index.
 	Reads []ReadState
 }
 
-// Durable reports whether the Ready contains records to make durable.
-func (r *Ready) Durable() bool {
-	return r.Hard != nil || r.Snapshot != nil || len(r.Entries) > 0
+// MustSync reports whether the Ready contains records to make durable.
+func (r *Ready) MustSync() bool {
+	return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0
 }
 
 // Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
-	return !r.Durable() && len(r.Early)+len(r.Messages)+len(r.Apply)+len(r.Reads) == 0
+	return !r.MustSync() && len(r.EarlyMessages)+len(r.Messages)+len(r.CommittedEntries)+len(r.Reads) == 0
 }
 
 // ReadState is the outcome of a linearizable read.
@@ -225,14 +225,14 @@
 		sentAt:            map[uint64]Time{},
 	}
 	n.latestConfig = indexedConfig{n.log.configIndex(), n.log.config()}
-	if r.Hard != nil {
-		n.term, n.vote = r.Hard.Term, r.Hard.Vote
+	if r.HardState != nil {
+		n.term, n.vote = r.HardState.Term, r.HardState.Vote
 		// Observed positions survive a restart. Otherwise a replica with an older
 		// copy of its folder would go undetected when its peers restart with it.
-		n.mergeObserved(r.Hard.Witness)
+		n.mergeObserved(r.HardState.Witness)
 		n.savedObserved = maps.Clone(n.observed)
-		n.log.commitTo(min(r.Hard.Commit, n.log.lastIndex()))
-		n.persisted = proto.Clone(r.Hard).(*wire.HardState)
+		n.log.commitTo(min(r.HardState.Commit, n.log.lastIndex()))
+		n.persisted = proto.Clone(r.HardState).(*wire.HardState)
 	} else {
 		n.persisted = &wire.HardState{}
 	}
@@ -247,8 +247,8 @@
 // Bootstrap returns the state of a new log with one voter.
 func Bootstrap(p *wire.Peer) Restored {
 	return Restored{
-		Fresh: true,
-		Hard:  &wire.HardState{Term: 1, Commit: 1},
+		Fresh:     true,
+		HardState: &wire.HardState{Term: 1, Commit: 1},
 		Snapshot: &wire.LogSnapshot{
 			Index: 1, Term: 1, Config: &wire.Configuration{Peers: []*wire.Peer{p}},
 		},
@@ -399,28 +399,28 @@
 
 // Ready returns the pending work and clears it.
 func (n *Node) Ready() Ready {
-	r := Ready{Early: n.earlyMessages, Messages: n.messages, Reads: n.readStates, Snapshot: n.installedSnapshot}
+	r := Ready{EarlyMessages: n.earlyMessages, Messages: n.messages, Reads: n.readStates, Snapshot: n.installedSnapshot}
 	r.Entries = n.log.takeUnstable()
-	r.Apply = n.log.takeCommitted()
+	r.CommittedEntries = n.log.takeCommitted()
 	hard := &wire.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed}
-	if hard.Term != n.persisted.Term || hard.Vote != n.persisted.Vote || n.saveObserved || (r.Durable() && hard.Commit != n.persisted.Commit) {
+	if hard.Term != n.persisted.Term || hard.Vote != n.persisted.Vote || n.saveObserved || (r.MustSync() && hard.Commit != n.persisted.Commit) {
 		// Appends of a new term must wait until the term is durable. Otherwise a
 		// sole voter that crashes could lead the same term again with other entries.
 		if hard.Term != n.persisted.Term {
-			r.Messages = append(r.Early, r.Messages...)
-			r.Early = nil
+			r.Messages = append(r.EarlyMessages, r.Messages...)
+			r.EarlyMessages = nil
 		}
 		n.putObserved(hard)
-		r.Hard = hard
+		r.HardState = hard
 		n.persisted = hard
 	}
 	n.earlyMessages, n.messages, n.readStates, n.installedSnapshot = nil, nil, nil, nil
 	return r
 }
 
-// Persisted reports that all records of the last Ready are durable. Only then does
+// MarkPersisted reports that all records of the last Ready are durable. Only then does
 // a leader count its own entries towards a quorum.
-func (n *Node) Persisted() {
+func (n *Node) MarkPersisted() {
 	n.log.stable = n.log.handedToDriver
 	if n.role != Leader {
 		return
--- a/consensus/property_test.go
+++ b/consensus/property_test.go
@@ -85,7 +85,7 @@
 // injectTransfer starts a leadership transfer, after which the target may crash or the
 // old leader be partitioned.
 func (s *sim) injectTransfer(l *simReplica, rnd *rand.Rand) {
-	target, err := l.node.Transfer(s.clock(l))
+	target, err := l.node.TransferLeadership(s.clock(l))
 	if err != nil {
 		return
 	}
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -163,7 +163,7 @@
 	cfg.MaxEntries = 4
 	r.bootedAt = s.now
 	r.node = New(cfg, Restored{
-		Hard: r.disk.hard, Snapshot: r.disk.snapshot,
+		HardState: r.disk.hard, Snapshot: r.disk.snapshot,
 		Entries: append([]*wire.LogEntry(nil), r.disk.log...), Fresh: r.disk.fresh,
 	}, 0)
 	r.up = true
@@ -185,17 +185,17 @@
 		if rd.Empty() {
 			break
 		}
-		s.sendAll(rd.Early)
+		s.sendAll(rd.EarlyMessages)
 		if s.disabled.syncBeforeSend {
 			s.sendAll(rd.Messages)
 		}
-		if rd.Durable() && s.lossy && s.rnd.IntN(400) == 0 {
+		if rd.MustSync() && s.lossy && s.rnd.IntN(400) == 0 {
 			s.tracef("%s crashes before its sync", r.id)
 			s.crash(r)
 			return
 		}
 		r.disk.persist(&rd)
-		r.node.Persisted()
+		r.node.MarkPersisted()
 		if !s.disabled.syncBeforeSend {
 			s.sendAll(rd.Messages)
 		}
@@ -205,8 +205,8 @@
 }
 
 func (d *simDisk) persist(rd *Ready) {
-	if rd.Hard != nil {
-		d.hard = rd.Hard
+	if rd.HardState != nil {
+		d.hard = rd.HardState
 	}
 	if rd.Snapshot != nil {
 		d.snapshot, d.log = rd.Snapshot, nil
@@ -218,7 +218,7 @@
 		}
 		d.log = append(d.log[:keep:keep], rd.Entries...)
 	}
-	if rd.Durable() {
+	if rd.MustSync() {
 		d.fresh = false
 	}
 }
@@ -227,7 +227,7 @@
 	if rd.Snapshot != nil {
 		r.value, r.applied = string(rd.Snapshot.Data), rd.Snapshot.Index
 	}
-	for _, e := range rd.Apply {
+	for _, e := range rd.CommittedEntries {
 		if e.Index != r.applied+1 {
 			s.failf("%s applies %d after %d", r.id, e.Index, r.applied)
 		}
@@ -384,7 +384,7 @@
 			continue
 		}
 		s.inflightReads[id][s.nextID] = &simOp{client: int(s.nextID), call: s.now}
-		if r.node.Read(s.clock(r), s.nextID) != nil {
+		if r.node.RequestRead(s.clock(r), s.nextID) != nil {
 			delete(s.inflightReads[id], s.nextID)
 		}
 		s.processReady(r)
@@ -397,7 +397,7 @@
 		return
 	}
 	s.proposedWrites[v] = &simOp{client: int(s.nextID), write: v, call: s.now}
-	r.node.Flush()
+	r.node.SendProposals()
 	s.processReady(r)
 }
 
@@ -506,9 +506,9 @@
 		case !hasPeer(l.node, id):
 			_ = l.node.AddLearner(now, &wire.Peer{Id: id})
 		case !l.node.isVoter(id):
-			_ = l.node.Promote(now, id)
+			_ = l.node.PromoteLearner(now, id)
 		case hasPeer(l.node, old):
-			_ = l.node.Remove(now, old)
+			_ = l.node.RemovePeer(now, old)
 		case l.node.log.configIndex() <= l.node.log.committed:
 			s.tracef("%s has replaced %s", id, old)
 			delete(s.replacements, id)
--- a/consensus/transfer.go
+++ b/consensus/transfer.go
@@ -20,12 +20,12 @@
 	deadline Time
 }
 
-// Transfer starts to transfer leadership to another voter and returns its ID. The
+// TransferLeadership starts to transfer leadership to another voter and returns its ID. The
 // transfer is aborted after the election timeout: if TimeoutNow was not sent, this
 // replica continues to lead under its lease, otherwise it campaigns for a new term. While
 // a transfer is in progress, further calls only return its target. The error is
-// ErrNotLeader or ErrNoTarget.
-func (n *Node) Transfer(now Time) (target string, err error) {
+// ErrNotLeader or ErrNoTransferTarget.
+func (n *Node) TransferLeadership(now Time) (target string, err error) {
 	n.now = max(n.now, now)
 	if n.role != Leader {
 		return "", ErrNotLeader
@@ -35,7 +35,7 @@
 	}
 	peer := n.transferTarget()
 	if peer == nil {
-		return "", ErrNoTarget
+		return "", ErrNoTransferTarget
 	}
 	n.transfer = &transfer{target: peer.Id, deadline: n.now + n.cfg.ElectionTimeout}
 	n.sendAppend(peer.Id, true)
@@ -58,7 +58,7 @@
 	}
 	var best *wire.Peer
 	for _, p := range n.Peers() {
-		if p.Learner || p.Id == n.cfg.ID || !n.Live(p.Id) {
+		if p.Learner || p.Id == n.cfg.ID || !n.IsLive(p.Id) {
 			continue
 		}
 		if best == nil || n.isBetterTarget(p, best, ownDomain) {
@@ -75,13 +75,13 @@
 	if otherDomain := a.FailureDomain != ownDomain; otherDomain != (b.FailureDomain != ownDomain) {
 		return otherDomain
 	}
-	return n.Match(a.Id) > n.Match(b.Id)
+	return n.MatchIndex(a.Id) > n.MatchIndex(b.Id)
 }
 
 // sendTimeoutNow releases the lease and tells the target to campaign, once its log is up
 // to date. It is repeated with each heartbeat, because the message may be lost.
 func (n *Node) sendTimeoutNow() {
-	if n.transfer == nil || n.Match(n.transfer.target) < n.log.lastIndex() {
+	if n.transfer == nil || n.MatchIndex(n.transfer.target) < n.log.lastIndex() {
 		return
 	}
 	n.leaseReleased = true
--- a/consensus/transfer_test.go
+++ b/consensus/transfer_test.go
@@ -19,7 +19,7 @@
 		s.step()
 		s.runClients()
 	}
-	id, err := old.node.Transfer(s.clock(old))
+	id, err := old.node.TransferLeadership(s.clock(old))
 	assert.NilError(t, err)
 	return old, s.replicas[id]
 }
@@ -66,7 +66,7 @@
 			assert.NilError(t, err)
 		}
 		s.crash(target)
-		_, err := old.node.Transfer(s.clock(old))
+		_, err := old.node.TransferLeadership(s.clock(old))
 		assert.NilError(t, err)
 		s.processReady(old)
 		assert.Equal(t, old.node.leaseReleased, timeoutNowSent)
@@ -122,7 +122,7 @@
 	}
 	assert.Assert(t, slices.ContainsFunc(delayed, func(m *wire.RaftMessage) bool { return m.Transfer }))
 	s.waitLeader(t, old)
-	_, err := target.node.Transfer(s.clock(target))
+	_, err := target.node.TransferLeadership(s.clock(target))
 	assert.NilError(t, err)
 	s.processReady(target)
 	last := s.waitLeader(t, target)
--- a/control/groupcounters.go
+++ b/control/groupcounters.go
@@ -111,7 +111,7 @@
 	d.skew = meanSkew(d.shape, d.state.Map, w.load)
 	o := loadWindow{at: d.clock(), load: w.load}
 	if !w.mixedMaps && !slices.Contains(w.busyTimes, 0) && d.state.Map.Epoch == w.epoch {
-		o.busyTimes, o.busyTimesMap = w.busyTimes, rollout.ToMap(d.state.Map)
+		o.busyTimes, o.busyTimesMap = w.busyTimes, rollout.ToPlacementMap(d.state.Map)
 	}
 	d.pendingWindows = append(d.pendingWindows, o)
 	if len(d.pendingWindows) > maxPendingWindows {
@@ -125,7 +125,7 @@
 // meanSkew returns the load of the busiest rank divided by the mean, averaged over the layers.
 func meanSkew(s placement.Shape, m *wire.GroupMap, l placement.Load) float64 {
 	sum := 0.0
-	pm := rollout.ToMap(m)
+	pm := rollout.ToPlacementMap(m)
 	for layer := range s.Layers {
 		sum += pm.Skew(s, layer, l)
 	}
--- a/control/groupdriver.go
+++ b/control/groupdriver.go
@@ -71,7 +71,7 @@
 	if !d.ensureCoordinator() || row == nil && state == nil {
 		return
 	}
-	d.coord.Applied(now, state)
+	d.coord.SetState(now, state)
 	d.planningError = d.updateTarget(ctx, now)
 	if row != nil {
 		d.startWindow(ctx, now)
@@ -101,7 +101,7 @@
 	if now.Sub(d.rowMissingSince) > d.settings.ArmTimeout.D() {
 		return true
 	}
-	return !d.proposing && !d.hasCallsInFlight() && (d.state == nil || d.coord == nil || d.coord.Quiet())
+	return !d.proposing && !d.hasCallsInFlight() && (d.state == nil || d.coord == nil || d.coord.Converged())
 }
 
 // hasCallsInFlight reports whether an order or a request for counters is in flight.
@@ -157,20 +157,20 @@
 	case d.state == nil:
 		return "no map is in force yet"
 	case d.row == nil:
-		d.coord.Cancel("the group has no row")
+		d.coord.CancelSwitch("the group has no row")
 		return "the group has no row"
 	case d.rankConflict != "":
 		// Either upstream would carry out orders that are meant for the other.
-		d.coord.Cancel(d.rankConflict)
+		d.coord.CancelSwitch(d.rankConflict)
 		return d.rankConflict
 	case d.state.Pinned != 0:
 		d.rollOutPinned()
 		return ""
 	case d.row.Paused:
-		d.coord.Cancel("the row is paused")
+		d.coord.CancelSwitch("the row is paused")
 		return ""
 	case shapeOfRow(d.row) != d.shape:
-		d.coord.Cancel("the row's shape differs from that of the map in force")
+		d.coord.CancelSwitch("the row's shape differs from that of the map in force")
 		return fmt.Sprintf("row: shape %+v differs from that of the map in force, %+v", shapeOfRow(d.row), d.shape)
 	}
 	if err := d.ensurePlanner(); err != nil {
--- a/control/grouporders.go
+++ b/control/grouporders.go
@@ -15,7 +15,7 @@
 // next.
 type rankOrderQueue struct {
 	inFlight bool
-	pending  *rollout.Outgoing
+	pending  *rollout.RankOrder
 }
 
 // runCoordinator advances the coordinator, sends the orders that it returns and proposes
@@ -44,7 +44,7 @@
 
 // sendOrder sends an order to a rank, after the reply to the one in flight if there is
 // one. A newer order replaces one that is still waiting.
-func (d *groupDriver) sendOrder(ctx context.Context, o rollout.Outgoing) {
+func (d *groupDriver) sendOrder(ctx context.Context, o rollout.RankOrder) {
 	q := d.orders[o.Rank]
 	if q == nil {
 		q = &rankOrderQueue{}
@@ -80,7 +80,7 @@
 
 // handleReply passes the status in the reply to an order to the coordinator, or records
 // why there is none.
-func (d *groupDriver) handleReply(o rollout.Outgoing, reply *wire.OrderReply, err error) {
+func (d *groupDriver) handleReply(o rollout.RankOrder, reply *wire.OrderReply, err error) {
 	var s rollout.Status
 	if err == nil && reply.Accepted {
 		err = json.Unmarshal(reply.Body, &s)
@@ -94,7 +94,7 @@
 		return
 	}
 	d.details[o.Rank] = s.Refused
-	d.coord.Heard(d.clock(), o.Rank, s)
+	d.coord.HandleStatus(d.clock(), o.Rank, s)
 }
 
 // orderTimeoutFor returns the timeout of an order. Arm, commit and abort carry no map and
--- a/control/groupplan.go
+++ b/control/groupplan.go
@@ -40,14 +40,14 @@
 func (d *groupDriver) rollOutPinned() {
 	s := d.state
 	if rollout.Undecided(s.Switch) && s.Switch.Reason.GetRepeats() != s.Pinned {
-		d.coord.Cancel("pinned by " + s.PinnedBy)
+		d.coord.CancelSwitch("pinned by " + s.PinnedBy)
 		return
 	}
-	m := rollout.MapAt(s, s.Pinned)
+	m := rollout.MapByEpoch(s, s.Pinned)
 	if m == nil || slices.Equal(m.ExpertsInSlots, s.Map.ExpertsInSlots) || !d.coord.Idle() {
 		return
 	}
-	d.coord.Roll(&rollout.Target{Base: s.Map.Epoch, Map: m, Reason: &wire.MapReason{
+	d.coord.RequestSwitch(&rollout.Target{BaseEpoch: s.Map.Epoch, Map: m, Reason: &wire.MapReason{
 		By: s.PinnedBy, Why: fmt.Sprintf("%s pinned map %d", s.PinnedBy, s.Pinned), Repeats: s.Pinned,
 		Moves: countMoves(s.Map, m), AtMs: d.clock().UnixMilli(),
 	}})
@@ -102,7 +102,7 @@
 		for _, w := range windows {
 			w.reportTo(p)
 		}
-		decision := p.Plan(now, rollout.ToMap(current))
+		decision := p.Plan(now, rollout.ToPlacementMap(current))
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.planning, d.plannedAt = false, d.clock()
@@ -128,5 +128,5 @@
 		d.lastDecision.Why = "refused: " + err.Error()
 		return
 	}
-	d.coord.Roll(&rollout.Target{Base: current.Epoch, Map: rollout.FromMap(d.shape, decision.Next), Reason: d.lastDecision})
+	d.coord.RequestSwitch(&rollout.Target{BaseEpoch: current.Epoch, Map: rollout.FromPlacementMap(d.shape, decision.Next), Reason: d.lastDecision})
 }
--- a/control/groups.go
+++ b/control/groups.go
@@ -126,7 +126,7 @@
 		}
 		g.mu.Lock()
 		d.tick(ctx, g.clock(), snap.view.Groups[name], snap.states[name], ranks[name])
-		busy = busy || d.coord == nil || !d.coord.Quiet()
+		busy = busy || d.coord == nil || !d.coord.Converged()
 		finished := d.finished(time.Now())
 		g.mu.Unlock()
 		if finished {
--- a/control/groups_test.go
+++ b/control/groups_test.go
@@ -245,7 +245,7 @@
 		if s.GetPinned() == 0 || s.Switch != nil {
 			return false
 		}
-		m := rollout.MapAt(s, s.Pinned)
+		m := rollout.MapByEpoch(s, s.Pinned)
 		return m != nil && slices.Equal(m.ExpertsInSlots, s.Map.ExpertsInSlots)
 	})
 	held := v.State.Map.Epoch
--- a/control/leadertransfer.go
+++ b/control/leadertransfer.go
@@ -79,8 +79,8 @@
 		settled := next != "" && len(r.proposals)+len(r.pendingReads) == 0
 		return transferState{next: next, done: !led || settled}
 	}
-	_, err := r.node.Transfer(r.now())
+	_, err := r.node.TransferLeadership(r.now())
 	// A leader that was just elected again has no live peers yet and must try again.
-	giveUp := errors.Is(err, consensus.ErrNoTarget) && !led
+	giveUp := errors.Is(err, consensus.ErrNoTransferTarget) && !led
 	return transferState{leads: !giveUp, done: giveUp}
 }
--- a/control/loopcalls.go
+++ b/control/loopcalls.go
@@ -180,7 +180,7 @@
 			return
 		}
 		r.lastReadID++
-		if err := r.node.Read(r.now(), r.lastReadID); err != nil {
+		if err := r.node.RequestRead(r.now(), r.lastReadID); err != nil {
 			ch <- merry.Prepend(ErrUnavailable, err.Error())
 			return
 		}
--- a/control/maintenance.go
+++ b/control/maintenance.go
@@ -30,9 +30,9 @@
 	var err error
 	switch {
 	case s.promote != "":
-		err = r.node.Promote(r.now(), s.promote)
+		err = r.node.PromoteLearner(r.now(), s.promote)
 	case s.remove != "":
-		err = r.node.Remove(r.now(), s.remove)
+		err = r.node.RemovePeer(r.now(), s.remove)
 	default:
 		return
 	}
@@ -58,7 +58,7 @@
 // counts from the start of this leadership. A replica whose address another incarnation has
 // taken over is never presumed live.
 func (r *Replica) presumedLive(id string) bool {
-	if r.node.Live(id) && !r.leadership.replaced[id] {
+	if r.node.IsLive(id) && !r.leadership.replaced[id] {
 		r.leadership.recordContact(id, r.clock())
 		return true
 	}
--- a/control/members.go
+++ b/control/members.go
@@ -42,12 +42,12 @@
 	for _, p := range r.node.Peers() {
 		m := &wire.Member{
 			Id: p.Id, Address: p.Address, FailureDomain: p.FailureDomain, Learner: p.Learner,
-			Leader: p.Id == r.node.Leader(), CaughtUp: r.node.CaughtUp(p.Id), MatchIndex: r.node.Match(p.Id),
+			Leader: p.Id == r.node.Leader(), CaughtUp: r.node.CaughtUp(p.Id), MatchIndex: r.node.MatchIndex(p.Id),
 		}
 		if !p.Learner {
 			voters++
 		}
-		if !p.Learner && r.node.Live(p.Id) && m.CaughtUp {
+		if !p.Learner && r.node.IsLive(p.Id) && m.CaughtUp {
 			live++
 		}
 		reply.Members = append(reply.Members, m)
@@ -66,7 +66,7 @@
 		reply.Refused, reply.Detail = true, "a member ID is needed"
 		return
 	}
-	if err := r.node.Remove(r.now(), m.Id); err != nil {
+	if err := r.node.RemovePeer(r.now(), m.Id); err != nil {
 		reply.Refused, reply.Detail = true, err.Error()
 	}
 }
@@ -80,10 +80,10 @@
 	var err error
 	switch {
 	case s.promote != "":
-		err = r.node.Promote(r.now(), s.promote)
+		err = r.node.PromoteLearner(r.now(), s.promote)
 		reply.Detail = s.promote + " is made a voter"
 	case s.remove != "":
-		err = r.node.Remove(r.now(), s.remove)
+		err = r.node.RemovePeer(r.now(), s.remove)
 		reply.Detail = s.remove + " is removed"
 	}
 	if errors.Is(err, consensus.ErrConfigPending) {
--- a/control/replica.go
+++ b/control/replica.go
@@ -120,7 +120,7 @@
 		proposals:    map[uint64]pendingProposal{},
 		pendingReads: map[uint64]chan<- error{},
 		queued:       map[uint64][]uint64{},
-		hardState:    st.Hard,
+		hardState:    st.HardState,
 		leadership:   leadershipTimes{expires: map[string]time.Time{}},
 		leader:       leaderState{changed: make(chan struct{})},
 		ringTracker:  ringTracker{changed: s.Now()},
@@ -188,7 +188,7 @@
 			f()
 			r.runQueuedCalls()
 		}
-		r.node.Flush()
+		r.node.SendProposals()
 		r.processReady()
 		r.updateLeaderState()
 	}
@@ -214,12 +214,12 @@
 		if rd.Empty() {
 			break
 		}
-		r.peers.send(r.node.Peers(), rd.Early)
+		r.peers.send(r.node.Peers(), rd.EarlyMessages)
 		if err := r.persist(&rd); err != nil {
 			r.fail(err)
 			return
 		}
-		r.node.Persisted()
+		r.node.MarkPersisted()
 		r.peers.send(r.node.Peers(), rd.Messages)
 		if err := r.apply(&rd); err != nil {
 			r.fail(err)
@@ -232,18 +232,18 @@
 }
 
 func (r *Replica) persist(rd *consensus.Ready) error {
-	if rd.Hard != nil {
-		r.hardState = rd.Hard
+	if rd.HardState != nil {
+		r.hardState = rd.HardState
 	}
 	if rd.Snapshot != nil {
 		if err := r.journal.Compact(rd.Snapshot, r.hardState, nil); err != nil {
 			return err
 		}
 	}
-	if rd.Hard == nil && len(rd.Entries) == 0 {
+	if rd.HardState == nil && len(rd.Entries) == 0 {
 		return nil
 	}
-	return r.journal.Append(rd.Hard, rd.Entries)
+	return r.journal.Append(rd.HardState, rd.Entries)
 }
 
 func (r *Replica) apply(rd *consensus.Ready) error {
@@ -258,7 +258,7 @@
 		r.watchers.Wake()
 	}
 	var changed []*wire.Row
-	for _, e := range rd.Apply {
+	for _, e := range rd.CommittedEntries {
 		var v any
 		if e.Type == wire.EntryType_ENTRY_TYPE_COMMAND {
 			var err error
@@ -278,7 +278,7 @@
 	}
 	r.applyRowChanges(r.clock())
 	r.routingVersion.Store(r.machine.routing.Current().GetVersion())
-	if len(rd.Apply) > 0 {
+	if len(rd.CommittedEntries) > 0 {
 		r.feed.add(r.machine.table.Revision(), changed, r.machine.ring, r.ringTracker.changed)
 		r.watchers.Wake()
 	}
--- a/fake/rank.go
+++ b/fake/rank.go
@@ -63,7 +63,7 @@
 func (r *Rank) Status() rollout.Status {
 	r.seq++
 	return rollout.Status{
-		Incarnation: r.incarnation, Seq: r.seq, Blank: r.blank, Epoch: r.epoch, NextStep: r.nextStep,
+		Incarnation: r.incarnation, Seq: r.seq, NoMap: r.blank, Epoch: r.epoch, NextStep: r.nextStep,
 		StepMicros: r.StepMicros, Loading: r.loading, Staged: r.staged, Armed: r.armed, ArmedStep: r.armedStep,
 		Decided: r.decided,
 	}
--- a/measure/rollout/sim.go
+++ b/measure/rollout/sim.go
@@ -154,7 +154,7 @@
 	s.index++
 	s.token = s.index
 	l := &leader{token: s.token, c: rollout.NewCoordinator(rollout.DefaultConfig("g", s.shape, s.token))}
-	l.c.Applied(s.clock(), s.machine.Get("g"))
+	l.c.SetState(s.clock(), s.machine.Get("g"))
 	s.leader = l
 	s.tick(l)
 }
@@ -169,7 +169,7 @@
 		for i := range m.Slots {
 			m.Slots[i] = (m.Slots[i] + int32(s.index)) % int32(s.shape.Experts)
 		}
-		l.c.Roll(&rollout.Target{Base: st.Map.Epoch, Map: rollout.FromMap(s.shape, m), Reason: &wire.MapReason{}})
+		l.c.RequestSwitch(&rollout.Target{BaseEpoch: st.Map.Epoch, Map: rollout.FromPlacementMap(s.shape, m), Reason: &wire.MapReason{}})
 	}
 	s.drive(l)
 }
@@ -222,7 +222,7 @@
 		return
 	}
 	if !l.dead {
-		l.c.Applied(s.clock(), s.machine.Get("g"))
+		l.c.SetState(s.clock(), s.machine.Get("g"))
 		s.drive(l)
 	}
 }
@@ -240,7 +240,7 @@
 }
 
 // sendOrder delivers an order to a rank and the rank's status to the leader.
-func (s *sim) sendOrder(l *leader, o rollout.Outgoing) {
+func (s *sim) sendOrder(l *leader, o rollout.RankOrder) {
 	lost := s.fault == armLost && o.Verb == rollout.VerbArm || s.fault == commitLost && o.Verb == rollout.VerbCommit
 	if lost && o.Rank == 0 && !s.faultDone {
 		s.faultDone = true
@@ -261,7 +261,7 @@
 		}
 		s.schedule(s.delay(), func() {
 			if !l.dead {
-				l.c.Heard(s.clock(), o.Rank, status)
+				l.c.HandleStatus(s.clock(), o.Rank, status)
 				s.drive(l)
 			}
 		})
--- a/measure/rollout/size.go
+++ b/measure/rollout/size.go
@@ -24,7 +24,7 @@
 		m.Apply(index, c, 1)
 		return proto.Size(c)
 	}
-	g := rollout.FromMap(s, placement.Contiguous(s))
+	g := rollout.FromPlacementMap(s, placement.Contiguous(s))
 	apply(&wire.GroupCommand{Command: &wire.GroupCommand_Install{Install: g}})
 	begin := apply(&wire.GroupCommand{Command: &wire.GroupCommand_Begin{
 		Begin: &wire.BeginSwitch{Base: m.Get("g").Map.Epoch, Map: g, Reason: &wire.MapReason{}},
@@ -47,9 +47,9 @@
 	c := rollout.NewCoordinator(rollout.DefaultConfig("g", s, 1))
 	idle := proto.Clone(st).(*wire.GroupState)
 	idle.Switch = nil
-	c.Applied(now, idle)
+	c.SetState(now, idle)
 	for i := range s.Ranks {
-		c.Heard(now, i, rollout.Status{Incarnation: 1, Seq: 1, Epoch: idle.Map.Epoch})
+		c.HandleStatus(now, i, rollout.Status{Incarnation: 1, Seq: 1, Epoch: idle.Map.Epoch})
 	}
 	c.Tick(now)
 	const n = 200_000
--- a/rollout/coordinator.go
+++ b/rollout/coordinator.go
@@ -17,19 +17,19 @@
 	// polled at the same interval during a switch, so it also bounds the time until
 	// a rank's restart is detected.
 	Resend time.Duration
-	// Urgent is the resend interval of orders that a stopped group may be waiting
+	// UrgentResend is the resend interval of orders that a stopped group may be waiting
 	// for: arm, commit, abort and adopt.
-	Urgent time.Duration
+	UrgentResend time.Duration
 	// IdlePoll is the interval of status orders while no switch is in progress.
 	IdlePoll time.Duration
 	// StageTimeout and ArmTimeout bound the staging and arming phases. A switch
 	// that exceeds them is cancelled.
 	StageTimeout, ArmTimeout time.Duration
-	// Lead and MaxLead bound the planned time between arming and the first step of
+	// MinLeadTime and MaxLeadTime bound the planned time between arming and the first step of
 	// the new map.
-	Lead, MaxLead time.Duration
-	// MinStep is the lower bound applied to step times that ranks report.
-	MinStep time.Duration
+	MinLeadTime, MaxLeadTime time.Duration
+	// MinStepTime is the lower bound applied to step times that ranks report.
+	MinStepTime time.Duration
 	// disabled lists the safeguards that are off; only tests set it.
 	disabled safeguards
 }
@@ -48,22 +48,22 @@
 func DefaultConfig(group string, s placement.Shape, token uint64) Config {
 	return Config{
 		Group: group, Shape: s, Token: token,
-		Resend: 250 * time.Millisecond, Urgent: 50 * time.Millisecond, IdlePoll: 2 * time.Second,
+		Resend: 250 * time.Millisecond, UrgentResend: 50 * time.Millisecond, IdlePoll: 2 * time.Second,
 		StageTimeout: 10 * time.Minute, ArmTimeout: 5 * time.Second,
-		Lead: 50 * time.Millisecond, MaxLead: 2 * time.Second, MinStep: time.Millisecond,
+		MinLeadTime: 50 * time.Millisecond, MaxLeadTime: 2 * time.Second, MinStepTime: time.Millisecond,
 	}
 }
 
 // Target is a map to switch to, with the reason for the switch.
 type Target struct {
-	// Base is the epoch of the map in force when this one was planned.
-	Base   uint64
-	Map    *wire.GroupMap
-	Reason *wire.MapReason
+	// BaseEpoch is the epoch of the map in force when this one was planned.
+	BaseEpoch uint64
+	Map       *wire.GroupMap
+	Reason    *wire.MapReason
 }
 
-// Outgoing is an order with its recipient.
-type Outgoing struct {
+// RankOrder is an order with its recipient.
+type RankOrder struct {
 	Rank  int
 	Verb  string
 	Order Order
@@ -72,7 +72,7 @@
 // Effects are the orders that a driver must send and the command that it must propose.
 // Orders may be lost, duplicated and reordered; a command may be lost or delayed.
 type Effects struct {
-	Orders  []Outgoing
+	Orders  []RankOrder
 	Command *wire.GroupCommand
 }
 
@@ -109,7 +109,7 @@
 	// commitLatency and orderLatency are decaying maxima of the time from a proposal to
 	// the next state, and from an order to the rank's next status.
 	commitLatency, orderLatency time.Duration
-	// minLeadTime grows when ranks are armed too late, and shrinks towards Config.Lead
+	// minLeadTime grows when ranks are armed too late, and shrinks towards Config.MinLeadTime
 	// with committed switches. It last grew for the switch to lastLateEpoch.
 	minLeadTime   time.Duration
 	lastLateEpoch uint64
@@ -118,11 +118,11 @@
 // NewCoordinator returns a coordinator that knows neither the group's state nor any
 // rank's status.
 func NewCoordinator(c Config) *Coordinator {
-	return &Coordinator{cfg: c, ranks: make([]rankState, c.Shape.Ranks), minLeadTime: c.Lead}
+	return &Coordinator{cfg: c, ranks: make([]rankState, c.Shape.Ranks), minLeadTime: c.MinLeadTime}
 }
 
-// Applied sets the group's state on the log, which is nil if the group has none.
-func (c *Coordinator) Applied(now time.Time, s *wire.GroupState) {
+// SetState sets the group's state on the log, which is nil if the group has none.
+func (c *Coordinator) SetState(now time.Time, s *wire.GroupState) {
 	if c.state == s {
 		return
 	}
@@ -136,20 +136,20 @@
 		c.currentPhase.epoch, c.currentPhase.phase = sw.GetMap().GetEpoch(), sw.GetPhase()
 		c.phaseStart = now
 	}
-	if c.requested != nil && (sw != nil || c.requested.Base != s.GetMap().GetEpoch()) {
+	if c.requested != nil && (sw != nil || c.requested.BaseEpoch != s.GetMap().GetEpoch()) {
 		c.requested = nil
 	}
 	if !Undecided(sw) {
 		c.cancelReason = ""
 	}
 	if sw.GetPhase() == wire.SwitchPhase_SWITCH_PHASE_COMMITTED {
-		c.minLeadTime = max(c.cfg.Lead, c.minLeadTime/2)
+		c.minLeadTime = max(c.cfg.MinLeadTime, c.minLeadTime/2)
 	}
 }
 
-// Heard records the status that a rank reported. Statuses older than the last one are
+// HandleStatus records the status that a rank reported. Statuses older than the last one are
 // ignored.
-func (c *Coordinator) Heard(now time.Time, rank int, s Status) {
+func (c *Coordinator) HandleStatus(now time.Time, rank int, s Status) {
 	r := &c.ranks[rank]
 	// A delayed status of an earlier incarnation could show a restarted rank as armed.
 	if r.known && (s.Incarnation < r.status.Incarnation || s.Incarnation == r.status.Incarnation && s.Seq <= r.status.Seq) {
@@ -162,10 +162,10 @@
 	r.known, r.status, r.statusAt = true, s, now
 }
 
-// Roll requests a switch, which begins once all ranks use the map in force. It does
+// RequestSwitch requests a switch, which begins once all ranks use the map in force. It does
 // nothing if a switch is in progress or the target is based on another map.
-func (c *Coordinator) Roll(t *Target) {
-	if c.state == nil || c.state.Switch != nil || t.Base != c.state.Map.Epoch {
+func (c *Coordinator) RequestSwitch(t *Target) {
+	if c.state == nil || c.state.Switch != nil || t.BaseEpoch != c.state.Map.Epoch {
 		return
 	}
 	c.requested = t
@@ -176,13 +176,13 @@
 	return c.state != nil && c.state.Switch == nil && c.requested == nil
 }
 
-// Quiet reports whether the coordinator is idle and all ranks use the map in force.
-func (c *Coordinator) Quiet() bool {
+// Converged reports whether the coordinator is idle and all ranks use the map in force.
+func (c *Coordinator) Converged() bool {
 	return c.Idle() && c.allUsing(c.state.Map.Epoch)
 }
 
-// Cancel drops a requested switch, and aborts one in progress unless it is decided.
-func (c *Coordinator) Cancel(reason string) {
+// CancelSwitch drops a requested switch, and aborts one in progress unless it is decided.
+func (c *Coordinator) CancelSwitch(reason string) {
 	c.requested = nil
 	if c.state != nil && Undecided(c.state.Switch) {
 		c.cancelReason = reason
@@ -208,7 +208,7 @@
 
 func (c *Coordinator) allRanks(matches func(s Status) bool) bool {
 	for _, r := range c.ranks {
-		if !r.known || r.status.Blank || !matches(r.status) {
+		if !r.known || r.status.NoMap || !matches(r.status) {
 			return false
 		}
 	}
--- a/rollout/coordinator_commands.go
+++ b/rollout/coordinator_commands.go
@@ -31,7 +31,7 @@
 
 func (c *Coordinator) neededCommand(now time.Time) *wire.GroupCommand {
 	if c.state == nil {
-		initial := FromMap(c.cfg.Shape, placement.Contiguous(c.cfg.Shape))
+		initial := FromPlacementMap(c.cfg.Shape, placement.Contiguous(c.cfg.Shape))
 		return &wire.GroupCommand{Command: &wire.GroupCommand_Install{Install: initial}}
 	}
 	sw := c.state.Switch
@@ -68,7 +68,7 @@
 		return nil
 	}
 	return &wire.GroupCommand{Command: &wire.GroupCommand_Begin{
-		Begin: &wire.BeginSwitch{Base: c.requested.Base, Map: c.requested.Map, Reason: c.requested.Reason},
+		Begin: &wire.BeginSwitch{Base: c.requested.BaseEpoch, Map: c.requested.Map, Reason: c.requested.Reason},
 	}}
 }
 
@@ -82,7 +82,7 @@
 		s := r.status
 		switch {
 		case !r.known:
-		case s.Blank || arming && s.Staged != sw.Map.Epoch && s.Armed != sw.Map.Epoch:
+		case s.NoMap || arming && s.Staged != sw.Map.Epoch && s.Armed != sw.Map.Epoch:
 			return fmt.Sprintf("rank %d restarted", i)
 		case arming && s.Armed != sw.Map.Epoch && s.NextStep > sw.Step:
 			c.recordLateArm(sw.Map.Epoch)
@@ -109,9 +109,9 @@
 
 // leadTime returns the expected time to arm the ranks, decide, and tell the decision: two
 // log writes and two rounds of orders at recent latencies, times leadMargin, within
-// minLeadTime and MaxLead.
+// minLeadTime and MaxLeadTime.
 func (c *Coordinator) leadTime() time.Duration {
-	return min(max(c.minLeadTime, leadMargin*(2*c.commitLatency+2*c.orderLatency)), c.cfg.MaxLead)
+	return min(max(c.minLeadTime, leadMargin*(2*c.commitLatency+2*c.orderLatency)), c.cfg.MaxLeadTime)
 }
 
 // chooseStep returns the first step of the new map. It is far enough ahead that normally
@@ -120,8 +120,8 @@
 	lead := c.leadTime()
 	var step uint64
 	for _, r := range c.ranks {
-		stepTime := max(time.Duration(r.status.StepMicros)*time.Microsecond, c.cfg.MinStep)
-		statusAge := min(now.Sub(r.statusAt), c.cfg.MaxLead)
+		stepTime := max(time.Duration(r.status.StepMicros)*time.Microsecond, c.cfg.MinStepTime)
+		statusAge := min(now.Sub(r.statusAt), c.cfg.MaxLeadTime)
 		stepsAhead := (lead+statusAge)/stepTime + 2
 		step = max(step, r.status.NextStep+uint64(stepsAhead))
 	}
--- a/rollout/coordinator_orders.go
+++ b/rollout/coordinator_orders.go
@@ -7,23 +7,23 @@
 )
 
 // nextOrder returns the order to send to rank i now, or false if none is due.
-func (c *Coordinator) nextOrder(now time.Time, i int) (Outgoing, bool) {
+func (c *Coordinator) nextOrder(now time.Time, i int) (RankOrder, bool) {
 	r := &c.ranks[i]
 	verb, o := c.orderFor(r)
 	interval := c.resendInterval(verb, r)
 	if !r.orderSentAt.IsZero() && verb == r.lastVerb && o.Epoch == r.lastEpoch && now.Sub(r.orderSentAt) < interval {
-		return Outgoing{}, false
+		return RankOrder{}, false
 	}
 	r.lastVerb, r.lastEpoch, r.orderSentAt, r.awaitingStatus = verb, o.Epoch, now, true
 	o.Group, o.Rank, o.Incarnation = c.cfg.Group, i, r.status.Incarnation
-	return Outgoing{Rank: i, Verb: verb, Order: o}, true
+	return RankOrder{Rank: i, Verb: verb, Order: o}, true
 }
 
 // resendInterval returns the time after which an unchanged order is sent again.
 func (c *Coordinator) resendInterval(verb string, r *rankState) time.Duration {
 	switch verb {
 	case VerbArm, VerbCommit, VerbAbort, VerbAdopt:
-		return c.cfg.Urgent
+		return c.cfg.UrgentResend
 	case VerbStatus:
 		if r.known && c.isIdleRank(r) {
 			return c.cfg.IdlePoll
@@ -34,7 +34,7 @@
 
 // isIdleRank reports whether a rank's state is not expected to change.
 func (c *Coordinator) isIdleRank(r *rankState) bool {
-	return c.Idle() && !r.status.Blank
+	return c.Idle() && !r.status.NoMap
 }
 
 // orderFor returns the order that a rank needs now. Without a pending change that is a
@@ -43,10 +43,10 @@
 	if !r.known || c.state == nil {
 		return VerbStatus, Order{}
 	}
-	if r.status.Blank {
+	if r.status.NoMap {
 		return c.orderForRestarted()
 	}
-	if verb, o, ok := Settle(c.state, r.status); ok {
+	if verb, o, ok := OutcomeOrder(c.state, r.status); ok {
 		return verb, o
 	}
 	sw := c.state.Switch
@@ -73,10 +73,10 @@
 	return VerbAdopt, Order{Epoch: m.Epoch, Step: m.FromStep, Map: toOrderMap(m)}
 }
 
-// Settle returns the order that tells a rank the outcome of a switch that is still open
+// OutcomeOrder returns the order that tells a rank the outcome of a switch that is still open
 // at the rank, or false if there is no such switch or the state contains no outcome. The
 // state may be stale: the outcome of a decided switch doesn't change.
-func Settle(state *wire.GroupState, s Status) (verb string, o Order, ok bool) {
+func OutcomeOrder(state *wire.GroupState, s Status) (verb string, o Order, ok bool) {
 	inForce := state.GetMap().GetEpoch()
 	settled := state.GetSettled()
 	switch {
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -11,11 +11,11 @@
 
 // Limits on the history in a group's state.
 const (
-	// MaxEarlier is the number of earlier maps kept, to which a group can be pinned or
+	// MaxEarlierMaps is the number of earlier maps kept, to which a group can be pinned or
 	// rolled back.
-	MaxEarlier = 4
-	// MaxRecords is the number of finished switches kept.
-	MaxRecords = 50
+	MaxEarlierMaps = 4
+	// MaxSwitchRecords is the number of finished switches kept.
+	MaxSwitchRecords = 50
 )
 
 // Outcomes of a finished switch.
@@ -114,7 +114,7 @@
 		return refused("group already has a map")
 	}
 	g := c.GetInstall()
-	if err := ToMap(g).Check(ShapeOf(g)); err != nil {
+	if err := ToPlacementMap(g).Check(ShapeOf(g)); err != nil {
 		return refused("%v", err)
 	}
 	m.groups[c.Group] = &wire.GroupState{Group: c.Group, Map: withEpoch(g, index, 0), Settled: index}
@@ -130,7 +130,7 @@
 	case ShapeOf(s.Map) != ShapeOf(b.Map):
 		return refused("the map has a different shape")
 	}
-	if err := ToMap(b.Map).Check(ShapeOf(b.Map)); err != nil {
+	if err := ToPlacementMap(b.Map).Check(ShapeOf(b.Map)); err != nil {
 		return refused("%v", err)
 	}
 	// The log index serves as epoch, so the epoch of a cancelled switch is never
@@ -168,8 +168,8 @@
 	}
 	s.Settled = max(s.Settled, d.Epoch)
 	s.Earlier = slices.Insert(slices.Clone(s.Earlier), 0, s.Map)
-	if len(s.Earlier) > MaxEarlier {
-		s.Earlier = s.Earlier[:MaxEarlier]
+	if len(s.Earlier) > MaxEarlierMaps {
+		s.Earlier = s.Earlier[:MaxEarlierMaps]
 	}
 	s.Map = withEpoch(sw.Map, d.Epoch, sw.Step)
 	s.Switch = &wire.Switch{Map: s.Map, Reason: sw.Reason, Step: sw.Step, Phase: wire.SwitchPhase_SWITCH_PHASE_COMMITTED}
@@ -188,8 +188,8 @@
 
 func addRecord(s *wire.GroupState, r *wire.SwitchRecord) {
 	s.Records = slices.Insert(slices.Clone(s.Records), 0, r)
-	if len(s.Records) > MaxRecords {
-		s.Records = s.Records[:MaxRecords]
+	if len(s.Records) > MaxSwitchRecords {
+		s.Records = s.Records[:MaxSwitchRecords]
 	}
 }
 
@@ -198,7 +198,7 @@
 	if old == nil {
 		return refused("group has no map")
 	}
-	if p.Epoch != 0 && MapAt(old, p.Epoch) == nil {
+	if p.Epoch != 0 && MapByEpoch(old, p.Epoch) == nil {
 		return refused("map %d is not kept", p.Epoch)
 	}
 	next := copyState(old)
@@ -210,8 +210,8 @@
 	return Result{Accepted: true}
 }
 
-// MapAt returns the map in force or the kept earlier map with an epoch, or nil.
-func MapAt(s *wire.GroupState, epoch uint64) *wire.GroupMap {
+// MapByEpoch returns the map in force or the kept earlier map with an epoch, or nil.
+func MapByEpoch(s *wire.GroupState, epoch uint64) *wire.GroupMap {
 	if s.Map.Epoch == epoch {
 		return s.Map
 	}
@@ -233,13 +233,13 @@
 	return placement.Shape{Ranks: int(g.Ranks), Experts: int(g.Experts), Layers: int(g.Layers), Slots: int(g.Slots)}
 }
 
-// ToMap converts a map for planners.
-func ToMap(g *wire.GroupMap) *placement.Map {
+// ToPlacementMap converts a map for planners.
+func ToPlacementMap(g *wire.GroupMap) *placement.Map {
 	return &placement.Map{Epoch: g.Epoch, Slots: g.ExpertsInSlots}
 }
 
-// FromMap converts a planner's map for the log, which assigns its epoch.
-func FromMap(s placement.Shape, m *placement.Map) *wire.GroupMap {
+// FromPlacementMap converts a planner's map for the log, which assigns its epoch.
+func FromPlacementMap(s placement.Shape, m *placement.Map) *wire.GroupMap {
 	return &wire.GroupMap{
 		Ranks: uint32(s.Ranks), Experts: uint32(s.Experts), Layers: uint32(s.Layers), Slots: uint32(s.Slots),
 		ExpertsInSlots: m.Slots,
--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -48,7 +48,7 @@
 	tg.index++
 	tg.token = tg.index
 	tg.coordinator = rollout.NewCoordinator(rollout.DefaultConfig("g", tg.shape, tg.token))
-	tg.coordinator.Applied(tg.now, tg.state())
+	tg.coordinator.SetState(tg.now, tg.state())
 }
 
 func (tg *testGroup) requestSwitch() {
@@ -57,7 +57,7 @@
 	for i := range m.Slots {
 		m.Slots[i] = (m.Slots[i] + 1) % int32(tg.shape.Experts)
 	}
-	tg.coordinator.Roll(&rollout.Target{Base: tg.state().Map.Epoch, Map: rollout.FromMap(tg.shape, m), Reason: &wire.MapReason{Why: "test"}})
+	tg.coordinator.RequestSwitch(&rollout.Target{BaseEpoch: tg.state().Map.Epoch, Map: rollout.FromPlacementMap(tg.shape, m), Reason: &wire.MapReason{Why: "test"}})
 }
 
 func (tg *testGroup) runRound() {
@@ -66,7 +66,7 @@
 	for _, o := range e.Orders {
 		s := tg.ranks[o.Rank].Give(o.Verb, &o.Order)
 		tg.ranks[o.Rank].Loaded()
-		tg.coordinator.Heard(tg.now, o.Rank, s)
+		tg.coordinator.HandleStatus(tg.now, o.Rank, s)
 	}
 	if e.Command != nil && !tg.dropCommand(e.Command) {
 		tg.apply(e.Command)
@@ -76,7 +76,7 @@
 func (tg *testGroup) apply(c *wire.GroupCommand) rollout.Result {
 	tg.index++
 	r := tg.machine.Apply(tg.index, c, tg.token)
-	tg.coordinator.Applied(tg.now, tg.state())
+	tg.coordinator.SetState(tg.now, tg.state())
 	return r
 }
 
@@ -193,7 +193,7 @@
 func TestMachineRejectsInvalidMaps(t *testing.T) {
 	tg := newTestGroup(t)
 	begin := func(base uint64, change func(*wire.GroupMap)) rollout.Result {
-		g := rollout.FromMap(tg.shape, placement.Contiguous(tg.shape))
+		g := rollout.FromPlacementMap(tg.shape, placement.Contiguous(tg.shape))
 		g.ExpertsInSlots = append([]int32(nil), g.ExpertsInSlots...)
 		change(g)
 		return tg.apply(&wire.GroupCommand{Group: "g", Token: tg.token, Command: &wire.GroupCommand_Begin{
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -62,8 +62,8 @@
 	Incarnation uint64 `json:"incarnation"`
 	// Seq increases with each reply of one incarnation.
 	Seq uint64 `json:"seq"`
-	// Blank reports that the rank has no map and runs no steps.
-	Blank bool `json:"blank"`
+	// NoMap reports that the rank has no map and runs no steps.
+	NoMap bool `json:"blank"`
 	// Epoch is the epoch of the map used in the last step begun, or of the one
 	// adopted since.
 	Epoch uint64 `json:"epoch"`
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -225,16 +225,16 @@
 	s.token = s.index
 	l := &simLeader{id: len(s.leaders), token: s.token, up: true, cutRanks: map[int]bool{}}
 	cfg := rollout.DefaultConfig("g", s.shape, l.token)
-	cfg.Resend, cfg.Urgent, cfg.IdlePoll = simResend, simResend/2, simIdlePoll
+	cfg.Resend, cfg.UrgentResend, cfg.IdlePoll = simResend, simResend/2, simIdlePoll
 	cfg.StageTimeout, cfg.ArmTimeout = simStageTimeout, simArmTimeout
-	cfg.Lead, cfg.MaxLead = 10*time.Millisecond, simMaxLead
+	cfg.MinLeadTime, cfg.MaxLeadTime = 10*time.Millisecond, simMaxLead
 	if s.disabled.coordinator != nil {
 		s.disabled.coordinator(&cfg)
 	}
 	l.coordinator = rollout.NewCoordinator(cfg)
 	// A leader has applied everything that was accepted before its lease.
 	l.viewIndex = s.index
-	l.coordinator.Applied(s.clock(), s.machine.Get("g"))
+	l.coordinator.SetState(s.clock(), s.machine.Get("g"))
 	s.leaders = append(s.leaders, l)
 	if n := len(s.leaders) - simMaxLeaders; n > 0 {
 		s.leaders[n-1].up = false
@@ -264,7 +264,7 @@
 		return
 	}
 	if !s.faultsEnded && !s.noFaults && s.rnd.IntN(6) == 0 {
-		l.coordinator.Cancel("an operator paused the group")
+		l.coordinator.CancelSwitch("an operator paused the group")
 		return
 	}
 	m := placement.Contiguous(s.shape)
@@ -272,7 +272,7 @@
 	for i := range m.Slots {
 		m.Slots[i] = (m.Slots[i] + shift) % int32(s.shape.Experts)
 	}
-	l.coordinator.Roll(&rollout.Target{Base: st.Map.Epoch, Map: rollout.FromMap(s.shape, m), Reason: &wire.MapReason{}})
+	l.coordinator.RequestSwitch(&rollout.Target{BaseEpoch: st.Map.Epoch, Map: rollout.FromPlacementMap(s.shape, m), Reason: &wire.MapReason{}})
 }
 
 func (s *sim) runCoordinator(l *simLeader) {
@@ -317,7 +317,7 @@
 		return
 	}
 	l.viewIndex = index
-	l.coordinator.Applied(s.clock(), st)
+	l.coordinator.SetState(s.clock(), st)
 	s.runCoordinator(l)
 }
 
@@ -328,7 +328,7 @@
 }
 
 // sendOrder sends an order through the agent to the engine, and the reply back.
-func (s *sim) sendOrder(l *simLeader, o rollout.Outgoing) {
+func (s *sim) sendOrder(l *simLeader, o rollout.RankOrder) {
 	r := s.ranks[o.Rank]
 	s.deliver(func() {
 		if l.cutRanks[o.Rank] || !r.agentUp {
@@ -365,7 +365,7 @@
 	s.deliver(func() {
 		state := s.machine.Get("g")
 		s.deliver(func() {
-			verb, o, ok := rollout.Settle(state, status)
+			verb, o, ok := rollout.OutcomeOrder(state, status)
 			if !ok || !r.agentUp || !r.up || r.checksToken && token < r.highestToken {
 				return
 			}
@@ -376,7 +376,7 @@
 	})
 }
 
-func (s *sim) deliverToEngine(l *simLeader, r *simRank, o rollout.Outgoing) {
+func (s *sim) deliverToEngine(l *simLeader, r *simRank, o rollout.RankOrder) {
 	if !r.up {
 		return
 	}
@@ -400,7 +400,7 @@
 		if !r.agentUp || l.cutRanks[o.Rank] || !l.up || s.now < l.stalledUntil {
 			return
 		}
-		l.coordinator.Heard(s.clock(), o.Rank, st)
+		l.coordinator.HandleStatus(s.clock(), o.Rank, st)
 		s.runCoordinator(l)
 	})
 }
@@ -450,7 +450,7 @@
 			s.failf("step %d: rank %d uses map %d, rank %d uses map %d", s.step, r.index, epoch, other, e)
 		}
 	}
-	if st := s.machine.Get("g"); epoch != st.Map.Epoch && !s.disabled.adoptOnRestart && rollout.MapAt(st, epoch) == nil {
+	if st := s.machine.Get("g"); epoch != st.Map.Epoch && !s.disabled.adoptOnRestart && rollout.MapByEpoch(st, epoch) == nil {
 		s.failf("rank %d uses map %d, which was never in force", r.index, epoch)
 	}
 	s.stepEpochs[r.index] = epoch
