--- a/entry/claim.go
+++ b/entry/claim.go
@@ -46,8 +46,8 @@
 	return r.Confirmed && len(r.Ring.GetMembers()) >= claim.Majority
 }
 
-// ClaimsGranting reports whether the entry's claim register may grant any key.
-func (e *Entry) ClaimsGranting() bool { return e.claims.Granting() }
+// CanGrantClaims reports whether the entry's claim register may grant any key.
+func (e *Entry) CanGrantClaims() bool { return e.claims.Granting() }
 
 // claimKey claims the request's idempotency key, if it has one and isn't idempotent.
 // done is true if the caller was sent the stored answer of an earlier attempt.
@@ -67,7 +67,7 @@
 	out := q.entry.claims.Claim(q.r.Context(), claim.Request{
 		Key: &wire.ClaimKey{Team: q.team.Name, Service: q.service.Name, Key: key},
 		ID:  q.id, Entry: q.entry.incarnation.Wire(), Digest: q.digest(),
-		TTL: q.service.ClaimTTL, Deadline: deadline, Round: q.entry.settings.ClaimRound.D(),
+		TTL: q.service.ClaimTTL, Deadline: deadline, Round: q.entry.settings.ClaimRoundTimeout.D(),
 	}, q.entry.node.Gone)
 	metrics.GetOrRegisterTimer("entry.claims", q.entry.metrics).UpdateSince(start)
 	switch out.Choice {
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -16,13 +16,13 @@
 	if !e.draining.CompareAndSwap(false, true) {
 		return
 	}
-	kernel.Info(e.log, "Drain started. The entry leaves the list of entries.", "serves_for", e.settings.Keep.D()+drainMargin)
+	kernel.Info(e.log, "Drain started. The entry leaves the list of entries.", "serves_for", e.settings.EntryListTTL.D()+drainMargin)
 	e.announceAll(ctx, wire.Phase_PHASE_LEAVING)
 	close(e.drainStarted)
 }
 
 // drainCallers waits for the start of the drain and then carries it out. Callers may
-// use a cached list of entries for Settings.Keep, so the entry accepts requests for
+// use a cached list of entries for Settings.EntryListTTL, so the entry accepts requests for
 // that time and a margin; then it finishes the requests in progress.
 func (e *Entry) drainCallers(ctx context.Context) {
 	select {
@@ -33,7 +33,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(e.settings.Keep.D() + drainMargin):
+	case <-time.After(e.settings.EntryListTTL.D() + drainMargin):
 	}
 	if e.callerServer.Shutdown(ctx) != nil {
 		return
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -397,8 +397,8 @@
 	return d
 }
 
-// Upstreams returns the number of upstreams that are up by pool, as known to this entry.
-func (e *Entry) Upstreams() map[string]int {
+// UpstreamCounts returns the number of upstreams that are up by pool, as known to this entry.
+func (e *Entry) UpstreamCounts() map[string]int {
 	n := map[string]int{}
 	for _, i := range e.node.Instances(wire.Role_ROLE_UPSTREAM) {
 		if !i.Up() {
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -63,7 +63,7 @@
 }
 
 func (e *Entry) serveEntries(w http.ResponseWriter, _ *http.Request) {
-	list := entryList{Entries: []listedEntry{}, KeepSeconds: int(e.settings.Keep.D().Seconds())}
+	list := entryList{Entries: []listedEntry{}, KeepSeconds: int(e.settings.EntryListTTL.D().Seconds())}
 	for _, i := range e.node.Instances(wire.Role_ROLE_ENTRY) {
 		if !i.Up() || !i.Listed {
 			continue
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -59,8 +59,8 @@
 	// ConfigLease is how long the entry stays in the list of entries without a
 	// confirmation that its rows are current.
 	ConfigLease kernel.Duration `toml:"config_lease"`
-	// Keep is how long callers may cache the list of entries.
-	Keep kernel.Duration `toml:"keep"`
+	// EntryListTTL is how long callers may cache the list of entries.
+	EntryListTTL kernel.Duration `toml:"keep"`
 	// Slots is the maximum number of concurrent requests.
 	Slots         int `toml:"slots"`
 	UrgentPercent int `toml:"urgent_percent"`
@@ -71,9 +71,9 @@
 	BodyTimeout   kernel.Duration `toml:"body_timeout"`
 	// IdleTimeout is how long a caller's idle connection stays open.
 	IdleTimeout kernel.Duration `toml:"idle_timeout"`
-	// ClaimRound is how long a claim of an idempotency key waits for the answers of its
+	// ClaimRoundTimeout is how long a claim of an idempotency key waits for the answers of its
 	// registers before it retries; the request is refused after four failed rounds.
-	ClaimRound kernel.Duration `toml:"claim_round"`
+	ClaimRoundTimeout kernel.Duration `toml:"claim_round"`
 	// StopLimit bounds the duration of a graceful stop.
 	StopLimit kernel.Duration `toml:"stop_limit"`
 	// Lease is how long the directory keeps the entry after an announcement, and
@@ -90,22 +90,22 @@
 
 func DefaultSettings() *Settings {
 	return &Settings{
-		Now:              time.Now,
-		Callers:          "127.0.0.1:0",
-		Internal:         "127.0.0.1:0",
-		ClaimsDataDir:    ClaimsDirAuto,
-		Keep:             kernel.Duration(10 * time.Second),
-		Slots:            4096,
-		UrgentPercent:    10,
-		MaxQueue:         4096,
-		MaxBodyMemory:    64 << 20,
-		BodyTimeout:      kernel.Duration(30 * time.Second),
-		IdleTimeout:      kernel.Duration(2 * time.Minute),
-		ClaimRound:       kernel.Duration(claim.RoundTimeout),
-		StopLimit:        kernel.Duration(5 * time.Minute),
-		Lease:            kernel.Duration(3 * time.Second),
-		AnnounceInterval: kernel.Duration(500 * time.Millisecond),
-		ConfigLease:      kernel.Duration(10 * time.Second),
+		Now:               time.Now,
+		Callers:           "127.0.0.1:0",
+		Internal:          "127.0.0.1:0",
+		ClaimsDataDir:     ClaimsDirAuto,
+		EntryListTTL:      kernel.Duration(10 * time.Second),
+		Slots:             4096,
+		UrgentPercent:     10,
+		MaxQueue:          4096,
+		MaxBodyMemory:     64 << 20,
+		BodyTimeout:       kernel.Duration(30 * time.Second),
+		IdleTimeout:       kernel.Duration(2 * time.Minute),
+		ClaimRoundTimeout: kernel.Duration(claim.RoundTimeout),
+		StopLimit:         kernel.Duration(5 * time.Minute),
+		Lease:             kernel.Duration(3 * time.Second),
+		AnnounceInterval:  kernel.Duration(500 * time.Millisecond),
+		ConfigLease:       kernel.Duration(10 * time.Second),
 	}
 }
 
@@ -132,11 +132,11 @@
 		return badKey("max_body_memory", "must be at least 1048576")
 	case s.BodyTimeout < kernel.Duration(time.Second):
 		return badKey("body_timeout", "must be at least 1s")
-	case s.ClaimRound < kernel.Duration(10*time.Millisecond):
+	case s.ClaimRoundTimeout < kernel.Duration(10*time.Millisecond):
 		return badKey("claim_round", "must be at least 10ms")
 	case s.IdleTimeout < kernel.Duration(time.Second):
 		return badKey("idle_timeout", "must be at least 1s")
-	case s.Keep < kernel.Duration(time.Second):
+	case s.EntryListTTL < kernel.Duration(time.Second):
 		return badKey("keep", "must be at least 1s")
 	case len(s.ControlReplicas) == 0 && s.Control == nil:
 		return badKey("control_replicas", "must name at least one control replica")
--- a/quickstart/parts.go
+++ b/quickstart/parts.go
@@ -391,7 +391,7 @@
 // claimSettings sets the claim round and where an entry stores its claims.
 func (s *System) claimSettings(set *entry.Settings, p *part, durable bool) {
 	if s.opts.ClaimRound > 0 {
-		set.ClaimRound = kernel.Duration(s.opts.ClaimRound)
+		set.ClaimRoundTimeout = kernel.Duration(s.opts.ClaimRound)
 	}
 	set.ClaimsDataDir = ""
 	switch {
@@ -417,7 +417,7 @@
 		set.Slots = s.opts.EntrySlots
 	}
 	if s.opts.Keep > 0 {
-		set.Keep = kernel.Duration(s.opts.Keep)
+		set.EntryListTTL = kernel.Duration(s.opts.Keep)
 	}
 	return set
 }
--- a/quickstart/quickstart.go
+++ b/quickstart/quickstart.go
@@ -251,7 +251,7 @@
 }
 
 func (s *System) entryReady(ctx context.Context, e *entry.Entry) bool {
-	pools := e.Upstreams()
+	pools := e.UpstreamCounts()
 	return pools[s.layout.ModelPool] == s.opts.Engines && pools[s.layout.PlainPool] == s.opts.Plains && e.Ready() && e.ClaimsReady() && ctx.Err() == nil
 }
 
--- a/quickstart/quickstart_test.go
+++ b/quickstart/quickstart_test.go
@@ -246,7 +246,7 @@
 	assert.Equal(t, problemOf(t, send(1, key)).Outcome, "unknown")
 	assert.Equal(t, s.Plains[0].Runs()[key], 1)
 	s.Agents[3].Leave(context.Background())
-	waitFor(t, func() bool { return s.Entries[2].Upstreams()["clock"] == 0 })
+	waitFor(t, func() bool { return s.Entries[2].UpstreamCounts()["clock"] == 0 })
 	assert.Equal(t, problemOf(t, send(2, "b")).Outcome, "not-run")
 	assert.Equal(t, s.Plains[0].Runs()["b"], 0)
 }
--- a/scenario/listing.go
+++ b/scenario/listing.go
@@ -56,7 +56,7 @@
 // waitGranting waits until an entry's claim register may grant any key.
 func (w *world) waitGranting(name string) error {
 	return eventually(func() string {
-		if e := w.sys.Entry(name); e == nil || !e.ClaimsGranting() {
+		if e := w.sys.Entry(name); e == nil || !e.CanGrantClaims() {
 			return name + " grants no claims yet"
 		}
 		return ""
@@ -105,8 +105,8 @@
 			}
 		}
 		for _, name := range names {
-			if e := w.sys.Entry(name); e != nil && e.Upstreams()[o.positional[0]] != n {
-				return fmt.Sprintf("%s sees %v", name, e.Upstreams())
+			if e := w.sys.Entry(name); e != nil && e.UpstreamCounts()[o.positional[0]] != n {
+				return fmt.Sprintf("%s sees %v", name, e.UpstreamCounts())
 			}
 		}
 		return ""
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -19,8 +19,8 @@
 	maxCallTimeout  = 5 * time.Second
 )
 
-// ErrRelay is returned for an invalid call to a relay.
-var ErrRelay = merry.Sentinel("invalid relay call")
+// ErrInvalidRelayCall is returned for an invalid call to a relay.
+var ErrInvalidRelayCall = merry.Sentinel("invalid relay call")
 
 // Service implements the Sidecar RPC service for the leaders of groups, both for the rank
 // on the same host and as a relay for other ranks. A relay is stateless. Its replies leave
@@ -96,7 +96,7 @@
 	answers := gather(ctx, len(req.Orders), func(i int) (*wire.RankOrderReply, error) {
 		order := req.Orders[i].GetOrder()
 		if order == nil {
-			return nil, merry.Prepend(ErrRelay, "order is missing")
+			return nil, merry.Prepend(ErrInvalidRelayCall, "order is missing")
 		}
 		order.Map = req.Map
 		return s.rankAt(ctx, req.Orders[i].Sidecar).Order(ctx, order)
@@ -120,7 +120,7 @@
 
 func withCallLimits(ctx context.Context, ranks int, limitMS uint32) (context.Context, context.CancelFunc, error) {
 	if ranks > maxRanksPerCall {
-		return nil, nil, merry.Prependf(ErrRelay, "%d ranks in one call", ranks)
+		return nil, nil, merry.Prependf(ErrInvalidRelayCall, "%d ranks in one call", ranks)
 	}
 	limit := min(time.Duration(limitMS)*time.Millisecond, maxCallTimeout)
 	ctx, cancel := context.WithTimeout(ctx, limit)
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -36,9 +36,9 @@
 func TestRelayRefusesTooManyRanks(t *testing.T) {
 	s := NewService(nil, "127.0.0.1:1", nil)
 	_, err := s.ReadRanks(t.Context(), &wire.ReadRanksRequest{Ranks: make([]*wire.RankPlace, maxRanksPerCall+1), LimitMs: 10})
-	assert.ErrorIs(t, err, ErrRelay)
+	assert.ErrorIs(t, err, ErrInvalidRelayCall)
 	_, err = s.OrderRanks(t.Context(), &wire.OrderRanksRequest{Orders: make([]*wire.PlacedOrder, maxRanksPerCall+1), LimitMs: 10})
-	assert.ErrorIs(t, err, ErrRelay)
+	assert.ErrorIs(t, err, ErrInvalidRelayCall)
 }
 
 // A malformed element without an order gets the status UNKNOWN and doesn't fail the call.
