--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -176,14 +176,14 @@
 	if err != nil {
 		return err
 	}
-	var e operators.Edited
+	var e operators.EditResult
 	if err := json.Unmarshal(text, &e); err != nil {
 		return merry.Prepend(ErrServer, err.Error())
 	}
 	if err := a.show(e, rowTable(e.Rows)); err != nil {
 		return err
 	}
-	fmt.Fprintln(a.stderr, propagationText(e.Force))
+	fmt.Fprintln(a.stderr, propagationText(e.Propagation))
 	return nil
 }
 
--- a/ctl/output.go
+++ b/ctl/output.go
@@ -73,7 +73,7 @@
 	return s
 }
 
-func propagationText(f operators.Force) string {
+func propagationText(f operators.Propagation) string {
 	text := fmt.Sprintf("revision %d, in force on %d of %d entries", f.Revision, f.InForce, f.Entries)
 	if len(f.Lagging) > 0 {
 		text += "; waiting for " + strings.Join(f.Lagging, ", ")
--- a/ctl/system.go
+++ b/ctl/system.go
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	var d operators.Drained
+	var d operators.DrainStatus
 	if err := json.Unmarshal(text, &d); err != nil {
 		return merry.Prepend(ErrServer, err.Error())
 	}
--- a/entry/system.go
+++ b/entry/system.go
@@ -84,16 +84,16 @@
 	defer cancel()
 	reply, err := wire.NewDRPCProcessClient(p.pool.Conn(ctx, address)).Dump(ctx, &wire.DumpRequest{})
 	if err != nil {
-		return nil, merry.Prependf(operators.ErrNotReached, "%s at %s: %v", id, address, err)
+		return nil, merry.Prependf(operators.ErrUnreachable, "%s at %s: %v", id, address, err)
 	}
 	return reply.State, nil
 }
 
 // Drain implements operators.System.
-func (p systemView) Drain(ctx context.Context, id, operator string) (operators.Drained, error) {
+func (p systemView) Drain(ctx context.Context, id, operator string) (operators.DrainStatus, error) {
 	i := p.findInstance(id)
 	if i == nil {
-		return operators.Drained{}, merry.Prependf(operators.ErrUnknownProcess, "%s: no upstream or entry of this ID is up", id)
+		return operators.DrainStatus{}, merry.Prependf(operators.ErrUnknownProcess, "%s: no upstream or entry of this ID is up", id)
 	}
 	ctx, cancel := context.WithTimeout(ctx, processTimeout)
 	defer cancel()
@@ -104,9 +104,9 @@
 	}
 	reply, err := drain(ctx, &wire.DrainRequest{By: operator})
 	if err != nil {
-		return operators.Drained{}, merry.Prependf(operators.ErrNotReached, "%s at %s: %v", id, i.Address, err)
+		return operators.DrainStatus{}, merry.Prependf(operators.ErrUnreachable, "%s at %s: %v", id, i.Address, err)
 	}
-	return operators.Drained{ID: id, Running: reply.Running, Waiting: reply.Waiting}, nil
+	return operators.DrainStatus{ID: id, Running: reply.Running, Waiting: reply.Waiting}, nil
 }
 
 // drainService implements the Entry RPC service, which other entries call.
--- a/measure/operators/main.go
+++ b/measure/operators/main.go
@@ -96,24 +96,24 @@
 
 func millis(us int64) float64 { return float64(us) / 1000 }
 
-func sendEdit(ctx context.Context, s *quickstart.System, n int) (operators.Force, error) {
+func sendEdit(ctx context.Context, s *quickstart.System, n int) (operators.Propagation, error) {
 	body := fmt.Sprintf(`{"columns":{"slots":"%d"}}`, n+8)
 	req, err := http.NewRequestWithContext(ctx, "PUT", "http://"+s.Entries[0].OperatorAddress()+"/v1/table/pool/lm", strings.NewReader(body))
 	if err != nil {
-		return operators.Force{}, err
+		return operators.Propagation{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+quickstart.OperatorKey)
 	req.Header.Set("If-Match", fmt.Sprintf(`"%d"`, n+1))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return operators.Force{}, err
+		return operators.Propagation{}, err
 	}
 	defer resp.Body.Close()
-	var e operators.Edited
+	var e operators.EditResult
 	if resp.StatusCode != http.StatusOK {
-		return e.Force, fmt.Errorf("edit %d: %s", n, resp.Status)
+		return e.Propagation, fmt.Errorf("edit %d: %s", n, resp.Status)
 	}
-	return e.Force, json.NewDecoder(resp.Body).Decode(&e)
+	return e.Propagation, json.NewDecoder(resp.Body).Decode(&e)
 }
 
 // measureDrains drains upstreams in sequence while callers send through all entries
--- a/operators/edits.go
+++ b/operators/edits.go
@@ -15,9 +15,9 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Force says which entries have applied a revision of the table. Lagging holds
+// Propagation says which entries have applied a revision of the table. Lagging holds
 // the IDs of those that haven't.
-type Force struct {
+type Propagation struct {
 	Revision uint64   `json:"revision"`
 	InForce  int      `json:"in_force"`
 	Entries  int      `json:"entries"`
@@ -26,12 +26,12 @@
 	silentLagging int
 }
 
-// Edited is the response to an accepted edit. Replayed says that the edit had
+// EditResult is the response to an accepted edit. Replayed says that the edit had
 // already been made by an earlier request with the same idempotency key.
-type Edited struct {
-	Rows     []Row `json:"rows"`
-	Replayed bool  `json:"replayed,omitempty"`
-	Force    Force `json:"force"`
+type EditResult struct {
+	Rows        []Row       `json:"rows"`
+	Replayed    bool        `json:"replayed,omitempty"`
+	Propagation Propagation `json:"force"`
 }
 
 // baseVersion reads the row version that an edit is based on from the headers
@@ -132,8 +132,8 @@
 		if len(reply.Rows) == 1 {
 			c.w.Header().Set("ETag", etag(reply.Rows[0].Version))
 		}
-		kernel.WriteJSON(c.w, http.StatusOK, Edited{
-			Rows: rowsOf(reply.Rows), Replayed: reply.Replayed, Force: h.waitPropagation(c.r.Context(), reply.Revision),
+		kernel.WriteJSON(c.w, http.StatusOK, EditResult{
+			Rows: rowsOf(reply.Rows), Replayed: reply.Replayed, Propagation: h.waitPropagation(c.r.Context(), reply.Revision),
 		})
 	case wire.EditStatus_EDIT_STATUS_CONFLICT:
 		h.counters.conflicts.Inc(1)
@@ -165,7 +165,7 @@
 // waitPropagation waits until every entry with a valid lease has applied a
 // revision, at most propagationWait. A silent entry is not waited for but listed as
 // lagging: behind a network partition it may still serve callers with old rows.
-func (h *Handler) waitPropagation(ctx context.Context, revision uint64) Force {
+func (h *Handler) waitPropagation(ctx context.Context, revision uint64) Propagation {
 	deadline := time.Now().Add(propagationWait)
 	for {
 		f := h.propagation(revision)
@@ -180,8 +180,8 @@
 	}
 }
 
-func (h *Handler) propagation(revision uint64) Force {
-	f := Force{Revision: revision}
+func (h *Handler) propagation(revision uint64) Propagation {
+	f := Propagation{Revision: revision}
 	for _, e := range h.system.Entries() {
 		f.Entries++
 		if e.Revision >= revision {
--- a/operators/operators_test.go
+++ b/operators/operators_test.go
@@ -37,14 +37,14 @@
 	body   string
 
 	operators.Row
-	Title    string          `json:"title"`
-	Detail   string          `json:"detail"`
-	BadRow   string          `json:"row"`
-	Column   string          `json:"column"`
-	InForce  []operators.Row `json:"in_force"`
-	Rows     []operators.Row `json:"rows"`
-	Replayed bool            `json:"replayed"`
-	Force    operators.Force `json:"force"`
+	Title    string                `json:"title"`
+	Detail   string                `json:"detail"`
+	BadRow   string                `json:"row"`
+	Column   string                `json:"column"`
+	InForce  []operators.Row       `json:"in_force"`
+	Rows     []operators.Row       `json:"rows"`
+	Replayed bool                  `json:"replayed"`
+	Force    operators.Propagation `json:"force"`
 }
 
 // sendRequest sends a request to the operators' address of the first entry.
--- a/operators/system.go
+++ b/operators/system.go
@@ -17,7 +17,7 @@
 // Errors returned by the methods of a System.
 var (
 	ErrUnknownProcess = merry.Sentinel("no such process is known")
-	ErrNotReached     = merry.Sentinel("the process can't be reached")
+	ErrUnreachable    = merry.Sentinel("the process can't be reached")
 )
 
 // PhaseSilent is the phase of an instance whose lease ran out without an
@@ -54,8 +54,8 @@
 	Slots   uint32 `json:"slots"`
 }
 
-// Drained counts the requests that a draining process still runs and queues.
-type Drained struct {
+// DrainStatus counts the requests that a draining process still runs and queues.
+type DrainStatus struct {
 	ID      string `json:"id"`
 	Running uint32 `json:"running"`
 	Waiting uint32 `json:"waiting"`
@@ -70,7 +70,7 @@
 	// directory doesn't contain the ID.
 	Dump(ctx context.Context, id, address string) (json.RawMessage, error)
 	// Drain starts to drain an upstream or an entry on behalf of the operator by.
-	Drain(ctx context.Context, id, by string) (Drained, error)
+	Drain(ctx context.Context, id, by string) (DrainStatus, error)
 }
 
 // Status is the state of the whole system, as known to the entry that serves the
--- a/operators/system_test.go
+++ b/operators/system_test.go
@@ -30,8 +30,8 @@
 func (f staticSystem) Dump(context.Context, string, string) (json.RawMessage, error) {
 	return json.RawMessage("{}"), f.err
 }
-func (f staticSystem) Drain(context.Context, string, string) (operators.Drained, error) {
-	return operators.Drained{}, f.err
+func (f staticSystem) Drain(context.Context, string, string) (operators.DrainStatus, error) {
+	return operators.DrainStatus{}, f.err
 }
 
 // routerWithoutReplicas returns the routes of a handler whose client knows no
@@ -62,7 +62,7 @@
 	r := routerWithoutReplicas(t, staticSystem{entries: []operators.EntryState{
 		{ID: "a", Phase: "up", Revision: 9}, {ID: "b", Phase: "leaving", Revision: 9}, {ID: "c", Phase: operators.PhaseSilent, Revision: 8},
 	}})
-	var f operators.Force
+	var f operators.Propagation
 	assert.NilError(t, json.Unmarshal(serveRequest(r, "GET", "/v1/force/9", "").Body.Bytes(), &f))
 	assert.Equal(t, f.Entries, 3)
 	assert.Equal(t, f.InForce, 2)
@@ -84,7 +84,7 @@
 
 func TestSystemErrorsMapToStatus(t *testing.T) {
 	for err, status := range map[error]int{
-		operators.ErrUnknownProcess: 404, operators.ErrNotReached: 503,
+		operators.ErrUnknownProcess: 404, operators.ErrUnreachable: 503,
 	} {
 		r := routerWithoutReplicas(t, staticSystem{err: err})
 		assert.Equal(t, serveRequest(r, "POST", "/v1/drain/x", "").Code, status)
--- a/scenario/edit.go
+++ b/scenario/edit.go
@@ -26,7 +26,7 @@
 
 	err    error
 	status int
-	answer operators.Edited
+	answer operators.EditResult
 	body   string
 }
 
@@ -197,8 +197,8 @@
 	}
 	return eventually(func() string {
 		for _, name := range w.runningEntries() {
-			if e := w.sys.Entry(name); e != nil && e.Revision() < ed.answer.Force.Revision {
-				return fmt.Sprintf("%s has revision %d, not %d", name, e.Revision(), ed.answer.Force.Revision)
+			if e := w.sys.Entry(name); e != nil && e.Revision() < ed.answer.Propagation.Revision {
+				return fmt.Sprintf("%s has revision %d, not %d", name, e.Revision(), ed.answer.Propagation.Revision)
 			}
 		}
 		return ""
