--- a/agent/run.go
+++ b/agent/run.go
@@ -203,6 +203,6 @@
 		Outcome: o, Reason: r, Detail: detail, Load: at.agent.currentLoad(),
 		BodyBytes: at.bodyBytesSent, QueuedUs: at.queuedFor.Microseconds(), EndedUpstream: at.exitedUpstream,
 	}
-	transport.HoldFlush(at.stream)
+	transport.BufferUntilReturn(at.stream)
 	return at.stream.Send(reply)
 }
--- a/agent/settings.go
+++ b/agent/settings.go
@@ -71,7 +71,7 @@
 
 // Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
-	bad := kernel.BadKey
+	bad := kernel.InvalidKey
 	switch {
 	case s.ID == "":
 		return bad("id", "must not be empty")
--- a/control/api.go
+++ b/control/api.go
@@ -55,11 +55,11 @@
 func (s *APISettings) Check() error {
 	switch {
 	case s.Dialect == "":
-		return kernel.BadKey("api.dialect", "must not be empty")
+		return kernel.InvalidKey("api.dialect", "must not be empty")
 	case s.EntryListTTL <= 0:
-		return kernel.BadKey("api.keep", "must be positive")
+		return kernel.InvalidKey("api.keep", "must be positive")
 	case s.Lease <= 0:
-		return kernel.BadKey("api.registration_lease", "must be positive")
+		return kernel.InvalidKey("api.registration_lease", "must be positive")
 	}
 	return cmp.Or(kernel.CheckAddress("api.listen", s.Listen), kernel.CheckAddress("api.discovery_listen", s.Discovery))
 }
@@ -73,7 +73,7 @@
 	pool     *transport.Pool
 	log      log.Logger
 	// rejectionLogBudget bounds the log records about rejected registrations.
-	rejectionLogBudget *kernel.LineBudget
+	rejectionLogBudget *kernel.LogLimiter
 	servers            []*http.Server
 }
 
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &api{settings: s, dialect: d, control: c, node: n, pool: c.pool, log: kernel.PartLog(l, "api"), rejectionLogBudget: kernel.NewLineBudget(maxRejectionLogsPerSecond, c.settings.Now)}, nil
+	return &api{settings: s, dialect: d, control: c, node: n, pool: c.pool, log: kernel.PartLog(l, "api"), rejectionLogBudget: kernel.NewLogLimiter(maxRejectionLogsPerSecond, c.settings.Now)}, nil
 }
 
 // start listens at the API's addresses and serves in the background.
--- a/control/daemon.go
+++ b/control/daemon.go
@@ -60,7 +60,7 @@
 
 // Check returns an error that names the first invalid key.
 func (s *DaemonSettings) Check() error {
-	bad := kernel.BadKey
+	bad := kernel.InvalidKey
 	switch {
 	case s.ID == "":
 		return bad("id", "must not be empty")
--- a/control/fuzz_test.go
+++ b/control/fuzz_test.go
@@ -31,11 +31,11 @@
 	sys := startSystem(f)
 	peers := surface.NewPeers(sys.Members()[0], quickstart.Secret,
 		wire.DRPCControlDescription{}, wire.DRPCRaftDescription{}, wire.DRPCDirectoryDescription{})
-	peers.Seed(f)
-	watch := &surface.Watch{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
+	peers.AddSeeds(f)
+	watch := &surface.HealthCheck{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
 	f.Fuzz(func(t *testing.T, method uint8, data []byte, raw bool) {
 		peers.Send(t, method, data, raw)
-		watch.Input(t)
+		watch.CountInput(t)
 	})
 }
 
@@ -43,12 +43,12 @@
 // metrics. The port must keep answering and the process's memory stay bounded.
 func FuzzOperators(f *testing.F) {
 	address := startSystem(f).OperatorAddress("control-1")
-	for _, r := range surface.Dumps() {
+	for _, r := range surface.OperatorRequests() {
 		f.Add([]byte(r))
 	}
-	watch := &surface.Watch{Health: "http://" + address + "/debug/state"}
+	watch := &surface.HealthCheck{Health: "http://" + address + "/debug/state"}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		surface.Raw(t, address, data)
-		watch.Input(t)
+		surface.SendRaw(t, address, data)
+		watch.CountInput(t)
 	})
 }
--- a/control/gauges.go
+++ b/control/gauges.go
@@ -17,7 +17,7 @@
 // RegisterMetrics registers the replica's gauges, which are computed when they are read.
 func (c *Control) RegisterMetrics(r metrics.Registry) {
 	for name, value := range map[string]func(*Replica, consensus.Status) int64{
-		"control.leader":   func(_ *Replica, s consensus.Status) int64 { return kernel.OneIf(s.Lease) },
+		"control.leader":   func(_ *Replica, s consensus.Status) int64 { return kernel.BoolGauge(s.Lease) },
 		"control.term":     func(_ *Replica, s consensus.Status) int64 { return int64(s.Term) },
 		"control.applied":  func(_ *Replica, s consensus.Status) int64 { return int64(s.Applied) },
 		"control.behind":   func(_ *Replica, s consensus.Status) int64 { return int64(s.Commit - s.Applied) },
@@ -25,7 +25,7 @@
 		"control.rows.age_ms": func(r *Replica, _ consensus.Status) int64 {
 			return r.node.ConfirmedAge(r.now()).Milliseconds()
 		},
-		"control.failed": func(r *Replica, _ consensus.Status) int64 { return kernel.OneIf(r.failed != nil) },
+		"control.failed": func(r *Replica, _ consensus.Status) int64 { return kernel.BoolGauge(r.failed != nil) },
 	} {
 		metrics.NewRegisteredFunctionalGauge(name, r, func() int64 { return c.readGauge(value) })
 	}
--- a/control/machine.go
+++ b/control/machine.go
@@ -88,7 +88,7 @@
 	if err != nil || len(data) < minDeflatedSize {
 		return data, err
 	}
-	packed, err := deflate.Pack(data)
+	packed, err := deflate.Compress(data)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	if c.GetDeflated() == nil {
 		return c, nil
 	}
-	data, err := deflate.Unpack(c.GetDeflated(), maxInflatedSize)
+	data, err := deflate.Decompress(c.GetDeflated(), maxInflatedSize)
 	if err != nil {
 		return nil, merry.Prependf(ErrUnsupportedCommand, "entry %d: %v", index, err)
 	}
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -158,7 +158,7 @@
 		return nil, err
 	}
 	if s.suspicions.merge(accepted...) {
-		r.watchers.Wake()
+		r.watchers.Notify()
 	}
 	s.suspicions.requestLogSync()
 	for _, m := range lift {
--- a/control/replica.go
+++ b/control/replica.go
@@ -143,7 +143,7 @@
 	before := r.feed.isCurrent(r.now())
 	r.feed.setConfirmedAt(r.now() - r.node.ConfirmedAge(r.now()))
 	if !before && r.feed.isCurrent(r.now()) {
-		r.watchers.Wake()
+		r.watchers.Notify()
 	}
 }
 
@@ -255,7 +255,7 @@
 		r.routingVersion.Store(r.machine.routing.Current().GetVersion())
 		r.failSnapshottedProposals(rd.Snapshot.Index)
 		r.notifyQuarantines(r.machine.quarantine.Suspicions(r.clock())...)
-		r.watchers.Wake()
+		r.watchers.Notify()
 	}
 	var changed []*wire.Row
 	for _, e := range rd.CommittedEntries {
@@ -280,7 +280,7 @@
 	r.routingVersion.Store(r.machine.routing.Current().GetVersion())
 	if len(rd.CommittedEntries) > 0 {
 		r.feed.add(r.machine.table.Revision(), changed, r.machine.ring, r.ringTracker.changed)
-		r.watchers.Wake()
+		r.watchers.Notify()
 	}
 	for _, rs := range rd.Reads {
 		r.completeRead(rs)
--- a/control/settings.go
+++ b/control/settings.go
@@ -176,7 +176,7 @@
 
 // Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
-	bad := func(key, detail string) error { return kernel.BadKey("control."+key, detail) }
+	bad := func(key, detail string) error { return kernel.InvalidKey("control."+key, detail) }
 	switch {
 	case s.DataDir == "" && s.FS == nil:
 		return bad("data_dir", "must not be empty")
--- a/control/surveys.go
+++ b/control/surveys.go
@@ -48,7 +48,7 @@
 	f.mu.Lock()
 	f.latest = s
 	f.mu.Unlock()
-	f.watchers.Wake()
+	f.watchers.Notify()
 }
 
 func (f *surveyFeed) current() *publishedSurvey {
--- a/directory/node.go
+++ b/directory/node.go
@@ -265,7 +265,7 @@
 		return
 	}
 	n.notified = current
-	n.watchers.Wake()
+	n.watchers.Notify()
 }
 
 func hasContent(u *wire.DirectoryUpdate) bool {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -162,7 +162,7 @@
 
 // publicTLS loads the certificate of an HTTP address. It returns nil if TLS is off.
 func (e *Entry) publicTLS(s transport.TLSSettings) (*tls.Config, error) {
-	if !s.On() {
+	if !s.Enabled() {
 		return nil, nil
 	}
 	certs, err := transport.LoadCertificates(s)
@@ -170,7 +170,7 @@
 		return nil, err
 	}
 	e.certs = append(e.certs, certs)
-	return certs.Public(), nil
+	return certs.ServerConfig(), nil
 }
 
 func (e *Entry) newControl(l log.Logger) error {
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -14,7 +14,7 @@
 
 // startSystem starts a system for a fuzz target. The returned watch checks the health of
 // its first entry.
-func startSystem(f *testing.F) (sys *quickstart.System, watch *surface.Watch) {
+func startSystem(f *testing.F) (sys *quickstart.System, watch *surface.HealthCheck) {
 	f.Helper()
 	sys, err := quickstart.Start(context.Background(), quickstart.Options{Log: log.NewNopLogger(), FakeDisks: true})
 	if err != nil {
@@ -27,7 +27,7 @@
 	for _, e := range sys.Engines {
 		e.Step = 0
 	}
-	return sys, &surface.Watch{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
+	return sys, &surface.HealthCheck{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
 }
 
 func seedRequests(key string, more ...string) []string {
@@ -57,8 +57,8 @@
 		f.Add([]byte(r))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		surface.Raw(t, sys.Entries[0].CallerAddress(), data)
-		watch.Input(t)
+		surface.SendRaw(t, sys.Entries[0].CallerAddress(), data)
+		watch.CountInput(t)
 	})
 }
 
@@ -69,8 +69,8 @@
 		f.Add([]byte(r))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		surface.Raw(t, sys.Entries[0].OperatorAddress(), data)
-		watch.Input(t)
+		surface.SendRaw(t, sys.Entries[0].OperatorAddress(), data)
+		watch.CountInput(t)
 	})
 }
 
@@ -80,9 +80,9 @@
 	sys, watch := startSystem(f)
 	peers := surface.NewPeers(sys.Entries[0].InternalAddress(), quickstart.Secret,
 		wire.DRPCDirectoryDescription{}, wire.DRPCClaimDescription{})
-	peers.Seed(f)
+	peers.AddSeeds(f)
 	f.Fuzz(func(t *testing.T, method uint8, data []byte, raw bool) {
 		peers.Send(t, method, data, raw)
-		watch.Input(t)
+		watch.CountInput(t)
 	})
 }
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -118,7 +118,7 @@
 
 // Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
-	badKey := kernel.BadKey
+	badKey := kernel.InvalidKey
 	switch {
 	case s.ID == "":
 		return badKey("id", "must not be empty")
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -436,9 +436,9 @@
 // last call was cancelled, that fails although the agent is up. As nothing has been sent
 // then, it is tried once more, on another connection.
 func (f *Forwarder) openStream(ctx context.Context, addr string) (wire.DRPCAgent_RunClient, error) {
-	stream, err := wire.NewDRPCAgentClient(f.pool.CallConn(ctx, addr)).Run(ctx)
+	stream, err := wire.NewDRPCAgentClient(f.pool.BufferedConn(ctx, addr)).Run(ctx)
 	if err != nil && ctx.Err() == nil {
-		return wire.NewDRPCAgentClient(f.pool.CallConn(ctx, addr)).Run(ctx)
+		return wire.NewDRPCAgentClient(f.pool.BufferedConn(ctx, addr)).Run(ctx)
 	}
 	return stream, err
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -57,7 +57,7 @@
 	requestLog   *requestLog
 	metrics      *gatewayMetrics
 	// stateLog limits the log lines about the state of other processes.
-	stateLog *kernel.LineBudget
+	stateLog *kernel.LogLimiter
 	dumps    kernel.Dumps
 
 	table    atomic.Pointer[routing.Table]
@@ -103,7 +103,7 @@
 		announceNow: make(chan struct{}, 1),
 	}
 	g.requestLog, g.metrics = newRequestLog(g.log, now), newGatewayMetrics()
-	g.stateLog = kernel.NewLineBudget(stateLogLines, now)
+	g.stateLog = kernel.NewLogLimiter(stateLogLines, now)
 	g.quarantine = quarantine.NewNode(s.ID, g.log, now, g.pool.Conn)
 	g.services.onStateChange, g.services.onPasses, g.services.gateways = g.logStateChange, g.logPasses, g.gatewayCount
 	g.metrics.register(g)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -29,7 +29,7 @@
 func (m *gatewayMetrics) register(g *Gateway) {
 	for name, value := range map[string]func() int64{
 		"gateway.active":             g.active.Load,
-		"gateway.ready":              func() int64 { return kernel.OneIf(g.ready()) },
+		"gateway.ready":              func() int64 { return kernel.BoolGauge(g.ready()) },
 		"gateway.connections_opened": func() int64 { return int64(g.client.Opened()) },
 		"gateway.entries":            func() int64 { return int64(g.gatewayCount()) },
 		"gateway.upstreams":          func() int64 { return int64(len(g.node.Instances(wire.Role_ROLE_UPSTREAM))) },
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -23,15 +23,15 @@
 // and other requests. Lines left out are counted.
 type requestLog struct {
 	log      log.Logger
-	failed   *kernel.LineBudget
-	late     *kernel.LineBudget
-	answered *kernel.LineBudget
+	failed   *kernel.LogLimiter
+	late     *kernel.LogLimiter
+	answered *kernel.LogLimiter
 }
 
 func newRequestLog(l log.Logger, now func() time.Time) *requestLog {
 	return &requestLog{
-		log: l, failed: kernel.NewLineBudget(failedLines, now), late: kernel.NewLineBudget(lateLines, now),
-		answered: kernel.NewLineBudget(answeredLines, now),
+		log: l, failed: kernel.NewLogLimiter(failedLines, now), late: kernel.NewLogLimiter(lateLines, now),
+		answered: kernel.NewLogLimiter(answeredLines, now),
 	}
 }
 
@@ -46,7 +46,7 @@
 	if reason != "" || err != nil || status >= http.StatusInternalServerError || len(c.attempts) > 1 {
 		budget = c.requestLog.failed
 	}
-	ok, leftOut := budget.Take()
+	ok, leftOut := budget.Allow()
 	if !ok {
 		return
 	}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -70,7 +70,7 @@
 
 // Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
-	bad := kernel.BadKey
+	bad := kernel.InvalidKey
 	switch {
 	case s.ID == "":
 		return bad("id", "must not be empty")
--- a/gateway/slowrank_test.go
+++ b/gateway/slowrank_test.go
@@ -28,7 +28,7 @@
 	now := time.Now()
 	c := &slowRankGateway{Gateway: &Gateway{
 		settings: set, movable: newMovableAttempts(), metrics: newGatewayMetrics(), log: log.NewNopLogger(),
-		stateLog: kernel.NewLineBudget(stateLogLines, time.Now), services: newServiceManager(set), node: directory.NewNode(directory.DefaultSettings(), time.Now, nil),
+		stateLog: kernel.NewLogLimiter(stateLogLines, time.Now), services: newServiceManager(set), node: directory.NewNode(directory.DefaultSettings(), time.Now, nil),
 	}}
 	retries := RetrySettings{Slack: attempts / budgetMargin / budgetBurstFraction, Window: durationOf(10 * time.Second)}
 	c.retryBudgets = newRetryBudgets(retries, func() int { return 1 }, func() time.Time { return now })
--- a/gateway/statelog.go
+++ b/gateway/statelog.go
@@ -14,7 +14,7 @@
 
 // logState writes a line about the state of another process, unless the limit is reached.
 func (g *Gateway) logState(msg string, kv ...any) {
-	ok, leftOut := g.stateLog.Take()
+	ok, leftOut := g.stateLog.Allow()
 	if !ok {
 		return
 	}
--- a/internal/deflate/deflate.go
+++ b/internal/deflate/deflate.go
@@ -9,11 +9,11 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrPacked is returned for data that can't be decompressed or exceeds the size limit.
-var ErrPacked = merry.Sentinel("compressed message is invalid")
+// ErrInvalid is returned for data that can't be decompressed or exceeds the size limit.
+var ErrInvalid = merry.Sentinel("compressed message is invalid")
 
-// Pack compresses data with DEFLATE at the fastest level.
-func Pack(data []byte) ([]byte, error) {
+// Compress compresses data with DEFLATE at the fastest level.
+func Compress(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
@@ -28,16 +28,16 @@
 	return out.Bytes(), nil
 }
 
-// Unpack decompresses the output of Pack. It returns ErrPacked if the result is larger
+// Decompress decompresses the output of Pack. It returns ErrInvalid if the result is larger
 // than maxSize bytes, so that corrupt or hostile input can't exhaust memory.
-func Unpack(packed []byte, maxSize int) ([]byte, error) {
+func Decompress(packed []byte, maxSize int) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(r, int64(maxSize)+1))
 	if err != nil {
-		return nil, merry.Prepend(ErrPacked, err.Error())
+		return nil, merry.Prepend(ErrInvalid, err.Error())
 	}
 	if len(data) > maxSize {
-		return nil, merry.Prependf(ErrPacked, "decompressed size exceeds %d bytes", maxSize)
+		return nil, merry.Prependf(ErrInvalid, "decompressed size exceeds %d bytes", maxSize)
 	}
 	return data, nil
 }
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -60,8 +60,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Heap returns the size of the live heap in bytes, after a garbage collection.
-func Heap() int64 {
+// LiveHeap returns the size of the live heap in bytes, after a garbage collection.
+func LiveHeap() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -75,15 +75,15 @@
 // Micros converts a duration to microseconds.
 func Micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1000 }
 
-// Spent holds the bytes of a listener, processor time and elapsed time of an interval.
-type Spent struct {
+// Usage holds the bytes of a listener, processor time and elapsed time of an interval.
+type Usage struct {
 	Sent, Received int64
-	CPU, Took      time.Duration
+	CPU, Elapsed   time.Duration
 }
 
-// Spend runs f and returns the resources used meanwhile.
-func Spend(lis *Listener, f func()) Spent {
+// Measure runs f and returns the resources used meanwhile.
+func Measure(lis *Listener, f func()) Usage {
 	sent, received, cpu, start := lis.Sent(), lis.Received(), ProcessorTime(), time.Now()
 	f()
-	return Spent{lis.Sent() - sent, lis.Received() - received, ProcessorTime() - cpu, time.Since(start)}
+	return Usage{lis.Sent() - sent, lis.Received() - received, ProcessorTime() - cpu, time.Since(start)}
 }
--- a/internal/surface/surface.go
+++ b/internal/surface/surface.go
@@ -35,16 +35,16 @@
 	drpcWait = 3 * time.Millisecond
 )
 
-// Watch counts inputs and checks the process after every inputsPerCheck of them.
-type Watch struct {
+// HealthCheck counts inputs and checks the process after every inputsPerCheck of them.
+type HealthCheck struct {
 	// Health is a URL that must respond with status 200.
 	Health string
 	inputs atomic.Int64
 }
 
-// Input counts one input and calls Check on the first and on every inputsPerCheck-th
+// CountInput counts one input and calls Check on the first and on every inputsPerCheck-th
 // one after it.
-func (w *Watch) Input(t *testing.T) {
+func (w *HealthCheck) CountInput(t *testing.T) {
 	t.Helper()
 	if w.inputs.Add(1)%inputsPerCheck == 1 {
 		w.Check(t)
@@ -52,7 +52,7 @@
 }
 
 // Check fails the test if the process doesn't respond or its live heap exceeds maxHeap.
-func (w *Watch) Check(t *testing.T) {
+func (w *HealthCheck) Check(t *testing.T) {
 	t.Helper()
 	client := http.Client{Timeout: responseTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get(w.Health)
@@ -71,9 +71,9 @@
 	}
 }
 
-// Raw sends data to an address and returns the response up to the end of the
+// SendRaw sends data to an address and returns the response up to the end of the
 // connection.
-func Raw(t *testing.T, address string, data []byte) []byte {
+func SendRaw(t *testing.T, address string, data []byte) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -87,9 +87,9 @@
 	return answer
 }
 
-// Dumps returns seed requests for an operators' address that serves only the state dump
+// OperatorRequests returns seed requests for an operators' address that serves only the state dump
 // and metrics: valid, unsupported and malformed ones.
-func Dumps() []string {
+func OperatorRequests() []string {
 	return []string{
 		"GET /debug/state HTTP/1.1\r\nHost: a\r\n\r\n",
 		"GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -131,9 +131,9 @@
 	return p
 }
 
-// Seed adds the seed corpus: for each method an empty message, one with every field
+// AddSeeds adds the seed corpus: for each method an empty message, one with every field
 // set, and one with every number at its largest; and some raw bytes.
-func (p *Peers) Seed(f *testing.F) {
+func (p *Peers) AddSeeds(f *testing.F) {
 	for n := range p.methods {
 		for _, msg := range p.seeds[3*n : 3*n+3] {
 			f.Add(uint8(n), msg, false)
--- a/kernel/badkey.go
+++ b/kernel/badkey.go
@@ -6,16 +6,16 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// BadKey returns an ErrSettings error that names an invalid settings key.
-func BadKey(key, detail string) error {
+// InvalidKey returns an ErrSettings error that names an invalid settings key.
+func InvalidKey(key, detail string) error {
 	return merry.Prependf(ErrSettings, "key %q: %s", key, detail)
 }
 
-// CheckAddress returns a BadKey error unless all values have the form HOST:PORT.
+// CheckAddress returns a InvalidKey error unless all values have the form HOST:PORT.
 func CheckAddress(key string, values ...string) error {
 	for _, v := range values {
 		if _, _, err := net.SplitHostPort(v); err != nil {
-			return BadKey(key, err.Error())
+			return InvalidKey(key, err.Error())
 		}
 	}
 	return nil
--- a/kernel/linebudget.go
+++ b/kernel/linebudget.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// LineBudget limits the rate of one kind of log record. It counts the records dropped
+// LogLimiter limits the rate of one kind of log record. It counts the records dropped
 // since the last one that was written.
-type LineBudget struct {
+type LogLimiter struct {
 	limit int
 	now   func() time.Time
 
@@ -17,14 +17,14 @@
 	dropped int
 }
 
-// NewLineBudget returns a LineBudget that allows limit records a second.
-func NewLineBudget(limit int, now func() time.Time) *LineBudget {
-	return &LineBudget{limit: limit, now: now}
+// NewLogLimiter returns a LogLimiter that allows limit records a second.
+func NewLogLimiter(limit int, now func() time.Time) *LogLimiter {
+	return &LogLimiter{limit: limit, now: now}
 }
 
-// Take reports whether a record may be written now and, if so, how many were dropped
+// Allow reports whether a record may be written now and, if so, how many were dropped
 // before it.
-func (b *LineBudget) Take() (ok bool, droppedBefore int) {
+func (b *LogLimiter) Allow() (ok bool, droppedBefore int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.now().Unix(); s != b.second {
--- a/kernel/observe_test.go
+++ b/kernel/observe_test.go
@@ -42,17 +42,17 @@
 
 func TestLineBudgetLimitsRateAndCountsDropped(t *testing.T) {
 	now := time.Unix(100, 0)
-	b := kernel.NewLineBudget(3, func() time.Time { return now })
+	b := kernel.NewLogLimiter(3, func() time.Time { return now })
 	for range 3 {
-		ok, _ := b.Take()
+		ok, _ := b.Allow()
 		assert.Assert(t, ok)
 	}
 	for range 7 {
-		ok, _ := b.Take()
+		ok, _ := b.Allow()
 		assert.Assert(t, !ok)
 	}
 	now = now.Add(time.Second)
-	ok, droppedBefore := b.Take()
+	ok, droppedBefore := b.Allow()
 	assert.Assert(t, ok)
 	assert.Equal(t, droppedBefore, 7)
 }
--- a/kernel/registry.go
+++ b/kernel/registry.go
@@ -37,8 +37,8 @@
 // Validator is implemented by plug-ins that check their settings.
 type Validator interface{ Validate() error }
 
-// CleanerUp is implemented by plug-ins that hold resources to be released.
-type CleanerUp interface{ Cleanup() error }
+// Cleaner is implemented by plug-ins that hold resources to be released.
+type Cleaner interface{ Cleanup() error }
 
 var (
 	registryMu sync.RWMutex
@@ -102,7 +102,7 @@
 }
 
 func cleanup(v any) {
-	if c, ok := v.(CleanerUp); ok {
+	if c, ok := v.(Cleaner); ok {
 		_ = c.Cleanup()
 	}
 }
--- a/kernel/textmetrics.go
+++ b/kernel/textmetrics.go
@@ -74,8 +74,8 @@
 	return l
 }
 
-// OneIf returns 1 if b is true, else 0, as a gauge value.
-func OneIf(b bool) int64 {
+// BoolGauge returns 1 if b is true, else 0, as a gauge value.
+func BoolGauge(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/kernel/watchers.go
+++ b/kernel/watchers.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Wake notifies all subscribers without blocking.
-func (w *Watchers) Wake() {
+// Notify notifies all subscribers without blocking.
+func (w *Watchers) Notify() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for ch := range w.channels {
--- a/kernel/watchers_test.go
+++ b/kernel/watchers_test.go
@@ -10,17 +10,17 @@
 // a cancelled one gets none.
 func TestWatchersMergeSeveralChanges(t *testing.T) {
 	var w Watchers
-	w.Wake()
+	w.Notify()
 	first, cancelFirst := w.Subscribe()
 	second, cancelSecond := w.Subscribe()
 	defer cancelSecond()
 	assert.Equal(t, w.Len(), 2)
-	w.Wake()
-	w.Wake()
+	w.Notify()
+	w.Notify()
 	assert.Equal(t, len(first), 1)
 	<-first
 	cancelFirst()
-	w.Wake()
+	w.Notify()
 	assert.Equal(t, len(first), 0)
 	assert.Equal(t, len(second), 1)
 	assert.Equal(t, w.Len(), 1)
--- a/load/settings.go
+++ b/load/settings.go
@@ -137,21 +137,21 @@
 func (s *Settings) Check() error {
 	switch {
 	case len(s.Entries) == 0:
-		return kernel.BadKey("entries", "must name at least one entry")
+		return kernel.InvalidKey("entries", "must name at least one entry")
 	case s.Duration <= 0 || s.Duration.D() > maxDuration:
-		return kernel.BadKey("duration", "must be over 0 and at most 24h")
+		return kernel.InvalidKey("duration", "must be over 0 and at most 24h")
 	case s.Drain < 0 || s.Drain.D() > time.Hour:
-		return kernel.BadKey("drain", "must be from 0 to 1h")
+		return kernel.InvalidKey("drain", "must be from 0 to 1h")
 	case s.MaxInFlight < 1:
-		return kernel.BadKey("max_in_flight", "must be at least 1")
+		return kernel.InvalidKey("max_in_flight", "must be at least 1")
 	case len(s.Team) == 0:
-		return kernel.BadKey("team", "at least one is needed")
+		return kernel.InvalidKey("team", "at least one is needed")
 	case len(s.Class) == 0:
-		return kernel.BadKey("class", "at least one is needed")
+		return kernel.InvalidKey("class", "at least one is needed")
 	}
 	for _, f := range append(append([]FakeServer(nil), s.Fakes.Engine...), s.Fakes.Plain...) {
 		if err := CheckLoopback(f.Listen); err != nil {
-			return kernel.BadKey("fakes.listen", err.Error())
+			return kernel.InvalidKey("fakes.listen", err.Error())
 		}
 	}
 	if err := kernel.CheckAddress("entries", s.Entries...); err != nil {
@@ -167,10 +167,10 @@
 	last := 0.0
 	for _, p := range s.Day {
 		if p.At < last || p.At > 1 {
-			return kernel.BadKey("day.at", "must be from 0 to 1 and not decrease")
+			return kernel.InvalidKey("day.at", "must be from 0 to 1 and not decrease")
 		}
 		if p.Factor < 0 {
-			return kernel.BadKey("day.factor", "must not be negative")
+			return kernel.InvalidKey("day.factor", "must not be negative")
 		}
 		last = p.At
 	}
@@ -181,7 +181,7 @@
 	teams := map[string]bool{}
 	for _, t := range s.Team {
 		if t.Name == "" || t.Key == "" || teams[t.Name] {
-			return kernel.BadKey("team", "each needs a key and a unique name")
+			return kernel.InvalidKey("team", "each needs a key and a unique name")
 		}
 		teams[t.Name] = true
 	}
@@ -189,12 +189,12 @@
 	for i := range s.Class {
 		c := &s.Class[i]
 		if c.Name == "" || names[c.Name] {
-			return kernel.BadKey("class.name", "each class needs a unique name")
+			return kernel.InvalidKey("class.name", "each class needs a unique name")
 		}
 		names[c.Name] = true
 		for _, t := range c.Teams {
 			if !teams[t] {
-				return kernel.BadKey("class.teams", "class "+c.Name+": no team "+t)
+				return kernel.InvalidKey("class.teams", "class "+c.Name+": no team "+t)
 			}
 		}
 		if err := c.check(); err != nil {
@@ -215,22 +215,22 @@
 	c.MaxTokens = max(c.MaxTokens, c.MinTokens)
 	switch {
 	case c.Kind != KindEngine && c.Kind != KindPlain:
-		return kernel.BadKey("class.kind", "must be engine or plain")
+		return kernel.InvalidKey("class.kind", "must be engine or plain")
 	case c.Target == "":
-		return kernel.BadKey("class.target", "must name a model or a service")
+		return kernel.InvalidKey("class.target", "must name a model or a service")
 	case c.Kind == KindPlain && !strings.HasPrefix(c.Path, "/"):
-		return kernel.BadKey("class.path", "must begin with /")
+		return kernel.InvalidKey("class.path", "must begin with /")
 	case c.Rate <= 0 || c.Rate > maxRate:
-		return kernel.BadKey("class.rate", "must be over 0 and at most 100000")
+		return kernel.InvalidKey("class.rate", "must be over 0 and at most 100000")
 	case c.Check != checkModeEcho && c.Check != checkModeNone:
-		return kernel.BadKey("class.check", "must be echo or none")
+		return kernel.InvalidKey("class.check", "must be echo or none")
 	case c.Resends < 0 || c.Resends > 20:
-		return kernel.BadKey("class.resends", "must be from 0 to 20")
+		return kernel.InvalidKey("class.resends", "must be from 0 to 20")
 	case c.Resends > 0 && !c.Idempotent && !c.Keys:
 		// A resend without an idempotency key could run the request twice.
-		return kernel.BadKey("class.resends", "needs keys or idempotent")
+		return kernel.InvalidKey("class.resends", "needs keys or idempotent")
 	case c.Timeout < 0:
-		return kernel.BadKey("class.timeout", "must not be negative")
+		return kernel.InvalidKey("class.timeout", "must not be negative")
 	}
 	return nil
 }
--- a/measure/capacity/change.go
+++ b/measure/capacity/change.go
@@ -39,13 +39,13 @@
 		return err
 	}
 	time.Sleep(settleDown)
-	idle := meter.Spend(s.lis, func() { time.Sleep(o.time()) })
+	idle := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
 	var longest time.Duration
-	busy := meter.Spend(s.lis, func() { longest, err = s.announceLeaving(list, min(changes, n)) })
+	busy := meter.Measure(s.lis, func() { longest, err = s.announceLeaving(list, min(changes, n)) })
 	if err != nil {
 		return err
 	}
-	ratio := busy.Took.Seconds() / idle.Took.Seconds()
+	ratio := busy.Elapsed.Seconds() / idle.Elapsed.Seconds()
 	each := float64(min(changes, n) * o.Watchers)
 	fmt.Printf("%10d %20.0f %24.1f %12.0fms\n", n, (float64(busy.Sent)-float64(idle.Sent)*ratio)/each,
 		(meter.Micros(busy.CPU)-meter.Micros(idle.CPU)*ratio)/each, longest.Seconds()*1000)
@@ -125,9 +125,9 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	time.Sleep(settleDown)
-	idle := meter.Spend(s.lis, func() { time.Sleep(o.time()) })
+	idle := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
 	const edits = 10
-	busy := meter.Spend(s.lis, func() {
+	busy := meter.Measure(s.lis, func() {
 		for e := range uint64(edits) {
 			s.announceRevision(ctx, n, e)
 			for _, f := range list {
@@ -137,7 +137,7 @@
 			}
 		}
 	})
-	ratio := busy.Took.Seconds() / idle.Took.Seconds()
+	ratio := busy.Elapsed.Seconds() / idle.Elapsed.Seconds()
 	each := float64(edits * o.Watchers)
 	fmt.Printf("%8d %18.0f %22.1f\n", n, (float64(busy.Sent)-float64(idle.Sent)*ratio)/each,
 		(meter.Micros(busy.CPU)-meter.Micros(idle.CPU)*ratio)/each)
--- a/measure/capacity/directory.go
+++ b/measure/capacity/directory.go
@@ -116,8 +116,8 @@
 	}
 	time.Sleep(settleDown)
 	before := calls.Load()
-	spent := meter.Spend(s.lis, func() { time.Sleep(o.time()) })
-	share := float64(n) * spent.Took.Seconds()
+	spent := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
+	share := float64(n) * spent.Elapsed.Seconds()
 	made := float64(calls.Load() - before)
 	cpu := meter.Micros(spent.CPU)
 	fmt.Printf("%9d %7d %14.2f %16.0f %18.0f %20.1f %16.0f\n", others, n, made/share,
@@ -220,7 +220,7 @@
 	for i := range n {
 		_, _ = s.node.Announce(s.ctx, withLease(announcement(wire.Role_ROLE_UPSTREAM, i, 1), 30_000))
 	}
-	alone := meter.Spend(s.lis, func() { time.Sleep(o.time()) })
+	alone := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
 	before := s.lis.Sent()
 	list, err := s.startFollowers(s.ctx, o.Watchers, n, wire.Role_ROLE_UPSTREAM)
 	defer closeAll(list)
@@ -229,9 +229,9 @@
 	}
 	first := float64(s.lis.Sent()-before) / float64(o.Watchers)
 	time.Sleep(settleDown)
-	spent := meter.Spend(s.lis, func() { time.Sleep(o.time()) })
-	share := float64(o.Watchers) * spent.Took.Seconds()
-	cpu := meter.Micros(spent.CPU) - meter.Micros(alone.CPU)*spent.Took.Seconds()/alone.Took.Seconds()
+	spent := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
+	share := float64(o.Watchers) * spent.Elapsed.Seconds()
+	cpu := meter.Micros(spent.CPU) - meter.Micros(alone.CPU)*spent.Elapsed.Seconds()/alone.Elapsed.Seconds()
 	fmt.Printf("%10d %14.0f %18.0f %16.0f %22.0f\n", n, float64(spent.Sent)/share, cpu/share, first, renewalsPerSecond(n))
 	return nil
 }
--- a/measure/capacity/memory.go
+++ b/measure/capacity/memory.go
@@ -83,12 +83,12 @@
 func measureMemory(o options) error {
 	fmt.Printf("%-32s %8s %14s\n", "part", "count", "bytes each")
 	for _, n := range o.Instances {
-		before := meter.Heap()
+		before := meter.LiveHeap()
 		node := directory.NewNode(directory.DefaultSettings(), time.Now, nil)
 		for i := range n {
 			_, _ = node.Announce(context.Background(), announcement(wire.Role_ROLE_UPSTREAM, i, 1))
 		}
-		fmt.Printf("%-32s %8d %14.0f\n", "instance in a directory", n, float64(meter.Heap()-before)/float64(n))
+		fmt.Printf("%-32s %8d %14.0f\n", "instance in a directory", n, float64(meter.LiveHeap()-before)/float64(n))
 		runtime.KeepAlive(node)
 	}
 	if err := tableMemory(); err != nil {
@@ -101,14 +101,14 @@
 // view. Each team has a limit and a weight.
 func tableMemory() error {
 	for _, n := range []int{100, 1000, 3800} {
-		before := meter.Heap()
+		before := meter.LiveHeap()
 		rows := teamRows(n)
 		v, err := table.NewView(1, rows)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("%-32s %8d %14.0f  typed view of all rows in %.1f ms, after one changed row in %.2f ms\n", "team with limit and weight", n,
-			float64(meter.Heap()-before)/float64(n), viewTime(rows)/1000, changeTime(v, rows)/1000)
+			float64(meter.LiveHeap()-before)/float64(n), viewTime(rows)/1000, changeTime(v, rows)/1000)
 		runtime.KeepAlive(v)
 		runtime.KeepAlive(rows)
 	}
@@ -170,14 +170,14 @@
 		if err != nil {
 			return err
 		}
-		before, routines := meter.Heap(), runtime.NumGoroutine()
+		before, routines := meter.LiveHeap(), runtime.NumGoroutine()
 		list, err := startAgents(s, "plain", up.URL(), n)
 		if err != nil {
 			return err
 		}
 		time.Sleep(settleDown)
 		fmt.Printf("%-32s %8d %14.0f  goroutines each %.1f\n", "idle agent, both connection ends", n,
-			float64(meter.Heap()-before)/float64(n), float64(runtime.NumGoroutine()-routines)/float64(n))
+			float64(meter.LiveHeap()-before)/float64(n), float64(runtime.NumGoroutine()-routines)/float64(n))
 		for _, a := range list {
 			a.Stop()
 		}
--- a/measure/capacity/reports.go
+++ b/measure/capacity/reports.go
@@ -79,7 +79,7 @@
 	}
 	defer lis.Close()
 	go relay(lis, agent)
-	none := meter.Spend(lis, func() { time.Sleep(o.time()) })
+	none := meter.Measure(lis, func() { time.Sleep(o.time()) })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for i := range n {
@@ -88,10 +88,10 @@
 		go watchReports(ctx, pool, lis.Addr().String(), i, req)
 	}
 	time.Sleep(settleDown)
-	spent := meter.Spend(lis, func() { time.Sleep(took) })
-	share := float64(n) * spent.Took.Seconds()
-	idle := meter.Micros(none.CPU) / none.Took.Seconds()
-	fmt.Printf("%8d %14.0f %16.0f\n", n, float64(spent.Sent)/share, (meter.Micros(spent.CPU)-idle*spent.Took.Seconds())/share)
+	spent := meter.Measure(lis, func() { time.Sleep(took) })
+	share := float64(n) * spent.Elapsed.Seconds()
+	idle := meter.Micros(none.CPU) / none.Elapsed.Seconds()
+	fmt.Printf("%8d %14.0f %16.0f\n", n, float64(spent.Sent)/share, (meter.Micros(spent.CPU)-idle*spent.Elapsed.Seconds())/share)
 	return nil
 }
 
--- a/measure/capacity/sharecalls.go
+++ b/measure/capacity/sharecalls.go
@@ -117,7 +117,7 @@
 		return err
 	}
 	defer leader.close()
-	idle := meter.Spend(leader.lis, func() { time.Sleep(o.time()) })
+	idle := meter.Measure(leader.lis, func() { time.Sleep(o.time()) })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var wg sync.WaitGroup
@@ -127,7 +127,7 @@
 	}
 	time.Sleep(settleDown)
 	before := calls.Load()
-	spent := meter.Spend(leader.lis, func() { time.Sleep(o.time()) })
+	spent := meter.Measure(leader.lis, func() { time.Sleep(o.time()) })
 	n := float64(calls.Load() - before)
 	cancel()
 	wg.Wait()
--- a/measure/control/edits.go
+++ b/measure/control/edits.go
@@ -114,7 +114,7 @@
 // recoveryOnce measures the restart of a single replica, which holds the same data as
 // any voter.
 func recoveryOnce(ctx context.Context, o options, n int) error {
-	base := meter.Heap()
+	base := meter.LiveHeap()
 	c, err := newCluster(ctx, filepath.Join(o.Dir, fmt.Sprintf("recovery-%d", n)), 1, nil)
 	if err != nil {
 		return err
@@ -124,7 +124,7 @@
 	if failed > 0 {
 		return fmt.Errorf("%d edits failed", failed)
 	}
-	before := meter.Heap() - base
+	before := meter.LiveHeap() - base
 	c.stop(0)
 	began := time.Now()
 	read, err := c.start(ctx, 0, nil)
@@ -136,7 +136,7 @@
 	}
 	first := time.Since(began)
 	fmt.Printf("%9d %10.0f %10.0fms %10.0fms %10.1fMB %10.1fMB %10.1fMB\n", n, float64(n)/took.Seconds(),
-		read.Seconds()*1000, first.Seconds()*1000, meter.MB(folderSize(c.dir)), meter.MB(before), meter.MB(meter.Heap()-base))
+		read.Seconds()*1000, first.Seconds()*1000, meter.MB(folderSize(c.dir)), meter.MB(before), meter.MB(meter.LiveHeap()-base))
 	return nil
 }
 
--- a/measure/control/peers.go
+++ b/measure/control/peers.go
@@ -40,15 +40,15 @@
 	if err != nil {
 		return err
 	}
-	rest := idleBytes / idle.Took.Seconds() * busy.Took.Seconds()
-	fmt.Printf("%9d %16.0f %20.1f %12.0f\n", n, idleBytes/idle.Took.Seconds(),
-		meter.Micros(idle.CPU)/1000/idle.Took.Seconds(), (busyBytes-rest)/edits)
+	rest := idleBytes / idle.Elapsed.Seconds() * busy.Elapsed.Seconds()
+	fmt.Printf("%9d %16.0f %20.1f %12.0f\n", n, idleBytes/idle.Elapsed.Seconds(),
+		meter.Micros(idle.CPU)/1000/idle.Elapsed.Seconds(), (busyBytes-rest)/edits)
 	return nil
 }
 
 // peerBytes returns the bytes that all replicas received while f ran, which counts each
 // message once.
-func (c *cluster) peerBytes(f func()) (float64, meter.Spent) {
+func (c *cluster) peerBytes(f func()) (float64, meter.Usage) {
 	sum := func() float64 {
 		total := 0.0
 		for _, r := range c.replicas {
--- a/measure/control/watch.go
+++ b/measure/control/watch.go
@@ -48,7 +48,7 @@
 
 // measureTraffic measures the traffic of the first replica and the processor time of
 // the whole process while f runs.
-func (c *cluster) measureTraffic(f func()) meter.Spent { return meter.Spend(c.replicas[0].lis, f) }
+func (c *cluster) measureTraffic(f func()) meter.Usage { return meter.Measure(c.replicas[0].lis, f) }
 
 // measureWatch measures the bytes that one watch takes, idle and for each edit.
 func measureWatch(ctx context.Context, o options) error {
@@ -86,12 +86,12 @@
 		return idle, perEdit, err
 	}
 	with := c.measureTraffic(func() { time.Sleep(o.time()) })
-	share := float64(n) * with.Took.Seconds()
+	share := float64(n) * with.Elapsed.Seconds()
 	idle.bytes = float64(with.Sent-none.Sent) / share
 	idle.cpu = time.Duration(float64(with.CPU-none.CPU) / share)
 	const edits = 50
 	busy := c.measureTraffic(func() { err = c.editsInForce(ctx, list, edits) })
-	rest := busy.Took.Seconds() * float64(n)
+	rest := busy.Elapsed.Seconds() * float64(n)
 	perEdit.bytes = (float64(busy.Sent) - idle.bytes*rest) / float64(n*edits)
 	perEdit.cpu = time.Duration((float64(busy.CPU) - float64(idle.cpu)*rest) / float64(n*edits))
 	return idle, perEdit, err
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -30,7 +30,7 @@
 	log        log.Logger
 	now        func() time.Time
 	dial       directory.Dial
-	lineBudget *kernel.LineBudget
+	lineBudget *kernel.LogLimiter
 	// recordCount is the number of remembered requests. While it is 0, which is the usual case, a
 	// request costs one atomic load.
 	recordCount atomic.Int64
@@ -45,7 +45,7 @@
 // replicas.
 func NewNode(id string, l log.Logger, now func() time.Time, dial directory.Dial) *Node {
 	return &Node{
-		id: id, log: l, now: now, dial: dial, lineBudget: kernel.NewLineBudget(maxLinesPerSecond, now),
+		id: id, log: l, now: now, dial: dial, lineBudget: kernel.NewLogLimiter(maxLinesPerSecond, now),
 		table: NewTable(DefaultSettings()), reporters: map[string]*reporter{},
 	}
 }
@@ -163,7 +163,7 @@
 
 // logInfo logs a line unless the line budget is exhausted.
 func (n *Node) logInfo(msg string, kv ...any) {
-	ok, leftOut := n.lineBudget.Take()
+	ok, leftOut := n.lineBudget.Allow()
 	if !ok {
 		return
 	}
--- a/routing/pack.go
+++ b/routing/pack.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	packed, err := deflate.Pack(data)
+	packed, err := deflate.Compress(data)
 	if err != nil {
 		return nil, err
 	}
@@ -31,7 +31,7 @@
 
 // Unpack decodes a configuration encoded by Pack.
 func Unpack(p *wire.PackedRouting) (*wire.RoutingConfig, error) {
-	data, err := deflate.Unpack(p.GetDeflated(), maxUnpackedBytes)
+	data, err := deflate.Decompress(p.GetDeflated(), maxUnpackedBytes)
 	if err != nil {
 		return nil, merry.Prepend(ErrPacked, err.Error())
 	}
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -46,7 +46,7 @@
 
 // Check returns an error that names the first invalid key.
 func (s *Settings) Check() error {
-	badKey := kernel.BadKey
+	badKey := kernel.InvalidKey
 	if s.ID == "" {
 		return badKey("id", "must not be empty")
 	}
--- a/transport/fuzz_test.go
+++ b/transport/fuzz_test.go
@@ -27,7 +27,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		answer := surface.Raw(t, lis.Addr().String(), data)
+		answer := surface.SendRaw(t, lis.Addr().String(), data)
 		assert.Assert(t, len(answer) <= nonce, "%d bytes", len(answer))
 	})
 }
--- a/transport/settings.go
+++ b/transport/settings.go
@@ -23,8 +23,8 @@
 	CA          string `toml:"ca"`
 }
 
-// On reports whether TLS is enabled.
-func (t TLSSettings) On() bool { return t.Certificate != "" || t.Key != "" || t.CA != "" }
+// Enabled reports whether TLS is enabled.
+func (t TLSSettings) Enabled() bool { return t.Certificate != "" || t.Key != "" || t.CA != "" }
 
 // Certificates holds a TLS key pair and CA pool that can be reloaded while in use.
 type Certificates struct {
@@ -64,14 +64,14 @@
 	return c.keyPair.Load(), nil
 }
 
-// Public returns a server configuration that requests no client certificate.
-func (c *Certificates) Public() *tls.Config {
+// ServerConfig returns a server configuration that requests no client certificate.
+func (c *Certificates) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: c.getCertificate}
 }
 
-// Mutual returns the configurations for mutual TLS between processes: each side
+// MutualConfigs returns the configurations for mutual TLS between processes: each side
 // presents a certificate of the cluster's CA.
-func (c *Certificates) Mutual() (server, client *tls.Config) {
+func (c *Certificates) MutualConfigs() (server, client *tls.Config) {
 	server = &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -112,7 +112,7 @@
 	if len(strings.TrimSpace(secret)) < minSecretLen {
 		return Security{}, nil, merry.Prependf(ErrSettings, "key \"cluster_secret\": at least %d characters are needed", minSecretLen)
 	}
-	if t.On() {
+	if t.Enabled() {
 		if t.CA == "" {
 			return Security{}, nil, merry.Prepend(ErrSettings, "key \"ca\" is needed between processes")
 		}
@@ -121,7 +121,7 @@
 			return Security{}, nil, err
 		}
 		sec := Security{Secret: []byte(secret)}
-		sec.Server, sec.Client = certs.Mutual()
+		sec.Server, sec.Client = certs.MutualConfigs()
 		return sec, certs, nil
 	}
 	return Security{Secret: []byte(secret)}, nil, nil
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -204,10 +204,10 @@
 	return p.conns.Get(ctx, addr, p.dial)
 }
 
-// CallConn is like Conn, but messages sent on a stream may be buffered until the caller
+// BufferedConn is like Conn, but messages sent on a stream may be buffered until the caller
 // receives from it or closes its sending side, so that a request and its end are sent
 // in one write. It must not be used for streams that only send.
-func (p *Pool) CallConn(ctx context.Context, addr string) drpc.Conn {
+func (p *Pool) BufferedConn(ctx context.Context, addr string) drpc.Conn {
 	return p.callConns.Get(ctx, addr, p.dialCallConn)
 }
 
@@ -229,10 +229,10 @@
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: opts}), nil
 }
 
-// HoldFlush buffers what a server's stream sends from now on until the handler returns,
+// BufferUntilReturn buffers what a server's stream sends from now on until the handler returns,
 // so that the last message and the end of the stream are sent in one write. It must not
 // be called while another goroutine uses the stream.
-func HoldFlush(stream drpc.Stream) {
+func BufferUntilReturn(stream drpc.Stream) {
 	if w, ok := stream.(interface{ GetStream() drpc.Stream }); ok {
 		stream = w.GetStream()
 	}
