--- a/agent/agent.go
+++ b/agent/agent.go
@@ -29,8 +29,8 @@
 var (
 	// ErrStart is returned if the agent cannot open a listener.
 	ErrStart = merry.Sentinel("agent cannot start")
-	// ErrOrder is returned if the upstream or the fencing guard refuses an order.
-	ErrOrder = merry.Sentinel("order was not carried out")
+	// ErrOrderRefused is returned if the upstream or the fencing guard refuses an order.
+	ErrOrderRefused = merry.Sentinel("order was not carried out")
 )
 
 // Agent implements kernel.Daemon.
--- a/agent/report.go
+++ b/agent/report.go
@@ -8,29 +8,29 @@
 
 // ReportRule decides when a load report is sent to an entry that watches the upstream.
 type ReportRule struct {
-	// Change is the fraction of the slots by which the number of requests must differ from
+	// ChangeThreshold is the fraction of the slots by which the number of requests must differ from
 	// the last report. The difference must be at least one request.
-	Change float64
+	ChangeThreshold float64
 	// KeepAlive is the longest time between two reports. A periodic report corrects a
 	// watcher that missed one, and shows that the agent is alive.
 	KeepAlive time.Duration
 }
 
-// reportChange is the ReportRule.Change of agents: a difference of as many requests as the
+// reportChange is the ReportRule.ChangeThreshold of agents: a difference of as many requests as the
 // upstream has slots. Smaller values cost more messages and, where many entries watch one
 // upstream, longer queueing; see docs/design/directory.md.
 const reportChange = 1
 
-// Reports tracks what was sent to one watcher. It uses no clock and does no I/O.
-type Reports struct {
+// ReportTracker tracks what was sent to one watcher. It uses no clock and does no I/O.
+type ReportTracker struct {
 	Rule       ReportRule
 	lastSent   *wire.Report
 	lastSentAt time.Time
 }
 
-// Due returns whether a report must be sent now. Cache events are always sent at once: a
+// ShouldSend returns whether a report must be sent now. Cache events are always sent at once: a
 // watcher detects a gap in their sequence only when the next one arrives.
-func (r *Reports) Due(now time.Time, next *wire.Report) bool {
+func (r *ReportTracker) ShouldSend(now time.Time, next *wire.Report) bool {
 	if r.lastSent == nil || now.Sub(r.lastSentAt) >= r.Rule.KeepAlive || len(next.Cache) > 0 || next.Leaving != r.lastSent.Leaving {
 		return true
 	}
@@ -38,7 +38,7 @@
 	if l.Slots != last.Slots {
 		return true
 	}
-	threshold := max(r.Rule.Change*float64(l.Slots), 1)
+	threshold := max(r.Rule.ChangeThreshold*float64(l.Slots), 1)
 	if next.Leaving {
 		// Operators watch the last requests of a draining upstream, so every change is
 		// sent.
@@ -48,5 +48,7 @@
 	return float64(max(change, -change)) >= threshold
 }
 
-// Sent records a report that was sent.
-func (r *Reports) Sent(now time.Time, sent *wire.Report) { r.lastSent, r.lastSentAt = sent, now }
+// RecordSent records a report that was sent.
+func (r *ReportTracker) RecordSent(now time.Time, sent *wire.Report) {
+	r.lastSent, r.lastSentAt = sent, now
+}
--- a/agent/report_test.go
+++ b/agent/report_test.go
@@ -25,7 +25,7 @@
 func TestReportsOmitOnlySmallChanges(t *testing.T) {
 	const step, keepAlive = 500 * time.Millisecond, 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		r := Reports{Rule: ReportRule{Change: reportChange, KeepAlive: keepAlive}}
+		r := ReportTracker{Rule: ReportRule{ChangeThreshold: reportChange, KeepAlive: keepAlive}}
 		now := time.Unix(1000, 0)
 		known, receivedAt := (*wire.Report)(nil), now
 		for range 60 {
@@ -35,8 +35,8 @@
 				next.Cache = []*wire.CacheEvent{{Seq: 1}}
 			}
 			lost := false
-			if r.Due(now, next) {
-				r.Sent(now, next)
+			if r.ShouldSend(now, next) {
+				r.RecordSent(now, next)
 				if lost = rapid.IntRange(0, 9).Draw(t, "lost") == 0; !lost {
 					known, receivedAt = next, now
 				}
@@ -60,20 +60,20 @@
 // After a lost report, and with an unchanged load, the next report must be sent when the
 // keep-alive has passed.
 func TestKeepAliveRepairsLostReport(t *testing.T) {
-	r := Reports{Rule: watchReportRule(&wire.WatchRequest{KeepAliveMs: 10_000})}
+	r := ReportTracker{Rule: watchReportRule(&wire.WatchRequest{KeepAliveMs: 10_000})}
 	now := time.Unix(1000, 0)
-	r.Sent(now, report(8, 3, 8))
-	assert.Assert(t, !r.Due(now.Add(9999*time.Millisecond), report(8, 3, 8)))
-	assert.Assert(t, r.Due(now.Add(10*time.Second), report(8, 3, 8)))
+	r.RecordSent(now, report(8, 3, 8))
+	assert.Assert(t, !r.ShouldSend(now.Add(9999*time.Millisecond), report(8, 3, 8)))
+	assert.Assert(t, r.ShouldSend(now.Add(10*time.Second), report(8, 3, 8)))
 }
 
 // An entry of an earlier version sends no keep-alive and treats an upstream that is silent
 // for a lease as gone. It must get a report at each interval.
 func TestWatchWithoutKeepAliveReportsAtEachInterval(t *testing.T) {
-	r := Reports{Rule: watchReportRule(&wire.WatchRequest{IntervalMs: 500})}
+	r := ReportTracker{Rule: watchReportRule(&wire.WatchRequest{IntervalMs: 500})}
 	now := time.Unix(1000, 0)
-	r.Sent(now, report(1, 0, 8))
-	assert.Assert(t, r.Due(now.Add(500*time.Millisecond), report(1, 0, 8)))
+	r.RecordSent(now, report(1, 0, 8))
+	assert.Assert(t, r.ShouldSend(now.Add(500*time.Millisecond), report(1, 0, 8)))
 }
 
 // Replies and reports read the load concurrently, and an entry keeps the one with the
--- a/agent/resolve.go
+++ b/agent/resolve.go
@@ -75,14 +75,14 @@
 	defer a.orders.mu.Unlock()
 	order := &wire.Order{Group: o.Group, Token: a.orders.guard.Highest(o.Group), Verb: verb, Body: body, OrderId: "agent"}
 	if ok, detail := a.orders.admitAgentOrder(ctx, order); !ok {
-		return s, merry.Prepend(ErrOrder, detail)
+		return s, merry.Prepend(ErrOrderRefused, detail)
 	}
 	reply, err := a.upstream.Give(ctx, order)
 	if err != nil {
 		return s, err
 	}
 	if !reply.Accepted {
-		return s, merry.Prepend(ErrOrder, reply.Detail)
+		return s, merry.Prepend(ErrOrderRefused, reply.Detail)
 	}
 	return s, json.Unmarshal(reply.Body, &s)
 }
--- a/agent/run.go
+++ b/agent/run.go
@@ -120,7 +120,7 @@
 
 func admissionReason(err error) wire.Reason {
 	switch {
-	case errors.Is(err, admit.ErrQueueFull), errors.Is(err, admit.ErrNoFreeSlot), errors.Is(err, ErrNoSlot):
+	case errors.Is(err, admit.ErrQueueFull), errors.Is(err, admit.ErrNoFreeSlot), errors.Is(err, ErrNoSlotHeld):
 		return wire.Reason_REASON_QUEUE_FULL
 	case errors.Is(err, admit.ErrClosed):
 		return wire.Reason_REASON_UPSTREAM_LEAVING
--- a/agent/services.go
+++ b/agent/services.go
@@ -31,7 +31,7 @@
 	interval := max(time.Duration(req.IntervalMs)*time.Millisecond, minReportInterval)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
-	reports := Reports{Rule: watchReportRule(req)}
+	reports := ReportTracker{Rule: watchReportRule(req)}
 	var after uint64
 	for {
 		now := time.Now()
@@ -45,11 +45,11 @@
 		if n := len(r.Cache); n > 0 {
 			after = r.Cache[n-1].Seq
 		}
-		if reports.Due(now, r) {
+		if reports.ShouldSend(now, r) {
 			if err := stream.Send(r); err != nil {
 				return err
 			}
-			reports.Sent(now, r)
+			reports.RecordSent(now, r)
 		}
 		select {
 		case <-stream.Context().Done():
@@ -63,7 +63,7 @@
 // sends no keep-alive and treats silence as a failure, so it gets a report at each
 // interval.
 func watchReportRule(req *wire.WatchRequest) ReportRule {
-	return ReportRule{Change: reportChange, KeepAlive: time.Duration(req.KeepAliveMs) * time.Millisecond}
+	return ReportRule{ChangeThreshold: reportChange, KeepAlive: time.Duration(req.KeepAliveMs) * time.Millisecond}
 }
 
 // service implements the Agent service. Its Drain replaces the Drain of Agent, which
--- a/agent/tickets.go
+++ b/agent/tickets.go
@@ -15,14 +15,14 @@
 
 // Errors of tickets. Each of them implies that the request was not run.
 var (
-	// ErrNoSlot refuses an attempt whose ticket holds no slot: the ticket is unknown,
+	// ErrNoSlotHeld refuses an attempt whose ticket holds no slot: the ticket is unknown,
 	// withdrawn, still waiting or already used, or its hold has expired.
-	ErrNoSlot = merry.Sentinel("no slot is held for the ticket")
-	// ErrTicketOver ends the wait of a ticket that was withdrawn, or ended because the
+	ErrNoSlotHeld = merry.Sentinel("no slot is held for the ticket")
+	// ErrTicketWithdrawn ends the wait of a ticket that was withdrawn, or ended because the
 	// agent leaves.
-	ErrTicketOver = merry.Sentinel("ticket was withdrawn")
-	// ErrTicketTwice refuses a ticket whose ID is already registered.
-	ErrTicketTwice = merry.Sentinel("duplicate ticket ID")
+	ErrTicketWithdrawn = merry.Sentinel("ticket was withdrawn")
+	// ErrDuplicateTicket refuses a ticket whose ID is already registered.
+	ErrDuplicateTicket = merry.Sentinel("duplicate ticket ID")
 )
 
 // slotHoldTimeout is how long a slot is held for the Run of its ticket. It is many times
@@ -84,11 +84,11 @@
 		return err
 	}
 	if err != nil {
-		return ErrTicketOver
+		return ErrTicketWithdrawn
 	}
 	if !s.holdSlot(id, t, w, release) {
 		releaseUnused(w, release)
-		return ErrTicketOver
+		return ErrTicketWithdrawn
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 	}
 	// A duplicate message would hold a second slot for the same request.
 	if s.byID[id] != nil {
-		return ErrTicketTwice
+		return ErrDuplicateTicket
 	}
 	s.byID[id] = t
 	return nil
@@ -129,7 +129,7 @@
 	defer s.mu.Unlock()
 	t := s.byID[id]
 	if t == nil || t.release == nil {
-		return nil, ErrNoSlot
+		return nil, ErrNoSlotHeld
 	}
 	s.removeLocked(id, t)
 	return t.release, nil
@@ -235,9 +235,9 @@
 		Tickets: int(min(max(t.Tickets, 1), maxTickets)),
 	})
 	switch {
-	case errors.Is(err, ErrTicketTwice):
+	case errors.Is(err, ErrDuplicateTicket):
 		return s.noSlotReply(wire.Reason_REASON_DUPLICATE_ATTEMPT), nil
-	case errors.Is(err, ErrTicketOver) && s.attempts.isClosed():
+	case errors.Is(err, ErrTicketWithdrawn) && s.attempts.isClosed():
 		return s.noSlotReply(wire.Reason_REASON_UPSTREAM_LEAVING), nil
 	case err != nil:
 		return s.noSlotReply(admissionReason(err)), nil
--- a/measure/route/main.go
+++ b/measure/route/main.go
@@ -384,10 +384,10 @@
 	fmt.Printf("%-13s %7s %5s %7s %10s %s %9s %8s %10s\n", "policy", "entries", "load", "change", "keep-alive", waitHead, "attempts", "refused", "reports/s")
 	rules := []*agent.ReportRule{nil}
 	for _, change := range []float64{0.25, 0.5, 1, math.Inf(1)} {
-		rules = append(rules, &agent.ReportRule{Change: change, KeepAlive: 10 * time.Second})
+		rules = append(rules, &agent.ReportRule{ChangeThreshold: change, KeepAlive: 10 * time.Second})
 	}
 	for _, keepAlive := range []time.Duration{5 * time.Second, 30 * time.Second} {
-		rules = append(rules, &agent.ReportRule{Change: 1, KeepAlive: keepAlive})
+		rules = append(rules, &agent.ReportRule{ChangeThreshold: 1, KeepAlive: keepAlive})
 	}
 	for _, policy := range []string{"least-loaded", "prefix"} {
 		for _, n := range []int{entries, manyEntries} {
@@ -424,7 +424,7 @@
 	} {
 		all, some := c.v, c.v
 		all.lag, some.lag = time.Second, time.Second
-		some.rule = &agent.ReportRule{Change: 1, KeepAlive: 5 * time.Second}
+		some.rule = &agent.ReportRule{ChangeThreshold: 1, KeepAlive: 5 * time.Second}
 		if c.v.entries > 0 {
 			some.rule.KeepAlive = 30 * time.Second
 		}
@@ -446,6 +446,6 @@
 		r = *v.rule
 	}
 	rate := float64(time.Second) / float64(v.lag/2) * float64(o.reports) / float64(o.loads)
-	fmt.Printf("%-13s %7d %4.0f%% %7.2f %10v %s %9.2f %8s %10.2f\n", v.policy, v.entries, v.load*100, r.Change, r.KeepAlive,
+	fmt.Printf("%-13s %7d %4.0f%% %7.2f %10v %s %9.2f %8s %10.2f\n", v.policy, v.entries, v.load*100, r.ChangeThreshold, r.KeepAlive,
 		formatMillis(o.all), o.attempts(), share(o.refused, o.offered), rate)
 }
--- a/measure/route/system.go
+++ b/measure/route/system.go
@@ -108,7 +108,7 @@
 	cacheSeqs   []uint64
 	cacheSentAt []time.Duration
 	// reported is the state of each agent's rule for load reports.
-	reported []agent.Reports
+	reported []agent.ReportTracker
 }
 
 func newSystem(s runConfig) *system {
@@ -125,7 +125,7 @@
 	}
 	m.cacheSeqs = make([]uint64, s.spec.servers)
 	m.cacheSentAt = make([]time.Duration, s.spec.servers)
-	m.reported = make([]agent.Reports, s.spec.servers)
+	m.reported = make([]agent.ReportTracker, s.spec.servers)
 	if s.policy == "global" {
 		return m
 	}
@@ -532,10 +532,10 @@
 		return true
 	}
 	r.Rule = *m.rule
-	if !r.Due(m.clockTime(), next) {
+	if !r.ShouldSend(m.clockTime(), next) {
 		return false
 	}
-	r.Sent(m.clockTime(), next)
+	r.RecordSent(m.clockTime(), next)
 	return true
 }
 
