--- a/agent/fuzz_test.go
+++ b/agent/fuzz_test.go
@@ -32,7 +32,7 @@
 // answering, with bounded memory.
 func FuzzPeers(f *testing.F) {
 	sys := startSystem(f)
-	peers := surface.NewPeers(sys.Agent(upstream).Address(), quickstart.Secret, wire.DRPCAgentDescription{})
+	peers := surface.NewPeers(sys.Agent(upstream).Address(), quickstart.ClusterSecret, wire.DRPCAgentDescription{})
 	peers.AddSeeds(f)
 	watch := &surface.HealthCheck{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
 	f.Fuzz(func(t *testing.T, method uint8, data []byte, raw bool) {
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -208,7 +208,7 @@
 // and without a retry budget.
 func TestDeadAgentIsSkipped(t *testing.T) {
 	r := newRelayFixture(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "mine") })
-	dead, release, err := fake.HoldPort()
+	dead, release, err := fake.ReservePort()
 	assert.NilError(t, err)
 	t.Cleanup(release)
 	r.setUpstreams(t,
--- a/claim/store_test.go
+++ b/claim/store_test.go
@@ -169,7 +169,7 @@
 	assert.Equal(t, len(names), 1)
 	for bit := range disk.Size(names[0]) * 8 {
 		damaged := disk.Clone()
-		damaged.Flip(names[0], bit)
+		damaged.FlipBit(names[0], bit)
 		h.fs = damaged
 		h.start()
 		assert.ErrorIs(t, h.forgotCause, wal.ErrCorrupt)
--- a/cmd/snipereach-quickstart/main.go
+++ b/cmd/snipereach-quickstart/main.go
@@ -36,7 +36,7 @@
 
 func run(ctx context.Context, opts options) error {
 	sys, err := quickstart.Start(ctx, quickstart.Options{
-		Log: kernel.NewLog(os.Stderr, opts.Log), CallersPort: opts.Port, Planner: opts.Planner,
+		Log: kernel.NewLog(os.Stderr, opts.Log), CallerPort: opts.Port, Planner: opts.Planner,
 	})
 	if err != nil {
 		return err
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -47,7 +47,7 @@
 // reserveAddress returns an address whose port stays reserved until the test ends, also while
 // the replica at the address is stopped.
 func reserveAddress(t *testing.T) string {
-	address, release, err := fake.HoldPort()
+	address, release, err := fake.ReservePort()
 	assert.NilError(t, err)
 	t.Cleanup(release)
 	return address
--- a/control/fuzz_test.go
+++ b/control/fuzz_test.go
@@ -29,7 +29,7 @@
 // replica. The system must stay healthy and its memory bounded.
 func FuzzPeers(f *testing.F) {
 	sys := startSystem(f)
-	peers := surface.NewPeers(sys.Members()[0], quickstart.Secret,
+	peers := surface.NewPeers(sys.ControlAddresses()[0], quickstart.ClusterSecret,
 		wire.DRPCControlDescription{}, wire.DRPCRaftDescription{}, wire.DRPCDirectoryDescription{})
 	peers.AddSeeds(f)
 	watch := &surface.HealthCheck{Health: "http://" + sys.Entries[0].CallerAddress() + "/healthz"}
--- a/control/groups_test.go
+++ b/control/groups_test.go
@@ -71,8 +71,8 @@
 	r := &groupCluster{cluster: newCluster(t, 3)}
 	r.group = &fake.Group{
 		Name: "g", Shape: placement.Shape{Ranks: 4, Experts: 8, Layers: 1, Slots: 3},
-		Step: 2 * time.Millisecond, Load: 50 * time.Millisecond,
-		Tokens: expertLoad, Slow: map[int]float64{2: 1.6},
+		Step: 2 * time.Millisecond, LoadTime: 50 * time.Millisecond,
+		Tokens: expertLoad, SlowFactors: map[int]float64{2: 1.6},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -187,7 +187,7 @@
 func (r *groupCluster) checkHistory() {
 	r.t.Helper()
 	h := r.group.History()
-	assert.Equal(r.t, h.Mixed, 0)
+	assert.Equal(r.t, h.MixedSteps, 0)
 	assert.Assert(r.t, slices.IsSorted(h.Epochs), "%v", h.Epochs)
 }
 
--- a/ctl/quarantine_test.go
+++ b/ctl/quarantine_test.go
@@ -30,7 +30,7 @@
 			return fake.FaultNone
 		}
 		ends.Add(1)
-		return fake.FaultEnd
+		return fake.FaultStopServer
 	})
 	for end := time.Now().Add(waitLimit); ends.Load() < want; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -39,7 +39,7 @@
 		before := ends.Load()
 		scriptOf(ts).postCrashRequest()
 		if ends.Load() > before {
-			ts.Check(plain.Again())
+			ts.Check(plain.Restart())
 		}
 	}
 	plain.SetFault(nil)
--- a/ctl/system_test.go
+++ b/ctl/system_test.go
@@ -115,7 +115,7 @@
 // of entries, serve callers that still hold an old list, and answer a state dump
 // after the drain.
 func TestEntryDrainCompletesRequests(t *testing.T) {
-	s := start(t, quickstart.Options{Keep: time.Second})
+	s := start(t, quickstart.Options{EntryListTTL: time.Second})
 	got := make(chan error, 4)
 	for range 4 {
 		go func() { _, err := callEntry(s, strings.Replace(longCall, "150", "800", 1)); got <- err }()
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -78,7 +78,7 @@
 // entry's directory and claim register.
 func FuzzPeers(f *testing.F) {
 	sys, watch := startSystem(f)
-	peers := surface.NewPeers(sys.Entries[0].InternalAddress(), quickstart.Secret,
+	peers := surface.NewPeers(sys.Entries[0].InternalAddress(), quickstart.ClusterSecret,
 		wire.DRPCDirectoryDescription{}, wire.DRPCClaimDescription{})
 	peers.AddSeeds(f)
 	f.Fuzz(func(t *testing.T, method uint8, data []byte, raw bool) {
--- a/fake/cache.go
+++ b/fake/cache.go
@@ -125,9 +125,9 @@
 // ClearCache empties the prefix cache and publishes that.
 func (e *Engine) ClearCache() { e.cache.clear() }
 
-// LoseCacheEvents drops the next n cache events: they take sequence numbers but
+// DropCacheEvents drops the next n cache events: they take sequence numbers but
 // are not published.
-func (e *Engine) LoseCacheEvents(n int) {
+func (e *Engine) DropCacheEvents(n int) {
 	e.cache.mu.Lock()
 	defer e.cache.mu.Unlock()
 	e.cache.dropEvents = n
--- a/fake/disk.go
+++ b/fake/disk.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Flip inverts one bit of a file's durable content.
-func (d *Disk) Flip(name string, bit int) {
+// FlipBit inverts one bit of a file's durable content.
+func (d *Disk) FlipBit(name string, bit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files[name].data[bit/8] ^= 1 << (bit % 8)
--- a/fake/engine.go
+++ b/fake/engine.go
@@ -36,12 +36,12 @@
 
 	orderMu      sync.Mutex
 	highestToken uint64
-	orders       []GivenOrder
+	orders       []ExecutedOrder
 	staleOrders  int
 }
 
-// GivenOrder is an order that an engine carried out.
-type GivenOrder struct {
+// ExecutedOrder is an order that an engine carried out.
+type ExecutedOrder struct {
 	Verb  string
 	Token uint64
 	Body  string
@@ -161,7 +161,7 @@
 		e.staleOrders++
 	}
 	e.highestToken = max(e.highestToken, token)
-	e.orders = append(e.orders, GivenOrder{Verb: r.PathValue("verb"), Token: token, Body: string(body)})
+	e.orders = append(e.orders, ExecutedOrder{Verb: r.PathValue("verb"), Token: token, Body: string(body)})
 	if e.Group != nil {
 		e.serveRankOrder(w, r.PathValue("verb"), body)
 		return
@@ -175,7 +175,7 @@
 		writeJSON(w, map[string]any{"accepted": false, "detail": err.Error()})
 		return
 	}
-	status, err := json.Marshal(e.Group.Give(e.Rank, verb, &o))
+	status, err := json.Marshal(e.Group.HandleOrder(e.Rank, verb, &o))
 	writeJSON(w, map[string]any{"accepted": err == nil, "body": status})
 }
 
@@ -187,17 +187,17 @@
 	writeJSON(w, e.Group.Counters(e.Rank))
 }
 
-// Overtaken returns how many orders the engine carried out after an order with a
+// StaleOrders returns how many orders the engine carried out after an order with a
 // higher fencing token, as when a former leader's order arrives late.
-func (e *Engine) Overtaken() int {
+func (e *Engine) StaleOrders() int {
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
 	return e.staleOrders
 }
 
 // Orders returns the orders that the engine carried out, oldest first.
-func (e *Engine) Orders() []GivenOrder {
+func (e *Engine) Orders() []ExecutedOrder {
 	e.orderMu.Lock()
 	defer e.orderMu.Unlock()
-	return append([]GivenOrder(nil), e.orders...)
+	return append([]ExecutedOrder(nil), e.orders...)
 }
--- a/fake/group.go
+++ b/fake/group.go
@@ -21,13 +21,13 @@
 	Shape placement.Shape
 	// Step is the duration of a step whose load is even over the ranks.
 	Step time.Duration
-	// Load is how long the weights of a staged map take to load.
-	Load time.Duration
+	// LoadTime is how long the weights of a staged map take to load.
+	LoadTime time.Duration
 	// Tokens returns the tokens that each expert gets in a step, layer by layer.
 	Tokens func(step uint64) placement.Load
-	// Slow maps stragglers to the factor by which they take longer than their
+	// SlowFactors maps stragglers to the factor by which they take longer than their
 	// load requires.
-	Slow map[int]float64
+	SlowFactors map[int]float64
 
 	mu           sync.Mutex
 	ranks        []*Rank
@@ -43,13 +43,13 @@
 type GroupHistory struct {
 	// Steps counts the steps that all ranks ended.
 	Steps int
-	// Mixed counts steps that ranks began with different maps.
-	Mixed int
+	// MixedSteps counts steps that ranks began with different maps.
+	MixedSteps int
 	// Epochs are the maps used, in the order of their first step.
 	Epochs []uint64
-	// Blocked is the longest time that a step waited for ranks that could not
+	// MaxBlocked is the longest time that a step waited for ranks that could not
 	// begin it, and Lost is the sum of these waits.
-	Blocked, Lost time.Duration
+	MaxBlocked, TotalBlocked time.Duration
 }
 
 // Start creates the ranks and runs steps in the background until ctx is done.
@@ -63,8 +63,8 @@
 	go g.run(ctx)
 }
 
-// Give carries out an order on a rank and returns the rank's status.
-func (g *Group) Give(rank int, verb string, o *rollout.Order) rollout.Status {
+// HandleOrder carries out an order on a rank and returns the rank's status.
+func (g *Group) HandleOrder(rank int, verb string, o *rollout.Order) rollout.Status {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := g.ranks[rank]
@@ -72,13 +72,13 @@
 		g.maps[o.Epoch] = &placement.Map{Epoch: o.Epoch, Slots: o.Map.Slots}
 	}
 	before := r.Loading()
-	s := r.Give(verb, o)
+	s := r.HandleOrder(verb, o)
 	if now := r.Loading(); now != 0 && now != before {
-		time.AfterFunc(g.Load, func() {
+		time.AfterFunc(g.LoadTime, func() {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			if r.Loading() == now {
-				r.Loaded()
+				r.FinishLoading()
 			}
 		})
 	}
@@ -163,7 +163,7 @@
 		if r.Blank() {
 			return 0, 0, false
 		}
-		step = max(step, r.Next())
+		step = max(step, r.NextStep())
 	}
 	return step, g.restarts, true
 }
@@ -180,14 +180,14 @@
 		if _, begun := used[i]; begun {
 			continue
 		}
-		r.Join(step)
-		if !r.MayBegin() {
+		r.RaiseNextStep(step)
+		if !r.CanBeginStep() {
 			continue
 		}
-		used[i] = r.Begin(step)
+		used[i] = r.BeginStep(step)
 		for _, other := range used {
 			if other != used[i] {
-				g.history.Mixed++
+				g.history.MixedSteps++
 				break
 			}
 		}
@@ -198,8 +198,8 @@
 func (g *Group) recordBlocked(blocked time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.history.Blocked = max(g.history.Blocked, blocked)
-	g.history.Lost += blocked
+	g.history.MaxBlocked = max(g.history.MaxBlocked, blocked)
+	g.history.TotalBlocked += blocked
 }
 
 // stepTime returns the duration of a step, which is the sum over the layers of the
@@ -232,7 +232,7 @@
 	longest := time.Duration(0)
 	for i, v := range loads {
 		own := even * v * float64(len(loads)) / total
-		if slow := g.Slow[i]; slow > 0 {
+		if slow := g.SlowFactors[i]; slow > 0 {
 			own *= slow
 		}
 		busy[i] += time.Duration(own)
--- a/fake/network.go
+++ b/fake/network.go
@@ -46,8 +46,8 @@
 	return &Network{partByAddress: map[string]string{}, links: map[link]*linkState{}, frozen: map[string]bool{}}
 }
 
-// Name registers the part that listens on an address.
-func (n *Network) Name(address, part string) {
+// Register registers the part that listens on an address.
+func (n *Network) Register(address, part string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partByAddress[address] = part
@@ -96,9 +96,9 @@
 	}
 }
 
-// Dialling returns how many dials from one part to another are waiting for closed
+// Dialing returns how many dials from one part to another are waiting for closed
 // links or delays.
-func (n *Network) Dialling(from, to string) int {
+func (n *Network) Dialing(from, to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.linkLocked(link{from, to}).dialing
--- a/fake/plain.go
+++ b/fake/plain.go
@@ -9,8 +9,8 @@
 // query, so that callers detect an answer that belongs to another request.
 type Plain struct {
 	Server
-	// Work is the time taken per request.
-	Work time.Duration
+	// WorkTime is the time taken per request.
+	WorkTime time.Duration
 }
 
 // Start listens on the service's address and serves in the background.
@@ -31,7 +31,7 @@
 
 func (p *Plain) serve(w http.ResponseWriter, r *http.Request) {
 	p.serveWithFault(w, r, func(w http.ResponseWriter) {
-		time.Sleep(p.Work)
+		time.Sleep(p.WorkTime)
 		writeJSON(w, PlainAnswer{Key: r.Header.Get(HeaderRunKey), Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery})
 	})
 }
--- a/fake/port.go
+++ b/fake/port.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// HoldPort reserves a free loopback port by binding it without listening, and
+// ReservePort reserves a free loopback port by binding it without listening, and
 // returns its address. A server that sets SO_REUSEADDR, as package net does, can
 // listen there repeatedly. Until release is called the kernel does not assign the
 // port to anyone else, not even as the source of a connection, and connections to
 // it are refused while no server listens.
-func HoldPort() (address string, release func(), err error) {
+func ReservePort() (address string, release func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		return "", nil, err
--- a/fake/rank.go
+++ b/fake/rank.go
@@ -39,9 +39,9 @@
 // NewRank returns a blank rank. Each restart of a rank needs a higher incarnation.
 func NewRank(incarnation uint64) *Rank { return &Rank{incarnation: incarnation, blank: true} }
 
-// Give carries out an order and returns the resulting status, whose Refused field
+// HandleOrder carries out an order and returns the resulting status, whose Refused field
 // gives the reason if the order was rejected.
-func (r *Rank) Give(verb string, o *rollout.Order) rollout.Status {
+func (r *Rank) HandleOrder(verb string, o *rollout.Order) rollout.Status {
 	refused := ""
 	switch {
 	case verb == rollout.VerbStatus:
@@ -104,8 +104,8 @@
 	return ""
 }
 
-// Loaded marks the map that is being loaded as staged.
-func (r *Rank) Loaded() {
+// FinishLoading marks the map that is being loaded as staged.
+func (r *Rank) FinishLoading() {
 	if r.loading != 0 {
 		r.staged, r.loading = r.loading, 0
 	}
@@ -161,11 +161,11 @@
 // Blank reports whether the rank has not yet adopted a map.
 func (r *Rank) Blank() bool { return r.blank }
 
-// Next returns the number of the step that the rank will begin.
-func (r *Rank) Next() uint64 { return r.nextStep }
+// NextStep returns the number of the step that the rank will begin.
+func (r *Rank) NextStep() uint64 { return r.nextStep }
 
-// MayBegin reports whether the rank may begin its next step.
-func (r *Rank) MayBegin() bool {
+// CanBeginStep reports whether the rank may begin its next step.
+func (r *Rank) CanBeginStep() bool {
 	if r.blank {
 		return false
 	}
@@ -175,8 +175,8 @@
 	return r.armed == 0 || r.decided || r.nextStep < r.armedStep
 }
 
-// Begin begins the agreed step and returns the epoch of the map used in it.
-func (r *Rank) Begin(step uint64) uint64 {
+// BeginStep begins the agreed step and returns the epoch of the map used in it.
+func (r *Rank) BeginStep(step uint64) uint64 {
 	r.nextStep = step + 1
 	if r.decided && step >= r.armedStep {
 		r.epoch = r.armed
@@ -185,5 +185,5 @@
 	return r.epoch
 }
 
-// Join raises the rank's next step to the one that the group agreed on.
-func (r *Rank) Join(step uint64) { r.nextStep = max(r.nextStep, step) }
+// RaiseNextStep raises the rank's next step to the one that the group agreed on.
+func (r *Rank) RaiseNextStep(step uint64) { r.nextStep = max(r.nextStep, step) }
--- a/fake/server.go
+++ b/fake/server.go
@@ -21,14 +21,14 @@
 // Faults that a fake server can inject.
 const (
 	FaultNone Fault = iota
-	// FaultDieBefore closes the connection without running the request.
-	FaultDieBefore
-	// FaultDieAfterRun counts the request as run and closes the connection without
+	// FaultCloseBeforeRun closes the connection without running the request.
+	FaultCloseBeforeRun
+	// FaultCloseAfterRun counts the request as run and closes the connection without
 	// an answer.
-	FaultDieAfterRun
-	// FaultCut counts the request as run and closes the connection in the middle of
+	FaultCloseAfterRun
+	// FaultTruncate counts the request as run and closes the connection in the middle of
 	// an answer.
-	FaultCut
+	FaultTruncate
 	// FaultCrossed answers with the request ID of another request.
 	FaultCrossed
 	// FaultStall counts the request as run and sends no answer until the caller
@@ -40,30 +40,30 @@
 	// FaultHeldCrossed is FaultHeld with the headers of the server's previous
 	// FaultHeldCrossed request, so that the answer is another request's.
 	FaultHeldCrossed
-	// FaultHeldMidway sends the first heldAfterWrites writes of an answer at once,
+	// FaultHeldMidStream sends the first heldAfterWrites writes of an answer at once,
 	// and the rest after Release.
-	FaultHeldMidway
+	FaultHeldMidStream
 	// FaultOversized appends Oversize bytes to the answer.
 	FaultOversized
-	// FaultCutShort closes the connection after CutAfter bytes of the body.
-	FaultCutShort
-	// FaultEnd stops the server while it runs the request: all connections are
+	// FaultTruncateAfter closes the connection after TruncateAfter bytes of the body.
+	FaultTruncateAfter
+	// FaultStopServer stops the server while it runs the request: all connections are
 	// closed, and nothing listens until Again is called.
-	FaultEnd
+	FaultStopServer
 )
 
-// Oversize, in bytes, is above the answer size limit of every service row in the
+// OversizeBytes, in bytes, is above the answer size limit of every service row in the
 // tests.
-const Oversize = 2 << 20
+const OversizeBytes = 2 << 20
 
 // Server is the common part of the fake upstreams: a listener, run counts and
 // fault injection.
 type Server struct {
 	// Slots is the concurrency limit; 0 is unlimited.
 	Slots int
-	// CutAfter is the body length in bytes at which FaultCutShort truncates. It
+	// TruncateAfter is the body length in bytes at which FaultTruncateAfter truncates. It
 	// must not be set while requests run.
-	CutAfter int
+	TruncateAfter int
 	// Listen is the address to listen on; a free loopback port if empty.
 	Listen string
 
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// Again restarts a closed server at its previous address.
-func (s *Server) Again() error {
+// Restart restarts a closed server at its previous address.
+func (s *Server) Restart() error {
 	lis, err := net.Listen("tcp", s.lis.Addr().String())
 	if err != nil {
 		return err
@@ -256,7 +256,7 @@
 // serveWithFault runs a request and injects its fault; run writes the answer.
 func (s *Server) serveWithFault(w http.ResponseWriter, r *http.Request, run func(w http.ResponseWriter)) {
 	fault, released := s.faultFor(r)
-	if fault == FaultDieBefore {
+	if fault == FaultCloseBeforeRun {
 		panic(http.ErrAbortHandler)
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
@@ -267,9 +267,9 @@
 	}
 	defer s.releaseSlot()
 	switch fault {
-	case FaultDieAfterRun:
+	case FaultCloseAfterRun:
 		panic(http.ErrAbortHandler)
-	case FaultEnd:
+	case FaultStopServer:
 		s.Close()
 		panic(http.ErrAbortHandler)
 	case FaultStall:
@@ -287,19 +287,19 @@
 		}
 		r.Header = other
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-	case FaultHeldMidway:
+	case FaultHeldMidStream:
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		w = &heldWriter{ResponseWriter: w, wait: func() bool { return waitRelease(r, released) }}
 	case FaultOversized:
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		run(w)
-		_, _ = w.Write(make([]byte, Oversize))
+		_, _ = w.Write(make([]byte, OversizeBytes))
 		return
-	case FaultCutShort:
+	case FaultTruncateAfter:
 		s.writeTruncated(w, r, run)
 	case FaultCrossed:
 		w.Header().Set("X-Request-Id", "another-request")
-	case FaultCut:
+	case FaultTruncate:
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		w.Header().Set("Content-Length", "1000")
 		fmt.Fprint(w, "only a part of it")
@@ -311,7 +311,7 @@
 	run(w)
 }
 
-// heldAfterWrites is how many writes FaultHeldMidway passes before it blocks.
+// heldAfterWrites is how many writes FaultHeldMidStream passes before it blocks.
 const heldAfterWrites = 2
 
 // heldWriter blocks in wait before the write that follows the first
@@ -333,7 +333,7 @@
 // Unwrap gives http.ResponseController access to the underlying writer.
 func (h *heldWriter) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
-// writeTruncated announces the full Content-Length, sends the first CutAfter bytes
+// writeTruncated announces the full Content-Length, sends the first TruncateAfter bytes
 // of the body and closes the connection.
 func (s *Server) writeTruncated(w http.ResponseWriter, r *http.Request, run func(http.ResponseWriter)) {
 	whole := httptest.NewRecorder()
@@ -342,7 +342,7 @@
 	w.Header().Set("Content-Type", whole.Header().Get("Content-Type"))
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body[:min(s.CutAfter, len(body)-1)])
+	_, _ = w.Write(body[:min(s.TruncateAfter, len(body)-1)])
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
--- a/load/audit.go
+++ b/load/audit.go
@@ -10,8 +10,8 @@
 	Doubled int `json:"doubled"`
 	// WrongNotRun counts requests that ran although their outcome was NotRun.
 	WrongNotRun int `json:"wrong_not_run"`
-	// Unrun counts answered requests that no upstream ran.
-	Unrun int `json:"answered_without_a_run"`
+	// AnsweredWithoutRun counts answered requests that no upstream ran.
+	AnsweredWithoutRun int `json:"answered_without_a_run"`
 	// Crossed counts requests that got another request's answer or a part of one.
 	Crossed int `json:"crossed"`
 	// Lost counts requests whose outcome is Unknown, and LostRan those of them
@@ -25,7 +25,7 @@
 // Clean reports whether the audit found no violation. A lost request is none: the
 // caller knows that the outcome is unknown.
 func (a *Audit) Clean() bool {
-	return a.Doubled == 0 && a.WrongNotRun == 0 && a.Unrun == 0 && a.Crossed == 0
+	return a.Doubled == 0 && a.WrongNotRun == 0 && a.AnsweredWithoutRun == 0 && a.Crossed == 0
 }
 
 func audit(calls []requestRecord, runs map[string]int) *Audit {
@@ -42,7 +42,7 @@
 			a.WrongNotRun++
 		}
 		if n == 0 && c.outcome == Answered {
-			a.Unrun++
+			a.AnsweredWithoutRun++
 		}
 		if c.verdict == Crossed {
 			a.Crossed++
--- a/load/check_test.go
+++ b/load/check_test.go
@@ -119,7 +119,7 @@
 		{map[string]int{"a": 2}, func(a *Audit) int { return a.Doubled }},
 		{map[string]int{"d": 2}, func(a *Audit) int { return a.Doubled }},
 		{map[string]int{"b": 1}, func(a *Audit) int { return a.WrongNotRun }},
-		{map[string]int{"a": 0}, func(a *Audit) int { return a.Unrun }},
+		{map[string]int{"a": 0}, func(a *Audit) int { return a.AnsweredWithoutRun }},
 	} {
 		a := audit(clean, runs(c.runs))
 		assert.Equal(t, c.get(a), 1, "%v", c.runs)
--- a/load/cli.go
+++ b/load/cli.go
@@ -14,8 +14,8 @@
 	"github.com/snipereach/snipereach/kernel"
 )
 
-// ErrWrong is returned for a run whose report is not clean.
-var ErrWrong = merry.Sentinel("answers, refusals or runs were wrong")
+// ErrNotClean is returned for a run whose report is not clean.
+var ErrNotClean = merry.Sentinel("answers, refusals or runs were wrong")
 
 const programName = "snipereach-load"
 
@@ -143,7 +143,7 @@
 		return err
 	}
 	if !rep.Clean() {
-		return ErrWrong
+		return ErrNotClean
 	}
 	return nil
 }
--- a/load/fakes.go
+++ b/load/fakes.go
@@ -22,7 +22,7 @@
 		set.engines = append(set.engines, e)
 	}
 	for _, s := range f.Plain {
-		p := &fake.Plain{Server: fake.Server{Slots: s.Slots, Listen: s.Listen}, Work: s.Work.D()}
+		p := &fake.Plain{Server: fake.Server{Slots: s.Slots, Listen: s.Listen}, WorkTime: s.Work.D()}
 		if err := p.Start(); err != nil {
 			set.Close()
 			return nil, err
--- a/load/faults_test.go
+++ b/load/faults_test.go
@@ -170,11 +170,11 @@
 			Key: r.Header.Get(fake.HeaderRunKey), Method: r.Method, Path: strings.TrimPrefix(r.URL.Path, "/services/clock"),
 		})
 	}, nil, 0)
-	assert.Equal(t, rep.Audit.Unrun, sent)
+	assert.Equal(t, rep.Audit.AnsweredWithoutRun, sent)
 	assert.Assert(t, !rep.Clean())
 
 	// Lost answers: the outcome is unknown, which is no violation.
-	for _, f := range []fake.Fault{fake.FaultDieAfterRun, fake.FaultCut} {
+	for _, f := range []fake.Fault{fake.FaultCloseAfterRun, fake.FaultTruncate} {
 		rep = runThroughNaiveEntries(t, nil, every(f), 0)
 		assert.Equal(t, rep.Audit.Lost, sent)
 		assert.Equal(t, rep.Classes[0].Outcomes[Unknown], sent)
@@ -190,7 +190,7 @@
 	assert.Equal(t, rep.Classes[0].Reasons["unknown status-302"], sent)
 
 	// An entry that ignores idempotency keys runs a resent request twice.
-	rep = runThroughNaiveEntries(t, nil, every(fake.FaultDieAfterRun), 1)
+	rep = runThroughNaiveEntries(t, nil, every(fake.FaultCloseAfterRun), 1)
 	assert.Equal(t, rep.Audit.Doubled, sent)
 	assert.Equal(t, rep.Classes[0].Resent, sent)
 	assert.Assert(t, !rep.Clean())
@@ -207,8 +207,8 @@
 	var n atomic.Int64
 	fault := func(*http.Request) fake.Fault {
 		return []fake.Fault{
-			fake.FaultNone, fake.FaultNone, fake.FaultDieBefore, fake.FaultNone,
-			fake.FaultDieAfterRun, fake.FaultCut, fake.FaultNone, fake.FaultCrossed,
+			fake.FaultNone, fake.FaultNone, fake.FaultCloseBeforeRun, fake.FaultNone,
+			fake.FaultCloseAfterRun, fake.FaultTruncate, fake.FaultNone, fake.FaultCrossed,
 		}[n.Add(1)%8]
 	}
 	runs := func() map[string]int {
--- a/load/plan.go
+++ b/load/plan.go
@@ -73,7 +73,7 @@
 		if p.now >= length {
 			break
 		}
-		factor := Factor(p.settings.Day, p.now.Seconds()/length.Seconds())
+		factor := DayFactor(p.settings.Day, p.now.Seconds()/length.Seconds())
 		if p.rand.Float64()*p.peakFactor < factor {
 			return p.drawArrival(), true
 		}
@@ -98,9 +98,9 @@
 	}
 }
 
-// Factor returns the rate factor at a fraction of the run from 0 to 1, interpolated
+// DayFactor returns the rate factor at a fraction of the run from 0 to 1, interpolated
 // linearly between points. Without points it is 1.
-func Factor(day []Point, at float64) float64 {
+func DayFactor(day []DayPoint, at float64) float64 {
 	if len(day) == 0 {
 		return 1
 	}
--- a/load/plan_test.go
+++ b/load/plan_test.go
@@ -26,11 +26,11 @@
 }
 
 func TestFactorInterpolatesLinearly(t *testing.T) {
-	day := []Point{{0.2, 1}, {0.4, 3}, {0.4, 0.5}, {0.8, 0.5}}
+	day := []DayPoint{{0.2, 1}, {0.4, 3}, {0.4, 0.5}, {0.8, 0.5}}
 	for at, want := range map[float64]float64{0: 1, 0.2: 1, 0.3: 2, 0.4: 0.5, 0.6: 0.5, 0.9: 0.5, 1: 0.5} {
-		assert.Assert(t, math.Abs(Factor(day, at)-want) < 1e-9, "at %g: %g", at, Factor(day, at))
+		assert.Assert(t, math.Abs(DayFactor(day, at)-want) < 1e-9, "at %g: %g", at, DayFactor(day, at))
 	}
-	assert.Equal(t, Factor(nil, 0.5), 1.0)
+	assert.Equal(t, DayFactor(nil, 0.5), 1.0)
 }
 
 // A plan follows the rates, load curve, teams and ranges of the settings, and is
@@ -38,7 +38,7 @@
 func TestPlanMatchesSettings(t *testing.T) {
 	s := testSettings()
 	s.Duration = kernel.Duration(1000 * time.Second)
-	s.Day = []Point{{0, 0}, {0.5, 0}, {0.5, 2}, {1, 2}}
+	s.Day = []DayPoint{{0, 0}, {0.5, 0}, {0.5, 2}, {1, 2}}
 	assert.NilError(t, s.Check())
 	p, again := NewPlan(s), NewPlan(s)
 	count := map[string]int{}
--- a/load/report.go
+++ b/load/report.go
@@ -114,7 +114,7 @@
 	}
 	if a := r.Audit; a != nil {
 		fmt.Fprintf(w, "runs: %d of %d requests; doubled %d, wrong \"not run\" %d, answered without a run %d, crossed %d, lost %d (%d of them ran), foreign %d\n",
-			a.Runs, a.Requests, a.Doubled, a.WrongNotRun, a.Unrun, a.Crossed, a.Lost, a.LostRan, a.Foreign)
+			a.Runs, a.Requests, a.Doubled, a.WrongNotRun, a.AnsweredWithoutRun, a.Crossed, a.Lost, a.LostRan, a.Foreign)
 	}
 	return nil
 }
--- a/load/settings.go
+++ b/load/settings.go
@@ -41,16 +41,16 @@
 	// MaxInFlight bounds the tool's in-flight requests. A request that is due
 	// beyond it is counted as unsent, because the tool is overloaded, not the
 	// system.
-	MaxInFlight int     `toml:"max_in_flight"`
-	Day         []Point `toml:"day"`
-	Team        []Team  `toml:"team"`
-	Class       []Class `toml:"class"`
-	Fakes       Fakes   `toml:"fakes"`
+	MaxInFlight int        `toml:"max_in_flight"`
+	Day         []DayPoint `toml:"day"`
+	Team        []Team     `toml:"team"`
+	Class       []Class    `toml:"class"`
+	Fakes       Fakes      `toml:"fakes"`
 }
 
-// Point is one point of the day's load curve: the factor of all rates at a fraction
+// DayPoint is one point of the day's load curve: the factor of all rates at a fraction
 // of the duration. Between points the factor is interpolated linearly.
-type Point struct {
+type DayPoint struct {
 	At     float64 `toml:"at"`
 	Factor float64 `toml:"factor"`
 }
--- a/measure/claim/main.go
+++ b/measure/claim/main.go
@@ -46,7 +46,7 @@
 func run(d time.Duration, durable int) error {
 	ctx := context.Background()
 	sys, err := quickstart.Start(ctx, quickstart.Options{
-		Log: log.NewNopLogger(), Entries: entries, Controls: 3, PlainSlots: 512, PlainWork: -1, ClaimFolders: durable,
+		Log: log.NewNopLogger(), Entries: entries, Controls: 3, PlainSlots: 512, PlainWork: -1, DurableClaimEntries: durable,
 	})
 	if err != nil {
 		return err
--- a/measure/kills/main.go
+++ b/measure/kills/main.go
@@ -64,7 +64,7 @@
 		wg.Go(func() { b.sendBids(stop) })
 	}
 	down := time.Duration(o.Down * float64(time.Second))
-	for _, name := range sys.Names() {
+	for _, name := range sys.PartNames() {
 		if err := b.killAndRestart(ctx, down, name); err != nil {
 			return err
 		}
@@ -90,7 +90,7 @@
 // partsOfDomain returns the names of the parts in a failure domain.
 func (b *bench) partsOfDomain(name string) []string {
 	var list []string
-	for _, n := range b.sys.Names() {
+	for _, n := range b.sys.PartNames() {
 		if p, ok := b.sys.Part(n); ok && p.FailureDomain == name {
 			list = append(list, n)
 		}
--- a/measure/rollout/sim.go
+++ b/measure/rollout/sim.go
@@ -251,9 +251,9 @@
 			return
 		}
 		r := s.ranks[o.Rank]
-		status := r.Give(o.Verb, &o.Order)
+		status := r.HandleOrder(o.Verb, &o.Order)
 		if r.Loading() != 0 {
-			s.schedule(staging, r.Loaded)
+			s.schedule(staging, r.FinishLoading)
 		}
 		if s.fault == rankWhileArmed && status.Armed != 0 && !s.faultDone {
 			s.killRank(o.Rank)
@@ -288,7 +288,7 @@
 			s.retryLater(s.nextStep)
 			return
 		}
-		step = max(step, r.Next())
+		step = max(step, r.NextStep())
 	}
 	s.beginStep(s.execution, step, map[int]bool{})
 }
@@ -305,9 +305,9 @@
 		return
 	}
 	for i, r := range s.ranks {
-		r.Join(step)
-		if !begun[i] && r.MayBegin() {
-			r.Begin(step)
+		r.RaiseNextStep(step)
+		if !begun[i] && r.CanBeginStep() {
+			r.BeginStep(step)
 			begun[i] = true
 		}
 	}
--- a/measure/rollout/sockets.go
+++ b/measure/rollout/sockets.go
@@ -50,6 +50,6 @@
 	time.Sleep(d)
 	h := sys.Group.History()
 	fmt.Printf("\nOver sockets, %d ranks, in %v: %d steps, %d switches, %d steps with two maps, %v lost in all, %v at most at once.\n",
-		ranks, d, h.Steps, max(len(h.Epochs)-1, 0), h.Mixed, h.Lost.Round(time.Millisecond), h.Blocked.Round(time.Millisecond))
+		ranks, d, h.Steps, max(len(h.Epochs)-1, 0), h.MixedSteps, h.TotalBlocked.Round(time.Millisecond), h.MaxBlocked.Round(time.Millisecond))
 	return nil
 }
--- a/quickstart/crash_test.go
+++ b/quickstart/crash_test.go
@@ -55,10 +55,10 @@
 				select {
 				case <-stopped:
 				case <-time.After(300 * time.Millisecond):
-					assert.Check(t, p.Again())
+					assert.Check(t, p.Restart())
 				}
 			}()
-			return fake.FaultEnd
+			return fake.FaultStopServer
 		})
 	}
 	return e
--- a/quickstart/drain_test.go
+++ b/quickstart/drain_test.go
@@ -16,7 +16,7 @@
 // A drained entry must answer with Connection: close on keep-alive connections
 // before it closes them, so that no request is cut.
 func TestEntryDrainCutsNoRequestOnKeepAliveConnections(t *testing.T) {
-	s, err := Start(context.Background(), Options{Log: log.NewNopLogger(), FakeDisks: true, Keep: time.Second})
+	s, err := Start(context.Background(), Options{Log: log.NewNopLogger(), FakeDisks: true, EntryListTTL: time.Second})
 	assert.NilError(t, err)
 	t.Cleanup(s.Stop)
 	assert.NilError(t, s.WaitReady(context.Background()))
--- a/quickstart/failure_test.go
+++ b/quickstart/failure_test.go
@@ -27,9 +27,9 @@
 	}
 	whole := post("whole-xx")
 	assert.Equal(t, whole.status, 200)
-	s.Plains[0].SetFault(func(*http.Request) fake.Fault { return fake.FaultCutShort })
+	s.Plains[0].SetFault(func(*http.Request) fake.Fault { return fake.FaultTruncateAfter })
 	for n := range len(whole.body) {
-		s.Plains[0].CutAfter = n
+		s.Plains[0].TruncateAfter = n
 		key := fmt.Sprintf("whole-%02d", n)
 		p := problemOf(t, post(key))
 		assert.Equal(t, p.Outcome, "unknown", "after %d bytes", n)
@@ -50,9 +50,9 @@
 	}
 	whole := post()
 	assert.NilError(t, whole.err)
-	s.Engines[0].SetFault(func(*http.Request) fake.Fault { return fake.FaultCutShort })
+	s.Engines[0].SetFault(func(*http.Request) fake.Fault { return fake.FaultTruncateAfter })
 	for n := range len(whole.body) {
-		s.Engines[0].CutAfter = n
+		s.Engines[0].TruncateAfter = n
 		r := post()
 		assert.Assert(t, r.err != nil || r.status == http.StatusBadGateway, "after %d bytes: status %d, %q", n, r.status, r.body)
 		assert.Assert(t, r.status != 200 || strings.HasPrefix(whole.body, r.body), "%q", r.body)
--- a/quickstart/group.go
+++ b/quickstart/group.go
@@ -38,7 +38,7 @@
 		Layers: groupLayers, Slots: groupExpertsPerRank + 1,
 	}
 	s.Group = &fake.Group{
-		Name: GroupName, Shape: shape, Step: groupStep, Load: groupStaging,
+		Name: GroupName, Shape: shape, Step: groupStep, LoadTime: groupStaging,
 		Tokens: func(step uint64) placement.Load { return driftingLoad(shape, step) },
 	}
 	s.Group.Start(ctx)
--- a/quickstart/group_test.go
+++ b/quickstart/group_test.go
@@ -120,7 +120,7 @@
 	})
 	assert.Assert(t, strings.Contains(out, "1.500\t1.250\t0.00\t0.00\tplanner test-rotate\trotated by one rank"), out)
 	h := s.Group.History()
-	assert.Equal(t, h.Mixed, 0)
+	assert.Equal(t, h.MixedSteps, 0)
 	assert.Assert(t, slices.IsSorted(h.Epochs) && h.Steps > 100, "%+v", h)
 }
 
@@ -152,5 +152,5 @@
 	out, code = runCtl(t, s, 0, "groups", "ranks", GroupName)
 	assert.Equal(t, code, 0, out)
 	assert.Equal(t, strings.Count(out, "lm-"), 3, out)
-	assert.Equal(t, s.Group.History().Mixed, 0)
+	assert.Equal(t, s.Group.History().MixedSteps, 0)
 }
--- a/quickstart/parts.go
+++ b/quickstart/parts.go
@@ -61,9 +61,9 @@
 	return s.StartPart(ctx, p.name)
 }
 
-// Names returns the names of all parts, running or not, in the order of their first
+// PartNames returns the names of all parts, running or not, in the order of their first
 // start.
-func (s *System) Names() []string {
+func (s *System) PartNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.order...)
@@ -125,8 +125,8 @@
 	return ""
 }
 
-// Members returns the drpc addresses of the control replicas.
-func (s *System) Members() []string { return append([]string(nil), s.controlAddrs...) }
+// ControlAddresses returns the drpc addresses of the control replicas.
+func (s *System) ControlAddresses() []string { return append([]string(nil), s.controlAddrs...) }
 
 // StartPart starts a stopped part, like a new process on the same host. It returns
 // ErrPart if there is no such part or it runs.
@@ -211,9 +211,9 @@
 	return s.Kill(name), err
 }
 
-// LoseDisk deletes the data of a stopped part. It returns ErrPart if the part runs
+// WipeDisk deletes the data of a stopped part. It returns ErrPart if the part runs
 // or has no data directory.
-func (s *System) LoseDisk(name string) error {
+func (s *System) WipeDisk(name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.parts[name]
@@ -245,7 +245,7 @@
 
 func (s *System) nameAddress(address, name string) {
 	if s.opts.Network != nil {
-		s.opts.Network.Name(address, name)
+		s.opts.Network.Register(address, name)
 	}
 }
 
@@ -254,7 +254,7 @@
 func (s *System) reservePorts(n int) ([]string, error) {
 	var list []string
 	for range n {
-		address, release, err := fake.HoldPort()
+		address, release, err := fake.ReservePort()
 		if err != nil {
 			return nil, err
 		}
@@ -295,7 +295,7 @@
 	s.assignStorage(p)
 	p.start = func(ctx context.Context) (kernel.Daemon, error) {
 		set := control.DefaultDaemonSettings()
-		set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, Secret
+		set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, ClusterSecret
 		set.Listen, set.OperatorsListen = s.controlAddrs[i], operators
 		set.Control = s.controlSettings(p)
 		set.Dial = s.dialer(p.name)
@@ -356,7 +356,7 @@
 func (s *System) startEntry(ctx context.Context, i int, internal string) error {
 	p := &part{name: fmt.Sprintf("entry-%d", i+1), domain: s.layout.domain(i), role: RoleEntry}
 	replica := s.opts.Controls == 0 && i < maxReplicas
-	durable := replica && s.opts.ClaimFolders == 0 || i < s.opts.ClaimFolders
+	durable := replica && s.opts.DurableClaimEntries == 0 || i < s.opts.DurableClaimEntries
 	if replica || durable {
 		s.assignStorage(p)
 	}
@@ -365,8 +365,8 @@
 		return err
 	}
 	callers, operators := reserved[0], reserved[1]
-	if i == 0 && s.opts.CallersPort != 0 {
-		callers = fmt.Sprintf("127.0.0.1:%d", s.opts.CallersPort)
+	if i == 0 && s.opts.CallerPort != 0 {
+		callers = fmt.Sprintf("127.0.0.1:%d", s.opts.CallerPort)
 	}
 	s.nameAddress(callers, p.name)
 	s.nameAddress(operators, p.name)
@@ -404,7 +404,7 @@
 
 func (s *System) entrySettings(p *part, replica bool) *entry.Settings {
 	set := entry.DefaultSettings()
-	set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, Secret
+	set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, ClusterSecret
 	digest := sha256.Sum256([]byte(OperatorKey))
 	set.Operator = []operators.Operator{{Name: "quickstart", KeySHA256: hex.EncodeToString(digest[:])}}
 	set.Dial, set.Now = s.dialer(p.name), p.clock.Now
@@ -416,8 +416,8 @@
 	if s.opts.EntrySlots > 0 {
 		set.Slots = s.opts.EntrySlots
 	}
-	if s.opts.Keep > 0 {
-		set.EntryListTTL = kernel.Duration(s.opts.Keep)
+	if s.opts.EntryListTTL > 0 {
+		set.EntryListTTL = kernel.Duration(s.opts.EntryListTTL)
 	}
 	return set
 }
@@ -439,7 +439,7 @@
 	s.Agents = append(s.Agents, nil)
 	p.start = func(ctx context.Context) (kernel.Daemon, error) {
 		set := agent.DefaultSettings()
-		set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, Secret
+		set.ID, set.FailureDomain, set.ClusterSecret = p.name, p.domain, ClusterSecret
 		set.Kind, set.Pools, set.Upstream = kind, []string{pool}, map[string]any{"url": url}
 		set.AnnounceTo, set.Dial, set.Now = s.controlAddrs, s.dialer(p.name), p.clock.Now
 		set.Listen, set.Operators = listen, operators
--- a/quickstart/quickstart.go
+++ b/quickstart/quickstart.go
@@ -37,14 +37,14 @@
 // planPeriod is how often placement is planned.
 const planPeriod = 2 * time.Second
 
-// Secret is the cluster secret of the quickstart.
-const Secret = "quickstart cluster secret"
+// ClusterSecret is the cluster secret of the quickstart.
+const ClusterSecret = "quickstart cluster secret"
 
 // Options of a quickstart.
 type Options struct {
 	Log log.Logger
-	// CallersPort is the caller port of the first entry; 0 selects a free one.
-	CallersPort int
+	// CallerPort is the caller port of the first entry; 0 selects a free one.
+	CallerPort int
 	// Rows, in TSV, replaces the built-in table rows if not empty.
 	Rows string
 	// Engines and Plains are the numbers of upstreams; 3 and 1 if zero.
@@ -61,12 +61,12 @@
 	// FakeDisks keeps durable state on fake disks in memory. A killed part loses
 	// what was not synced.
 	FakeDisks bool
-	// ClaimFolders is how many entries store their claims durably: those with
+	// DurableClaimEntries is how many entries store their claims durably: those with
 	// control replicas if zero, none if negative.
-	ClaimFolders int
-	// Keep is how long callers may cache the list of entries; the entries' default
+	DurableClaimEntries int
+	// EntryListTTL is how long callers may cache the list of entries; the entries' default
 	// if zero.
-	Keep time.Duration
+	EntryListTTL time.Duration
 	// EntrySlots is the concurrency limit of an entry; the entries' default if
 	// zero.
 	EntrySlots int
@@ -186,7 +186,7 @@
 		return err
 	}
 	for i, address := range addresses {
-		p := &fake.Plain{Server: fake.Server{Listen: address, Slots: s.opts.PlainSlots}, Work: max(s.opts.PlainWork, 0)}
+		p := &fake.Plain{Server: fake.Server{Listen: address, Slots: s.opts.PlainSlots}, WorkTime: max(s.opts.PlainWork, 0)}
 		if err := p.Start(); err != nil {
 			return err
 		}
@@ -211,7 +211,7 @@
 	for _, r := range rows {
 		edit.Rows = append(edit.Rows, &wire.RowEdit{Kind: r.Kind, Key: r.Key, Columns: r.Columns})
 	}
-	s.pool = transport.NewPool(transport.Security{Secret: []byte(Secret)})
+	s.pool = transport.NewPool(transport.Security{Secret: []byte(ClusterSecret)})
 	client := control.NewClient(s.pool, s.controlAddrs, "quickstart")
 	for {
 		reply, err := client.Edit(ctx, edit)
@@ -283,7 +283,7 @@
 	if s.cancel != nil {
 		s.cancel()
 	}
-	for _, name := range s.Names() {
+	for _, name := range s.PartNames() {
 		s.Kill(name)
 	}
 	for _, e := range s.Engines {
--- a/quickstart/quickstart_test.go
+++ b/quickstart/quickstart_test.go
@@ -153,9 +153,9 @@
 		outcome string
 		reason  string
 	}{
-		{fake.FaultDieBefore, 0, "unknown", "upstream-failed"},
-		{fake.FaultDieAfterRun, 1, "unknown", "upstream-failed"},
-		{fake.FaultCut, 1, "unknown", "answer-invalid"},
+		{fake.FaultCloseBeforeRun, 0, "unknown", "upstream-failed"},
+		{fake.FaultCloseAfterRun, 1, "unknown", "upstream-failed"},
+		{fake.FaultTruncate, 1, "unknown", "answer-invalid"},
 		{fake.FaultCrossed, 1, "unknown", "answer-invalid"},
 	} {
 		key := fmt.Sprintf("fault-%d", c.fault)
@@ -231,7 +231,7 @@
 		return callEntry(s, n, "POST", "/services/clock-core/confirm", "{}",
 			map[string]string{"Idempotency-Key": key, fake.HeaderRunKey: key})
 	}
-	s.Plains[0].SetFault(func(*http.Request) fake.Fault { return fake.FaultDieAfterRun })
+	s.Plains[0].SetFault(func(*http.Request) fake.Fault { return fake.FaultCloseAfterRun })
 	// On a busy machine an attempt may be refused before it reaches the upstream
 	// (expired lease or deadline). It is then correctly reported as not run.
 	key := ""
--- a/quickstart/route_test.go
+++ b/quickstart/route_test.go
@@ -86,7 +86,7 @@
 	i := engineThatRuns(t, s, promptBody("roses"))
 	id := fmt.Sprintf("lm-%d", i+1)
 	waitFor(t, func() bool { return routeState(t, s, 1)[id].CacheSeq == 1 })
-	s.Engines[i].LoseCacheEvents(1)
+	s.Engines[i].DropCacheEvents(1)
 	s.Engines[i].ClearCache()
 	s.Engines[i].ClearCache()
 	waitFor(t, func() bool { return routeState(t, s, 1)[id].CacheSeq == 3 })
--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -64,8 +64,8 @@
 	tg.now = tg.now.Add(100 * time.Millisecond)
 	e := tg.coordinator.Tick(tg.now)
 	for _, o := range e.Orders {
-		s := tg.ranks[o.Rank].Give(o.Verb, &o.Order)
-		tg.ranks[o.Rank].Loaded()
+		s := tg.ranks[o.Rank].HandleOrder(o.Verb, &o.Order)
+		tg.ranks[o.Rank].FinishLoading()
 		tg.coordinator.HandleStatus(tg.now, o.Rank, s)
 	}
 	if e.Command != nil && !tg.dropCommand(e.Command) {
@@ -94,8 +94,8 @@
 // runSteps lets each rank run steps before end until it has to stop.
 func (tg *testGroup) runSteps(end uint64) {
 	for _, r := range tg.ranks {
-		for !r.Blank() && r.Next() < end && r.MayBegin() {
-			r.Begin(r.Next())
+		for !r.Blank() && r.NextStep() < end && r.CanBeginStep() {
+			r.BeginStep(r.NextStep())
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	sw := tg.armUndecided()
 	tg.runSteps(sw.Step + 100)
 	for _, r := range tg.ranks {
-		assert.Equal(t, r.Next(), sw.Step, "must stop before the armed step")
+		assert.Equal(t, r.NextStep(), sw.Step, "must stop before the armed step")
 	}
 	tg.startLeader()
 	tg.runUntil("the decision", func() bool { return tg.state().Map.Epoch == sw.Map.Epoch })
@@ -145,11 +145,14 @@
 	tg.runUntil("the cancellation", func() bool { return tg.state().Switch == nil })
 	assert.Equal(t, tg.state().Records[0].Outcome, rollout.OutcomeCancelled)
 	assert.Equal(t, tg.state().Records[0].Detail, "rank 2 restarted")
-	tg.runUntil("steps with the old map", func() bool { tg.runSteps(sw.Step + 5); return tg.ranks[0].Next() > sw.Step && tg.ranks[2].Next() > 0 })
+	tg.runUntil("steps with the old map", func() bool {
+		tg.runSteps(sw.Step + 5)
+		return tg.ranks[0].NextStep() > sw.Step && tg.ranks[2].NextStep() > 0
+	})
 	for _, r := range tg.ranks {
 		assert.Equal(t, r.Status().Epoch, oldEpoch)
 	}
-	delayed := tg.ranks[2].Give(rollout.VerbArm, &rollout.Order{Incarnation: 1, Epoch: sw.Map.Epoch, Step: sw.Step + 50})
+	delayed := tg.ranks[2].HandleOrder(rollout.VerbArm, &rollout.Order{Incarnation: 1, Epoch: sw.Map.Epoch, Step: sw.Step + 50})
 	assert.Equal(t, delayed.Refused, "order is for incarnation 1")
 	assert.Equal(t, delayed.Armed, uint64(0))
 }
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -370,7 +370,7 @@
 				return
 			}
 			o.Incarnation = status.Incarnation
-			r.rank.Give(verb, &o)
+			r.rank.HandleOrder(verb, &o)
 			s.agentResolutions++
 		})
 	})
@@ -387,12 +387,12 @@
 		r.highestToken = l.token
 	}
 	order := o.Order
-	st := r.rank.Give(o.Verb, &order)
+	st := r.rank.HandleOrder(o.Verb, &order)
 	if r.rank.Loading() != 0 {
 		incarnation := r.incarnation
 		s.after(s.randomDuration(5*time.Millisecond, 30*time.Millisecond), func() {
 			if r.up && r.incarnation == incarnation {
-				r.rank.Loaded()
+				r.rank.FinishLoading()
 			}
 		})
 	}
@@ -417,7 +417,7 @@
 			s.after(simStepTime, s.startStep)
 			return
 		}
-		step = max(step, r.rank.Next())
+		step = max(step, r.rank.NextStep())
 	}
 	s.attempt++
 	s.step = step
@@ -438,12 +438,12 @@
 		s.after(r.stalledUntil-s.now, func() { s.enterStep(attempt, r) })
 		return
 	}
-	r.rank.Join(s.step)
-	if !r.rank.MayBegin() && !s.disabled.armedWait {
+	r.rank.RaiseNextStep(s.step)
+	if !r.rank.CanBeginStep() && !s.disabled.armedWait {
 		s.after(simArmedPoll, func() { s.enterStep(attempt, r) })
 		return
 	}
-	epoch := r.rank.Begin(s.step)
+	epoch := r.rank.BeginStep(s.step)
 	r.lastEpoch = epoch
 	for other, e := range s.stepEpochs {
 		if e != epoch {
@@ -496,7 +496,7 @@
 	r.rank, r.up, r.highestToken = fake.NewRank(r.incarnation), true, 0
 	r.rank.StepMicros = s.randomStepMicros()
 	if s.disabled.adoptOnRestart && lastEpoch != 0 {
-		r.rank.Give(rollout.VerbAdopt, &rollout.Order{Incarnation: r.incarnation, Epoch: lastEpoch})
+		r.rank.HandleOrder(rollout.VerbAdopt, &rollout.Order{Incarnation: r.incarnation, Epoch: lastEpoch})
 	}
 }
 
--- a/scenario/commands.go
+++ b/scenario/commands.go
@@ -22,7 +22,7 @@
 		"drained":   forEachPart((*world).waitDrained),
 		"freeze":    forEachPart((*world).freezePart),
 		"thaw":      forEachPart((*world).thawPart),
-		"lose-disk": forEachPart(func(w *world, p string) error { return w.sys.LoseDisk(p) }),
+		"lose-disk": forEachPart(func(w *world, p string) error { return w.sys.WipeDisk(p) }),
 		"name":      (*world).cmdName,
 		// Links and upstreams.
 		"cut":     (*world).cmdCut,
--- a/scenario/group.go
+++ b/scenario/group.go
@@ -137,12 +137,12 @@
 		return ""
 	}
 	for i, e := range w.sys.Engines {
-		if n := e.Overtaken(); n > 0 {
+		if n := e.StaleOrders(); n > 0 {
 			return fmt.Sprintf("rank %d executed %d orders of an old leader after those of a new one", i+1, n)
 		}
 	}
-	if h := w.sys.Group.History(); h.Mixed > 0 {
-		return fmt.Sprintf("%d of %d steps used two maps", h.Mixed, h.Steps)
+	if h := w.sys.Group.History(); h.MixedSteps > 0 {
+		return fmt.Sprintf("%d of %d steps used two maps", h.MixedSteps, h.Steps)
 	}
 	return ""
 }
--- a/scenario/links.go
+++ b/scenario/links.go
@@ -55,7 +55,7 @@
 	}
 	for end := time.Now().Add(dialTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		n := 0
-		if err := w.forEachPair(args[0], args[1], func(x, y string) { n += w.net.Dialling(x, y) }); err != nil {
+		if err := w.forEachPair(args[0], args[1], func(x, y string) { n += w.net.Dialing(x, y) }); err != nil {
 			return err
 		}
 		if n > 0 {
@@ -66,10 +66,10 @@
 }
 
 var faultsByName = map[string]fake.Fault{
-	"well": fake.FaultNone, "die-before": fake.FaultDieBefore, "die-after-run": fake.FaultDieAfterRun,
-	"cut": fake.FaultCut, "crossed": fake.FaultCrossed, "never": fake.FaultStall,
-	"held": fake.FaultHeld, "held-crossed": fake.FaultHeldCrossed, "held-midway": fake.FaultHeldMidway,
-	"oversized": fake.FaultOversized, "cut-short": fake.FaultCutShort,
+	"well": fake.FaultNone, "die-before": fake.FaultCloseBeforeRun, "die-after-run": fake.FaultCloseAfterRun,
+	"cut": fake.FaultTruncate, "crossed": fake.FaultCrossed, "never": fake.FaultStall,
+	"held": fake.FaultHeld, "held-crossed": fake.FaultHeldCrossed, "held-midway": fake.FaultHeldMidStream,
+	"oversized": fake.FaultOversized, "cut-short": fake.FaultTruncateAfter,
 }
 
 func (w *world) cmdAnswers(_ bool, args []string) error {
--- a/scenario/world.go
+++ b/scenario/world.go
@@ -73,7 +73,7 @@
 // restoreAll heals every link and thaws every part.
 func (w *world) restoreAll() {
 	w.net.HealAll()
-	for _, name := range w.sys.Names() {
+	for _, name := range w.sys.PartNames() {
 		w.net.Thaw(name)
 		w.sys.Thaw(name)
 	}
@@ -122,13 +122,13 @@
 		return merry.Prepend(ErrScript, "system [entries=N] [controls=N] [engines=N] [plains=N] [groups=yes] [claims=memory], once")
 	}
 	opts := quickstart.Options{
-		Log: log.NewNopLogger(), Layout: w.layout, Network: w.net, FakeDisks: true, Keep: time.Second,
+		Log: log.NewNopLogger(), Layout: w.layout, Network: w.net, FakeDisks: true, EntryListTTL: time.Second,
 		Engines: o.intValue("engines", 3), Plains: o.intValue("plains", 3),
 		Entries: o.intValue("entries", 3), Controls: o.intValue("controls", 0),
 		PlainTimeout: plainTimeout, ClaimRound: claimRound,
 	}
 	if o.values["claims"] == "memory" {
-		opts.ClaimFolders = -1
+		opts.DurableClaimEntries = -1
 	}
 	if o.values["groups"] == "yes" {
 		opts.Planner = plannerRotate
@@ -171,7 +171,7 @@
 	}
 	var list []string
 	role, isGroup := partGroups[word]
-	for _, name := range w.sys.Names() {
+	for _, name := range w.sys.PartNames() {
 		p, _ := w.sys.Part(name)
 		if name == word || p.FailureDomain == word || word == "parts" || isGroup && p.Role == role {
 			list = append(list, name)
@@ -208,7 +208,7 @@
 // runningEntries returns the sorted names of the running entries.
 func (w *world) runningEntries() []string {
 	var list []string
-	for _, name := range w.sys.Names() {
+	for _, name := range w.sys.PartNames() {
 		if p, _ := w.sys.Part(name); p.Role == quickstart.RoleEntry && p.Running {
 			list = append(list, name)
 		}
@@ -240,7 +240,7 @@
 // runCount returns how often a request ran, summed over all upstreams.
 func (w *world) runCount(key string) int {
 	n := 0
-	for _, name := range w.sys.Names() {
+	for _, name := range w.sys.PartNames() {
 		if p, _ := w.sys.Part(name); p.Upstream != nil {
 			n += p.Upstream.Runs()[key]
 		}
--- a/wal/log_test.go
+++ b/wal/log_test.go
@@ -80,7 +80,7 @@
 	for _, name := range names {
 		for bit := range whole.Size(name) * 8 {
 			c := whole.Clone()
-			c.Flip(name, bit)
+			c.FlipBit(name, bit)
 			damaged[fmt.Sprint(name, " bit ", bit)] = c
 		}
 	}
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -85,7 +85,7 @@
 	for _, name := range names {
 		for bit := range d.Size(name) * 8 {
 			c := d.Clone()
-			c.Flip(name, bit)
+			c.FlipBit(name, bit)
 			_, _, err := wal.Open(c)
 			assert.ErrorIs(t, err, wal.ErrCorrupt, "%s bit %d", name, bit)
 		}
