--- a/agent/agent.go
+++ b/agent/agent.go
@@ -49,7 +49,7 @@
 	attempts       *attemptRegistry
 	tickets        *ticketRegistry
 	orders         *orderFence
-	incarnation    *directory.Life
+	incarnation    *directory.Incarnation
 	generations    upstreamGenerations
 	seq            atomic.Uint64
 	metrics        metrics.Registry
@@ -82,7 +82,7 @@
 		srv:         transport.NewServer(sec),
 		runner:      admit.NewRunner(initialQueueConfig(s).admitSettings(), s.Now),
 		metrics:     metrics.NewRegistry(),
-		incarnation: directory.NewLife(s.ID, s.Now()),
+		incarnation: directory.NewIncarnation(s.ID, s.Now()),
 		attempts:    newAttemptRegistry(),
 	}
 	a.tickets = newTicketRegistry(a.runner, time.AfterFunc)
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -34,7 +34,7 @@
 		if !reply.Superseded {
 			continue
 		}
-		if a.incarnation.Supersede(reply.KnownIncarnation) {
+		if a.incarnation.RaiseAbove(reply.KnownIncarnation) {
 			kernel.Warn(a.log, "The clock is behind the start time of an earlier incarnation; switched to a higher incarnation number.", "id", a.settings.ID, "incarnation", a.incarnation.Number(), "told_by", addr)
 			continue
 		}
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -104,7 +104,7 @@
 // collector would get part of the counts.
 func (a *Agent) forwardOrder(ctx context.Context, order *wire.Order) (*wire.OrderReply, error) {
 	if order.Verb != rollout.VerbCounters {
-		return a.upstream.Give(ctx, order)
+		return a.upstream.SendOrder(ctx, order)
 	}
 	counters, err := a.upstream.Counters(ctx)
 	if err != nil {
--- a/agent/resolve.go
+++ b/agent/resolve.go
@@ -77,7 +77,7 @@
 	if ok, detail := a.orders.admitAgentOrder(ctx, order); !ok {
 		return s, merry.Prepend(ErrOrderRefused, detail)
 	}
-	reply, err := a.upstream.Give(ctx, order)
+	reply, err := a.upstream.SendOrder(ctx, order)
 	if err != nil {
 		return s, err
 	}
--- a/agent/run.go
+++ b/agent/run.go
@@ -133,7 +133,7 @@
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
 		outcome = wire.Outcome_OUTCOME_NOT_RUN
-	case errors.Is(err, upstream.ErrCrossed):
+	case errors.Is(err, upstream.ErrRequestIDMismatch):
 		reason = wire.Reason_REASON_ANSWER_INVALID
 	case errors.Is(err, context.DeadlineExceeded) || at.agent.settings.Now().After(at.deadline):
 		reason = wire.Reason_REASON_DEADLINE
--- a/agent/upstream_exit.go
+++ b/agent/upstream_exit.go
@@ -49,13 +49,13 @@
 func (at *attempt) detectUpstreamExit(ctx context.Context) string {
 	a := at.agent
 	a.generations.recordContact(at.sentAt)
-	refuser, ok := a.upstream.(upstream.Refuser)
+	refuser, ok := a.upstream.(upstream.RefusalChecker)
 	if !ok || ctx.Err() != nil || a.attempts.isClosed() {
 		return ""
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if !refuser.Refuses(ctx) {
+	if !refuser.RefusesConnections(ctx) {
 		return ""
 	}
 	generation := fmt.Sprintf("%s/%d/%d", a.settings.ID, a.incarnation.Number(), a.generations.recordExit(a.settings.Now()))
--- a/claim/acquisition.go
+++ b/claim/acquisition.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// RoundTimeout is how long a round waits for replies if the request doesn't set a
+	// DefaultRoundTimeout is how long a round waits for replies if the request doesn't set a
 	// timeout.
-	RoundTimeout = 250 * time.Millisecond
+	DefaultRoundTimeout = 250 * time.Millisecond
 	// MinBackoff and MaxBackoff bound the backoff between two rounds, before jitter.
 	MinBackoff = 10 * time.Millisecond
 	MaxBackoff = 100 * time.Millisecond
@@ -40,8 +40,8 @@
 	Digest   []byte
 	TTL      time.Duration
 	Deadline time.Time
-	// Round is the timeout of a round; RoundTimeout if zero.
-	Round time.Duration
+	// RoundTimeout is the timeout of a round; DefaultRoundTimeout if zero.
+	RoundTimeout time.Duration
 }
 
 // RingState is what an entry knows of the ring.
@@ -109,8 +109,8 @@
 
 // NewAcquisition returns an Acquisition for a request. Its first round starts with Step.
 func NewAcquisition(req Request, gone func(*wire.Incarnation) bool, jitter func(time.Duration) time.Duration) *Acquisition {
-	if req.Round <= 0 {
-		req.Round = RoundTimeout
+	if req.RoundTimeout <= 0 {
+		req.RoundTimeout = DefaultRoundTimeout
 	}
 	return &Acquisition{req: req, entryGone: gone, jitter: jitter, backoff: MinBackoff}
 }
@@ -164,7 +164,7 @@
 	acq.roundNumber++
 	acq.round = NewRound(ring.Ring, acq.req.Key, ring.Joint)
 	acq.round.disabled = acq.disabled
-	acq.roundDeadline = now.Add(acq.req.Round)
+	acq.roundDeadline = now.Add(acq.req.RoundTimeout)
 	if acq.roundDeadline.After(acq.req.Deadline) {
 		acq.roundDeadline = acq.req.Deadline
 	}
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -149,7 +149,7 @@
 			seen[m.FailureDomain] = true
 			ids[m.Id] = true
 		}
-		if len(ids) != Copies || len(seen) != min(Copies, domains) {
+		if len(ids) != RegistersPerKey || len(seen) != min(RegistersPerKey, domains) {
 			t.Fatalf("%d registers in %d domains", len(ids), len(seen))
 		}
 	})
--- a/claim/client.go
+++ b/claim/client.go
@@ -22,9 +22,9 @@
 
 // Outcome is the result of Claim. Hold is set if Choice is Run.
 type Outcome struct {
-	Choice Decision
-	Record *wire.ClaimRecord
-	Hold   *Hold
+	Decision Decision
+	Record   *wire.ClaimRecord
+	Hold     *Hold
 }
 
 // roundReply is a register's reply to the claim of one holder; reply is nil if it failed.
@@ -37,7 +37,7 @@
 // ends. gone reports whether an entry's incarnation has ended.
 func (n *Node) Claim(ctx context.Context, q Request, gone func(*wire.Incarnation) bool) Outcome {
 	acq := NewAcquisition(q, gone, func(d time.Duration) time.Duration { return rand.N(d + 1) })
-	replies := make(chan roundReply, 8*Copies)
+	replies := make(chan roundReply, 8*RegistersPerKey)
 	for {
 		a := acq.Step(n.now(), n.Ring())
 		if a.Release != nil {
@@ -46,9 +46,9 @@
 		switch a.Decision {
 		case Wait:
 		case Run:
-			return Outcome{Choice: Run, Hold: &Hold{node: n, key: q.Key, holder: acq.Holder(), targets: a.Targets}}
+			return Outcome{Decision: Run, Hold: &Hold{node: n, key: q.Key, holder: acq.Holder(), targets: a.Targets}}
 		default:
-			return Outcome{Choice: a.Decision, Record: a.Record}
+			return Outcome{Decision: a.Decision, Record: a.Record}
 		}
 		if a.Claim != nil {
 			n.sendClaims(ctx, a, acq.Holder(), replies)
@@ -64,7 +64,7 @@
 			// ran isn't known here.
 			r := acq.cancel()
 			n.sendSettlement(r.Release, r.ReleaseTargets)
-			return Outcome{Choice: Unknown}
+			return Outcome{Decision: Unknown}
 		}
 		timer.Stop()
 	}
@@ -128,7 +128,7 @@
 
 func (n *Node) sendSettlementTo(m *wire.RingMember, s *wire.ClaimSettle) {
 	for range maxSettleAttempts {
-		ctx, cancel := context.WithTimeout(context.Background(), RoundTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), DefaultRoundTimeout)
 		_, err := wire.NewDRPCClaimClient(n.dial(ctx, m.Address)).Settle(ctx, s)
 		cancel()
 		if err == nil {
--- a/claim/node.go
+++ b/claim/node.go
@@ -25,8 +25,8 @@
 // IncarnationSource provides the incarnation of the process. Supersede raises its
 // number above that of a known later incarnation, and reports whether it did.
 type IncarnationSource interface {
-	Wire() *wire.Incarnation
-	Supersede(known uint64) bool
+	ToWire() *wire.Incarnation
+	RaiseAbove(known uint64) bool
 }
 
 // Node runs a Register: it serves the claims of other entries, acquires keys for
@@ -41,7 +41,7 @@
 
 	id string
 	// events is notified of failures of the data folder.
-	events Events
+	events FolderEvents
 
 	mu   sync.Mutex
 	reg  *Register
@@ -57,14 +57,14 @@
 	ringConfirmed time.Time
 }
 
-// Events holds callbacks for failures of a register's data folder. All must be set.
-type Events struct {
-	// Forgot is called if the contents of the folder can't be trusted and the
+// FolderEvents holds callbacks for failures of a register's data folder. All must be set.
+type FolderEvents struct {
+	// Discarded is called if the contents of the folder can't be trusted and the
 	// register starts without records.
-	Forgot func(cause error)
-	// Failed is called if a record couldn't be made durable. The register then grants
+	Discarded func(cause error)
+	// WriteFailed is called if a record couldn't be made durable. The register then grants
 	// nothing more.
-	Failed func(cause error)
+	WriteFailed func(cause error)
 }
 
 // ErrRolledBack is the cause given to Forgot if the folder is an older copy.
@@ -74,23 +74,23 @@
 func NewNode(s RegisterSettings, source IncarnationSource, dial func(context.Context, string) drpc.Conn, now func() time.Time) *Node {
 	return &Node{
 		dial: dial, now: now, incarnation: source, copyNeeded: make(chan struct{}, 1),
-		id: source.Wire().Id, reg: NewRegister(s, source.Wire(), now()), ring: &wire.Ring{}, seenGrants: SeenGrants{},
+		id: source.ToWire().Id, reg: NewRegister(s, source.ToWire(), now()), ring: &wire.Ring{}, seenGrants: SeenGrants{},
 	}
 }
 
 // Open loads the register's records from a data folder, and keeps them there from
 // then on. It must be called before any other method.
-func (n *Node) Open(fs wal.FS, ev Events) error {
+func (n *Node) Open(fs wal.FS, ev FolderEvents) error {
 	log, st, damaged, err := openStore(fs)
 	if err != nil {
 		return err
 	}
 	n.events = ev
 	if damaged != nil {
-		ev.Forgot(damaged)
+		ev.Discarded(damaged)
 	}
 	settings := n.reg.settings
-	n.reg = NewDurableRegister(settings, n.incarnation.Wire(), st, n.now())
+	n.reg = NewDurableRegister(settings, n.incarnation.ToWire(), st, n.now())
 	n.store, err = newStore(log, n.reg.TakeWrites(), settings.MaxTTL, n.now)
 	n.store.onSynced = n.onSynced
 	if err != nil {
@@ -115,7 +115,7 @@
 	n.reg.folderFull = bytes >= MaxFolderBytes
 	if err != nil && !n.reg.writeFailed {
 		n.reg.MarkWriteFailed()
-		n.events.Failed(err)
+		n.events.WriteFailed(err)
 	}
 }
 
@@ -129,16 +129,16 @@
 	return n.store.enqueue(n.reg.TakeWrites(), urgent)
 }
 
-// Register returns the status of the register to announce.
-func (n *Node) Register() *wire.ClaimRegister {
+// RegisterStatus returns the status of the register to announce.
+func (n *Node) RegisterStatus() *wire.ClaimRegister {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.reg.Status()
 }
 
-// Granting reports whether the register may grant every key: it has a ring, can't
+// CanGrant reports whether the register may grant every key: it has a ring, can't
 // lack an earlier grant, and its records can be written.
-func (n *Node) Granting() bool {
+func (n *Node) CanGrant() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.now()
@@ -146,19 +146,19 @@
 	return known && !n.reg.writeFailed && !n.reg.mayBeRolledBack(now)
 }
 
-// Failed reports whether a record couldn't be made durable.
-func (n *Node) Failed() bool {
+// WriteFailed reports whether a record couldn't be made durable.
+func (n *Node) WriteFailed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.reg.writeFailed
 }
 
-// Renumber gives the register the process's incarnation number after that was raised,
+// RaiseIncarnation gives the register the process's incarnation number after that was raised,
 // unless the register's incarnation began in an earlier process.
-func (n *Node) Renumber() {
+func (n *Node) RaiseIncarnation() {
 	n.mu.Lock()
 	if !n.reg.resumed {
-		n.reg.RaiseIncarnation(n.incarnation.Wire().Number)
+		n.reg.RaiseIncarnation(n.incarnation.ToWire().Number)
 		n.queueWrites(true)
 	}
 	n.mu.Unlock()
@@ -325,7 +325,7 @@
 
 // requestSeen asks a peer for the latest grant that it has seen of this register.
 func (n *Node) requestSeen(ctx context.Context, m *wire.RingMember) {
-	ctx, cancel := context.WithTimeout(ctx, RoundTimeout)
+	ctx, cancel := context.WithTimeout(ctx, DefaultRoundTimeout)
 	defer cancel()
 	seen, err := wire.NewDRPCClaimClient(n.dial(ctx, m.Address)).Seen(ctx, &wire.ClaimSeenRequest{Id: n.id})
 	if err == nil {
@@ -336,11 +336,11 @@
 func (n *Node) applySeen(peer string, seen *wire.ClaimSeen) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.reg.ApplySeen(n.now(), peer, seen, n.incarnation.Wire().Number) {
+	if !n.reg.ApplySeen(n.now(), peer, seen, n.incarnation.ToWire().Number) {
 		return
 	}
 	n.queueWrites(true)
-	n.events.Forgot(ErrRolledBack)
+	n.events.Discarded(ErrRolledBack)
 }
 
 func (n *Node) copyFrom(ctx context.Context, epoch uint64, m *wire.RingMember) {
@@ -377,8 +377,8 @@
 	case part.SupersededBy != 0 && resumed:
 		n.applySeen(peer, &wire.ClaimSeen{Life: &wire.Incarnation{Id: n.id, Number: part.SupersededBy}})
 		return
-	case part.SupersededBy != 0 && n.incarnation.Supersede(part.SupersededBy):
-		n.Renumber()
+	case part.SupersededBy != 0 && n.incarnation.RaiseAbove(part.SupersededBy):
+		n.RaiseIncarnation()
 		return
 	}
 	n.mu.Lock()
--- a/claim/node_test.go
+++ b/claim/node_test.go
@@ -29,7 +29,7 @@
 	}
 	n := NewNode(DefaultRegisterSettings(), fixedIncarnation(2), dial, time.Now)
 	first := &wire.Ring{Epoch: 1}
-	for i := range Copies {
+	for i := range RegistersPerKey {
 		first.Members = append(first.Members, &wire.RingMember{Id: entryID(i), Address: entryID(i), Incarnation: 1})
 	}
 	n.SetRing(first, 0, time.Now())
--- a/claim/register_copy.go
+++ b/claim/register_copy.go
@@ -34,7 +34,7 @@
 func (r *Register) peers() []*wire.RingMember {
 	var list []*wire.RingMember
 	for _, m := range r.members() {
-		if m.Id != r.self.Id && !Contains(list, m.Id) {
+		if m.Id != r.self.Id && !ContainsMember(list, m.Id) {
 			list = append(list, m)
 		}
 	}
@@ -73,7 +73,7 @@
 		return false
 	}
 	for _, set := range registerSets(r.ring, key) {
-		if !Contains(set, r.self.Id) {
+		if !ContainsMember(set, r.self.Id) {
 			continue
 		}
 		for _, m := range set {
@@ -143,7 +143,7 @@
 	for _, encKey := range encKeys {
 		rec := r.records[encKey]
 		for _, set := range registerSets(r.ring, rec.Key) {
-			if Contains(set, from.Id) {
+			if ContainsMember(set, from.Id) {
 				reply.Records = append(reply.Records, r.recordWithTTL(now, rec))
 				break
 			}
--- a/claim/ring.go
+++ b/claim/ring.go
@@ -8,11 +8,11 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Copies is the number of registers per key.
-const Copies = 3
+// RegistersPerKey is the number of registers per key.
+const RegistersPerKey = 3
 
 // Majority is the number of a key's registers that a request must hold to run.
-const Majority = Copies/2 + 1
+const Majority = RegistersPerKey/2 + 1
 
 // encodeKey returns a key as a string that is unique among keys: the lengths of
 // the team and of the service precede them.
@@ -39,12 +39,12 @@
 		_, _ = d.WriteString(encKey)
 		scores[i] = d.Sum64()
 	}
-	chosen := make([]*wire.RingMember, 0, Copies)
+	chosen := make([]*wire.RingMember, 0, RegistersPerKey)
 	for _, distinct := range []bool{true, false} {
-		for len(chosen) < Copies {
+		for len(chosen) < RegistersPerKey {
 			best := -1
 			for i, m := range members {
-				if Contains(chosen, m.Id) || distinct && hasFailureDomain(chosen, m.FailureDomain) {
+				if ContainsMember(chosen, m.Id) || distinct && hasFailureDomain(chosen, m.FailureDomain) {
 					continue
 				}
 				if best < 0 || scores[i] > scores[best] {
@@ -79,8 +79,8 @@
 	return list
 }
 
-// Contains reports whether a list of members has one with this ID.
-func Contains(list []*wire.RingMember, id string) bool {
+// ContainsMember reports whether a list of members has one with this ID.
+func ContainsMember(list []*wire.RingMember, id string) bool {
 	for _, m := range list {
 		if m.Id == id {
 			return true
--- a/claim/round.go
+++ b/claim/round.go
@@ -50,7 +50,7 @@
 	var list []*wire.RingMember
 	for _, set := range rd.sets {
 		for _, m := range set {
-			if !Contains(list, m.Id) {
+			if !ContainsMember(list, m.Id) {
 				list = append(list, m)
 			}
 		}
--- a/claim/sim_test.go
+++ b/claim/sim_test.go
@@ -460,7 +460,7 @@
 	next.Members = append(next.Members, s.ring.Members[:out]...)
 	next.Members = append(next.Members, s.ring.Members[out+1:]...)
 	for _, e := range s.entries {
-		if e.up && !Contains(s.ring.Members, entryID(e.index)) {
+		if e.up && !ContainsMember(s.ring.Members, entryID(e.index)) {
 			next.Members = append(next.Members, s.member(e))
 			break
 		}
--- a/claim/store_test.go
+++ b/claim/store_test.go
@@ -18,10 +18,10 @@
 
 type fixedIncarnation uint64
 
-func (l fixedIncarnation) Wire() *wire.Incarnation {
+func (l fixedIncarnation) ToWire() *wire.Incarnation {
 	return &wire.Incarnation{Id: "e0", Number: uint64(l)}
 }
-func (fixedIncarnation) Supersede(uint64) bool { return false }
+func (fixedIncarnation) RaiseAbove(uint64) bool { return false }
 
 // testHost is an entry host with a disk. It runs one node at a time.
 type testHost struct {
@@ -39,10 +39,10 @@
 	h := &testHost{t: t, fs: fs, now: time.Unix(1000, 0)}
 	h.start()
 	h.ring = &wire.Ring{Epoch: 1}
-	for i := range Copies {
+	for i := range RegistersPerKey {
 		m := &wire.RingMember{Id: entryID(i), FailureDomain: fmt.Sprint("hall-", i)}
 		if i == 0 {
-			m.Incarnation = h.node.Register().Life
+			m.Incarnation = h.node.RegisterStatus().Life
 		}
 		h.ring.Members = append(h.ring.Members, m)
 	}
@@ -56,9 +56,9 @@
 	h.forgotCause, h.failedCause = nil, nil
 	dial := func(context.Context, string) drpc.Conn { return nil }
 	h.node = NewNode(DefaultRegisterSettings(), fixedIncarnation(h.incarnation), dial, func() time.Time { return h.now })
-	assert.NilError(h.t, h.node.Open(h.fs, Events{
-		Forgot: func(cause error) { h.forgotCause = cause },
-		Failed: func(cause error) { h.failedCause = cause },
+	assert.NilError(h.t, h.node.Open(h.fs, FolderEvents{
+		Discarded:   func(cause error) { h.forgotCause = cause },
+		WriteFailed: func(cause error) { h.failedCause = cause },
 	}))
 	h.node.SetRing(h.ring, 0, h.now)
 }
@@ -82,7 +82,7 @@
 
 // applySeenFromPeers passes the same report to the register from both peers.
 func (h *testHost) applySeenFromPeers(seen *wire.ClaimSeen) {
-	for i := 1; i < Copies; i++ {
+	for i := 1; i < RegistersPerKey; i++ {
 		h.node.applySeen(entryID(i), seen)
 	}
 }
@@ -99,7 +99,7 @@
 			assert.NilError(t, h.forgotCause)
 			assert.Assert(t, h.grant("other", "b").Forgetful, "no peer has reported yet")
 			h.applySeenFromPeers(&wire.ClaimSeen{Life: first.Self, Sequence: first.Sequence})
-			assert.Assert(t, h.node.Granting())
+			assert.Assert(t, h.node.CanGrant())
 			assert.Equal(t, h.grant("bid", "b").Record.GetHolder(), "a")
 			assert.Assert(t, h.grant("other", "b").Granted)
 			h.node.Close()
@@ -120,9 +120,9 @@
 	assert.Assert(t, h.grant("bid", "a").Granted)
 	h.restart()
 	h.node.applySeen("e1", &wire.ClaimSeen{})
-	assert.Assert(t, !h.node.Granting())
+	assert.Assert(t, !h.node.CanGrant())
 	h.now = h.now.Add(RollbackCheckPeriod)
-	assert.Assert(t, h.node.Granting())
+	assert.Assert(t, h.node.CanGrant())
 	h.node.Close()
 }
 
@@ -142,14 +142,14 @@
 			h.fs = fs
 			h.start()
 			h.applySeenFromPeers(seen)
-			assert.Assert(t, h.node.Register().Life > seen.Life.Number)
+			assert.Assert(t, h.node.RegisterStatus().Life > seen.Life.Number)
 			assert.Assert(t, h.grant("bid-2", "b").Forgetful)
 			assert.Equal(t, errors.Is(h.forgotCause, ErrRolledBack), name == "older")
 			// The new incarnation is durable: the next process keeps it.
-			incarnation := h.node.Register().Life
+			incarnation := h.node.RegisterStatus().Life
 			h.restart()
 			h.applySeenFromPeers(seen)
-			assert.Equal(t, h.node.Register().Life, incarnation)
+			assert.Equal(t, h.node.RegisterStatus().Life, incarnation)
 			assert.Assert(t, h.grant("bid-2", "b").Forgetful)
 			h.node.Close()
 		})
@@ -216,8 +216,8 @@
 				assert.Assert(t, !reply.Granted && reply.Full && reply.Forgetful)
 				disk.Full = false
 			}
-			assert.Assert(t, h.failedCause != nil && h.node.Failed())
-			assert.Assert(t, !h.node.Register().Durable)
+			assert.Assert(t, h.failedCause != nil && h.node.WriteFailed())
+			assert.Assert(t, !h.node.RegisterStatus().Durable)
 			h.node.Close()
 		})
 	}
@@ -228,7 +228,7 @@
 	h := newTestHost(t, fs)
 	defer h.node.Close()
 	second := NewNode(DefaultRegisterSettings(), fixedIncarnation(5), nil, time.Now)
-	assert.ErrorContains(t, second.Open(fs, Events{}), wal.ErrLocked.Error())
+	assert.ErrorContains(t, second.Open(fs, FolderEvents{}), wal.ErrLocked.Error())
 }
 
 // The folder holds the records of no more than one time to live and one file period.
@@ -255,7 +255,7 @@
 // A register that restarted with its folder has no answer body. A resend gets the answer
 // from another register, whichever replies first.
 func TestResendGetsAnswerKeptByAnotherRegister(t *testing.T) {
-	ring := newRing(Copies)
+	ring := newRing(RegistersPerKey)
 	c := NewRound(ring, claimRequest("resent").Key, false)
 	rec := func(a *wire.StoredAnswer) *wire.ClaimReply {
 		return &wire.ClaimReply{RingEpoch: 1, Record: &wire.ClaimRecord{State: wire.ClaimState_CLAIM_STATE_ANSWERED, Answer: a}}
--- a/control/api.go
+++ b/control/api.go
@@ -78,7 +78,7 @@
 }
 
 func newAPI(s APISettings, c *Control, n *directory.Node, l log.Logger) (*api, error) {
-	d, err := dialect.Named(s.Dialect)
+	d, err := dialect.ByName(s.Dialect)
 	if err != nil {
 		return nil, err
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -171,8 +171,8 @@
 // it. It closes the journal on an error, which is ErrStopped after Stop.
 func (c *Control) runReplica(ctx context.Context, j *wal.Journal, st *wal.State) error {
 	id := c.currentIdentity()
-	restored := consensus.Restored{HardState: st.Hard, Snapshot: st.Snapshot, Entries: st.Entries}
-	restored.Fresh = st.Hard == nil && st.Snapshot == nil && len(st.Entries) == 0
+	restored := consensus.Restored{HardState: st.HardState, Snapshot: st.Snapshot, Entries: st.Entries}
+	restored.Fresh = st.HardState == nil && st.Snapshot == nil && len(st.Entries) == 0
 	if restored.Fresh && id.Founder {
 		restored = consensus.Bootstrap(&wire.Peer{Id: idOf(id), Address: id.Address, FailureDomain: id.FailureDomain})
 		if err := j.Compact(restored.Snapshot, restored.HardState, nil); err != nil {
--- a/control/lockstep.go
+++ b/control/lockstep.go
@@ -75,7 +75,7 @@
 	if s.Lockstep == nil {
 		return nil, nil
 	}
-	d, err := dialect.Named(s.Lockstep.Dialect)
+	d, err := dialect.ByName(s.Lockstep.Dialect)
 	if err != nil {
 		return nil, err
 	}
@@ -251,7 +251,7 @@
 		if !ok {
 			g = directGroup{service: a.Pools[0], ranks: map[int]*wire.Announcement{}}
 		}
-		g.latestEpoch.Take(a.Direct)
+		g.latestEpoch.Merge(a.Direct)
 		g.size = max(g.size, int(a.Direct.GroupSize))
 		if old := g.ranks[int(a.Rank)]; old == nil || a.Direct.GroupEpoch >= old.Direct.GroupEpoch {
 			g.ranks[int(a.Rank)] = a
--- a/control/registrations.go
+++ b/control/registrations.go
@@ -41,7 +41,7 @@
 	if msg.Incarnation == 0 {
 		msg.Incarnation = defaultIncarnation
 	}
-	if a.node.Contradicts(msg) {
+	if a.node.Conflicts(msg) {
 		a.rejectRegistration(w, id, "the same run of the upstream has registered at another address or for another service")
 		return
 	}
--- a/control/ring.go
+++ b/control/ring.go
@@ -93,7 +93,7 @@
 	return &wire.Ring{Epoch: ring.Epoch + 1, Members: sortedByID(members), Previous: ring.Members}
 }
 
-// preferDurable returns the members with a data folder if they cover at least claim.Copies
+// preferDurable returns the members with a data folder if they cover at least claim.RegistersPerKey
 // failure domains, else all members. durable reports which.
 func preferDurable(members []*wire.RingMember) (chosen []*wire.RingMember, durable bool) {
 	domains := map[string]bool{}
@@ -103,7 +103,7 @@
 			domains[m.FailureDomain] = true
 		}
 	}
-	if len(domains) >= claim.Copies {
+	if len(domains) >= claim.RegistersPerKey {
 		return chosen, true
 	}
 	return members, false
@@ -111,7 +111,7 @@
 
 func sameMembers(a, b []*wire.RingMember) bool {
 	for _, m := range a {
-		if !claim.Contains(b, m.Id) {
+		if !claim.ContainsMember(b, m.Id) {
 			return false
 		}
 	}
@@ -133,7 +133,7 @@
 		}
 	}
 	for _, m := range up {
-		if !claim.Contains(list, m.Id) && now.Sub(c.upSince[m.Id]) >= ringJoinDelay {
+		if !claim.ContainsMember(list, m.Id) && now.Sub(c.upSince[m.Id]) >= ringJoinDelay {
 			list = append(list, m)
 		}
 	}
--- a/control/routing.go
+++ b/control/routing.go
@@ -17,7 +17,7 @@
 
 // routingConfirmInterval is how often the age of the replica's state is sent to a watcher of
 // the routing version while nothing changes. The interval is longer if there are many
-// watchers; see directory.SpeakInterval.
+// watchers; see directory.KeepaliveInterval.
 const routingConfirmInterval = 500 * time.Millisecond
 
 // routingResult is the result of a committed routing command. version is that of the
@@ -186,7 +186,7 @@
 		version, confirmed := r.routingVersion.Load(), r.feed.isCurrent(r.now())
 		changes := s.suspicions.changesSince(suspicionVersion)
 		if due || version != sent || confirmed && !current || len(changes.Suspicions) > 0 {
-			next := directory.SpeakInterval(routingConfirmInterval, int(s.routingWatchers.Load()))
+			next := directory.KeepaliveInterval(routingConfirmInterval, int(s.routingWatchers.Load()))
 			if err := sendVersion(stream, r, version, next, changes.Suspicions); err != nil {
 				return err
 			}
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -42,10 +42,10 @@
 	ExpectedTokens int
 }
 
-// Send holds what the header of a request tells the upstream.
-type Send struct {
-	// Left is how long the caller will still wait.
-	Left time.Duration
+// UpstreamHeader holds what the header of a request tells the upstream.
+type UpstreamHeader struct {
+	// Remaining is how long the caller will still wait.
+	Remaining time.Duration
 	// Instance is the upstream instance meant; another one must not run the request.
 	Instance string
 	// Team is the caller's key; empty if none was required.
@@ -60,9 +60,9 @@
 type Answer struct {
 	// ID is the attempt that the response belongs to.
 	ID string
-	// Signed reports that the response comes from the upstream itself, and not from an
+	// FromUpstream reports that the response comes from the upstream itself, and not from an
 	// intermediary such as a proxy.
-	Signed bool
+	FromUpstream bool
 	// NotRun guarantees that the request has not run and will not.
 	NotRun bool
 	// GroupDown reports that the upstream refused because its group currently runs nothing.
@@ -83,9 +83,9 @@
 	Method, Path string
 }
 
-// Calls are the calls that the load balancer serves. InstanceID is the name of the path variable
+// ServedCalls are the calls that the load balancer serves. InstanceID is the name of the path variable
 // in Register and Deregister.
-type Calls struct {
+type ServedCalls struct {
 	Ready, Resolve         Call
 	Register, Deregister   Call
 	PutRouting, GetRouting Call
@@ -96,9 +96,9 @@
 type Callers interface {
 	// ReadRequest reads the header of a caller's request.
 	ReadRequest(h http.Header) (Request, error)
-	// SetSend sets the fields that the upstream needs, and removes those it must not
+	// SetUpstreamHeader sets the fields that the upstream needs, and removes those it must not
 	// receive.
-	SetSend(h http.Header, s Send)
+	SetUpstreamHeader(h http.Header, s UpstreamHeader)
 	// ReadAnswer reads the status and header of an upstream's response.
 	ReadAnswer(status int, h http.Header) Answer
 }
@@ -144,7 +144,7 @@
 
 // Dialect is the set of names and formats that one site uses.
 type Dialect interface {
-	Calls() Calls
+	Calls() ServedCalls
 	Callers
 	Operators
 	Ranks
@@ -153,8 +153,8 @@
 // Namespace is the plug-in namespace of dialects.
 const Namespace = "dialect"
 
-// Named returns the dialect with the name. It fails if there is none.
-func Named(name string) (Dialect, error) {
+// ByName returns the dialect with the name. It fails if there is none.
+func ByName(name string) (Dialect, error) {
 	v, err := kernel.Load(Namespace+"."+name, nil)
 	if err != nil {
 		return nil, err
--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -112,10 +112,10 @@
 	}
 	reply, err := wire.NewDRPCDirectoryClient(a.dial(ctx, addr)).Announce(ctx, msg)
 	if err != nil {
-		a.targets.Failed(addr, a.now())
+		a.targets.MarkFailed(addr, a.now())
 		return nil
 	}
-	a.targets.Answered(addr)
-	a.targets.Learn(reply.Replicas)
+	a.targets.MarkAnswered(addr)
+	a.targets.UpdateReplicas(reply.Replicas)
 	return reply
 }
--- a/directory/changes.go
+++ b/directory/changes.go
@@ -60,9 +60,9 @@
 type View struct {
 	// LocalOnly restricts the view to instances that announce to this process directly.
 	LocalOnly bool
-	// Known is the digest of what the watcher knew before it connected; empty if it
+	// Digest is the digest of what the watcher knew before it connected; empty if it
 	// sent none.
-	Known   []uint64
+	Digest  []uint64
 	version uint64
 	// unchanged is the set of buckets that were equal on both sides at version
 	// unchangedAt.
--- a/directory/digest.go
+++ b/directory/digest.go
@@ -58,9 +58,9 @@
 	return 0
 }
 
-// Remember prepares src to resume from what is known now. It returns the digest to
+// PrepareResume prepares src to resume from what is known now. It returns the digest to
 // send, and keeps the announcements of each bucket until the source is synced.
-func (s *State) Remember(src *Source) []uint64 {
+func (s *State) PrepareResume(src *Source) []uint64 {
 	d := s.digest()
 	src.resumeBuckets = map[int][]*wire.Announcement{}
 	for id, i := range s.instances {
@@ -99,13 +99,13 @@
 // compareDigest determines the buckets that the watcher knows already. Instances that
 // change afterwards are sent whatever their bucket.
 func (s *State) compareDigest(v *View) {
-	if v.LocalOnly || len(v.Known) != digestBuckets {
+	if v.LocalOnly || len(v.Digest) != digestBuckets {
 		return
 	}
 	d := s.digest()
 	v.unchanged, v.unchangedAt = make(bucketSet, digestBuckets/8), s.changes.version
 	for bucket, hash := range d {
-		if hash == v.Known[bucket] {
+		if hash == v.Digest[bucket] {
 			v.unchanged.add(bucket)
 		}
 	}
--- a/directory/digest_test.go
+++ b/directory/digest_test.go
@@ -61,19 +61,19 @@
 			}
 		}
 		noGrace := noSettling()
-		noGrace.SilentHold = 0
+		noGrace.SourceLossGrace = 0
 		watchers := []*State{New(noGrace, now, 0), New(noGrace, now, 0)}
 		views := []*View{{}, {}}
 		var sources []*Source
 		for _, w := range watchers {
-			src := &Source{Whole: true}
+			src := &Source{FullCopy: true}
 			syncWatcher(now, first, w, &View{}, src)
-			sources = append(sources, &Source{Whole: true, Replaces: src})
+			sources = append(sources, &Source{FullCopy: true, Previous: src})
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "changes") {
 			announce(second)
 		}
-		views[0].Known = watchers[0].Remember(sources[0])
+		views[0].Digest = watchers[0].PrepareResume(sources[0])
 		dead := map[int]bool{}
 		for i := range latest {
 			dead[i] = rapid.IntRange(0, 9).Draw(t, "dead") == 0
@@ -123,15 +123,15 @@
 		first.Announce(testStart, a, 0, true)
 		second.Announce(testStart, a, 0, true)
 	}
-	src := &Source{Whole: true}
+	src := &Source{FullCopy: true}
 	fullSize := syncWatcher(testStart, first, entry, &View{}, src)
 	for i := range 3 {
 		second.Announce(testStart, leavingAnnouncement(fmt.Sprint("upstream-", i), 1, 2), 0, true)
 	}
-	next := &Source{Whole: true, Replaces: src}
-	resumed := syncWatcher(testStart, second, entry, &View{Known: entry.Remember(next)}, next)
+	next := &Source{FullCopy: true, Previous: src}
+	resumed := syncWatcher(testStart, second, entry, &View{Digest: entry.PrepareResume(next)}, next)
 	assert.Assert(t, resumed < fullSize/50, "%d bytes of %d", resumed, fullSize)
-	now := testStart.Add(entry.settings.VouchLease)
+	now := testStart.Add(entry.settings.SourceLease)
 	entry.Tick(now)
 	assert.Equal(t, len(entry.Instances(wire.Role_ROLE_UPSTREAM)), 7500)
 	assert.Equal(t, entry.Get("upstream-1").Phase, wire.Phase_PHASE_LEAVING)
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -31,30 +31,30 @@
 	// SettleShare is the fraction of the previously known instances that ends
 	// settling early once they are known again.
 	SettleShare float64
-	// VouchLease is the lease of a source: how long the instances that it reported
+	// SourceLease is the lease of a source: how long the instances that it reported
 	// stay alive after its last update.
-	VouchLease time.Duration
-	// SilentHold is how long a directory that follows replicas keeps the instances
+	SourceLease time.Duration
+	// SourceLossGrace is how long a directory that follows replicas keeps the instances
 	// known only from them after the leases of all sources have expired. All replicas
 	// may be restarting while the upstreams are up. Control replicas don't use it.
-	SilentHold time.Duration
-	// AskTime is the timeout of a probe. An instance that this process heard from
+	SourceLossGrace time.Duration
+	// ProbeTimeout is the timeout of a probe. An instance that this process heard from
 	// directly is probed before it is marked as gone: once, or isolatedProbes times
 	// by a process whose sources have all fallen silent.
-	AskTime time.Duration
+	ProbeTimeout time.Duration
 }
 
 // DefaultSettings returns the settings of a daemon without a [directory] section.
 func DefaultSettings() Settings {
 	return Settings{
-		DefaultLease: 3 * time.Second,
-		MaxLease:     30 * time.Second,
-		Tombstone:    10 * time.Minute,
-		SettleTime:   10 * time.Second,
-		SettleShare:  0.9,
-		VouchLease:   3 * time.Second,
-		SilentHold:   15 * time.Second,
-		AskTime:      500 * time.Millisecond,
+		DefaultLease:    3 * time.Second,
+		MaxLease:        30 * time.Second,
+		Tombstone:       10 * time.Minute,
+		SettleTime:      10 * time.Second,
+		SettleShare:     0.9,
+		SourceLease:     3 * time.Second,
+		SourceLossGrace: 15 * time.Second,
+		ProbeTimeout:    500 * time.Millisecond,
 	}
 }
 
@@ -125,7 +125,7 @@
 	// ID. They are kept apart from the instances because they are not passed on to
 	// watchers.
 	contacts map[string]contact
-	// probes are the instances to probe, until TakeAsks returns them.
+	// probes are the instances to probe, until TakeProbes returns them.
 	probes []*Instance
 }
 
@@ -222,12 +222,12 @@
 	return c
 }
 
-// Heard renews the lease of an instance that this process heard from directly, if the
+// RenewDirect renews the lease of an instance that this process heard from directly, if the
 // incarnation is the known one. It doesn't restore gone instances or change phases.
 //
 // It keeps upstreams up that are still reachable while this process is partitioned
 // from all control replicas and receives no renewals.
-func (s *State) Heard(now time.Time, id string, incarnation uint64) {
+func (s *State) RenewDirect(now time.Time, id string, incarnation uint64) {
 	old := s.instances[id]
 	if old == nil || old.Incarnation != incarnation || old.Phase == wire.Phase_PHASE_GONE {
 		return
@@ -252,12 +252,12 @@
 		maxProbes = isolatedProbes
 	}
 	waited := now.Sub(c.firstProbe)
-	if c.probes < maxProbes && waited >= time.Duration(c.probes)*s.settings.AskTime {
+	if c.probes < maxProbes && waited >= time.Duration(c.probes)*s.settings.ProbeTimeout {
 		c.probes++
 		s.probes = append(s.probes, inst)
 	}
 	s.contacts[inst.Id] = c
-	return waited <= time.Duration(maxProbes)*s.settings.AskTime
+	return waited <= time.Duration(maxProbes)*s.settings.ProbeTimeout
 }
 
 // isolatedProbes is how many probes an isolated process sends before it marks an
@@ -271,9 +271,9 @@
 	return s.hadSource && !slices.ContainsFunc(s.sources, func(src *Source) bool { return src.valid(now) })
 }
 
-// TakeAsks returns the instances to probe and clears the list. A reply is reported
+// TakeProbes returns the instances to probe and clears the list. A reply is reported
 // with Heard.
-func (s *State) TakeAsks() []*Instance {
+func (s *State) TakeProbes() []*Instance {
 	probes := s.probes
 	s.probes = nil
 	return probes
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -114,17 +114,17 @@
 	now := testStart
 	for range 20 {
 		now = now.Add(time.Second)
-		s.Heard(now, "heard", 2)
-		s.Heard(now, "earlier", 1)
-		s.Heard(now, "leaving", 2)
-		s.Heard(now, "unknown", 1)
+		s.RenewDirect(now, "heard", 2)
+		s.RenewDirect(now, "earlier", 1)
+		s.RenewDirect(now, "leaving", 2)
+		s.RenewDirect(now, "unknown", 1)
 		s.Tick(now)
 	}
 	assert.Assert(t, s.Get("heard").Up())
 	assert.Equal(t, s.Get("silent").Phase, wire.Phase_PHASE_GONE)
 	assert.Equal(t, s.Get("earlier").Phase, wire.Phase_PHASE_GONE)
 	assert.Equal(t, s.Get("leaving").Phase, wire.Phase_PHASE_LEAVING)
-	s.Heard(now, "silent", 2)
+	s.RenewDirect(now, "silent", 2)
 	s.Tick(now)
 	assert.Equal(t, s.Get("silent").Phase, wire.Phase_PHASE_GONE, "a late report must not restore an instance")
 	assert.Assert(t, s.Get("unknown") == nil)
@@ -136,19 +136,19 @@
 	s := New(noSettling(), testStart, 0)
 	s.Announce(testStart, upAnnouncement("lives", 1, 1), 0, false)
 	s.Announce(testStart, upAnnouncement("dead", 1, 1), 0, false)
-	s.Heard(testStart, "lives", 1)
-	s.Heard(testStart, "dead", 1)
+	s.RenewDirect(testStart, "lives", 1)
+	s.RenewDirect(testStart, "dead", 1)
 	lease, probed := DefaultSettings().DefaultLease, map[string]int{}
 	for now := testStart; now.Before(testStart.Add(20 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		s.Tick(now)
-		for _, i := range s.TakeAsks() {
+		for _, i := range s.TakeProbes() {
 			probed[i.Id]++
 			if i.Id == "lives" {
-				s.Heard(now, i.Id, i.Incarnation)
+				s.RenewDirect(now, i.Id, i.Incarnation)
 			}
 		}
 		assert.Assert(t, s.Get("lives").Up())
-		gone := now.Sub(testStart) > lease+s.settings.AskTime+100*time.Millisecond
+		gone := now.Sub(testStart) > lease+s.settings.ProbeTimeout+100*time.Millisecond
 		assert.Equal(t, s.Get("dead").Phase == wire.Phase_PHASE_GONE, gone, "%v", now.Sub(testStart))
 	}
 	assert.DeepEqual(t, probed, map[string]int{"lives": 6, "dead": 1})
@@ -159,18 +159,18 @@
 // seconds of its last message.
 func TestIsolatedProcessProbesRepeatedly(t *testing.T) {
 	set := noSettling()
-	set.SilentHold = 0
+	set.SourceLossGrace = 0
 	s := New(set, testStart, 0)
-	s.Apply(testStart, &Source{Whole: true}, updateWith(upAnnouncement("slow", 1, 1), upAnnouncement("dead", 1, 1)))
-	s.Heard(testStart, "slow", 1)
-	s.Heard(testStart, "dead", 1)
+	s.Apply(testStart, &Source{FullCopy: true}, updateWith(upAnnouncement("slow", 1, 1), upAnnouncement("dead", 1, 1)))
+	s.RenewDirect(testStart, "slow", 1)
+	s.RenewDirect(testStart, "dead", 1)
 	probed := map[string]int{}
 	now := testStart
 	for ; s.Get("dead").Up(); now = now.Add(100 * time.Millisecond) {
 		s.Tick(now)
-		for _, i := range s.TakeAsks() {
+		for _, i := range s.TakeProbes() {
 			if probed[i.Id]++; i.Id == "slow" && probed[i.Id] == 3 {
-				s.Heard(now, i.Id, 1)
+				s.RenewDirect(now, i.Id, 1)
 			}
 		}
 	}
--- a/directory/expired.go
+++ b/directory/expired.go
@@ -2,10 +2,10 @@
 
 import "github.com/snipereach/snipereach/wire"
 
-// Silent returns the instances of a role whose lease expired without an announcement of
+// Expired returns the instances of a role whose lease expired without an announcement of
 // their end. Such an instance may still run behind a network partition, with outdated
 // configuration.
-func (n *Node) Silent(role wire.Role) []*Instance {
+func (n *Node) Expired(role wire.Role) []*Instance {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var list []*Instance
--- a/directory/expired_test.go
+++ b/directory/expired_test.go
@@ -22,7 +22,7 @@
 	silentIDs := func() []string {
 		n.state.Tick(now)
 		list := []string{}
-		for _, i := range n.Silent(wire.Role_ROLE_ENTRY) {
+		for _, i := range n.Expired(wire.Role_ROLE_ENTRY) {
 			assert.Equal(t, i.Revision, uint64(7))
 			list = append(list, i.Id)
 		}
@@ -36,7 +36,7 @@
 	now = now.Add(DefaultSettings().SettleTime)
 	announce("goes-on", wire.Phase_PHASE_UP)
 	assert.DeepEqual(t, silentIDs(), []string{"falls-silent"})
-	assert.Equal(t, len(n.Silent(wire.Role_ROLE_UPSTREAM)), 0)
+	assert.Equal(t, len(n.Expired(wire.Role_ROLE_UPSTREAM)), 0)
 	announce("falls-silent", wire.Phase_PHASE_UP)
 	assert.DeepEqual(t, silentIDs(), []string{})
 }
--- a/directory/follow.go
+++ b/directory/follow.go
@@ -107,16 +107,16 @@
 // FollowOne copies the whole directory of one replica until the context is done, and
 // switches to another when that replica stops sending updates or has just started.
 // Instances reported by the previous replica stay alive in the meantime, for
-// Settings.VouchLease.
+// Settings.SourceLease.
 func (n *Node) FollowOne(ctx context.Context, targets *Targets, dial Dial, watcher string) {
 	req := &wire.DirectoryWatchRequest{Watcher: watcher}
 	var last *Source
 	for ctx.Err() == nil {
 		addr := targets.Pick(n.now(), 1)[0]
 		last = n.followWatch(ctx, dial(ctx, addr), req, last, func(u *wire.DirectoryUpdate) bool {
-			return u.Settling && targets.Others(addr, n.now())
+			return u.Settling && targets.HasAlternative(addr, n.now())
 		})
-		targets.Failed(addr, n.now())
+		targets.MarkFailed(addr, n.now())
 		select {
 		case <-ctx.Done():
 		case <-time.After(redialDelay):
@@ -131,7 +131,7 @@
 	defer cancel()
 	idleTimer := time.AfterFunc(initialWatchTimeout, cancel)
 	defer idleTimer.Stop()
-	src := &Source{Replaces: last, Whole: !req.LocalOnly}
+	src := &Source{Previous: last, FullCopy: !req.LocalOnly}
 	stream, err := wire.NewDRPCDirectoryClient(conn).Watch(ctx, n.resumeRequest(src, req))
 	if err != nil {
 		return last
@@ -159,10 +159,10 @@
 func (n *Node) resumeRequest(src *Source, req *wire.DirectoryWatchRequest) *wire.DirectoryWatchRequest {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !src.Whole || n.state.Len() < digestBuckets {
+	if !src.FullCopy || n.state.Len() < digestBuckets {
 		return req
 	}
-	return &wire.DirectoryWatchRequest{Watcher: req.Watcher, Known: n.state.Remember(src)}
+	return &wire.DirectoryWatchRequest{Watcher: req.Watcher, Known: n.state.PrepareResume(src)}
 }
 
 func (n *Node) apply(src *Source, u *wire.DirectoryUpdate) bool {
--- a/directory/groupepoch.go
+++ b/directory/groupepoch.go
@@ -9,8 +9,8 @@
 	Broken bool
 }
 
-// Take merges the report of one rank.
-func (g *GroupEpoch) Take(d *wire.DirectUpstream) {
+// Merge merges the report of one rank.
+func (g *GroupEpoch) Merge(d *wire.DirectUpstream) {
 	if d.GroupEpoch > g.Epoch {
 		g.Epoch, g.Broken = d.GroupEpoch, false
 	}
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -7,7 +7,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Life is the incarnation of a process: its ID and a number. Among incarnations of the
+// Incarnation is the incarnation of a process: its ID and a number. Among incarnations of the
 // same ID the one with the higher number is the later one.
 //
 // The number is the wall clock at the start, in nanoseconds since 1970. After the clock
@@ -16,7 +16,7 @@
 // (Settings.Tombstone), and grants of the previous claim register would count as later
 // ones. Processes that know the previous incarnation therefore reply with its number,
 // and Supersede raises this one above it.
-type Life struct {
+type Incarnation struct {
 	id string
 
 	mu     sync.Mutex
@@ -24,29 +24,29 @@
 	raised bool
 }
 
-// NewLife returns the incarnation of a process that starts at now.
-func NewLife(id string, now time.Time) *Life {
-	return &Life{id: id, number: uint64(max(now.UnixNano(), 1))}
+// NewIncarnation returns the incarnation of a process that starts at now.
+func NewIncarnation(id string, now time.Time) *Incarnation {
+	return &Incarnation{id: id, number: uint64(max(now.UnixNano(), 1))}
 }
 
 // Number returns the incarnation number.
-func (l *Life) Number() uint64 {
+func (l *Incarnation) Number() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.number
 }
 
-// Wire returns the incarnation as a protocol message.
-func (l *Life) Wire() *wire.Incarnation {
+// ToWire returns the incarnation as a protocol message.
+func (l *Incarnation) ToWire() *wire.Incarnation {
 	return &wire.Incarnation{Id: l.id, Number: l.Number()}
 }
 
-// Supersede raises the number above known, if known is higher, and reports whether it
+// RaiseAbove raises the number above known, if known is higher, and reports whether it
 // did.
 //
 // It does so only once: two processes with the same ID would otherwise raise their
 // numbers above each other's forever.
-func (l *Life) Supersede(known uint64) bool {
+func (l *Incarnation) RaiseAbove(known uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known <= l.number || l.raised {
--- a/directory/incarnation_test.go
+++ b/directory/incarnation_test.go
@@ -15,19 +15,19 @@
 // earlier incarnation, and the next announcement uses a number above it.
 func TestRestartWithClockSetBack(t *testing.T) {
 	n := NewNode(noSettling(), func() time.Time { return testStart }, nil)
-	before := NewLife("u", testStart)
-	announce := func(l *Life, seq uint64) *wire.AnnounceReply {
+	before := NewIncarnation("u", testStart)
+	announce := func(l *Incarnation, seq uint64) *wire.AnnounceReply {
 		reply, err := n.Announce(context.Background(), upAnnouncement("u", l.Number(), seq))
 		assert.NilError(t, err)
 		return reply
 	}
 	assert.Assert(t, !announce(before, 9).Superseded)
 
-	after := NewLife("u", testStart.Add(-10*time.Minute))
+	after := NewIncarnation("u", testStart.Add(-10*time.Minute))
 	reply := announce(after, 1)
 	assert.Assert(t, reply.Superseded)
 	assert.Equal(t, reply.KnownIncarnation, before.Number())
-	assert.Assert(t, after.Supersede(reply.KnownIncarnation))
+	assert.Assert(t, after.RaiseAbove(reply.KnownIncarnation))
 	assert.Assert(t, !announce(after, 2).Superseded)
 	assert.Equal(t, n.Instances(wire.Role_ROLE_UPSTREAM)[0].Incarnation, after.Number())
 	assert.Assert(t, announce(before, 10).Superseded, "delayed message of the earlier incarnation")
@@ -36,13 +36,13 @@
 // Two processes with the same ID stop raising their incarnation numbers after one change
 // each.
 func TestTwoProcessesWithSameIDRaiseOnce(t *testing.T) {
-	a, b := NewLife("u", testStart), NewLife("u", testStart.Add(time.Second))
+	a, b := NewIncarnation("u", testStart), NewIncarnation("u", testStart.Add(time.Second))
 	rounds := 0
-	for a.Supersede(b.Number()) || b.Supersede(a.Number()) {
+	for a.RaiseAbove(b.Number()) || b.RaiseAbove(a.Number()) {
 		rounds++
 		assert.Assert(t, rounds < 10)
 	}
 	assert.Equal(t, rounds, 2)
 	assert.Assert(t, a.Number() != b.Number())
-	assert.Assert(t, !b.Supersede(b.Number()), "its own number is not a later incarnation")
+	assert.Assert(t, !b.RaiseAbove(b.Number()), "its own number is not a later incarnation")
 }
--- a/directory/intervals.go
+++ b/directory/intervals.go
@@ -15,13 +15,13 @@
 	// maxKeepaliveInterval.
 	intervalPerWatcher = 5 * time.Millisecond
 	// maxKeepaliveInterval allows two messages to be lost or late before the lease of the
-	// source expires (Settings.VouchLease).
+	// source expires (Settings.SourceLease).
 	maxKeepaliveInterval = time.Second
 )
 
-// SpeakInterval returns the longest time between two messages to each of the given number
+// KeepaliveInterval returns the longest time between two messages to each of the given number
 // of watchers. It is at least usual.
-func SpeakInterval(usual time.Duration, watchers int) time.Duration {
+func KeepaliveInterval(usual time.Duration, watchers int) time.Duration {
 	return max(usual, min(time.Duration(watchers)*intervalPerWatcher, maxKeepaliveInterval))
 }
 
--- a/directory/intervals_test.go
+++ b/directory/intervals_test.go
@@ -22,11 +22,11 @@
 // The total rate of keepalives to all watchers is limited, few watchers get them at the
 // usual interval, and the interval stays below half the lease of the source.
 func TestKeepaliveRateIsLimited(t *testing.T) {
-	assert.Equal(t, SpeakInterval(minKeepaliveInterval, 1), minKeepaliveInterval)
-	assert.Equal(t, SpeakInterval(minKeepaliveInterval, 45), minKeepaliveInterval)
+	assert.Equal(t, KeepaliveInterval(minKeepaliveInterval, 1), minKeepaliveInterval)
+	assert.Equal(t, KeepaliveInterval(minKeepaliveInterval, 45), minKeepaliveInterval)
 	for _, n := range []int{100, 147, 200} {
-		each := SpeakInterval(minKeepaliveInterval, n)
+		each := KeepaliveInterval(minKeepaliveInterval, n)
 		assert.Assert(t, float64(n)/each.Seconds() <= 201, "%d watchers each %s", n, each)
 	}
-	assert.Assert(t, 2*SpeakInterval(minKeepaliveInterval, 100_000) < DefaultSettings().VouchLease)
+	assert.Assert(t, 2*KeepaliveInterval(minKeepaliveInterval, 100_000) < DefaultSettings().SourceLease)
 }
--- a/directory/node.go
+++ b/directory/node.go
@@ -53,9 +53,9 @@
 // domains for processes that announce here. Call it before the node serves.
 func (n *Node) SetReplicas(f func(context.Context) []*wire.DirectoryReplica) { n.replicas = f }
 
-// SetAsk sets the function that probes an instance; it must not wait for the reply.
+// SetProbe sets the function that probes an instance; it must not wait for the reply.
 // Call it before Run.
-func (n *Node) SetAsk(f func(*Instance)) { n.probe = f }
+func (n *Node) SetProbe(f func(*Instance)) { n.probe = f }
 
 // Run expires leases and sends probes until the context is done.
 func (n *Node) Run(ctx context.Context) {
@@ -69,7 +69,7 @@
 		}
 		n.mu.Lock()
 		changed := n.state.Tick(n.now())
-		probes := n.state.TakeAsks()
+		probes := n.state.TakeProbes()
 		n.wakeWatchers()
 		n.mu.Unlock()
 		n.probeAll(probes)
@@ -117,9 +117,9 @@
 	return 0
 }
 
-// Leaves reports whether the instance has announced that it is leaving or gone. It is
+// IsLeaving reports whether the instance has announced that it is leaving or gone. It is
 // false for one whose lease expired.
-func (n *Node) Leaves(id string) bool {
+func (n *Node) IsLeaving(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	i := n.state.Get(id)
@@ -132,20 +132,20 @@
 	return i.Phase == wire.Phase_PHASE_LEAVING
 }
 
-// Contradicts reports whether an announcement conflicts with what is known of the
+// Conflicts reports whether an announcement conflicts with what is known of the
 // incarnation that it names; see Instance.conflictsWith.
-func (n *Node) Contradicts(a *wire.Announcement) bool {
+func (n *Node) Conflicts(a *wire.Announcement) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	i := n.state.Get(a.Id)
 	return i != nil && i.conflictsWith(a)
 }
 
-// Heard renews the lease of an instance that this process heard from directly.
-func (n *Node) Heard(id string, incarnation uint64) {
+// RenewDirect renews the lease of an instance that this process heard from directly.
+func (n *Node) RenewDirect(id string, incarnation uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.state.Heard(n.now(), id, incarnation)
+	n.state.RenewDirect(n.now(), id, incarnation)
 }
 
 // applyAnnouncement passes an announcement to the state, and also returns the number of
@@ -189,9 +189,9 @@
 	return a.Incarnation
 }
 
-// Gone reports whether an incarnation of an instance has ended: it is known as gone, or
+// HasEnded reports whether an incarnation of an instance has ended: it is known as gone, or
 // a later incarnation is known. It is false for an unknown instance, which may be new.
-func (n *Node) Gone(life *wire.Incarnation) bool {
+func (n *Node) HasEnded(life *wire.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	i := n.state.Get(life.GetId())
@@ -213,7 +213,7 @@
 	defer cancel()
 	timer := time.NewTimer(minUpdateInterval)
 	defer timer.Stop()
-	view := &View{LocalOnly: req.LocalOnly, Known: req.Known}
+	view := &View{LocalOnly: req.LocalOnly, Digest: req.Known}
 	var due time.Time
 	for {
 		u, more := n.update(view)
@@ -254,7 +254,7 @@
 	if req.LocalOnly {
 		return minKeepaliveInterval
 	}
-	return SpeakInterval(minKeepaliveInterval, n.watchers.Len())
+	return KeepaliveInterval(minKeepaliveInterval, n.watchers.Len())
 }
 
 // wakeWatchers wakes the watchers if there are changes to send. The caller must hold
--- a/directory/node_test.go
+++ b/directory/node_test.go
@@ -39,7 +39,7 @@
 // machine doesn't change its result.
 func longLeases() Settings {
 	s := noSettling()
-	s.VouchLease = time.Hour
+	s.SourceLease = time.Hour
 	s.MaxLease = time.Hour
 	return s
 }
--- a/directory/partition_test.go
+++ b/directory/partition_test.go
@@ -22,7 +22,7 @@
 	var sources []*directory.Source
 	var updates []func(now time.Time, first bool)
 	for i := range 3 {
-		src := &directory.Source{Whole: true}
+		src := &directory.Source{FullCopy: true}
 		sources = append(sources, src)
 		updates = append(updates, func(now time.Time, first bool) {
 			u := &wire.DirectoryUpdate{Synced: first}
@@ -49,7 +49,7 @@
 		for i := range updates {
 			switch {
 			case d == restoredAt[i]:
-				sources[i] = &directory.Source{Whole: true, Replaces: sources[i]}
+				sources[i] = &directory.Source{FullCopy: true, Previous: sources[i]}
 				updates[i](now, true)
 			case (d < lostAt[i] || d > restoredAt[i]) && d%(400*time.Millisecond) == 0:
 				updates[i](now, false)
--- a/directory/simulation_test.go
+++ b/directory/simulation_test.go
@@ -72,7 +72,7 @@
 	}
 	targets := func(id string, i int) *Targets {
 		t := NewTargets(id, fmt.Sprintf("hall-%d", i%3), addrs)
-		t.Learn(known)
+		t.UpdateReplicas(known)
 		return t
 	}
 	for i := range entries {
@@ -142,10 +142,10 @@
 		tried = append(tried, list[0])
 		r := s.replica(list[0])
 		if r.dead || !s.reachable(a.name, r.name) {
-			a.targets.Failed(r.name, s.now)
+			a.targets.MarkFailed(r.name, s.now)
 			continue
 		}
-		a.targets.Answered(r.name)
+		a.targets.MarkAnswered(r.name)
 		r.state.Announce(s.now, msg, 0, true)
 		got++
 	}
@@ -156,9 +156,9 @@
 func (s *simulation) watch(to, from *simNode, localOnly bool) bool {
 	w := to.watches[from.name]
 	if w == nil {
-		w = &simWatch{view: &View{LocalOnly: localOnly}, src: &Source{Replaces: to.last, Whole: !localOnly}, heard: s.now}
+		w = &simWatch{view: &View{LocalOnly: localOnly}, src: &Source{Previous: to.last, FullCopy: !localOnly}, heard: s.now}
 		if !localOnly {
-			w.view.Known = to.state.Remember(w.src)
+			w.view.Digest = to.state.PrepareResume(w.src)
 		}
 		to.watches[from.name] = w
 	}
@@ -175,7 +175,7 @@
 	}
 	u, _ := from.state.Update(s.now, w.view)
 	to.state.Apply(s.now, w.src, u)
-	if !localOnly && u.Settling && to.targets.Others(from.name, s.now) {
+	if !localOnly && u.Settling && to.targets.HasAlternative(from.name, s.now) {
 		delete(to.watches, from.name)
 		return false
 	}
@@ -191,7 +191,7 @@
 		addr = e.targets.Pick(s.now, 1)[0]
 	}
 	if !s.watch(e, s.replica(addr), false) {
-		e.targets.Failed(addr, s.now)
+		e.targets.MarkFailed(addr, s.now)
 	}
 }
 
@@ -202,17 +202,17 @@
 func (s *simulation) hearReports(e *simNode, i int) {
 	for j, a := range s.agents {
 		if !a.dead && s.reachable(a.name, e.name) && (int(s.now.Sub(testStart)/simStep)+7*j+i)%simReportSteps == 0 {
-			e.state.Heard(s.now, a.name, a.incarnation)
+			e.state.RenewDirect(s.now, a.name, a.incarnation)
 		}
 	}
 }
 
 // answerProbes lets the running, reachable agents reply to the probes of a node.
 func (s *simulation) answerProbes(n *simNode) {
-	for _, i := range n.state.TakeAsks() {
+	for _, i := range n.state.TakeProbes() {
 		for _, a := range s.agents {
 			if a.name == i.Id && !a.dead && s.reachable(a.name, n.name) {
-				n.state.Heard(s.now, a.name, a.incarnation)
+				n.state.RenewDirect(s.now, a.name, a.incarnation)
 			}
 		}
 	}
@@ -302,7 +302,7 @@
 // gone.
 func (s *simulation) maxGoneDelay(a *simAgent) time.Duration {
 	if s.faultAt.After(a.deadSince) && s.faultAt.Sub(a.deadSince) <= simLease {
-		return simLease + s.settings.VouchLease + 500*time.Millisecond
+		return simLease + s.settings.SourceLease + 500*time.Millisecond
 	}
 	return simLease + 2*time.Second
 }
--- a/directory/source.go
+++ b/directory/source.go
@@ -16,12 +16,12 @@
 	expires time.Time
 	// settling reports that the source is settling; see State.Settled.
 	settling bool
-	// Whole reports that the source sends its whole directory, not only the instances
+	// FullCopy reports that the source sends its whole directory, not only the instances
 	// that announce to it directly.
-	Whole bool
-	// Replaces is the watch that this one takes over from. Its lease ends as soon as this
+	FullCopy bool
+	// Previous is the watch that this one takes over from. Its lease ends as soon as this
 	// one is synced, as instances that it reported may be gone by then.
-	Replaces *Source
+	Previous *Source
 	// resumeBuckets holds the announcements that were known before the first update, by
 	// bucket; nil once the source is synced.
 	resumeBuckets map[int][]*wire.Announcement
@@ -57,10 +57,10 @@
 	if u.Synced {
 		src.resumeBuckets = nil
 	}
-	if u.Synced && !u.Settling && src.Replaces != nil {
-		src.Replaces.expires = time.Time{}
+	if u.Synced && !u.Settling && src.Previous != nil {
+		src.Previous.expires = time.Time{}
 		s.nextCheck = time.Time{}
-		src.Replaces = nil
+		src.Previous = nil
 	}
 	return changed
 }
@@ -116,7 +116,7 @@
 // stalled, and the instances of the source that expired meanwhile are restored.
 func (s *State) renewSource(now time.Time, src *Source, settling bool) bool {
 	lapsed := !src.expires.IsZero() && !src.valid(now)
-	src.expires = now.Add(s.settings.VouchLease)
+	src.expires = now.Add(s.settings.SourceLease)
 	src.settling = settling
 	if !lapsed {
 		return false
@@ -151,19 +151,19 @@
 }
 
 // inSourceLossGrace reports whether the leases of all sources have expired, the last one
-// no longer than Settings.SilentHold ago. It is false for a control replica, which
+// no longer than Settings.SourceLossGrace ago. It is false for a control replica, which
 // must not report instances to others that no replica hears from.
 func (s *State) inSourceLossGrace(now time.Time) bool {
 	var last time.Time
 	for _, src := range s.sources {
-		if !src.Whole {
+		if !src.FullCopy {
 			return false
 		}
 		if src.expires.After(last) {
 			last = src.expires
 		}
 	}
-	return now.After(last) && now.Sub(last) <= s.settings.SilentHold
+	return now.After(last) && now.Sub(last) <= s.settings.SourceLossGrace
 }
 
 // sourceRetention is how long a source is kept after its lease expired.
--- a/directory/targets.go
+++ b/directory/targets.go
@@ -64,8 +64,8 @@
 	return 0
 }
 
-// Learned reports whether the failure domain of any replica has been received.
-func (t *Targets) Learned() bool {
+// DomainsKnown reports whether the failure domain of any replica has been received.
+func (t *Targets) DomainsKnown() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.learned
@@ -79,9 +79,9 @@
 	return t.acceptNew || !t.learned
 }
 
-// Learn updates the failure domains of the replicas. Unknown replicas are added if Grow
+// UpdateReplicas updates the failure domains of the replicas. Unknown replicas are added if Grow
 // was called, and ignored otherwise.
-func (t *Targets) Learn(replicas []*wire.DirectoryReplica) {
+func (t *Targets) UpdateReplicas(replicas []*wire.DirectoryReplica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range replicas {
@@ -99,9 +99,9 @@
 	t.sort()
 }
 
-// Grow allows Learn to add replicas that are not configured, as replicas may be replaced
+// AllowNewReplicas allows Learn to add replicas that are not configured, as replicas may be replaced
 // at new addresses while the process runs. It returns t.
-func (t *Targets) Grow() *Targets {
+func (t *Targets) AllowNewReplicas() *Targets {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.acceptNew = true
@@ -152,18 +152,18 @@
 	return x.domain != "" && slices.ContainsFunc(chosen, func(c *target) bool { return c.domain == x.domain })
 }
 
-// Others reports whether a replica other than address is available.
-func (t *Targets) Others(address string, now time.Time) bool {
+// HasAlternative reports whether a replica other than address is available.
+func (t *Targets) HasAlternative(address string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.ContainsFunc(t.list, func(x *target) bool { return x.address != address && t.isAvailable(x, now) })
 }
 
-// Answered records that a replica answered.
-func (t *Targets) Answered(address string) { t.setFailed(address, time.Time{}) }
+// MarkAnswered records that a replica answered.
+func (t *Targets) MarkAnswered(address string) { t.setFailed(address, time.Time{}) }
 
-// Failed records that a replica did not answer.
-func (t *Targets) Failed(address string, now time.Time) { t.setFailed(address, now) }
+// MarkFailed records that a replica did not answer.
+func (t *Targets) MarkFailed(address string, now time.Time) { t.setFailed(address, now) }
 
 func (t *Targets) setFailed(address string, failed time.Time) {
 	t.mu.Lock()
--- a/directory/targets_test.go
+++ b/directory/targets_test.go
@@ -27,13 +27,13 @@
 	before, after := map[string]int{}, map[string]int{}
 	for i := range 5500 {
 		x := NewTargets(fmt.Sprintf("upstream-%d", i), fmt.Sprintf("hall-%d", i%19), addrs)
-		x.Learn(known)
+		x.UpdateReplicas(known)
 		two := x.Pick(testStart, 2)
 		assert.Equal(t, two[0], addrs[i%19], "own failure domain first")
 		assert.Assert(t, two[0] != two[1])
 		before[two[0]]++
 		before[two[1]]++
-		x.Failed(lost, testStart)
+		x.MarkFailed(lost, testStart)
 		for _, a := range x.Pick(testStart.Add(time.Second), 2) {
 			after[a]++
 		}
@@ -52,7 +52,7 @@
 	addrs, _ := testReplicas()
 	x := NewTargets("upstream-1", "hall-1", addrs)
 	for _, a := range addrs {
-		x.Failed(a, testStart)
+		x.MarkFailed(a, testStart)
 	}
 	assert.Equal(t, len(x.Pick(testStart, 19)), 19)
 }
--- a/entry/agentwatch.go
+++ b/entry/agentwatch.go
@@ -166,7 +166,7 @@
 }
 
 func (w *agentWatches) handleReport(o *agentWatch, r *wire.Report) {
-	w.entry.node.Heard(r.Upstream, r.Incarnation)
+	w.entry.node.RenewDirect(r.Upstream, r.Incarnation)
 	o.load.Store(r.Load)
 	w.entry.fwd.Report(r)
 }
--- a/entry/agentwatch_test.go
+++ b/entry/agentwatch_test.go
@@ -98,7 +98,7 @@
 	settings := directory.DefaultSettings()
 	settings.SettleTime = 0
 	e.node = directory.NewNode(settings, clock, nil)
-	e.node.SetAsk(e.agentWatches.requestReport)
+	e.node.SetProbe(e.agentWatches.requestReport)
 	go e.node.Run(ctx)
 	_, err = e.node.Announce(ctx, &wire.Announcement{
 		Id: "up", Incarnation: 1, Seq: 1, Role: wire.Role_ROLE_UPSTREAM, Phase: wire.Phase_PHASE_UP, Address: address,
--- a/entry/announce.go
+++ b/entry/announce.go
@@ -44,11 +44,11 @@
 	if !reply.Superseded {
 		return
 	}
-	if !e.incarnation.Supersede(reply.KnownIncarnation) {
+	if !e.incarnation.RaiseAbove(reply.KnownIncarnation) {
 		kernel.Warn(e.log, "A higher incarnation of this ID is known. Another process may be using the same ID.", "id", e.settings.ID)
 		return
 	}
-	e.claims.Renumber()
+	e.claims.RaiseIncarnation()
 	kernel.Warn(e.log, "This host's clock is behind that of an earlier incarnation. Raised the incarnation.", "id", e.settings.ID, "incarnation", e.incarnation.Number())
 }
 
@@ -69,7 +69,7 @@
 		FailureDomain: e.settings.FailureDomain,
 		Address:       e.InternalAddress(), CallerAddress: e.CallerAddress(),
 		LeaseMs:       uint32(e.settings.Lease.D().Milliseconds()),
-		ClaimRegister: e.claims.Register(),
+		ClaimRegister: e.claims.RegisterStatus(),
 	}
 	if v := e.view.Load(); v != nil {
 		a.Revision = v.Revision
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -29,11 +29,11 @@
 	if err != nil || fs == nil {
 		return err
 	}
-	return e.claims.Open(fs, claim.Events{
-		Forgot: func(cause error) {
+	return e.claims.Open(fs, claim.FolderEvents{
+		Discarded: func(cause error) {
 			kernel.Warn(e.log, "Claims in the data folder can't be used. The register discarded them.", "err", cause)
 		},
-		Failed: func(cause error) {
+		WriteFailed: func(cause error) {
 			kernel.Warn(e.log, "Claim can't be made durable. The register grants no claims until a restart.", "err", cause)
 		},
 	})
@@ -47,7 +47,7 @@
 }
 
 // CanGrantClaims reports whether the entry's claim register may grant any key.
-func (e *Entry) CanGrantClaims() bool { return e.claims.Granting() }
+func (e *Entry) CanGrantClaims() bool { return e.claims.CanGrant() }
 
 // claimKey claims the request's idempotency key, if it has one and isn't idempotent.
 // done is true if the caller was sent the stored answer of an earlier attempt.
@@ -66,11 +66,11 @@
 	start := time.Now()
 	out := q.entry.claims.Claim(q.r.Context(), claim.Request{
 		Key: &wire.ClaimKey{Team: q.team.Name, Service: q.service.Name, Key: key},
-		ID:  q.id, Entry: q.entry.incarnation.Wire(), Digest: q.digest(),
-		TTL: q.service.ClaimTTL, Deadline: deadline, Round: q.entry.settings.ClaimRoundTimeout.D(),
-	}, q.entry.node.Gone)
+		ID:  q.id, Entry: q.entry.incarnation.ToWire(), Digest: q.digest(),
+		TTL: q.service.ClaimTTL, Deadline: deadline, RoundTimeout: q.entry.settings.ClaimRoundTimeout.D(),
+	}, q.entry.node.HasEnded)
 	metrics.GetOrRegisterTimer("entry.claims", q.entry.metrics).UpdateSince(start)
-	switch out.Choice {
+	switch out.Decision {
 	case claim.Run:
 		return out.Hold, false, nil
 	case claim.Replay:
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -58,7 +58,7 @@
 	drainStarted             chan struct{}
 	drained                  chan struct{}
 	requests                 atomic.Int64
-	incarnation              *directory.Life
+	incarnation              *directory.Incarnation
 	seq                      atomic.Uint64
 	started                  time.Time
 
@@ -100,7 +100,7 @@
 		pool:         transport.NewPool(sec),
 		sealer:       refusal.NewTokenSigner(sec.Secret),
 		metrics:      metrics.NewRegistry(),
-		incarnation:  directory.NewLife(s.ID, s.Now()),
+		incarnation:  directory.NewIncarnation(s.ID, s.Now()),
 		started:      s.Now(),
 		announceNow:  make(chan struct{}, 1),
 		drainStarted: make(chan struct{}),
@@ -126,7 +126,7 @@
 	e.controlTargets = directory.NewTargets(s.ID, s.FailureDomain, s.replicas())
 	e.announcer = directory.NewAnnouncer(e.controlTargets, e.pool.Conn, s.Now)
 	e.agentWatches = newAgentWatches(e)
-	e.node.SetAsk(e.agentWatches.requestReport)
+	e.node.SetProbe(e.agentWatches.requestReport)
 	e.teamLimits = newTeamLimits(e)
 	e.bodyMemory = newBodyMemory(s.MaxBodyMemory, s.UrgentPercent)
 	e.claims = claim.NewNode(claim.DefaultRegisterSettings(), e.incarnation, e.pool.Conn, s.Now)
--- a/entry/gauges.go
+++ b/entry/gauges.go
@@ -64,7 +64,7 @@
 // claimsFailed returns 1 if the claim register has stopped granting because a record
 // couldn't be made durable, else 0.
 func (e *Entry) claimsFailed() int64 {
-	if e.claims.Failed() {
+	if e.claims.WriteFailed() {
 		return 1
 	}
 	return 0
--- a/entry/request.go
+++ b/entry/request.go
@@ -334,7 +334,7 @@
 		Head: &wire.RunHead{
 			RequestId: q.id, Team: q.team.Name, Service: q.service.Name, Priority: prio,
 			Weight: uint32(weight), Idempotent: q.idempotent(), Method: q.r.Method,
-			Path: q.path, Headers: upstream.PassedHeaders(q.r.Header, headerIdempotencyKey), Tokens: uint32(q.tokens),
+			Path: q.path, Headers: upstream.ForwardedHeaders(q.r.Header, headerIdempotencyKey), Tokens: uint32(q.tokens),
 		},
 		Body: q.body, Pool: q.view.Pools[q.service.Pool], Deadline: deadline,
 		Route:            &route.Request{Priority: prio, Tokens: q.tokens, Prefix: q.prefix},
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -101,7 +101,7 @@
 		MaxBodyMemory:     64 << 20,
 		BodyTimeout:       kernel.Duration(30 * time.Second),
 		IdleTimeout:       kernel.Duration(2 * time.Minute),
-		ClaimRoundTimeout: kernel.Duration(claim.RoundTimeout),
+		ClaimRoundTimeout: kernel.Duration(claim.DefaultRoundTimeout),
 		StopLimit:         kernel.Duration(5 * time.Minute),
 		Lease:             kernel.Duration(3 * time.Second),
 		AnnounceInterval:  kernel.Duration(500 * time.Millisecond),
--- a/entry/system.go
+++ b/entry/system.go
@@ -30,7 +30,7 @@
 	for _, i := range p.node.Instances(role) {
 		f(i, phaseName(i))
 	}
-	for _, i := range p.node.Silent(role) {
+	for _, i := range p.node.Expired(role) {
 		f(i, operators.PhaseSilent)
 	}
 }
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -35,7 +35,7 @@
 
 // handleReply takes a higher incarnation if an earlier process with this ID had a higher one.
 func (g *Gateway) handleReply(reply *wire.AnnounceReply) {
-	if reply.Superseded && g.life.Supersede(reply.KnownIncarnation) {
+	if reply.Superseded && g.life.RaiseAbove(reply.KnownIncarnation) {
 		kernel.Warn(g.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "incarnation", g.life.Number())
 		g.triggerAnnounce()
 	}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -182,8 +182,8 @@
 // send calls the attempt's upstream and reads the head of its response.
 func (c *call) send(a *attempt, lastEventID string) (*direct.Response, error) {
 	header := forwardHeader(c.r.Header)
-	c.dialect.SetSend(header, dialect.Send{
-		Left: time.Until(c.deadline), Instance: a.upstream.ID, Team: c.team.GetName(), LastEventID: lastEventID,
+	c.dialect.SetUpstreamHeader(header, dialect.UpstreamHeader{
+		Remaining: time.Until(c.deadline), Instance: a.upstream.ID, Team: c.team.GetName(), LastEventID: lastEventID,
 	})
 	req := &direct.Request{Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Header: header, Body: c.body}
 	resp, err := c.client.Do(a.ctx, a.upstream.Address, req, func(status int, h http.Header) bool {
@@ -229,7 +229,7 @@
 		return outcomeMisdirected
 	case a.head.NotRun:
 		return outcomeNotRun
-	case !a.head.Signed || h.Get("Content-Encoding") != "":
+	case !a.head.FromUpstream || h.Get("Content-Encoding") != "":
 		// The response is not from the upstream's program, or was changed on the way.
 		return outcomeInDoubt
 	default:
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -47,7 +47,7 @@
 	client       *direct.Client
 	node         *directory.Node
 	targets      *directory.Targets
-	life         *directory.Life
+	life         *directory.Incarnation
 	services     *serviceManager
 	movable      *movableAttempts
 	fetches      *fetchGroup
@@ -85,7 +85,7 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	d, err := dialect.Named(s.Dialect)
+	d, err := dialect.ByName(s.Dialect)
 	if err != nil {
 		return nil, err
 	}
@@ -98,8 +98,8 @@
 		settings: s, log: kernel.PartLog(l, "gateway"), dialect: d, now: now, certs: certs,
 		pool:   transport.NewPool(sec),
 		client: direct.NewClient(transport.NewDialer(upstreamDialTimeout).DialContext),
-		life:   directory.NewLife(s.ID, now()), services: newServiceManager(s), movable: newMovableAttempts(), fetches: newFetchGroup(), warmup: newWarmup(now()), timeouts: newCallerTimeouts(),
-		targets:     directory.NewTargets(s.ID, s.FailureDomain, s.Replicas).Grow(),
+		life:   directory.NewIncarnation(s.ID, now()), services: newServiceManager(s), movable: newMovableAttempts(), fetches: newFetchGroup(), warmup: newWarmup(now()), timeouts: newCallerTimeouts(),
+		targets:     directory.NewTargets(s.ID, s.FailureDomain, s.Replicas).AllowNewReplicas(),
 		announceNow: make(chan struct{}, 1),
 	}
 	g.requestLog, g.metrics = newRequestLog(g.log, now), newGatewayMetrics()
@@ -119,7 +119,7 @@
 // responds.
 func directorySettings() directory.Settings {
 	s := directory.DefaultSettings()
-	s.SilentHold = 10 * time.Minute
+	s.SourceLossGrace = 10 * time.Minute
 	return s
 }
 
--- a/gateway/limiter.go
+++ b/gateway/limiter.go
@@ -110,7 +110,7 @@
 	for _, i := range insts {
 		g.slots += int(i.Direct.Slots)
 		g.lockstep = g.lockstep || i.Group != ""
-		reported.Take(i.Direct)
+		reported.Merge(i.Direct)
 	}
 	switch {
 	case reported.Epoch > g.epoch:
--- a/measure/capacity/directory.go
+++ b/measure/capacity/directory.go
@@ -129,7 +129,7 @@
 	pool := transport.NewPool(security)
 	defer pool.Close()
 	targets := directory.NewTargets(fmt.Sprint(i), "hall-00", []string{addr})
-	targets.Learn([]*wire.DirectoryReplica{{Address: addr, FailureDomain: "hall-00"}})
+	targets.UpdateReplicas([]*wire.DirectoryReplica{{Address: addr, FailureDomain: "hall-00"}})
 	a := directory.NewAnnouncer(targets, pool.Conn, time.Now)
 	wait := announceInterval * time.Duration(i) / time.Duration(n)
 	for seq := uint64(1); ; seq++ {
--- a/measure/capacity/memory.go
+++ b/measure/capacity/memory.go
@@ -42,14 +42,14 @@
 			a.Phase = wire.Phase_PHASE_LEAVING
 			other.Announce(time.Now(), a, 0, true)
 		}
-		entry, src := directory.New(settings, time.Now(), 0), &directory.Source{Whole: true}
+		entry, src := directory.New(settings, time.Now(), 0), &directory.Source{FullCopy: true}
 		began := meter.ProcessorTime()
 		firstBytes := copyBytes(one, entry, &directory.View{}, src)
 		first := meter.ProcessorTime() - began
-		src = &directory.Source{Whole: true, Replaces: src}
+		src = &directory.Source{FullCopy: true, Previous: src}
 		began = meter.ProcessorTime()
-		req := &wire.DirectoryWatchRequest{Known: entry.Remember(src)}
-		resumedBytes := proto.Size(req) + copyBytes(other, entry, &directory.View{Known: req.Known}, src)
+		req := &wire.DirectoryWatchRequest{Known: entry.PrepareResume(src)}
+		resumedBytes := proto.Size(req) + copyBytes(other, entry, &directory.View{Digest: req.Known}, src)
 		resumed := meter.ProcessorTime() - began
 		ctx, cancel := context.WithCancel(context.Background())
 		go node.Run(ctx)
--- a/measure/capacity/settling.go
+++ b/measure/capacity/settling.go
@@ -157,7 +157,7 @@
 				break
 			}
 			if m.replicas[k].down {
-				t.Failed(addr, m.virtualTime())
+				t.MarkFailed(addr, m.virtualTime())
 				continue
 			}
 			a := announcement(wire.Role_ROLE_UPSTREAM, i, m.seq)
@@ -173,7 +173,7 @@
 	from := m.replicas[k]
 	w := to.watches[k]
 	if w == nil {
-		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Replaces: to.lastSource, Whole: !localOnly}, lastUpdate: m.now}
+		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Previous: to.lastSource, FullCopy: !localOnly}, lastUpdate: m.now}
 		to.watches[k] = w
 	}
 	if from.down {
@@ -185,7 +185,7 @@
 	}
 	if m.now-w.lastUpdate > 2*modelStep {
 		// The replica was down and has restarted, so the watch starts anew.
-		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Replaces: to.lastSource, Whole: !localOnly}}
+		w = &modelWatch{view: &directory.View{LocalOnly: localOnly}, source: &directory.Source{Previous: to.lastSource, FullCopy: !localOnly}}
 		to.watches[k] = w
 	}
 	w.lastUpdate = m.now
--- a/sidecar/daemon.go
+++ b/sidecar/daemon.go
@@ -75,7 +75,7 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	dia, err := dialect.Named(s.Dialect)
+	dia, err := dialect.ByName(s.Dialect)
 	if err != nil {
 		return nil, err
 	}
--- a/upstream/http.go
+++ b/upstream/http.go
@@ -24,9 +24,9 @@
 
 // Names of header fields sent to upstreams.
 const (
-	HeaderRequestID = "X-Request-Id"
-	HeaderPriority  = "X-Request-Priority"
-	HeaderToken     = "X-Fencing-Token"
+	HeaderRequestID    = "X-Request-Id"
+	HeaderPriority     = "X-Request-Priority"
+	HeaderFencingToken = "X-Fencing-Token"
 )
 
 // maxControlBody limits the response to a load, cache, counter or order call, in bytes.
@@ -103,18 +103,18 @@
 	}
 	if id := resp.Header.Get(HeaderRequestID); id != "" && id != head.RequestId {
 		_ = resp.Body.Close()
-		return nil, merry.Prependf(ErrCrossed, "request ID is %s, response has %s", head.RequestId, id)
+		return nil, merry.Prependf(ErrRequestIDMismatch, "request ID is %s, response has %s", head.RequestId, id)
 	}
 	return &Answer{
 		Status:    resp.StatusCode,
-		Headers:   PassedHeaders(resp.Header, ""),
+		Headers:   ForwardedHeaders(resp.Header, ""),
 		Streaming: strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"),
 		Body:      resp.Body,
 	}, nil
 }
 
-// Refuses implements Refuser.
-func (h *HTTP) Refuses(ctx context.Context) bool {
+// RefusesConnections implements Refuser.
+func (h *HTTP) RefusesConnections(ctx context.Context) bool {
 	port := h.base.Port()
 	if port == "" {
 		port = h.base.Scheme
@@ -173,14 +173,14 @@
 	return strings.ToLower(strings.TrimPrefix(p.String(), "PRIORITY_"))
 }
 
-// PassHeader reports whether a header field is forwarded to the next hop. Authorization is
+// ForwardHeader reports whether a header field is forwarded to the next hop. Authorization is
 // not: the caller's credentials are meant for the load balancer.
-func PassHeader(name string) bool {
+func ForwardHeader(name string) bool {
 	return !transport.HopByHop(name) && http.CanonicalHeaderKey(name) != "Authorization"
 }
 
-// PassedHeaders returns the fields of h to forward, except the one named skip.
-func PassedHeaders(h http.Header, skip string) []*wire.Header {
+// ForwardedHeaders returns the fields of h to forward, except the one named skip.
+func ForwardedHeaders(h http.Header, skip string) []*wire.Header {
 	n := 0
 	for _, values := range h {
 		n += len(values)
@@ -189,7 +189,7 @@
 	fields := make([]wire.Header, 0, n)
 	list := make([]*wire.Header, 0, n)
 	for name, values := range h {
-		if name == skip || !PassHeader(name) {
+		if name == skip || !ForwardHeader(name) {
 			continue
 		}
 		for _, v := range values {
--- a/upstream/kinds.go
+++ b/upstream/kinds.go
@@ -71,8 +71,8 @@
 	return nil, ErrUnsupported
 }
 
-// Give implements Upstream.
-func (p *Plain) Give(context.Context, *wire.Order) (*wire.OrderReply, error) {
+// SendOrder implements Upstream.
+func (p *Plain) SendOrder(context.Context, *wire.Order) (*wire.OrderReply, error) {
 	return nil, ErrUnsupported
 }
 
@@ -127,12 +127,12 @@
 	Body     []byte `json:"body"`
 }
 
-// Give implements Upstream.
-func (e *Engine) Give(ctx context.Context, o *wire.Order) (*wire.OrderReply, error) {
+// SendOrder implements Upstream.
+func (e *Engine) SendOrder(ctx context.Context, o *wire.Order) (*wire.OrderReply, error) {
 	var r orderReply
 	header := http.Header{
-		HeaderToken:     {strconv.FormatUint(o.Token, 10)},
-		HeaderRequestID: {o.OrderId},
+		HeaderFencingToken: {strconv.FormatUint(o.Token, 10)},
+		HeaderRequestID:    {o.OrderId},
 	}
 	path := "/orders/" + o.Verb
 	if err := e.callJSON(ctx, http.MethodPost, path, bytes.NewReader(o.Body), header, &r); err != nil {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -19,8 +19,8 @@
 	ErrNotSent = merry.Sentinel("upstream was not reached")
 	// ErrFailed is returned when a call failed and the upstream may have received it.
 	ErrFailed = merry.Sentinel("upstream failed")
-	// ErrCrossed is returned when the response has the ID of another request.
-	ErrCrossed = merry.Sentinel("response has the ID of another request")
+	// ErrRequestIDMismatch is returned when the response has the ID of another request.
+	ErrRequestIDMismatch = merry.Sentinel("response has the ID of another request")
 	// ErrUnsupported is returned when the upstream doesn't offer the operation.
 	ErrUnsupported = merry.Sentinel("operation not supported by the upstream")
 	// ErrNotUpstream is returned for a plug-in that is not an Upstream.
@@ -48,17 +48,17 @@
 	Cache(ctx context.Context, after uint64) ([]*wire.CacheEvent, error)
 	// Counters returns the expert counters since the last call.
 	Counters(ctx context.Context) (*wire.ExpertCounters, error)
-	// Give sends an order to the upstream.
-	Give(ctx context.Context, o *wire.Order) (*wire.OrderReply, error)
+	// SendOrder sends an order to the upstream.
+	SendOrder(ctx context.Context, o *wire.Order) (*wire.OrderReply, error)
 	// Close closes idle connections.
 	Close()
 }
 
-// Refuser is an Upstream that can check whether its server refuses connections.
-type Refuser interface {
-	// Refuses reports whether connections to the address of the upstream are refused,
+// RefusalChecker is an Upstream that can check whether its server refuses connections.
+type RefusalChecker interface {
+	// RefusesConnections reports whether connections to the address of the upstream are refused,
 	// because nothing listens there. It returns false for a host that doesn't respond.
-	Refuses(ctx context.Context) bool
+	RefusesConnections(ctx context.Context) bool
 }
 
 // New loads the plug-in of a kind with its settings.
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -134,7 +134,7 @@
 // a snapshot's position discards all.
 func (st *State) apply(rec *wire.JournalRecord) error {
 	if h := rec.GetHardState(); h != nil {
-		st.Hard = h
+		st.HardState = h
 		return nil
 	}
 	if rec.GetSnapshot() != nil {
@@ -167,10 +167,10 @@
 }
 
 func (j *Journal) checkState(st *State) error {
-	if st.Identity != nil && st.Hard == nil && len(st.Entries) > 0 {
+	if st.Identity != nil && st.HardState == nil && len(st.Entries) > 0 {
 		return merry.Prepend(ErrCorrupt, "hard state is missing")
 	}
-	j.hard = st.Hard
+	j.hard = st.HardState
 	return nil
 }
 
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -45,10 +45,10 @@
 // State is the contents of a Journal's folder.
 type State struct {
 	// Identity is nil if the folder has none yet.
-	Identity *wire.Identity
-	Hard     *wire.HardState
-	Snapshot *wire.LogSnapshot
-	Entries  []*wire.LogEntry
+	Identity  *wire.Identity
+	HardState *wire.HardState
+	Snapshot  *wire.LogSnapshot
+	Entries   []*wire.LogEntry
 	// TornBytes is the size of a torn write that was cut from the last segment.
 	TornBytes int
 }
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -173,7 +173,7 @@
 	_, st := openJournal(t, fs)
 	assert.Equal(t, st.Identity.Name, "c1")
 	assert.Equal(t, st.Snapshot.Index, uint64(40))
-	assert.Equal(t, st.Hard.Term, uint64(3))
+	assert.Equal(t, st.HardState.Term, uint64(3))
 	assert.Equal(t, len(st.Entries), 20)
 	assert.Equal(t, st.Entries[7].Term, uint64(4))
 }
