--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -28,7 +28,7 @@
 //	stopentry ENTRY      stops an entry (1 to 3)
 //	waithealth TEXT      waits until the command members prints this health
 //	finished             must be the last command; a script that stops earlier fails
-//	crashservice N       makes the plain service end during a request, N times
+//	crashservice N       makes the plain service crash during a request, N times
 //	waitquarantined VAR  waits until a request is in quarantine, and sets VAR to its key
 //	waitserved           waits until the request of crashservice is served
 //	replica NAME VAR     sets VAR to the ID of the replica with that name
--- a/ctl/quarantine_test.go
+++ b/ctl/quarantine_test.go
@@ -18,27 +18,27 @@
 // crashPath is the path of the request during which crashservice makes the plain service end.
 const crashPath = "/services/clock-core/bad"
 
-// cmdCrashService makes the plain service end during a request N times, and restarts it each time.
+// cmdCrashService makes the plain service crash during a request N times, and restarts it each time.
 func cmdCrashService(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.ParseInt(args[0], 10, 64)
 	ts.Check(err)
 	s := scriptOf(ts).system
 	plain := s.Plains[0]
-	var ends atomic.Int64
+	var crashes atomic.Int64
 	plain.SetFault(func(r *http.Request) fake.Fault {
 		if !strings.HasSuffix(r.URL.Path, "/bad") {
 			return fake.FaultNone
 		}
-		ends.Add(1)
+		crashes.Add(1)
 		return fake.FaultStopServer
 	})
-	for end := time.Now().Add(waitLimit); ends.Load() < want; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); crashes.Load() < want; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			ts.Fatalf("%d ends of %d", ends.Load(), want)
+			ts.Fatalf("%d crashes of %d", crashes.Load(), want)
 		}
-		before := ends.Load()
+		before := crashes.Load()
 		scriptOf(ts).postCrashRequest()
-		if ends.Load() > before {
+		if crashes.Load() > before {
 			ts.Check(plain.Restart())
 		}
 	}
--- a/fake/group.go
+++ b/fake/group.go
@@ -48,7 +48,7 @@
 	// Epochs are the maps used, in the order of their first step.
 	Epochs []uint64
 	// MaxBlocked is the longest time that a step waited for ranks that could not
-	// begin it, and Lost is the sum of these waits.
+	// begin it, and TotalBlocked is the sum of these waits.
 	MaxBlocked, TotalBlocked time.Duration
 }
 
--- a/fake/rank.go
+++ b/fake/rank.go
@@ -9,7 +9,7 @@
 // Rank is the expert map state machine of one rank of a lock-step group. It does
 // no I/O and specifies what an engine must do:
 //
-//   - A rank starts blank: it runs no step until it adopts the map in force. It
+//   - A rank starts without a map: it runs no step until it adopts the map in force. It
 //     rejects orders for another incarnation.
 //   - The weights of a staged map are kept beside those in use until the map is
 //     committed or aborted.
@@ -21,7 +21,7 @@
 type Rank struct {
 	incarnation uint64
 	seq         uint64
-	blank       bool
+	noMap       bool
 	epoch       uint64
 	nextStep    uint64
 	loading     uint64
@@ -36,8 +36,8 @@
 	StepMicros uint64
 }
 
-// NewRank returns a blank rank. Each restart of a rank needs a higher incarnation.
-func NewRank(incarnation uint64) *Rank { return &Rank{incarnation: incarnation, blank: true} }
+// NewRank returns a rank without a map. Each restart of a rank needs a higher incarnation.
+func NewRank(incarnation uint64) *Rank { return &Rank{incarnation: incarnation, noMap: true} }
 
 // HandleOrder carries out an order and returns the resulting status, whose Refused field
 // gives the reason if the order was rejected.
@@ -49,7 +49,7 @@
 		refused = fmt.Sprintf("order is for incarnation %d", o.Incarnation)
 	case verb == rollout.VerbAdopt:
 		r.adopt(o)
-	case r.blank:
+	case r.noMap:
 		refused = "rank has no map"
 	default:
 		refused = r.dispatch(verb, o)
@@ -63,17 +63,17 @@
 func (r *Rank) Status() rollout.Status {
 	r.seq++
 	return rollout.Status{
-		Incarnation: r.incarnation, Seq: r.seq, NoMap: r.blank, Epoch: r.epoch, NextStep: r.nextStep,
+		Incarnation: r.incarnation, Seq: r.seq, NoMap: r.noMap, Epoch: r.epoch, NextStep: r.nextStep,
 		StepMicros: r.StepMicros, Loading: r.loading, Staged: r.staged, Armed: r.armed, ArmedStep: r.armedStep,
 		Decided: r.decided,
 	}
 }
 
 func (r *Rank) adopt(o *rollout.Order) {
-	if !r.blank {
+	if !r.noMap {
 		return
 	}
-	r.blank = false
+	r.noMap = false
 	r.epoch, r.highestDecided = o.Epoch, o.Epoch
 	r.nextStep = max(r.nextStep, o.Step)
 }
@@ -159,14 +159,14 @@
 }
 
 // Blank reports whether the rank has not yet adopted a map.
-func (r *Rank) Blank() bool { return r.blank }
+func (r *Rank) Blank() bool { return r.noMap }
 
 // NextStep returns the number of the step that the rank will begin.
 func (r *Rank) NextStep() uint64 { return r.nextStep }
 
 // CanBeginStep reports whether the rank may begin its next step.
 func (r *Rank) CanBeginStep() bool {
-	if r.blank {
+	if r.noMap {
 		return false
 	}
 	// Another rank may already know the decision and begin the step with the new
--- a/fake/server.go
+++ b/fake/server.go
@@ -43,12 +43,12 @@
 	// FaultHeldMidStream sends the first heldAfterWrites writes of an answer at once,
 	// and the rest after Release.
 	FaultHeldMidStream
-	// FaultOversized appends Oversize bytes to the answer.
+	// FaultOversized appends OversizeBytes bytes to the answer.
 	FaultOversized
 	// FaultTruncateAfter closes the connection after TruncateAfter bytes of the body.
 	FaultTruncateAfter
 	// FaultStopServer stops the server while it runs the request: all connections are
-	// closed, and nothing listens until Again is called.
+	// closed, and nothing listens until Restart is called.
 	FaultStopServer
 )
 
--- a/internal/deflate/deflate.go
+++ b/internal/deflate/deflate.go
@@ -28,7 +28,7 @@
 	return out.Bytes(), nil
 }
 
-// Decompress decompresses the output of Pack. It returns ErrInvalid if the result is larger
+// Decompress decompresses the output of Compress. It returns ErrInvalid if the result is larger
 // than maxSize bytes, so that corrupt or hostile input can't exhaust memory.
 func Decompress(packed []byte, maxSize int) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(packed))
--- a/kernel/badkey.go
+++ b/kernel/invalidkey.go
@@ -11,7 +11,7 @@
 	return merry.Prependf(ErrSettings, "key %q: %s", key, detail)
 }
 
-// CheckAddress returns a InvalidKey error unless all values have the form HOST:PORT.
+// CheckAddress returns an InvalidKey error unless all values have the form HOST:PORT.
 func CheckAddress(key string, values ...string) error {
 	for _, v := range values {
 		if _, _, err := net.SplitHostPort(v); err != nil {
--- a/kernel/watchers_test.go
+++ b/kernel/watchers_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A slow subscriber must not block Wake and gets one notification for several changes;
+// A slow subscriber must not block Notify and gets one notification for several changes;
 // a cancelled one gets none.
 func TestWatchersMergeSeveralChanges(t *testing.T) {
 	var w Watchers
--- a/measure/admit/limits.go
+++ b/measure/admit/limits.go
@@ -15,7 +15,7 @@
 	advanceTo(now time.Time)
 	// shareTraffic returns the number of share demands, one for each team, and of the calls
 	// that carried them.
-	shareTraffic() (questions, calls float64)
+	shareTraffic() (demands, calls float64)
 }
 
 // buckets are independent token buckets, one at each entry. The baselines give each
@@ -46,7 +46,7 @@
 
 func (b *buckets) advanceTo(time.Time) {}
 
-func (b *buckets) shareTraffic() (questions, calls float64) { return 0, 0 }
+func (b *buckets) shareTraffic() (demands, calls float64) { return 0, 0 }
 
 // centralBucket is the theoretical bound: a single bucket that all entries use without
 // delay.
@@ -77,7 +77,7 @@
 func measureLimits(o options) {
 	for _, c := range callerLoads {
 		fmt.Printf("Limits: callers %s.\n", c.name)
-		fmt.Printf("%-10s %-20s %12s %12s %14s %10s\n", "limit/s", "way", "admitted", "over l*(w+1s)", "questions/s", "calls/s")
+		fmt.Printf("%-10s %-20s %12s %12s %14s %10s\n", "limit/s", "way", "admitted", "over l*(w+1s)", "demands/s", "calls/s")
 		for _, rate := range []float64{5, 20, 100, 1000} {
 			variants := []struct {
 				name string
@@ -90,7 +90,7 @@
 			}
 			for _, w := range variants {
 				r := driveLimiter(o, c, rate, w.make)
-				fmt.Printf("%-10g %-20s %11.1f%% %12.0f %14.2f %10.2f\n", rate, w.name, 100*r.admitted, r.over, r.questions, r.calls)
+				fmt.Printf("%-10g %-20s %11.1f%% %12.0f %14.2f %10.2f\n", rate, w.name, 100*r.admitted, r.over, r.demands, r.calls)
 			}
 		}
 	}
@@ -104,8 +104,8 @@
 	// over is the largest number of requests by which any window of w seconds
 	// exceeded limit*(w+1s).
 	over float64
-	// questions and calls are rates per second and active entry.
-	questions, calls float64
+	// demands and calls are rates per second and active entry.
+	demands, calls float64
 }
 
 func driveLimiter(o options, c callerLoad, rate float64, newLimiter func(float64, time.Time) limiter) driveResult {
@@ -134,6 +134,6 @@
 		over = max(over, -level)
 		now = now.Add(time.Duration(rng.ExpFloat64() / (c.load * rate) * float64(time.Second)))
 	}
-	questions, calls := l.shareTraffic()
-	return driveResult{count / (min(c.load, 1) * rate * o.Seconds), math.Round(over), questions / active, calls / active}
+	demands, calls := l.shareTraffic()
+	return driveResult{count / (min(c.load, 1) * rate * o.Seconds), math.Round(over), demands / active, calls / active}
 }
--- a/measure/admit/shares.go
+++ b/measure/admit/shares.go
@@ -11,14 +11,14 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// shares is the production limiter: a home that divides the limit, and at each entry
+// shares is the production limiter: an allocator that divides the limit, and at each entry
 // a local limiter that requests its share.
 type shares struct {
-	limit            admit.Amounts
-	home             *admit.ShareAllocator
-	limiters         []*admit.Limiter
-	nextCheck        []time.Time
-	questions, calls float64
+	limit          admit.Amounts
+	allocator      *admit.ShareAllocator
+	limiters       []*admit.Limiter
+	nextCheck      []time.Time
+	demands, calls float64
 }
 
 var subject = admit.Subject{Team: "growers", Service: "pushpa-lm"}
@@ -26,7 +26,7 @@
 func newShares(rate float64, now time.Time) limiter { return newSharesFor(entries, rate, now) }
 
 func newSharesFor(n int, rate float64, now time.Time) *shares {
-	s := &shares{limit: admit.Amounts{Requests: rate, Tokens: math.Inf(1), Concurrent: math.Inf(1)}, home: admit.NewShareAllocator(now.Add(-time.Hour), "home")}
+	s := &shares{limit: admit.Amounts{Requests: rate, Tokens: math.Inf(1), Concurrent: math.Inf(1)}, allocator: admit.NewShareAllocator(now.Add(-time.Hour), "home")}
 	for i := range n {
 		l := admit.NewLimiter()
 		l.SetEntries(n)
@@ -70,26 +70,26 @@
 	}
 }
 
-// requestShares sends an entry's demands to the home until none is due. Calls take no
-// time.
+// requestShares sends an entry's demands to the allocator until none is due. Calls take
+// no time.
 func (s *shares) requestShares(entry int, now time.Time) {
 	l := s.limiters[entry]
 	for again := true; again; again = l.Due(now) {
 		r, demands := l.Report(now)
 		r.Entry, r.Incarnation = fmt.Sprint(entry), 1
 		s.calls++
-		s.questions += float64(len(demands))
-		if !s.home.AcceptReport(now, r) {
+		s.demands += float64(len(demands))
+		if !s.allocator.AcceptReport(now, r) {
 			return
 		}
-		l.HandleAnswer(r, s.home.Name(now))
+		l.HandleAnswer(r, s.allocator.Name(now))
 		for sub, d := range demands {
-			l.Apply(now, now, sub, s.home.Name(now), s.home.Grant(now, r.Entry, sub, s.limit, d, time.Second))
+			l.Apply(now, now, sub, s.allocator.Name(now), s.allocator.Grant(now, r.Entry, sub, s.limit, d, time.Second))
 		}
 	}
 }
 
-func (s *shares) shareTraffic() (questions, calls float64) { return s.questions, s.calls }
+func (s *shares) shareTraffic() (demands, calls float64) { return s.demands, s.calls }
 
 // shareBytes prints the encoded sizes of share requests and grants.
 func shareBytes(options) {
--- a/measure/admit/teams.go
+++ b/measure/admit/teams.go
@@ -24,7 +24,7 @@
 // due.
 func shareTrafficByTeam(o options) {
 	fmt.Printf("Ten teams active at each of %d entries, %.2f requests/s of each team there.\n", teamEntries, teamRate)
-	fmt.Printf("%-34s %12s %14s %10s\n", "demand", "admitted", "questions/s", "calls/s")
+	fmt.Printf("%-34s %12s %14s %10s\n", "demand", "admitted", "demands/s", "calls/s")
 	for _, c := range []struct {
 		name string
 		// load is the request rate as a fraction of the limit. swing is the factor
@@ -33,7 +33,7 @@
 		load, swing float64
 	}{{"steady, half the limit", 0.5, 1}, {"steady, twice the limit", 2, 1}, {"to and fro by 3, half the limit", 0.5, 3}, {"to and fro by 3, twice the limit", 2, 3}} {
 		r := driveTeamLimiters(o, c.load, c.swing)
-		fmt.Printf("%-34s %11.1f%% %14.2f %10.2f\n", c.name, 100*r.admitted, r.questions, r.calls)
+		fmt.Printf("%-34s %11.1f%% %14.2f %10.2f\n", c.name, 100*r.admitted, r.demands, r.calls)
 	}
 }
 
@@ -48,11 +48,11 @@
 	const warm = 10 * time.Second
 	begin, end := now.Add(warm), now.Add(warm+teamSeconds*time.Second)
 	offeredRate := teamRate * teamEntries * activeTeams
-	admitted, warmQuestions, warmCalls := 0.0, 0.0, 0.0
+	admitted, warmDemands, warmCalls := 0.0, 0.0, 0.0
 	for now.Before(end) {
 		s.advanceTo(now)
 		if now.Before(begin) {
-			warmQuestions, warmCalls, admitted = s.questions, s.calls, 0
+			warmDemands, warmCalls, admitted = s.demands, s.calls, 0
 		}
 		entry, team := rng.IntN(teamEntries), rng.IntN(activeTeams)
 		if demandIsHigh(entry, team, now) || rng.Float64() < 1/swing {
@@ -64,8 +64,8 @@
 	}
 	per := float64(teamSeconds * teamEntries)
 	return driveResult{
-		admitted:  admitted / (offeredRate * min(1, 1/load) * teamSeconds),
-		questions: (s.questions - warmQuestions) / per / activeTeams, calls: (s.calls - warmCalls) / per,
+		admitted: admitted / (offeredRate * min(1, 1/load) * teamSeconds),
+		demands:  (s.demands - warmDemands) / per / activeTeams, calls: (s.calls - warmCalls) / per,
 	}
 }
 
--- a/measure/capacity/directory.go
+++ b/measure/capacity/directory.go
@@ -116,12 +116,12 @@
 	}
 	time.Sleep(settleDown)
 	before := calls.Load()
-	spent := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
-	share := float64(n) * spent.Elapsed.Seconds()
+	usage := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
+	share := float64(n) * usage.Elapsed.Seconds()
 	made := float64(calls.Load() - before)
-	cpu := meter.Micros(spent.CPU)
+	cpu := meter.Micros(usage.CPU)
 	fmt.Printf("%9d %7d %14.2f %16.0f %18.0f %20.1f %16.0f\n", others, n, made/share,
-		float64(spent.Received)/share, float64(spent.Sent)/share, cpu/made, cpu/share)
+		float64(usage.Received)/share, float64(usage.Sent)/share, cpu/made, cpu/share)
 	return nil
 }
 
@@ -229,10 +229,10 @@
 	}
 	first := float64(s.lis.Sent()-before) / float64(o.Watchers)
 	time.Sleep(settleDown)
-	spent := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
-	share := float64(o.Watchers) * spent.Elapsed.Seconds()
-	cpu := meter.Micros(spent.CPU) - meter.Micros(alone.CPU)*spent.Elapsed.Seconds()/alone.Elapsed.Seconds()
-	fmt.Printf("%10d %14.0f %18.0f %16.0f %22.0f\n", n, float64(spent.Sent)/share, cpu/share, first, renewalsPerSecond(n))
+	usage := meter.Measure(s.lis, func() { time.Sleep(o.time()) })
+	share := float64(o.Watchers) * usage.Elapsed.Seconds()
+	cpu := meter.Micros(usage.CPU) - meter.Micros(alone.CPU)*usage.Elapsed.Seconds()/alone.Elapsed.Seconds()
+	fmt.Printf("%10d %14.0f %18.0f %16.0f %22.0f\n", n, float64(usage.Sent)/share, cpu/share, first, renewalsPerSecond(n))
 	return nil
 }
 
--- a/measure/capacity/reports.go
+++ b/measure/capacity/reports.go
@@ -88,10 +88,10 @@
 		go watchReports(ctx, pool, lis.Addr().String(), i, req)
 	}
 	time.Sleep(settleDown)
-	spent := meter.Measure(lis, func() { time.Sleep(took) })
-	share := float64(n) * spent.Elapsed.Seconds()
+	usage := meter.Measure(lis, func() { time.Sleep(took) })
+	share := float64(n) * usage.Elapsed.Seconds()
 	idle := meter.Micros(none.CPU) / none.Elapsed.Seconds()
-	fmt.Printf("%8d %14.0f %16.0f\n", n, float64(spent.Sent)/share, (meter.Micros(spent.CPU)-idle*spent.Elapsed.Seconds())/share)
+	fmt.Printf("%8d %14.0f %16.0f\n", n, float64(usage.Sent)/share, (meter.Micros(usage.CPU)-idle*usage.Elapsed.Seconds())/share)
 	return nil
 }
 
--- a/measure/capacity/sharecalls.go
+++ b/measure/capacity/sharecalls.go
@@ -127,11 +127,11 @@
 	}
 	time.Sleep(settleDown)
 	before := calls.Load()
-	spent := meter.Measure(leader.lis, func() { time.Sleep(o.time()) })
+	usage := meter.Measure(leader.lis, func() { time.Sleep(o.time()) })
 	n := float64(calls.Load() - before)
 	cancel()
 	wg.Wait()
-	fmt.Printf("%8d %8d %12.0f %12.0f %14.1f\n", entries, teams, float64(spent.Received)/n, float64(spent.Sent)/n, (meter.Micros(spent.CPU)-meter.Micros(idle.CPU))/n)
+	fmt.Printf("%8d %8d %12.0f %12.0f %14.1f\n", entries, teams, float64(usage.Received)/n, float64(usage.Sent)/n, (meter.Micros(usage.CPU)-meter.Micros(idle.CPU))/n)
 	return nil
 }
 
--- a/measure/capacity/shares.go
+++ b/measure/capacity/shares.go
@@ -15,21 +15,21 @@
 const shareRounds = 4
 
 // measureShares measures what the division of limits costs: the size of an entry's
-// request by number of active teams, and the home's processor time for each team of
+// request by number of active teams, and the allocator's processor time for each team of
 // an entry.
 func measureShares(o options) error {
-	fmt.Printf("%8s %8s %18s %18s\n", "entries", "teams", "B/call in", "home µs/team")
+	fmt.Printf("%8s %8s %18s %18s\n", "entries", "teams", "B/call in", "allocator µs/team")
 	for _, c := range []struct{ entries, teams int }{{20, 100}, {20, 1000}, {200, 100}, {2000, 10}} {
-		h := admit.NewShareAllocator(time.Unix(0, 0), "measure")
+		allocator := admit.NewShareAllocator(time.Unix(0, 0), "measure")
 		now := time.Unix(100, 0)
 		began := meter.ProcessorTime()
 		for round := range uint64(shareRounds) {
 			for e := range c.entries {
 				name := fmt.Sprint("entry-", e)
-				if !h.AcceptReport(now, admit.Report{Entry: name, Incarnation: 1, Seq: round + 1, Allocator: h.Name(now)}) {
-					return fmt.Errorf("the home did not hear %s", name)
+				if !allocator.AcceptReport(now, admit.Report{Entry: name, Incarnation: 1, Seq: round + 1, Allocator: allocator.Name(now)}) {
+					return fmt.Errorf("the allocator rejected the report of %s", name)
 				}
-				grantShares(h, now, name, c.teams)
+				grantShares(allocator, now, name, c.teams)
 			}
 			now = now.Add(admit.ShareRetryInterval)
 		}
@@ -41,9 +41,9 @@
 	return measureShareCalls(o)
 }
 
-func grantShares(h *admit.ShareAllocator, now time.Time, entry string, teams int) {
+func grantShares(allocator *admit.ShareAllocator, now time.Time, entry string, teams int) {
 	for t := range teams {
-		h.Grant(now, entry, admit.Subject{Team: fmt.Sprint("team-", t)}, sampleLimit,
+		allocator.Grant(now, entry, admit.Subject{Team: fmt.Sprint("team-", t)}, sampleLimit,
 			admit.Demand{Wanted: admit.Amounts{Requests: 1, Tokens: 200, Concurrent: 2}}, time.Second)
 	}
 }
--- a/measure/control/cluster.go
+++ b/measure/control/cluster.go
@@ -87,8 +87,8 @@
 	}
 	go r.srv.Serve(ctx, r.lis)
 	began := time.Now()
-	place := control.ReplicaInfo{Name: fmt.Sprintf("c%d", i), Address: c.addrs[i], FailureDomain: fmt.Sprintf("hall-%d", i)}
-	if err := r.ctl.Start(ctx, place); err != nil {
+	info := control.ReplicaInfo{Name: fmt.Sprintf("c%d", i), Address: c.addrs[i], FailureDomain: fmt.Sprintf("hall-%d", i)}
+	if err := r.ctl.Start(ctx, info); err != nil {
 		return 0, err
 	}
 	c.replicas[i] = r
--- a/measure/control/main.go
+++ b/measure/control/main.go
@@ -50,7 +50,7 @@
 	defer os.RemoveAll(dir)
 	o.Dir = dir
 	for _, p := range []part{
-		{"edits", measureEdits}, {"force", measureForce}, {"recovery", measureRecovery},
+		{"edits", measureEdits}, {"force", measurePropagation}, {"recovery", measureRecovery},
 		{"failover", measureFailover}, {"watch", measureWatch}, {"watchers", measureWatchers}, {"peers", measurePeers},
 	} {
 		if len(o.Parts) > 0 && !slices.Contains(o.Parts, p.name) {
--- a/measure/control/peers.go
+++ b/measure/control/peers.go
@@ -57,6 +57,6 @@
 		return total
 	}
 	before := sum()
-	spent := c.measureTraffic(f)
-	return sum() - before, spent
+	usage := c.measureTraffic(f)
+	return sum() - before, usage
 }
--- a/measure/control/force.go
+++ b/measure/control/propagation.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	forceEntries  = 7
-	forceReplicas = 3
-	forceEvery    = 20 * time.Millisecond
-	forcePoll     = 500 * time.Microsecond
+	propagationEntries      = 7
+	propagationReplicas     = 3
+	editInterval            = 20 * time.Millisecond
+	propagationPollInterval = 500 * time.Microsecond
 )
 
 // entrySet is a set of entries, some of them with a control replica.
@@ -31,22 +31,22 @@
 	client *control.Client
 }
 
-// measureForce measures the time from the acceptance of an edit until all entries
+// measurePropagation measures the time from the acceptance of an edit until all entries
 // report that it is in force. A second run kills one of the entries with a replica
 // halfway, and from then on waits for the remaining ones only.
-func measureForce(ctx context.Context, o options) error {
+func measurePropagation(ctx context.Context, o options) error {
 	for _, kill := range []bool{false, true} {
-		h, err := forceOnce(ctx, o, kill)
+		h, err := propagationOnce(ctx, o, kill)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("%d entries, one with a replica killed %v: edits %d, in force everywhere after p50 %.1fms, p99 %.1fms, max %.1fms\n",
-			forceEntries, kill, h.TotalCount(), float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000)
+			propagationEntries, kill, h.TotalCount(), float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.Max())/1000)
 	}
 	return nil
 }
 
-func forceOnce(ctx context.Context, o options, kill bool) (*hdrhistogram.Histogram, error) {
+func propagationOnce(ctx context.Context, o options, kill bool) (*hdrhistogram.Histogram, error) {
 	es, err := startEntries(ctx, filepath.Join(o.Dir, fmt.Sprintf("force-%v", kill)))
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	began := time.Now()
 	alive := es.list
 	for n := uint64(0); time.Since(began) < 2*o.time(); n++ {
-		if kill && len(alive) == forceEntries && time.Since(began) > o.time() {
+		if kill && len(alive) == propagationEntries && time.Since(began) > o.time() {
 			es.list[0].Stop()
 			alive = es.list[1:]
 		}
@@ -64,15 +64,15 @@
 		if err != nil {
 			return nil, err
 		}
-		_ = h.RecordValue(waitForce(alive, reply.Revision).Microseconds())
-		time.Sleep(forceEvery)
+		_ = h.RecordValue(waitPropagation(alive, reply.Revision).Microseconds())
+		time.Sleep(editInterval)
 	}
 	return h, nil
 }
 
-// waitForce waits until all entries have a revision in force, or waitTimeout has
+// waitPropagation waits until all entries have a revision in force, or waitTimeout has
 // passed, and returns the time it waited.
-func waitForce(list []*entry.Entry, revision uint64) time.Duration {
+func waitPropagation(list []*entry.Entry, revision uint64) time.Duration {
 	began := time.Now()
 	for {
 		lagging := false
@@ -82,7 +82,7 @@
 		if !lagging || time.Since(began) > waitTimeout {
 			return time.Since(began)
 		}
-		time.Sleep(forcePoll)
+		time.Sleep(propagationPollInterval)
 	}
 }
 
@@ -110,7 +110,7 @@
 func startEntries(ctx context.Context, dir string) (*entrySet, error) {
 	es := &entrySet{pool: transport.NewPool(security)}
 	var listeners []net.Listener
-	for range forceReplicas {
+	for range propagationReplicas {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -118,12 +118,12 @@
 		listeners = append(listeners, lis)
 		es.addrs = append(es.addrs, lis.Addr().String())
 	}
-	for i := range forceEntries {
+	for i := range propagationEntries {
 		set := entry.DefaultSettings()
 		set.ID, set.FailureDomain = fmt.Sprintf("entry-%d", i+1), fmt.Sprintf("hall-%d", i%3)
 		set.ClusterSecret = string(security.Secret)
 		set.ControlReplicas = es.addrs
-		if i < forceReplicas {
+		if i < propagationReplicas {
 			ctl := control.DefaultSettings()
 			ctl.DataDir, ctl.Members, ctl.FormCluster = filepath.Join(dir, set.ID), es.addrs, true
 			set.Control, set.InternalListener = &ctl, listeners[i]
@@ -147,7 +147,7 @@
 	end := time.Now().Add(waitTimeout)
 	for time.Now().Before(end) {
 		reply, err := es.client.Edit(ctx, e)
-		if err == nil && reply.Status == wire.EditStatus_EDIT_STATUS_ACCEPTED && waitForce(es.list, reply.Revision) < waitTimeout {
+		if err == nil && reply.Status == wire.EditStatus_EDIT_STATUS_ACCEPTED && waitPropagation(es.list, reply.Revision) < waitTimeout {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
--- a/measure/placement/report.go
+++ b/measure/placement/report.go
@@ -38,7 +38,7 @@
 	return out
 }
 
-// best returns the result with the lowest J among the planners with a name prefix.
+// best returns the result with the lowest objective J among the planners with a name prefix.
 func best(results []result, prefix string) result {
 	var found *result
 	for i := range results {
--- a/measure/placement/straggler.go
+++ b/measure/placement/straggler.go
@@ -12,7 +12,8 @@
 const stragglerRatio = 1.3
 
 // measureStraggler measures a group with one slow rank, with and without shifting load
-// away from it: the step time relative to balanced ranks of normal speed, and J.
+// away from it: the step time relative to balanced ranks of normal speed, and the
+// objective.
 func measureStraggler(o options, z size) error {
 	fmt.Printf("rank 3 takes %.1f times as long; %.0f h, tuning seeds: %v\n", stragglerRatio, z.hours, o.Tuning)
 	for _, u := range users[:3] {
@@ -20,13 +21,13 @@
 		if o.Tuning {
 			seed = trace.TuningSeeds(u.kind)[0]
 		}
-		for _, lighten := range []bool{false, true} {
+		for _, reduceLoad := range []bool{false, true} {
 			p := placement.NewIncremental()
-			p.ReduceStragglerLoad = lighten
+			p.ReduceStragglerLoad = reduceLoad
 			r := &run{name: "ours", planner: p}
 			res := simulateStraggler(z, u, seed, r)
 			fmt.Printf("%-15s lighten %-5v p50 %.3f p95 %.3f lost %.0fs moves %d J %.0f\n",
-				u.name, lighten, res.p50, res.p95, res.obj.TimeLost.Seconds(), res.obj.Moves, res.j)
+				u.name, reduceLoad, res.p50, res.p95, res.obj.TimeLost.Seconds(), res.obj.Moves, res.j)
 		}
 	}
 	return nil
--- a/measure/placement/tune.go
+++ b/measure/placement/tune.go
@@ -51,7 +51,7 @@
 	return p
 }
 
-// tune runs all settings on the tuning seeds. It prints for each its J relative to the
+// tune runs all settings on the tuning seeds. It prints for each its objective J relative to the
 // best setting of the same trace, and the mean and the highest of these ratios.
 func tune(o options, z size) error {
 	settings := grid()
--- a/measure/route/system.go
+++ b/measure/route/system.go
@@ -138,25 +138,25 @@
 
 func (m *system) newEntry(i int) *entryNode {
 	name := fmt.Sprintf("entry-%d", i+1)
-	place := route.EntryInfo{ID: name, FailureDomain: domains[i%len(domains)], Seed: xxhash.Sum64String(name)}
+	info := route.EntryInfo{ID: name, FailureDomain: domains[i%len(domains)], Seed: xxhash.Sum64String(name)}
 	var b route.Balancer
 	switch {
 	case m.policy == "perfect":
-		b = &perfect{system: m, rnd: rand.New(rand.NewPCG(place.Seed, 2))}
+		b = &perfect{system: m, rnd: rand.New(rand.NewPCG(info.Seed, 2))}
 	case m.policy == "prefix" && m.prefix != nil:
 		p := route.NewPrefixAffinity(*m.prefix)
-		p.SetEntryInfo(place)
+		p.SetEntryInfo(info)
 		b = p
 	default:
 		var err error
-		if b, err = route.New(m.policy, place); err != nil {
+		if b, err = route.New(m.policy, info); err != nil {
 			panic(err)
 		}
 	}
 	if l, ok := b.(*route.LeastLoaded); ok && m.choices > 0 {
 		l.SetChoices(m.choices)
 	}
-	return &entryNode{balancer: b, budget: forward.NewRetryBudget(retryShare), hedges: forward.NewRetryBudget(retryShare), domain: place.FailureDomain}
+	return &entryNode{balancer: b, budget: forward.NewRetryBudget(retryShare), hedges: forward.NewRetryBudget(retryShare), domain: info.FailureDomain}
 }
 
 func (m *system) clockTime() time.Time { return time.Unix(0, 0).Add(m.clock.now) }
@@ -326,14 +326,14 @@
 
 // ticketGroup is a request that waits at several upstreams.
 type ticketGroup struct {
-	system  *system
-	arrival *arrival
-	request *request
-	attempt int
-	waiter  route.LateBinder
-	places  []route.Upstream
-	tickets []*job
-	won     bool
+	system     *system
+	arrival    *arrival
+	request    *request
+	attempt    int
+	waiter     route.LateBinder
+	candidates []route.Upstream
+	tickets    []*job
+	won        bool
 	// pending is the number of tickets that have not failed, and full the number that
 	// found a full queue.
 	pending, full int
@@ -343,20 +343,20 @@
 // with a free slot gets the request.
 func (m *system) waitAt(a *arrival, r *request, attempt int) {
 	w := m.entries[a.entry].balancer.(route.LateBinder)
-	q := &ticketGroup{system: m, arrival: a, request: r, attempt: attempt, waiter: w, places: w.QueueCandidates(m.clockTime(), &r.Request, m.ticketsFor(a))}
-	q.pending = len(q.places)
+	q := &ticketGroup{system: m, arrival: a, request: r, attempt: attempt, waiter: w, candidates: w.QueueCandidates(m.clockTime(), &r.Request, m.ticketsFor(a))}
+	q.pending = len(q.candidates)
 	if q.pending == 0 {
 		m.tryUpstream(a, r, attempt)
 		return
 	}
-	for i := range q.places {
+	for i := range q.candidates {
 		q.tickets = append(q.tickets, q.ticket(i))
 	}
 }
 
 func (q *ticketGroup) engineAt(i int) (*engine, time.Duration) {
 	m := q.system
-	e := m.engines[upstreamIndex(q.places[i].ID)]
+	e := m.engines[upstreamIndex(q.candidates[i].ID)]
 	return e, m.delay(m.entries[q.arrival.entry], e)
 }
 
@@ -366,7 +366,7 @@
 		m.out.tickets++
 	}
 	e, delay := q.engineAt(i)
-	t := &job{class: q.arrival.class, deadline: q.arrival.at + m.spec.timeout, ticket: true, ticketCount: len(q.places)}
+	t := &job{class: q.arrival.class, deadline: q.arrival.at + m.spec.timeout, ticket: true, ticketCount: len(q.candidates)}
 	t.ended = func(_ wire.Outcome, reason wire.Reason, _ *wire.Load) {
 		m.clock.schedule(delay, func() { q.ticketFailed(reason == wire.Reason_REASON_QUEUE_FULL) })
 	}
@@ -391,7 +391,7 @@
 	if q.pending > 0 || q.won || q.request.done {
 		return
 	}
-	if q.full == len(q.places) {
+	if q.full == len(q.candidates) {
 		q.request.moves = maxMoves
 	}
 	if q.system.clock.now >= q.arrival.at+q.system.spec.timeout {
@@ -404,19 +404,19 @@
 // granted uses the first granted slot and withdraws the other tickets.
 func (q *ticketGroup) granted(i int) {
 	m := q.system
-	if q.won || q.request.done || !q.waiter.StartReserved(m.clockTime(), q.places[i], &q.request.Request) {
+	if q.won || q.request.done || !q.waiter.StartReserved(m.clockTime(), q.candidates[i], &q.request.Request) {
 		m.out.unused++
 		q.withdraw(i)
 		q.ticketFailed(false)
 		return
 	}
 	q.won = true
-	for other := range q.places {
+	for other := range q.candidates {
 		if other != i {
 			q.withdraw(other)
 		}
 	}
-	m.startAttempt(q.arrival, q.request, q.attempt, route.Choice{Upstream: q.places[i]}, q.tickets[i])
+	m.startAttempt(q.arrival, q.request, q.attempt, route.Choice{Upstream: q.candidates[i]}, q.tickets[i])
 }
 
 func (q *ticketGroup) withdraw(i int) {
--- a/operators/quarantine.go
+++ b/operators/quarantine.go
@@ -11,7 +11,7 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// SuspectedRequests lists the requests under which upstreams ended, as known to
+// SuspectedRequests lists the requests during which upstreams crashed, as known to
 // one control replica.
 type SuspectedRequests struct {
 	Requests []quarantine.SuspicionView `json:"requests"`
