--- a/kernel/loglimiter.go
+++ b/kernel/loglimiter.go
@@ -24,17 +24,17 @@
 
 // Allow reports whether a record may be written now and, if so, how many were dropped
 // before it.
-func (b *LogLimiter) Allow() (ok bool, droppedBefore int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.now().Unix(); s != b.second {
-		b.second, b.used = s, 0
+func (l *LogLimiter) Allow() (ok bool, droppedBefore int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s := l.now().Unix(); s != l.second {
+		l.second, l.used = s, 0
 	}
-	if b.used >= b.limit {
-		b.dropped++
+	if l.used >= l.limit {
+		l.dropped++
 		return false, 0
 	}
-	b.used++
-	droppedBefore, b.dropped = b.dropped, 0
+	l.used++
+	droppedBefore, l.dropped = l.dropped, 0
 	return true, droppedBefore
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -170,10 +170,10 @@
 
 // Pool dials peers and reuses idle connections.
 type Pool struct {
-	sec       Security
-	conns     *drpcpool.Pool[string, drpcpool.Conn]
-	callConns *drpcpool.Pool[string, drpcpool.Conn]
-	dialNet   DialFunc
+	sec           Security
+	conns         *drpcpool.Pool[string, drpcpool.Conn]
+	bufferedConns *drpcpool.Pool[string, drpcpool.Conn]
+	dialNet       DialFunc
 }
 
 // NewPool returns a pool that authenticates its connections with sec.
@@ -184,10 +184,10 @@
 		KeyCapacity: poolCapacityPerAddress,
 	}
 	return &Pool{
-		sec:       sec,
-		dialNet:   NewDialer(dialTimeout).DialContext,
-		conns:     drpcpool.New[string, drpcpool.Conn](opts),
-		callConns: drpcpool.New[string, drpcpool.Conn](opts),
+		sec:           sec,
+		dialNet:       NewDialer(dialTimeout).DialContext,
+		conns:         drpcpool.New[string, drpcpool.Conn](opts),
+		bufferedConns: drpcpool.New[string, drpcpool.Conn](opts),
 	}
 }
 
@@ -208,14 +208,14 @@
 // receives from it or closes its sending side, so that a request and its end are sent
 // in one write. It must not be used for streams that only send.
 func (p *Pool) BufferedConn(ctx context.Context, addr string) drpc.Conn {
-	return p.callConns.Get(ctx, addr, p.dialCallConn)
+	return p.bufferedConns.Get(ctx, addr, p.dialBuffered)
 }
 
 func (p *Pool) dial(ctx context.Context, addr string) (drpcpool.Conn, error) {
 	return p.dialWith(ctx, addr, managerOptions())
 }
 
-func (p *Pool) dialCallConn(ctx context.Context, addr string) (drpcpool.Conn, error) {
+func (p *Pool) dialBuffered(ctx context.Context, addr string) (drpcpool.Conn, error) {
 	opts := managerOptions()
 	opts.Stream.ManualFlush = true
 	return p.dialWith(ctx, addr, opts)
@@ -273,5 +273,5 @@
 // Close closes the idle connections.
 func (p *Pool) Close() {
 	_ = p.conns.Close()
-	_ = p.callConns.Close()
+	_ = p.bufferedConns.Close()
 }
