--- a/claim/client.go
+++ b/claim/client.go
@@ -20,7 +20,7 @@
 	targets []*wire.RingMember
 }
 
-// Outcome is the result of Claim. Hold is set if Choice is Run.
+// Outcome is the result of Claim. Hold is set if Decision is Run.
 type Outcome struct {
 	Decision Decision
 	Record   *wire.ClaimRecord
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,7 +1,7 @@
 // Package claim makes a request with an idempotency key run at most once,
 // whichever entries it is sent to and whichever entries fail.
 //
-// Each key has Copies registers, one on each of several entry hosts, in
+// Each key has RegistersPerKey registers, one on each of several entry hosts, in
 // different failure domains if there are enough of them. A request may run only
 // while it holds a majority of the key's registers. Register (the records of one
 // host), Round and Acquisition (one request's attempts to acquire its key) do no
--- a/claim/node.go
+++ b/claim/node.go
@@ -22,8 +22,8 @@
 	copyBatch = 500
 )
 
-// IncarnationSource provides the incarnation of the process. Supersede raises its
-// number above that of a known later incarnation, and reports whether it did.
+// IncarnationSource provides the incarnation of the process. RaiseAbove raises
+// its number above that of a known later incarnation, and reports whether it did.
 type IncarnationSource interface {
 	ToWire() *wire.Incarnation
 	RaiseAbove(known uint64) bool
@@ -67,7 +67,7 @@
 	WriteFailed func(cause error)
 }
 
-// ErrRolledBack is the cause given to Forgot if the folder is an older copy.
+// ErrRolledBack is the cause given to FolderEvents.Discarded if the folder is an older copy.
 var ErrRolledBack = merry.Sentinel("claim data folder is older than the grants that other entries have seen")
 
 // NewNode returns the node of a process that has just started.
--- a/consensus/example_test.go
+++ b/consensus/example_test.go
@@ -18,7 +18,7 @@
 
 	step := func() {
 		for rd := node.Ready(); !rd.Empty(); rd = node.Ready() {
-			// Make rd.Hard, rd.Snapshot and rd.Entries durable here.
+			// Make rd.HardState, rd.Snapshot and rd.Entries durable here.
 			node.MarkPersisted()
 			// Send rd.Messages here.
 			for _, e := range rd.CommittedEntries {
--- a/consensus/node.go
+++ b/consensus/node.go
@@ -111,10 +111,10 @@
 	Fresh bool
 }
 
-// Ready is the work for a driver, in this order: send the Early messages, make
-// Hard, Snapshot and Entries durable, call Node.MarkPersisted, send Messages, restore
-// the state machine from Snapshot if it is set, apply the entries of Apply, and
-// answer the reads. Early messages need not wait for the records to be durable.
+// Ready is the work for a driver, in this order: send EarlyMessages, make HardState,
+// Snapshot and Entries durable, call Node.MarkPersisted, send Messages, restore the
+// state machine from Snapshot if it is set, apply CommittedEntries, and answer Reads.
+// EarlyMessages need not wait for the records to be durable.
 type Ready struct {
 	EarlyMessages []*wire.RaftMessage
 	HardState     *wire.HardState
--- a/control/api.go
+++ b/control/api.go
@@ -72,9 +72,9 @@
 	node     *directory.Node
 	pool     *transport.Pool
 	log      log.Logger
-	// rejectionLogBudget bounds the log records about rejected registrations.
-	rejectionLogBudget *kernel.LogLimiter
-	servers            []*http.Server
+	// rejectionLogLimiter bounds the log records about rejected registrations.
+	rejectionLogLimiter *kernel.LogLimiter
+	servers             []*http.Server
 }
 
 func newAPI(s APISettings, c *Control, n *directory.Node, l log.Logger) (*api, error) {
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &api{settings: s, dialect: d, control: c, node: n, pool: c.pool, log: kernel.PartLog(l, "api"), rejectionLogBudget: kernel.NewLogLimiter(maxRejectionLogsPerSecond, c.settings.Now)}, nil
+	return &api{settings: s, dialect: d, control: c, node: n, pool: c.pool, log: kernel.PartLog(l, "api"), rejectionLogLimiter: kernel.NewLogLimiter(maxRejectionLogsPerSecond, c.settings.Now)}, nil
 }
 
 // start listens at the API's addresses and serves in the background.
--- a/control/client.go
+++ b/control/client.go
@@ -71,8 +71,8 @@
 // retryInterval is the delay between two rounds of calls to all replicas.
 const retryInterval = 100 * time.Millisecond
 
-// ForEachReplica calls f for the replicas in turn, each with its own timeout, until f returns true or
-// ctx ends.
+// ForEachReplica calls f for the replicas in turn, each with its own timeout, until f returns
+// true or ctx ends.
 func (c *Client) ForEachReplica(ctx context.Context, timeout time.Duration, f func(context.Context, wire.DRPCControlClient) bool) {
 	for _, addr := range c.addrs {
 		one, cancel := context.WithTimeout(ctx, timeout)
--- a/control/control.go
+++ b/control/control.go
@@ -52,7 +52,7 @@
 	routingWatchers atomic.Int64
 
 	settings Settings
-	place    ReplicaInfo
+	info     ReplicaInfo
 	log      log.Logger
 	pool     *transport.Pool
 
@@ -114,7 +114,7 @@
 // Start opens the journal. If the replica belongs to a cluster, Start runs it; otherwise it
 // forms or joins a cluster in the background.
 func (c *Control) Start(ctx context.Context, p ReplicaInfo) error {
-	c.place = p
+	c.info = p
 	ctx, c.cancel = context.WithCancel(ctx)
 	j, st, err := c.openJournal()
 	if err != nil {
@@ -293,7 +293,7 @@
 	if !c.settings.FormCluster || !lowest || answers < len(c.otherMembers()) {
 		return nil, false
 	}
-	if !slices.Contains(c.settings.Members, c.place.Address) {
+	if !slices.Contains(c.settings.Members, c.info.Address) {
 		// Of several replicas that Members doesn't list, each could find itself the lowest.
 		return nil, false
 	}
@@ -305,7 +305,7 @@
 func (c *Control) otherMembers() []string {
 	var list []string
 	for _, m := range c.settings.Members {
-		if m != c.place.Address {
+		if m != c.info.Address {
 			list = append(list, m)
 		}
 	}
@@ -352,7 +352,7 @@
 func (c *Control) knownReplicaAddresses(ctx context.Context) []string {
 	list := c.otherMembers()
 	for _, p := range c.DirectoryReplicas(ctx) {
-		if p.Address != c.place.Address && !slices.Contains(list, p.Address) {
+		if p.Address != c.info.Address && !slices.Contains(list, p.Address) {
 			list = append(list, p.Address)
 		}
 	}
@@ -366,7 +366,7 @@
 	list := c.knownReplicaAddresses(ctx)
 	for i := 0; i < len(list) && ctx.Err() == nil; i++ {
 		for _, addr := range c.requestJoin(ctx, list[i]) {
-			if addr != c.place.Address && !slices.Contains(list, addr) {
+			if addr != c.info.Address && !slices.Contains(list, addr) {
 				list = append(list, addr)
 			}
 		}
--- a/control/daemon.go
+++ b/control/daemon.go
@@ -150,8 +150,8 @@
 	ctx, d.cancel = context.WithCancel(ctx)
 	go d.srv.Serve(ctx, lis)
 	go d.node.Run(ctx)
-	place := ReplicaInfo{Name: d.settings.ID, Address: d.address(), FailureDomain: d.settings.FailureDomain}
-	if err := d.control.Start(ctx, place); err != nil {
+	info := ReplicaInfo{Name: d.settings.ID, Address: d.address(), FailureDomain: d.settings.FailureDomain}
+	if err := d.control.Start(ctx, info); err != nil {
 		return err
 	}
 	peers := func() []string { return d.control.knownReplicaAddresses(ctx) }
--- a/control/leaseclock.go
+++ b/control/leadershiptimes.go
@@ -9,7 +9,7 @@
 type leadershipTimes struct {
 	leading      bool
 	leadingSince time.Time
-	lastHeard    map[string]time.Time
+	lastContact  map[string]time.Time
 	// replaced holds the IDs of replicas that another process has replaced at their address.
 	replaced map[string]bool
 	expires  map[string]time.Time
@@ -19,7 +19,7 @@
 func (c *leadershipTimes) updateLeadership(leads bool, now time.Time) {
 	if leads && !c.leading {
 		c.leadingSince = now
-		c.lastHeard = map[string]time.Time{}
+		c.lastContact = map[string]time.Time{}
 		c.replaced = map[string]bool{}
 		c.expires = map[string]time.Time{}
 	}
@@ -27,8 +27,8 @@
 }
 
 func (c *leadershipTimes) recordContact(id string, now time.Time) {
-	if c.lastHeard != nil {
-		c.lastHeard[id] = now
+	if c.lastContact != nil {
+		c.lastContact[id] = now
 	}
 }
 
@@ -45,7 +45,7 @@
 	if c.replaced[id] {
 		return true
 	}
-	last, ok := c.lastHeard[id]
+	last, ok := c.lastContact[id]
 	if !ok {
 		last = c.leadingSince
 	}
--- a/control/lockstepgroup.go
+++ b/control/lockstepgroup.go
@@ -27,7 +27,7 @@
 	relays        *lockstep.Relays
 	switcher      *lockstep.Switcher
 	demand        *lockstep.DemandEstimate
-	replan        lockstep.PlanSchedule
+	schedule      lockstep.PlanSchedule
 	planning      bool
 	loggedPhase   lockstep.Phase
 	proposal      lockstep.Proposal
@@ -111,20 +111,20 @@
 // startPlanning looks for a better map in a goroutine of its own and begins the switch to
 // it.
 func (g *lockstepGroup) startPlanning(ctx context.Context, now time.Time) {
-	pace := g.rankPaces()
-	if g.planning || !g.canBeginSwitch(now) || !g.demand.Stable() || !g.replan.StartIfDue(now, g.demand.Shifts(), pace) {
+	slowdown := g.rankSlowdowns()
+	if g.planning || !g.canBeginSwitch(now) || !g.demand.Stable() || !g.schedule.StartIfDue(now, g.demand.Shifts(), slowdown) {
 		return
 	}
 	g.planning = true
 	shape, current, switcher := g.shape, g.switcher.Current(), g.switcher
 	load := lockstep.CloneShares(g.demand.Load())
 	go func() {
-		p, ok := lockstep.Plan(shape, lockstep.DefaultPlanSettings(), current, load, pace)
+		p, ok := lockstep.Plan(shape, lockstep.DefaultPlanSettings(), current, load, slowdown)
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.planning = false
 		if !ok {
-			g.replan.MarkNoResult()
+			g.schedule.MarkNoResult()
 		}
 		if !ok || ctx.Err() != nil || g.switcher != switcher || !g.canBeginSwitch(g.clock()) {
 			return
--- a/control/locksteplog.go
+++ b/control/locksteplog.go
@@ -26,8 +26,8 @@
 	}
 	skew, latest := 0.0, 0.0
 	if load := g.demand.Load(); load != nil {
-		skew = g.switcher.Current().Skew(load, g.rankPaces())
-		latest = g.switcher.Current().Skew(g.demand.LatestShares(), g.rankPaces())
+		skew = g.switcher.Current().Skew(load, g.rankSlowdowns())
+		latest = g.switcher.Current().Skew(g.demand.LatestShares(), g.rankSlowdowns())
 	}
 	kernel.Info(g.log, "Group's state.", "group", g.name, "epoch", g.epoch, "pass", g.switcher.PassTime().Round(time.Millisecond), "skew", math.Round(100*skew)/100, "latest_skew", math.Round(100*latest)/100,
 		"running", running, "waiting", waiting, "busiest", busiest, "oldest_ms", oldest.Milliseconds(), "phase", g.switcher.Phase(), "windows", g.demand.Windows())
--- a/control/lockstepranks.go
+++ b/control/lockstepranks.go
@@ -44,9 +44,9 @@
 	// heldExperts are the experts that the rank holds under map version heldVersion.
 	heldExperts []*wire.ExpertList
 	heldVersion uint64
-	// pace is the recent duration of the rank's work relative to the usual one; above 1
+	// slowdown is the recent duration of the rank's work relative to the usual one; above 1
 	// it is slower.
-	pace float64
+	slowdown float64
 	// running and waiting count its requests at stateAt, which is zero if never read.
 	running, waiting uint32
 	stateAt          time.Time
@@ -173,7 +173,7 @@
 	// The report was read after the wait at the rank's host. Without this, the answer to
 	// an order during the wait would count as newer than the report.
 	at = at.Add(time.Duration(reading.WaitedMs) * time.Millisecond)
-	g.updatePace(i, link, reading.Report.Pace)
+	g.updateSlowdown(i, link, reading.Report.Pace)
 	link.running, link.waiting = reading.Report.Running, reading.Report.Waiting
 	link.stateAt = at.Add(-time.Duration(reading.Report.AgeMs) * time.Millisecond)
 	g.switcher.HandleReport(at, i, link.instance, reading.Report)
@@ -186,12 +186,12 @@
 	}
 }
 
-// updatePace records the pace of a rank, and logs when the rank becomes slow or recovers.
-func (g *lockstepGroup) updatePace(i int, link *rankLink, pace float64) {
-	if (pace < lockstep.StragglerSlowdown) != (link.pace < lockstep.StragglerSlowdown) {
-		kernel.Info(g.log, "Rank pace changed.", "group", g.name, "rank", i, "upstream", link.instance, "pace", pace, "before", link.pace)
+// updateSlowdown records the slowdown of a rank, and logs when the rank becomes slow or recovers.
+func (g *lockstepGroup) updateSlowdown(i int, link *rankLink, slowdown float64) {
+	if (slowdown < lockstep.StragglerSlowdown) != (link.slowdown < lockstep.StragglerSlowdown) {
+		kernel.Info(g.log, "Rank pace changed.", "group", g.name, "rank", i, "upstream", link.instance, "pace", slowdown, "before", link.slowdown)
 	}
-	link.pace = pace
+	link.slowdown = slowdown
 }
 
 // assembleMap assembles the map in force once all ranks have reported the experts that
@@ -246,24 +246,24 @@
 		}
 		list = append(list, &wire.RankState{
 			Upstream: link.instance, Running: link.running, Waiting: link.waiting,
-			PacePercent: uint32(100 * link.pace), AgeMs: uint32(max(age, 0).Milliseconds()),
+			PacePercent: uint32(100 * link.slowdown), AgeMs: uint32(max(age, 0).Milliseconds()),
 		})
 	}
 	return list
 }
 
-// rankPaces returns the pace of each rank, with 1 for those that aren't slow; nil if none
+// rankSlowdowns returns the slowdown of each rank, with 1 for those that aren't slow; nil if none
 // is slow.
-func (g *lockstepGroup) rankPaces() lockstep.Slowdown {
-	var pace lockstep.Slowdown
+func (g *lockstepGroup) rankSlowdowns() lockstep.Slowdown {
+	var slowdown lockstep.Slowdown
 	for i, link := range g.links {
-		if link.pace < lockstep.StragglerSlowdown {
+		if link.slowdown < lockstep.StragglerSlowdown {
 			continue
 		}
-		if pace == nil {
-			pace = slices.Repeat(lockstep.Slowdown{1}, len(g.links))
+		if slowdown == nil {
+			slowdown = slices.Repeat(lockstep.Slowdown{1}, len(g.links))
 		}
-		pace[i] = link.pace
+		slowdown[i] = link.slowdown
 	}
-	return pace
+	return slowdown
 }
--- a/control/loopcalls_test.go
+++ b/control/loopcalls_test.go
@@ -9,7 +9,7 @@
 
 // While a stalled disk blocks the loop, a call must end when its context does, and its function
 // must not run later.
-func TestDoReturnsAtDeadlineWhileLoopIsBlocked(t *testing.T) {
+func TestRunInLoopReturnsAtDeadlineWhileLoopIsBlocked(t *testing.T) {
 	r := &Replica{calls: make(chan func(), 1), done: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := false
--- a/control/machine.go
+++ b/control/machine.go
@@ -95,8 +95,8 @@
 	return proto.Marshal(&wire.Command{Rules: deflatedCommandVersion, Command: &wire.Command_Deflated{Deflated: packed}})
 }
 
-// decode returns the command of a log entry. It returns ErrUnsupportedCommand if the entry is malformed
-// or needs a higher version than commandVersion.
+// decode returns the command of a log entry. It returns ErrUnsupportedCommand if the entry
+// is malformed or needs a higher version than commandVersion.
 func decode(index uint64, data []byte) (*wire.Command, error) {
 	c := &wire.Command{}
 	if err := proto.Unmarshal(data, c); err != nil {
@@ -118,9 +118,9 @@
 // apply applies a committed command. The result is a *wire.EditReply, a *wire.Lease, a
 // rollout.Result, a routingResult, a quarantineResult or nil.
 //
-// It returns ErrUnsupportedCommand for a command that this release doesn't support. The replica must
-// then stop until it is upgraded: skipping the command would let its state diverge from that
-// of the other replicas.
+// It returns ErrUnsupportedCommand for a command that this release doesn't support. The
+// replica must then stop until it is upgraded: skipping the command would let its state diverge
+// from that of the other replicas.
 func (m *machine) apply(index uint64, data []byte) (any, error) {
 	c, err := decode(index, data)
 	if err != nil {
--- a/control/registrations.go
+++ b/control/registrations.go
@@ -52,7 +52,7 @@
 // rejectRegistration answers an invalid registration. It leaves an existing registration of
 // the ID in place: a faulty registration must not remove a working upstream.
 func (a *api) rejectRegistration(w http.ResponseWriter, id, detail string) {
-	if ok, leftOut := a.rejectionLogBudget.Allow(); ok {
+	if ok, leftOut := a.rejectionLogLimiter.Allow(); ok {
 		kernel.Warn(a.log, "Registration refused.", "upstream", id, "detail", detail, "lines_left_out", leftOut)
 	}
 	a.writeError(w, http.StatusBadRequest, detail)
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -20,7 +20,7 @@
 	// ErrUnreadable is returned for a message that can't be decoded. Its text states the
 	// reason.
 	ErrUnreadable = merry.Sentinel("message can't be read")
-	// ErrUnknown is returned by Named if the plug-in is not a Dialect.
+	// ErrUnknown is returned by ByName if the plug-in is not a Dialect.
 	ErrUnknown = merry.Sentinel("no such dialect")
 )
 
@@ -83,8 +83,8 @@
 	Method, Path string
 }
 
-// ServedCalls are the calls that the load balancer serves. InstanceID is the name of the path variable
-// in Register and Deregister.
+// ServedCalls are the calls that the load balancer serves. InstanceID is the name of the path
+// variable in Register and Deregister.
 type ServedCalls struct {
 	Ready, Resolve         Call
 	Register, Deregister   Call
--- a/directory/digest.go
+++ b/directory/digest.go
@@ -72,7 +72,7 @@
 }
 
 // renewUnchanged adds src as a source of the instances in the buckets that it
-// reported as unchanged. An instance whose lease has expired since Remember is
+// reported as unchanged. An instance whose lease has expired since PrepareResume is
 // restored, as if the source had sent it.
 func (s *State) renewUnchanged(now time.Time, src *Source, unchanged bucketSet) bool {
 	changed := false
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -272,7 +272,7 @@
 }
 
 // TakeProbes returns the instances to probe and clears the list. A reply is reported
-// with Heard.
+// with RenewDirect.
 func (s *State) TakeProbes() []*Instance {
 	probes := s.probes
 	s.probes = nil
--- a/directory/expired_test.go
+++ b/directory/expired_test.go
@@ -11,7 +11,7 @@
 
 // Only an instance whose lease expired is listed, not one that announced its end, and
 // only until it announces again.
-func TestSilentListsExpiredInstancesOnly(t *testing.T) {
+func TestExpiredListsInstancesWithExpiredLease(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	n := NewNode(DefaultSettings(), func() time.Time { return now }, nil)
 	seq := uint64(0)
@@ -19,7 +19,7 @@
 		seq++
 		n.applyAnnouncement(&wire.Announcement{Id: id, Incarnation: 1, Seq: seq, Role: wire.Role_ROLE_ENTRY, Phase: phase, Revision: 7}, 0, true)
 	}
-	silentIDs := func() []string {
+	expiredIDs := func() []string {
 		n.state.Tick(now)
 		list := []string{}
 		for _, i := range n.Expired(wire.Role_ROLE_ENTRY) {
@@ -32,11 +32,11 @@
 		announce(id, wire.Phase_PHASE_UP)
 	}
 	announce("leaves", wire.Phase_PHASE_GONE)
-	assert.DeepEqual(t, silentIDs(), []string{})
+	assert.DeepEqual(t, expiredIDs(), []string{})
 	now = now.Add(DefaultSettings().SettleTime)
 	announce("goes-on", wire.Phase_PHASE_UP)
-	assert.DeepEqual(t, silentIDs(), []string{"falls-silent"})
+	assert.DeepEqual(t, expiredIDs(), []string{"falls-silent"})
 	assert.Equal(t, len(n.Expired(wire.Role_ROLE_UPSTREAM)), 0)
 	announce("falls-silent", wire.Phase_PHASE_UP)
-	assert.DeepEqual(t, silentIDs(), []string{})
+	assert.DeepEqual(t, expiredIDs(), []string{})
 }
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -15,7 +15,7 @@
 // incarnation: its announcements would be ignored until that one is forgotten
 // (Settings.Tombstone), and grants of the previous claim register would count as later
 // ones. Processes that know the previous incarnation therefore reply with its number,
-// and Supersede raises this one above it.
+// and RaiseAbove raises this one above it.
 type Incarnation struct {
 	id string
 
@@ -30,15 +30,15 @@
 }
 
 // Number returns the incarnation number.
-func (l *Incarnation) Number() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.number
+func (i *Incarnation) Number() uint64 {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.number
 }
 
 // ToWire returns the incarnation as a protocol message.
-func (l *Incarnation) ToWire() *wire.Incarnation {
-	return &wire.Incarnation{Id: l.id, Number: l.Number()}
+func (i *Incarnation) ToWire() *wire.Incarnation {
+	return &wire.Incarnation{Id: i.id, Number: i.Number()}
 }
 
 // RaiseAbove raises the number above known, if known is higher, and reports whether it
@@ -46,13 +46,13 @@
 //
 // It does so only once: two processes with the same ID would otherwise raise their
 // numbers above each other's forever.
-func (l *Incarnation) RaiseAbove(known uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if known <= l.number || l.raised {
+func (i *Incarnation) RaiseAbove(known uint64) bool {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if known <= i.number || i.raised {
 		return false
 	}
-	l.number = known + 1
-	l.raised = true
+	i.number = known + 1
+	i.raised = true
 	return true
 }
--- a/directory/node.go
+++ b/directory/node.go
@@ -191,11 +191,11 @@
 
 // HasEnded reports whether an incarnation of an instance has ended: it is known as gone, or
 // a later incarnation is known. It is false for an unknown instance, which may be new.
-func (n *Node) HasEnded(life *wire.Incarnation) bool {
+func (n *Node) HasEnded(incarnation *wire.Incarnation) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	i := n.state.Get(life.GetId())
-	return i != nil && (i.Incarnation > life.GetNumber() || i.Phase == wire.Phase_PHASE_GONE && i.Incarnation == life.GetNumber())
+	i := n.state.Get(incarnation.GetId())
+	return i != nil && (i.Incarnation > incarnation.GetNumber() || i.Phase == wire.Phase_PHASE_GONE && i.Incarnation == incarnation.GetNumber())
 }
 
 // Settled reports whether the directory has settled; see State.Settled.
--- a/directory/targets.go
+++ b/directory/targets.go
@@ -23,10 +23,10 @@
 	id     string
 	domain string
 
-	mu        sync.Mutex
-	list      []*target
-	learned   bool
-	acceptNew bool
+	mu           sync.Mutex
+	list         []*target
+	domainsKnown bool
+	acceptNew    bool
 }
 
 type target struct {
@@ -68,7 +68,7 @@
 func (t *Targets) DomainsKnown() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.learned
+	return t.domainsKnown
 }
 
 // needsReplicaList reports whether announcements should ask for the list of
@@ -76,11 +76,11 @@
 func (t *Targets) needsReplicaList() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.acceptNew || !t.learned
+	return t.acceptNew || !t.domainsKnown
 }
 
-// UpdateReplicas updates the failure domains of the replicas. Unknown replicas are added if Grow
-// was called, and ignored otherwise.
+// UpdateReplicas updates the failure domains of the replicas. Unknown replicas are
+// added if AllowNewReplicas was called, and ignored otherwise.
 func (t *Targets) UpdateReplicas(replicas []*wire.DirectoryReplica) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,13 +94,13 @@
 			i = len(t.list) - 1
 		}
 		t.list[i].domain = r.FailureDomain
-		t.learned = true
+		t.domainsKnown = true
 	}
 	t.sort()
 }
 
-// AllowNewReplicas allows Learn to add replicas that are not configured, as replicas may be replaced
-// at new addresses while the process runs. It returns t.
+// AllowNewReplicas allows UpdateReplicas to add replicas that are not configured, as replicas
+// may be replaced at new addresses while the process runs. It returns t.
 func (t *Targets) AllowNewReplicas() *Targets {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/lockstep/choices.go
+++ b/lockstep/choices.go
@@ -6,9 +6,9 @@
 // that hasn't noticed its replacement, and a new one.
 const maxReaders = 3
 
-// ChoiceCounter turns the cumulative counters of one rank, how often its requests chose each expert,
-// into the increase since the last reading of each reader. It runs on the rank's host, so that
-// a relay that sums up many ranks needs no state. Choices is safe for concurrent use.
+// ChoiceCounter turns the cumulative counters of one rank, how often its requests chose each
+// expert, into the increase since the last reading of each reader. It runs on the rank's host,
+// so that a relay that sums up many ranks needs no state. It is safe for concurrent use.
 type ChoiceCounter struct {
 	mu      sync.Mutex
 	readers []readerCounts
--- a/lockstep/choices_test.go
+++ b/lockstep/choices_test.go
@@ -9,7 +9,7 @@
 
 // A replaced leader may keep reading for a moment. Each reader must get every increase exactly
 // once, whatever others read.
-func TestChoicesReportsEachIncreaseOncePerReader(t *testing.T) {
+func TestChoiceCounterReportsEachIncreaseOncePerReader(t *testing.T) {
 	var c ChoiceCounter
 	counts := []uint64{100, 50}
 	read := func(reader uint64, more ...uint64) []uint32 {
@@ -27,7 +27,7 @@
 
 // A restarted rank counts from zero, under a new incarnation or not; its counters must not be
 // taken for an increase.
-func TestChoicesAfterRankRestart(t *testing.T) {
+func TestChoiceCounterAfterRankRestart(t *testing.T) {
 	var c ChoiceCounter
 	c.Delta(1, 7, []uint64{10, 10})
 	assert.Assert(t, c.Delta(1, 8, []uint64{11, 11}) == nil)
@@ -36,7 +36,7 @@
 	assert.DeepEqual(t, c.Delta(1, 8, []uint64{4, 20}), []uint32{1, 0})
 }
 
-func TestChoicesBoundsReaders(t *testing.T) {
+func TestChoiceCounterBoundsReaders(t *testing.T) {
 	var c ChoiceCounter
 	for reader := range uint64(100) {
 		c.Delta(reader, 1, []uint64{1})
--- a/lockstep/demand.go
+++ b/lockstep/demand.go
@@ -39,8 +39,8 @@
 // DefaultDemandSettings returns the settings for default windows.
 func DefaultDemandSettings() DemandSettings { return DemandSettingsFor(defaultWindow) }
 
-// DemandEstimate estimates the share of each expert in the choices of its set, from the increase of the
-// ranks' counters. Ranks may be observed at different times, one at a time or summed up, and
+// DemandEstimate estimates the share of each expert in the choices of its set, from the increase
+// of the ranks' counters. Ranks may be observed at different times, one at a time or summed up, and
 // observations may be missing.
 type DemandEstimate struct {
 	settings DemandSettings
@@ -218,8 +218,8 @@
 // Load returns the estimated share of each expert in its set, nil before the first window.
 func (d *DemandEstimate) Load() [][]float64 { return d.load }
 
-// LatestShares returns each expert's share in the newest closed window, without smoothing; nil before
-// the first window.
+// LatestShares returns each expert's share in the newest closed window, without smoothing; nil
+// before the first window.
 func (d *DemandEstimate) LatestShares() [][]float64 { return d.latest }
 
 // Shifts returns the number of detected shifts.
--- a/lockstep/doc.go
+++ b/lockstep/doc.go
@@ -2,8 +2,8 @@
 // switches the group from one expert map to the next such that all ranks begin each pass with
 // the same map.
 //
-// Demand estimates which experts the requests use, Plan computes a better map, and Switcher
-// activates it by orders to the ranks. Orders and their replies may be lost, delayed or
+// DemandEstimate estimates which experts the requests use, Plan computes a better map, and
+// Switcher activates it by orders to the ranks. Orders and their replies may be lost, delayed or
 // duplicated. None of them does any I/O: the caller passes in the time, readings and replies,
 // and sends the orders that are returned.
 //
--- a/lockstep/expertmap.go
+++ b/lockstep/expertmap.go
@@ -84,29 +84,29 @@
 	return nil
 }
 
-// StragglerSlowdown is the pace from which a rank counts as slow. Below it, the difference is within the
-// error of the load estimate.
+// StragglerSlowdown is the slowdown from which a rank counts as slow. Below it, the
+// difference is within the error of the load estimate.
 const StragglerSlowdown = 1.2
 
 // Slowdown is the factor by which each rank takes longer than usual for the same work; nil means
 // that no rank is slow.
 type Slowdown []float64
 
-func (p Slowdown) of(rank int) float64 {
-	if p == nil {
+func (s Slowdown) of(rank int) float64 {
+	if s == nil {
 		return 1
 	}
-	return p[rank]
+	return s[rank]
 }
 
-// Skew returns the load of the busiest rank, weighted by pace, over the mean load, averaged
+// Skew returns the load of the busiest rank, weighted by slowdown, over the mean load, averaged
 // over the sets. A set without load counts as 1.
-func (m Map) Skew(load [][]float64, pace Slowdown) float64 {
+func (m Map) Skew(load [][]float64, slowdown Slowdown) float64 {
 	sum := 0.0
 	for set, ranks := range m {
 		longest, total := 0.0, 0.0
 		for r, v := range rankLoads(ranks, load[set]) {
-			longest = max(longest, v*pace.of(r))
+			longest = max(longest, v*slowdown.of(r))
 			total += v
 		}
 		if total == 0 {
--- a/lockstep/plan.go
+++ b/lockstep/plan.go
@@ -55,15 +55,16 @@
 	Map Map
 	// Copies is the number of experts that ranks must copy.
 	Copies int
-	// SkewBefore and After are the skews of the current and the proposed map under the estimated
-	// load.
+	// SkewBefore and SkewAfter are the skews of the current and the proposed map under the
+	// estimated load.
 	SkewBefore, SkewAfter float64
 }
 
-// Plan looks for a better map than the current one, given the load of each expert and the pace
-// of each rank. ok is false if the improvement is below MinTotalGain or no expert would be copied.
-func Plan(s Shape, settings PlanSettings, current Map, load [][]float64, pace Slowdown) (p Proposal, ok bool) {
-	p.SkewBefore = current.Skew(load, pace)
+// Plan looks for a better map than the current one, given the load of each expert and the
+// slowdown of each rank. ok is false if the improvement is below MinTotalGain or no expert would
+// be copied.
+func Plan(s Shape, settings PlanSettings, current Map, load [][]float64, slowdown Slowdown) (p Proposal, ok bool) {
+	p.SkewBefore = current.Skew(load, slowdown)
 	if p.SkewBefore < 1+settings.MinTotalGain {
 		// The skew of a map is at least 1, so MinTotalGain can't be saved.
 		return p, false
@@ -75,7 +76,7 @@
 	copies := make([]int, s.Ranks)
 	var sets []*setState
 	for set := range p.Map {
-		if st := newSetState(s, settings, p.Map[set], load[set], pace); st != nil {
+		if st := newSetState(s, settings, p.Map[set], load[set], slowdown); st != nil {
 			st.set, st.rankCopies = set, copies
 			sets = append(sets, st)
 		}
@@ -86,7 +87,7 @@
 		st.restoreOrder()
 		p.Map[st.set] = st.held
 	}
-	p.SkewAfter = p.Map.Skew(load, pace)
+	p.SkewAfter = p.Map.Skew(load, slowdown)
 	return p, p.SkewBefore-p.SkewAfter >= settings.MinTotalGain && p.Copies > 0
 }
 
@@ -107,11 +108,11 @@
 }
 
 // setState is the state of the search in one set. Loads are scaled so that the mean rank has
-// load 1; that of a slow rank is multiplied by its pace.
+// load 1; that of a slow rank is multiplied by its slowdown.
 type setState struct {
 	s        Shape
 	settings PlanSettings
-	pace     Slowdown
+	slowdown Slowdown
 	// load is that of each expert, held lists the experts of each rank.
 	load []float64
 	held [][]uint32
@@ -135,7 +136,7 @@
 }
 
 // newSetState returns nil for a set without load.
-func newSetState(s Shape, settings PlanSettings, held [][]uint32, load []float64, pace Slowdown) *setState {
+func newSetState(s Shape, settings PlanSettings, held [][]uint32, load []float64, slowdown Slowdown) *setState {
 	total := 0.0
 	for _, v := range load {
 		total += v
@@ -143,7 +144,7 @@
 	if total <= 0 {
 		return nil
 	}
-	st := &setState{s: s, settings: settings, pace: pace, load: make([]float64, len(load)), held: held, holders: make([][]int, len(load)), rankLoad: make([]float64, len(held))}
+	st := &setState{s: s, settings: settings, slowdown: slowdown, load: make([]float64, len(load)), held: held, holders: make([][]int, len(load)), rankLoad: make([]float64, len(held))}
 	for e, v := range load {
 		st.load[e] = v * float64(s.Ranks) / total
 	}
@@ -155,7 +156,7 @@
 	}
 	for r, experts := range held {
 		for _, e := range experts {
-			st.rankLoad[r] += st.replicaLoad(e) * pace.of(r)
+			st.rankLoad[r] += st.replicaLoad(e) * slowdown.of(r)
 		}
 	}
 	st.recompute()
@@ -201,7 +202,7 @@
 	busy := st.busiest()
 	// Undoing a tried change may reorder the lists, so iterate over a copy.
 	onBusy := slices.Clone(st.held[busy])
-	slow := st.pace.of(busy) > 1
+	slow := st.slowdown.of(busy) > 1
 	for _, e := range onBusy {
 		if slow && len(st.holders[e]) > 1 {
 			st.tryChange(change{rank: noRank, busy: busy, in: e, leaves: true}, &best)
@@ -374,7 +375,7 @@
 func (st *setState) addReplicaLoad(e uint32, sign float64) {
 	for _, r := range st.holders[e] {
 		before := st.rankLoad[r]
-		st.rankLoad[r] += sign * st.replicaLoad(e) * st.pace.of(r)
+		st.rankLoad[r] += sign * st.replicaLoad(e) * st.slowdown.of(r)
 		st.power += toPeakPower(st.rankLoad[r]) - toPeakPower(before)
 	}
 }
--- a/lockstep/plan_test.go
+++ b/lockstep/plan_test.go
@@ -132,14 +132,14 @@
 		}
 		current := initialMap(s)
 		before := current.Clone()
-		var pace Slowdown
+		var slowdown Slowdown
 		if rapid.Bool().Draw(t, "some slow") {
 			for range s.Ranks {
-				pace = append(pace, rapid.SampledFrom([]float64{1, 1, 1.5, 5}).Draw(t, "pace"))
+				slowdown = append(slowdown, rapid.SampledFrom([]float64{1, 1, 1.5, 5}).Draw(t, "slowdown"))
 			}
 		}
 		settings := PlanSettings{MinGain: rapid.Float64Range(0, 0.1).Draw(t, "gain"), MaxCopiesHighSkew: rapid.IntRange(0, 2).Draw(t, "per rank"), HighSkew: 1.2}
-		p, ok := Plan(s, settings, current, load, pace)
+		p, ok := Plan(s, settings, current, load, slowdown)
 		assert.DeepEqual(t, current, before)
 		if !ok {
 			return
@@ -223,12 +223,12 @@
 			const slow = 3
 			load := zipf(shape, 0.5, 0)
 			current := initialMap(shape)
-			pace := slices.Repeat(Slowdown{1}, shape.Ranks)
-			pace[slow] = 5
-			assert.Assert(t, current.Skew(load, pace) > 4, "%f", current.Skew(load, pace))
+			slowdown := slices.Repeat(Slowdown{1}, shape.Ranks)
+			slowdown[slow] = 5
+			assert.Assert(t, current.Skew(load, slowdown) > 4, "%f", current.Skew(load, slowdown))
 			switches := 0
 			for ; switches < 8; switches++ {
-				p, ok := Plan(shape, DefaultPlanSettings(), current, load, pace)
+				p, ok := Plan(shape, DefaultPlanSettings(), current, load, slowdown)
 				if !ok {
 					break
 				}
@@ -238,7 +238,7 @@
 				current = p.Map
 			}
 			assert.Assert(t, switches <= 6, "%d switches", switches)
-			assert.Assert(t, current.Skew(load, pace) < 1.6, "%f after %d switches", current.Skew(load, pace), switches)
+			assert.Assert(t, current.Skew(load, slowdown) < 1.6, "%f after %d switches", current.Skew(load, slowdown), switches)
 			assert.Assert(t, current.Skew(load, nil) < 1.6, "%f for the others", current.Skew(load, nil))
 		})
 	}
--- a/lockstep/replan_test.go
+++ b/lockstep/planschedule_test.go
@@ -7,14 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// After a plan without result, planning is less frequent until the demand shifts or a pace
+// After a plan without result, planning is less frequent until the demand shifts or a slowdown
 // changes.
-func TestReplanIsLessFrequentAfterPlanWithoutResult(t *testing.T) {
+func TestPlanningIsLessFrequentAfterPlanWithoutResult(t *testing.T) {
 	var r PlanSchedule
 	now := time.Unix(100, 0)
-	plans := func(d time.Duration, shifts int, pace Slowdown) (n int) {
+	plans := func(d time.Duration, shifts int, slowdown Slowdown) (n int) {
 		for end := now.Add(d); now.Before(end); now = now.Add(25 * time.Millisecond) {
-			if r.StartIfDue(now, shifts, pace) {
+			if r.StartIfDue(now, shifts, slowdown) {
 				r.MarkNoResult()
 				n++
 			}
@@ -24,9 +24,9 @@
 	assert.Equal(t, plans(15*time.Second, 0, nil), 10)
 	assert.Assert(t, r.StartIfDue(now, 1, nil), "a shift must be planned for at once")
 	r.MarkNoResult()
-	now = now.Add(replanPeriod)
-	assert.Assert(t, r.StartIfDue(now, 1, Slowdown{1, 3}), "a changed pace must be planned for at once")
+	now = now.Add(planPeriod)
+	assert.Assert(t, r.StartIfDue(now, 1, Slowdown{1, 3}), "a changed slowdown must be planned for at once")
 	r.MarkNoResult()
-	now = now.Add(replanPeriod / 2)
-	assert.Assert(t, !r.StartIfDue(now, 2, nil), "plans must be at least replanPeriod apart")
+	now = now.Add(planPeriod / 2)
+	assert.Assert(t, !r.StartIfDue(now, 2, nil), "plans must be at least planPeriod apart")
 }
--- a/lockstep/relays.go
+++ b/lockstep/relays.go
@@ -62,8 +62,8 @@
 // maxPartSize returns the maximum number of ranks that share a relay in a group of n.
 func maxPartSize(n int) int { return int(math.Ceil(math.Sqrt(float64(n)))) }
 
-// EstimateCalls returns the approximate number of calls that reach all ranks of a group, and whether
-// they go to relays. Failure domains may add some calls.
+// EstimateCalls returns the approximate number of calls that reach all ranks of a group, and
+// whether they go to relays. Failure domains may add some calls.
 func EstimateCalls(ranks int) (calls int, relayed bool) {
 	if ranks <= maxDirectRanks {
 		return ranks, false
--- a/lockstep/switcher.go
+++ b/lockstep/switcher.go
@@ -263,8 +263,8 @@
 	s.enterPhase(now, Cleaning)
 }
 
-// HandleReport takes the state of a rank as read at a given time. An older state than the known one is
-// ignored.
+// HandleReport takes the state of a rank as read at a given time. An older state than the known
+// one is ignored.
 func (s *Switcher) HandleReport(at time.Time, i int, instance string, report *wire.RankReport) {
 	if i < 0 || i >= len(s.ranks) || report == nil {
 		return
--- a/lockstep/switcher_test.go
+++ b/lockstep/switcher_test.go
@@ -100,7 +100,7 @@
 
 // Awaited ranks are read more often. A rank missing from them would be read late, and the group
 // held longer.
-func TestAwaitsInEachPhase(t *testing.T) {
+func TestAwaitsRankInEachPhase(t *testing.T) {
 	s := New(DefaultConfig(4, 1, 1))
 	now := time.Unix(0, 0)
 	report := func(i int, r *wire.RankReport) {
--- a/lockstep/switchersteps.go
+++ b/lockstep/switchersteps.go
@@ -6,8 +6,8 @@
 	"github.com/snipereach/snipereach/wire"
 )
 
-// Tick advances the switch and returns the orders to send now. Replied must be called for each
-// of them, also if no reply came.
+// Tick advances the switch and returns the orders to send now. HandleReply must be called for
+// each of them, also if no reply came.
 func (s *Switcher) Tick(now time.Time) []Order {
 	if s.Fenced() || !s.allKnown() {
 		return nil
--- a/placement/bound.go
+++ b/placement/bound.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// boundSteps is the number of bisection steps of Bound: 40 leave a relative error below 1e-11.
+// boundSteps is the number of bisection steps of SkewBound: 40 leave a relative error below 1e-11.
 const boundSteps = 40
 
 // SkewBound returns a lower bound of a layer's skew under any valid map. No rank can be below the
 // mean. If no rank has more than t tokens, an expert with load L needs at least ceil(L/t)
-// replicas on as many ranks, and all replicas must fit into the slots. Bound finds the smallest
-// such t by bisection.
+// replicas on as many ranks, and all replicas must fit into the slots. SkewBound finds the
+// smallest such t by bisection.
 func SkewBound(s Shape, layer int, load Load) float64 {
 	return layerBound(s, load[layer*s.Experts:(layer+1)*s.Experts])
 }
--- a/upstream/http.go
+++ b/upstream/http.go
@@ -113,7 +113,7 @@
 	}, nil
 }
 
-// RefusesConnections implements Refuser.
+// RefusesConnections implements RefusalChecker.
 func (h *HTTP) RefusesConnections(ctx context.Context) bool {
 	port := h.base.Port()
 	if port == "" {
