--- a/consensus/node.go
+++ b/consensus/node.go
@@ -402,17 +402,17 @@
 	r := Ready{EarlyMessages: n.earlyMessages, Messages: n.messages, Reads: n.readStates, Snapshot: n.installedSnapshot}
 	r.Entries = n.log.takeUnstable()
 	r.CommittedEntries = n.log.takeCommitted()
-	hard := &wire.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed}
-	if hard.Term != n.persisted.Term || hard.Vote != n.persisted.Vote || n.saveObserved || (r.MustSync() && hard.Commit != n.persisted.Commit) {
+	hardState := &wire.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed}
+	if hardState.Term != n.persisted.Term || hardState.Vote != n.persisted.Vote || n.saveObserved || (r.MustSync() && hardState.Commit != n.persisted.Commit) {
 		// Appends of a new term must wait until the term is durable. Otherwise a
 		// sole voter that crashes could lead the same term again with other entries.
-		if hard.Term != n.persisted.Term {
+		if hardState.Term != n.persisted.Term {
 			r.Messages = append(r.EarlyMessages, r.Messages...)
 			r.EarlyMessages = nil
 		}
-		n.putObserved(hard)
-		r.HardState = hard
-		n.persisted = hard
+		n.putObserved(hardState)
+		r.HardState = hardState
+		n.persisted = hardState
 	}
 	n.earlyMessages, n.messages, n.readStates, n.installedSnapshot = nil, nil, nil, nil
 	return r
--- a/consensus/sim_test.go
+++ b/consensus/sim_test.go
@@ -71,10 +71,10 @@
 
 // simDisk is the durable content of a data folder.
 type simDisk struct {
-	hard     *wire.HardState
-	snapshot *wire.LogSnapshot
-	log      []*wire.LogEntry
-	fresh    bool
+	hardState *wire.HardState
+	snapshot  *wire.LogSnapshot
+	log       []*wire.LogEntry
+	fresh     bool
 }
 
 type simOp struct {
@@ -144,7 +144,7 @@
 	s.lastConfig = &wire.Configuration{Peers: peers}
 	snapshot := &wire.LogSnapshot{Index: 1, Term: 1, Config: s.lastConfig}
 	for _, p := range peers {
-		s.addReplica(p.Id, simDisk{hard: &wire.HardState{Term: 1, Commit: 1}, snapshot: snapshot, fresh: true})
+		s.addReplica(p.Id, simDisk{hardState: &wire.HardState{Term: 1, Commit: 1}, snapshot: snapshot, fresh: true})
 	}
 	return s
 }
@@ -163,7 +163,7 @@
 	cfg.MaxEntries = 4
 	r.bootedAt = s.now
 	r.node = New(cfg, Restored{
-		HardState: r.disk.hard, Snapshot: r.disk.snapshot,
+		HardState: r.disk.hardState, Snapshot: r.disk.snapshot,
 		Entries: append([]*wire.LogEntry(nil), r.disk.log...), Fresh: r.disk.fresh,
 	}, 0)
 	r.up = true
@@ -206,7 +206,7 @@
 
 func (d *simDisk) persist(rd *Ready) {
 	if rd.HardState != nil {
-		d.hard = rd.HardState
+		d.hardState = rd.HardState
 	}
 	if rd.Snapshot != nil {
 		d.snapshot, d.log = rd.Snapshot, nil
@@ -474,7 +474,7 @@
 	s.tracef("%s loses its folder", r.id)
 	s.crash(r)
 	if s.disabled.newIdentityAfterLoss {
-		r.disk = simDisk{snapshot: &wire.LogSnapshot{Index: 1, Term: 1, Config: s.lastKnownConfig()}, hard: &wire.HardState{Term: 1, Commit: 1}, fresh: true}
+		r.disk = simDisk{snapshot: &wire.LogSnapshot{Index: 1, Term: 1, Config: s.lastKnownConfig()}, hardState: &wire.HardState{Term: 1, Commit: 1}, fresh: true}
 		s.start(r)
 		return
 	}
--- a/dialect/dialect.go
+++ b/dialect/dialect.go
@@ -114,7 +114,7 @@
 	EncodeRegistered() []byte
 	// EncodeEntries encodes the addresses that a caller may connect to, and how long it may
 	// cache them.
-	EncodeEntries(addresses []string, keep time.Duration) []byte
+	EncodeEntries(addresses []string, ttl time.Duration) []byte
 	// EncodeError encodes the body of an error response.
 	EncodeError(detail string) []byte
 }
--- a/placement/noise.go
+++ b/placement/noise.go
@@ -20,8 +20,8 @@
 
 // noise estimates how far the counters of a single window are from the forecast.
 type noise struct {
-	// squaredErrors and squaredForecast are decayed sums over the windows, per layer: of the squared errors,
-	// and of the squared forecast. weight is the decayed number of windows.
+	// squaredErrors and squaredForecast are decayed sums over the windows, per layer: of the
+	// squared errors, and of the squared forecast. weight is the decayed number of windows.
 	squaredErrors, squaredForecast []float64
 	weight                         float64
 	windows                        int
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -170,7 +170,7 @@
 	if st.Identity != nil && st.HardState == nil && len(st.Entries) > 0 {
 		return merry.Prepend(ErrCorrupt, "hard state is missing")
 	}
-	j.hard = st.HardState
+	j.hardState = st.HardState
 	return nil
 }
 
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -61,7 +61,7 @@
 	file        File
 	segment     uint64
 	segmentSize int64
-	hard        *wire.HardState
+	hardState   *wire.HardState
 	buf         []byte
 	failure     error
 }
@@ -101,14 +101,14 @@
 
 // Append makes the hard state, if not nil, and the entries durable before it returns.
 // Entries replace all earlier ones from their first index on.
-func (j *Journal) Append(hard *wire.HardState, entries []*wire.LogEntry) error {
+func (j *Journal) Append(hardState *wire.HardState, entries []*wire.LogEntry) error {
 	if j.failure != nil {
 		return merry.Prepend(ErrFailed, j.failure.Error())
 	}
 	j.buf = j.buf[:0]
-	if hard != nil {
-		j.hard = hard
-		j.encodeRecord(&wire.JournalRecord{Record: &wire.JournalRecord_HardState{HardState: hard}})
+	if hardState != nil {
+		j.hardState = hardState
+		j.encodeRecord(&wire.JournalRecord{Record: &wire.JournalRecord_HardState{HardState: hardState}})
 	}
 	for _, e := range entries {
 		j.encodeRecord(&wire.JournalRecord{Record: &wire.JournalRecord_Entry{Entry: e}})
@@ -156,21 +156,21 @@
 
 // Compact makes a snapshot durable and removes the files that it replaces. entries are
 // the entries after the snapshot to keep.
-func (j *Journal) Compact(s *wire.LogSnapshot, hard *wire.HardState, entries []*wire.LogEntry) error {
+func (j *Journal) Compact(s *wire.LogSnapshot, hardState *wire.HardState, entries []*wire.LogEntry) error {
 	if j.failure != nil {
 		return merry.Prepend(ErrFailed, j.failure.Error())
 	}
-	return j.recordFailure(j.compact(s, hard, entries))
+	return j.recordFailure(j.compact(s, hardState, entries))
 }
 
-func (j *Journal) compact(s *wire.LogSnapshot, hard *wire.HardState, entries []*wire.LogEntry) error {
+func (j *Journal) compact(s *wire.LogSnapshot, hardState *wire.HardState, entries []*wire.LogEntry) error {
 	name := fmt.Sprintf("%s%020d", snapshotPrefix, s.Index)
 	rec := &wire.JournalRecord{Record: &wire.JournalRecord_Snapshot{Snapshot: s}}
 	if err := j.writeRecordFile(name, []*wire.JournalRecord{rec}); err != nil {
 		return err
 	}
-	if hard != nil {
-		j.hard = hard
+	if hardState != nil {
+		j.hardState = hardState
 	}
 	if err := j.rotate(s, entries); err != nil {
 		return err
@@ -192,8 +192,8 @@
 		at := &wire.LogSnapshot{Index: s.Index, Term: s.Term}
 		recs = append(recs, &wire.JournalRecord{Record: &wire.JournalRecord_Snapshot{Snapshot: at}})
 	}
-	if j.hard != nil {
-		recs = append(recs, &wire.JournalRecord{Record: &wire.JournalRecord_HardState{HardState: j.hard}})
+	if j.hardState != nil {
+		recs = append(recs, &wire.JournalRecord{Record: &wire.JournalRecord_HardState{HardState: j.hardState}})
 	}
 	for _, e := range entries {
 		recs = append(recs, &wire.JournalRecord{Record: &wire.JournalRecord_Entry{Entry: e}})
