--- a/consensus/node.go
+++ b/consensus/node.go
@@ -111,10 +111,10 @@
 	Fresh bool
 }
 
-// Ready is the work for a driver, in this order: send the Early messages, make
-// Hard, Snapshot and Entries durable, call Node.MarkPersisted, send Messages, restore
-// the state machine from Snapshot if it is set, apply the entries of Apply, and
-// answer the reads. Early messages need not wait for the records to be durable.
+// Ready is the work for a driver, in this order: send EarlyMessages, make HardState,
+// Snapshot and Entries durable, call Node.MarkPersisted, send Messages, restore the
+// state machine from Snapshot if it is set, apply CommittedEntries, and answer Reads.
+// EarlyMessages need not wait for the records to be durable.
 type Ready struct {
 	EarlyMessages []*wire.RaftMessage
 	HardState     *wire.HardState
@@ -402,17 +402,17 @@
 	r := Ready{EarlyMessages: n.earlyMessages, Messages: n.messages, Reads: n.readStates, Snapshot: n.installedSnapshot}
 	r.Entries = n.log.takeUnstable()
 	r.CommittedEntries = n.log.takeCommitted()
-	hard := &wire.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed}
-	if hard.Term != n.persisted.Term || hard.Vote != n.persisted.Vote || n.saveObserved || (r.MustSync() && hard.Commit != n.persisted.Commit) {
+	hardState := &wire.HardState{Term: n.term, Vote: n.vote, Commit: n.log.committed}
+	if hardState.Term != n.persisted.Term || hardState.Vote != n.persisted.Vote || n.saveObserved || (r.MustSync() && hardState.Commit != n.persisted.Commit) {
 		// Appends of a new term must wait until the term is durable. Otherwise a
 		// sole voter that crashes could lead the same term again with other entries.
-		if hard.Term != n.persisted.Term {
+		if hardState.Term != n.persisted.Term {
 			r.Messages = append(r.EarlyMessages, r.Messages...)
 			r.EarlyMessages = nil
 		}
-		n.putObserved(hard)
-		r.HardState = hard
-		n.persisted = hard
+		n.putObserved(hardState)
+		r.HardState = hardState
+		n.persisted = hardState
 	}
 	n.earlyMessages, n.messages, n.readStates, n.installedSnapshot = nil, nil, nil, nil
 	return r
