--- a/admit/account.go
+++ b/admit/account.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// account records what Home has granted to one entry for one subject and what the entry
-// reported.
+// account records what the allocator has granted to one entry for one subject and what the
+// entry reported.
 type account struct {
 	// grants that the entry may be using, oldest first.
 	grants []grant
@@ -14,8 +14,8 @@
 	demand  Amounts
 	// reportedRunning is the number of requests in progress in the entry's last report.
 	reportedRunning float64
-	// peakRunning is the most requests in progress that the entry reported while Home was
-	// not settled; see Home.settled.
+	// peakRunning is the most requests in progress that the entry reported while the allocator
+	// was not settled; see ShareAllocator.settled.
 	peakRunning float64
 	// runningUntil is when the last request admitted under any of the grants has ended.
 	runningUntil time.Time
@@ -30,8 +30,8 @@
 	epoch   uint64
 	amounts Amounts
 	expires time.Time
-	// runningUntil is when the last request admitted under the grant has ended, by Home's
-	// clock.
+	// runningUntil is when the last request admitted under the grant has ended, by the
+	// allocator's clock.
 	runningUntil time.Time
 }
 
--- a/admit/allocator.go
+++ b/admit/allocator.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// ShareAllocator grants shares of limits to entries; see ShareTTL. It does no I/O and is not safe for
-// concurrent use.
+// ShareAllocator grants shares of limits to entries; see ShareTTL. It does no I/O and is not safe
+// for concurrent use.
 type ShareAllocator struct {
 	name string
-	// openAt is when this Home may begin to grant.
+	// openAt is when this allocator may begin to grant.
 	openAt      time.Time
 	subjects    map[Subject]*accounts
 	entryStates map[string]entryState
@@ -21,18 +21,18 @@
 	skipStartupWait, skipEarlierGrants bool
 }
 
-// entryState is what Home knows from the latest report of an entry.
+// entryState is what the allocator knows from the latest report of an entry.
 type entryState struct {
 	incarnation, seq uint64
-	// fullReport is set once the entry has sent this Home a full report of its requests in
+	// fullReport is set once the entry has sent this allocator a full report of its requests in
 	// progress.
 	fullReport bool
-	// ownEpochs is set when the epochs that the report acknowledges are this Home's.
+	// ownEpochs is set when the epochs that the report acknowledges are this allocator's.
 	ownEpochs bool
 }
 
-// NewShareAllocator returns the Home of a leader that has just been elected. It grants nothing until
-// the grants of the one before have expired. name must be unique among all Homes.
+// NewShareAllocator returns the allocator of a leader that has just been elected. It grants
+// nothing until the grants of the one before have expired. name must be unique among all allocators.
 func NewShareAllocator(now time.Time, name string) *ShareAllocator {
 	return &ShareAllocator{
 		name: name, openAt: now.Add(grantTTL), subjects: map[Subject]*accounts{},
@@ -40,12 +40,12 @@
 	}
 }
 
-// grantTTL is how long Home counts a grant. It is longer than ShareTTL by the bound on
+// grantTTL is how long the allocator counts a grant. It is longer than ShareTTL by the bound on
 // clock rates.
 const grantTTL = time.Duration(float64(ShareTTL) * maxClockRatio)
 
-// Name returns the Home's name, or "" while it may not grant yet: an entry that names this
-// Home in a report was answered after the grants of the one before had expired.
+// Name returns the allocator's name, or "" while it may not grant yet: an entry that names this
+// allocator in a report was answered after the grants of the one before had expired.
 func (h *ShareAllocator) Name(now time.Time) string {
 	if !h.mayGrant(now) {
 		return ""
@@ -57,9 +57,9 @@
 	return h.skipStartupWait || !now.Before(h.openAt)
 }
 
-// AcceptReport takes the head of a report. It returns false if the demands must not be answered:
-// this Home may not grant yet, or the report is not the entry's latest. A reordered one
-// would count fewer requests in progress than there are.
+// AcceptReport processes the head of a report. It returns false if the demands must not be
+// answered: this allocator may not grant yet, or the report is not the entry's latest. A
+// reordered one would count fewer requests in progress than there are.
 func (h *ShareAllocator) AcceptReport(now time.Time, r Report) bool {
 	if !h.mayGrant(now) {
 		return false
@@ -79,8 +79,8 @@
 	return true
 }
 
-// Grant answers one demand of a report that Hear has accepted. hold is the longest time
-// that a request of the subject may run; see Holds.
+// Grant answers one demand of a report that AcceptReport has accepted. hold is the longest time
+// that a request of the subject may run; see RequestTimeouts.
 func (h *ShareAllocator) Grant(now time.Time, entry string, s Subject, limit Amounts, d Demand, hold time.Duration) Share {
 	d.Wanted, d.Running = d.Wanted.sanitized(), sanitizeAmount(d.Running)
 	all := h.subjects[s]
@@ -114,9 +114,10 @@
 }
 
 // concurrentBound returns the most requests in progress that an entry may be granted. Until
-// this Home is settled, another entry may be running any part of the limit: the entry keeps
-// as many as it had, which the earlier Home had granted it, and gets no more. An entry that
-// is not in the ring gets none, since a later Home would not wait for its report.
+// this allocator is settled, another entry may be running any part of the limit: the entry
+// keeps as many as it had, which the earlier allocator had granted it, and gets no more. An
+// entry that is not in the ring gets none, since a later allocator would not wait for its
+// report.
 func (h *ShareAllocator) concurrentBound(now time.Time, entry string, acc *account, d Demand, hold time.Duration) float64 {
 	switch {
 	case !h.membership.has(entry):
@@ -124,8 +125,8 @@
 	case h.settled(now, hold):
 		return math.Inf(1)
 	case !h.entryStates[entry].ownEpochs:
-		// The report may date from before this Home began to grant. The entry may keep what
-		// it has in progress, but the report must not raise peakRunning for later demands.
+		// The report may date from before this allocator began to grant. The entry may keep
+		// what it has in progress, but the report must not raise peakRunning for later demands.
 		return d.Running
 	}
 	acc.peakRunning = max(acc.peakRunning, d.Running)
--- a/admit/allocator_dump.go
+++ b/admit/allocator_dump.go
@@ -15,7 +15,7 @@
 	return all.totals.total().used
 }
 
-// SubjectState describes one subject in a dump of Home; -1 means unlimited.
+// SubjectState describes one subject in a dump of the allocator; -1 means unlimited.
 type SubjectState struct {
 	Team       string  `json:"team"`
 	Service    string  `json:"service"`
@@ -25,7 +25,7 @@
 	Concurrent float64 `json:"concurrent"`
 }
 
-// Dump returns the subjects that Home keeps accounts of, ordered by team and service.
+// Dump returns the subjects that the allocator keeps accounts of, ordered by team and service.
 func (h *ShareAllocator) Dump(now time.Time) []SubjectState {
 	var list []SubjectState
 	for s, all := range h.subjects {
--- a/admit/amounts.go
+++ b/admit/amounts.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// grantableAmount never decreases as the limit grows, also at MinLimitWithFloor: an entry and Home
-// that know different versions of a limit stay within the larger one.
+// grantableAmount never decreases as the limit grows, also at MinLimitWithFloor: an entry and
+// the allocator that know different versions of a limit stay within the larger one.
 func grantableAmount(limit float64) float64 {
 	if limit >= MinLimitWithFloor {
 		return limit * (1 - FloorFraction)
--- a/admit/bench_test.go
+++ b/admit/bench_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// BenchmarkHomeGrant measures one Grant for a team whose callers use several entries.
-func BenchmarkHomeGrant(b *testing.B) {
+// BenchmarkShareAllocatorGrant measures one Grant for a team whose callers use several entries.
+func BenchmarkShareAllocatorGrant(b *testing.B) {
 	for _, entries := range []int{1, 7, 50} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			p := newShareCluster(entries, Amounts{1000, 1e6, 100})
@@ -89,7 +89,7 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				p.now = p.now.Add(time.Millisecond)
-				d.AckedEpoch = p.home.Grant(p.now, names[i%entries], simSubject, p.limit, d, time.Second).Epoch
+				d.AckedEpoch = p.allocator.Grant(p.now, names[i%entries], simSubject, p.limit, d, time.Second).Epoch
 			}
 		})
 	}
--- a/admit/divide.go
+++ b/admit/divide.go
@@ -117,7 +117,7 @@
 // turns.
 func (p *peers) rotationRank() int { return (p.before.askers + p.turn) % p.askingEntries() }
 
-// turnAt returns the number of turns since Home began to grant.
+// turnAt returns the number of turns since the allocator began to grant.
 func turnAt(since time.Duration, limit float64) int { return int(since / turnLength(limit)) }
 
 // turnLength returns how long an entry keeps a unit. A limit below one request per second
--- a/admit/gate.go
+++ b/admit/gate.go
@@ -2,8 +2,8 @@
 // urgent work, weighted fair queueing between teams, bounded queues and deadlines. It also
 // divides the limits of teams between entries.
 //
-// Gate, Home and Limiter are deterministic state machines: they are told the time and do no
-// I/O. Runner drives a Gate for goroutines.
+// Gate, ShareAllocator and Limiter are deterministic state machines: they are told the time and
+// do no I/O. Runner drives a Gate for goroutines.
 package admit
 
 import (
--- a/admit/limiter.go
+++ b/admit/limiter.go
@@ -28,7 +28,7 @@
 type Limiter struct {
 	entries  int
 	subjects map[Subject]*localShare
-	// allocator is the name of the Home that answered last, fullReportTo the one that has
+	// allocator is the name of the allocator that answered last, fullReportTo the one that has
 	// answered a full report.
 	allocator, fullReportTo string
 	seq                     uint64
@@ -138,7 +138,7 @@
 }
 
 // concurrencyLimit returns how many requests may be in progress here for one with the given
-// timeout to be admitted. Home counts the requests of a grant for no longer than the
+// timeout to be admitted. The allocator counts the requests of a grant for no longer than the
 // grant's maxTimeout allows, so a request that may run longer is held to the floor.
 func (loc *localShare) concurrencyLimit(now time.Time, timeout time.Duration) float64 {
 	if timeout > loc.maxTimeout {
@@ -161,8 +161,8 @@
 	return min(floor+granted, limit)
 }
 
-// advance refills the buckets up to now. A grant that has expired meanwhile counts up to
-// its end only: Home may have granted the same part to another entry from then on.
+// advance refills the buckets up to now. A grant that has expired meanwhile counts up to its
+// end only: the allocator may have granted the same part to another entry from then on.
 func (loc *localShare) advance(now time.Time) {
 	if !loc.expires.IsZero() && loc.requestBucket.lastRefill.Before(loc.expires) && !now.Before(loc.expires) {
 		loc.refillBuckets(loc.expires, loc.expires)
@@ -232,27 +232,27 @@
 	return list
 }
 
-// Apply takes a grant. sent is when the demand was sent: the grant's lifetime counts from
-// then, so that it expires here before it expires at Home.
-func (l *Limiter) Apply(now, sent time.Time, s Subject, home string, g Share) {
+// Apply takes a grant. sent is when the demand was sent: the grant's lifetime counts from then,
+// so that it expires here before it expires at the allocator.
+func (l *Limiter) Apply(now, sent time.Time, s Subject, allocator string, g Share) {
 	loc := l.subjects[s]
-	if loc == nil || home == loc.allocator && g.Epoch <= loc.epoch {
+	if loc == nil || allocator == loc.allocator && g.Epoch <= loc.epoch {
 		return
 	}
-	if home != loc.allocator && sent.Before(loc.sentAt) {
-		// A delayed answer of another Home must not replace a later grant.
+	if allocator != loc.allocator && sent.Before(loc.sentAt) {
+		// A delayed answer of another allocator must not replace a later grant.
 		return
 	}
 	loc.advance(now)
 	loc.renewal.recordAnswer(sent, g, loc.activeGrant(now))
-	loc.allocator, loc.epoch = home, g.Epoch
+	loc.allocator, loc.epoch = allocator, g.Epoch
 	loc.granted, loc.burst, loc.maxTimeout = g.Amounts, g.Burst, g.MaxTimeout
 	loc.sentAt, loc.expires = sent, sent.Add(ShareTTL)
 	loc.refillBuckets(now, now)
 }
 
-// releaseGrant gives the grant up before it expires. Incrementing the epoch acknowledges
-// this to Home.
+// releaseGrant gives the grant up before it expires. Incrementing the epoch acknowledges this
+// to the allocator.
 func (loc *localShare) releaseGrant(now time.Time) {
 	loc.advance(now)
 	loc.granted, loc.burst = Amounts{}, 0
--- a/admit/limiter_test.go
+++ b/admit/limiter_test.go
@@ -9,35 +9,35 @@
 	"gotest.tools/v3/assert"
 )
 
-// shareCluster is some entries and a Home in virtual time, with a network that loses
+// shareCluster is some entries and an allocator in virtual time, with a network that loses
 // nothing.
 type shareCluster struct {
-	now      time.Time
-	home     *ShareAllocator
-	limit    Amounts
-	hold     time.Duration
-	limiters []*Limiter
+	now       time.Time
+	allocator *ShareAllocator
+	limit     Amounts
+	hold      time.Duration
+	limiters  []*Limiter
 	// askWhenDue lets entries ask when something is due, as in production, and not in every
 	// round.
 	askWhenDue bool
-	// demandsSent counts the demands that Home answered.
+	// demandsSent counts the demands that the allocator answered.
 	demandsSent int
 }
 
 func newShareCluster(entries int, limit Amounts) *shareCluster {
-	p := &shareCluster{now: simEpoch, limit: limit, hold: time.Second, home: NewShareAllocator(simEpoch, "home-1")}
+	p := &shareCluster{now: simEpoch, limit: limit, hold: time.Second, allocator: NewShareAllocator(simEpoch, "home-1")}
 	var ids []string
 	for i := range entries {
 		p.limiters = append(p.limiters, NewLimiter())
 		p.limiters[i].SetEntries(entries)
 		ids = append(ids, fmt.Sprint(i))
 	}
-	p.home.SetRingMembership(RingMembership{Members: ids, UnchangedFor: time.Hour})
+	p.allocator.SetRingMembership(RingMembership{Members: ids, UnchangedFor: time.Hour})
 	p.now = p.now.Add(grantTTL)
 	return p
 }
 
-// round lets every entry ask Home once.
+// round lets every entry ask the allocator once.
 func (p *shareCluster) round() {
 	for i, l := range p.limiters {
 		if !p.askWhenDue || l.Due(p.now) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// settle runs enough rounds for Home to know all requests in progress: it names itself in
-// the answers of the first, and entries send full reports in the second.
+// settle runs enough rounds for the allocator to know all requests in progress: it names itself
+// in the answers of the first, and entries send full reports in the second.
 func (p *shareCluster) settle() {
 	for range 3 {
 		p.round()
@@ -58,13 +58,13 @@
 func (p *shareCluster) ask(i int, l *Limiter) {
 	r, demands := l.Report(p.now)
 	r.Entry, r.Incarnation = fmt.Sprint(i), 1
-	if !p.home.AcceptReport(p.now, r) {
+	if !p.allocator.AcceptReport(p.now, r) {
 		return
 	}
-	l.HandleAnswer(r, p.home.Name(p.now))
+	l.HandleAnswer(r, p.allocator.Name(p.now))
 	p.demandsSent += len(demands)
 	for s, d := range demands {
-		l.Apply(p.now, p.now, s, p.home.Name(p.now), p.home.Grant(p.now, r.Entry, s, p.limit, d, p.hold))
+		l.Apply(p.now, p.now, s, p.allocator.Name(p.now), p.allocator.Grant(p.now, r.Entry, s, p.limit, d, p.hold))
 	}
 }
 
@@ -160,8 +160,8 @@
 	assert.Equal(t, drain(p), 0, "share that has just expired")
 }
 
-// A delayed report doesn't include the requests that were admitted after it was sent, so
-// Home must not grant their part to another entry.
+// A delayed report doesn't include the requests that were admitted after it was sent, so the
+// allocator must not grant their part to another entry.
 func TestDelayedReportDoesNotFreeRunningRequests(t *testing.T) {
 	p := newShareCluster(2, Amounts{1000, math.Inf(1), 10})
 	p.hold = 5 * time.Second
@@ -175,10 +175,10 @@
 	}
 	assert.Equal(t, started, 10)
 	p.now = p.now.Add(grantTTL)
-	assert.Assert(t, p.home.AcceptReport(p.now, late))
+	assert.Assert(t, p.allocator.AcceptReport(p.now, late))
 	d := demands[simSubject]
 	d.Wanted = Amounts{} // no new grant, so that only running requests count
-	p.home.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
+	p.allocator.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
 	p.take(1)
 	p.ask(1, p.limiters[1])
 	assert.Equal(t, p.limiters[1].subjects[simSubject].share(p.now).Concurrent, 0.0)
@@ -191,7 +191,7 @@
 // While an entry is partitioned from a new leader, other entries keep the requests in
 // progress that they have, and get no more of the concurrent limit until the partitioned
 // entry has reported or its requests must have ended.
-func TestNewHomeWaitsForPartitionedEntry(t *testing.T) {
+func TestNewAllocatorWaitsForPartitionedEntry(t *testing.T) {
 	grant := func(h *ShareAllocator, now time.Time, entry string, seq uint64, running float64) float64 {
 		assert.Assert(t, h.AcceptReport(now, Report{Entry: entry, Incarnation: 1, Seq: seq, Allocator: h.Name(now)}))
 		d := Demand{Wanted: Amounts{Requests: 50, Concurrent: 20}, Running: running}
@@ -218,11 +218,11 @@
 	left.Previous, left.MinChangeInterval = nil, time.Second
 	h.SetRingMembership(left)
 	assert.Equal(t, grant(h, now, "b", 2, 0), 0.0, "the ring may have changed twice")
-	assert.Equal(t, grant(h, now.Add(34*time.Second), "stranger", 1, 0), 0.0, "a later Home would not wait for an entry outside the ring")
+	assert.Equal(t, grant(h, now.Add(34*time.Second), "stranger", 1, 0), 0.0, "a later allocator would not wait for an entry outside the ring")
 }
 
-// Home counts the requests of a grant for the timeout known at the time. After the timeout
-// was raised, a request that may run longer is held to the floor until the next grant.
+// The allocator counts the requests of a grant for the timeout known at the time. After the
+// timeout was raised, a request that may run longer is held to the floor until the next grant.
 func TestLongerTimeoutNeedsANewGrant(t *testing.T) {
 	p := newShareCluster(2, Amounts{1000, math.Inf(1), 10})
 	p.take(0)
--- a/admit/membership.go
+++ b/admit/membership.go
@@ -12,8 +12,8 @@
 	UnchangedFor, MinChangeInterval time.Duration
 }
 
-// membership is what Home knows of the entries in the ring, and how many of them have not
-// sent it a full report yet. The numbers are kept so that a demand need not scan all
+// membership is what the allocator knows of the entries in the ring, and how many of them have
+// not sent it a full report yet. The numbers are kept so that a demand need not scan all
 // entries.
 type membership struct {
 	RingMembership
@@ -21,7 +21,7 @@
 	// unreported counts the members without a full report, unreportedPrevious those of the
 	// previous membership.
 	unreported, unreportedPrevious int
-	// settledHold is the longest request timeout for which Home was found settled.
+	// settledHold is the longest request timeout for which the allocator was found settled.
 	settledHold time.Duration
 }
 
@@ -45,7 +45,7 @@
 	r.previous, r.unreportedPrevious = h.memberSet(f.Previous)
 }
 
-// SetUnchangedFor updates Fleet.UnchangedFor.
+// SetUnchangedFor updates RingMembership.UnchangedFor.
 func (h *ShareAllocator) SetUnchangedFor(d time.Duration) { h.membership.UnchangedFor = d }
 
 func (h *ShareAllocator) memberSet(entries []string) (set map[string]bool, unreported int) {
@@ -62,9 +62,9 @@
 	return set, unreported
 }
 
-// settled reports whether Home knows of all requests that were admitted under grants of an
-// earlier Home: every entry of the ring has sent a full report, or the requests have ended,
-// by hold, their longest timeout. An entry that left the ring lately may still run some.
+// settled reports whether the allocator knows of all requests that were admitted under grants
+// of an earlier allocator: every entry of the ring has sent a full report, or the requests have
+// ended, by hold, their longest timeout. An entry that left the ring lately may still run some.
 func (h *ShareAllocator) settled(now time.Time, hold time.Duration) bool {
 	r := &h.membership
 	wait := time.Duration(float64(hold) * maxClockRatio)
--- a/admit/renewal.go
+++ b/admit/renewal.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// An entry asks Home to renew a share when its grant is about to expire, when Home told it
-// to, when its demand has changed, and when it has something to give back. Asking for every
-// subject in every half second would dominate the cost of limits.
+// An entry asks the allocator to renew a share when its grant is about to expire, when the
+// allocator told it to, when its demand has changed, and when it has something to give back.
+// Asking for every subject in every half second would dominate the cost of limits.
 const (
 	// minAskInterval is the shortest time between two demands for a subject, however fast
 	// its demand changes.
@@ -46,8 +46,8 @@
 	// stale is set when the grant was made for another version of the limit, or for a
 	// shorter timeout than a request needs.
 	stale bool
-	// reduced is set by a grant that is smaller than the one before. Home counts the larger
-	// one until the new epoch is acknowledged.
+	// reduced is set by a grant that is smaller than the one before. The allocator counts the
+	// larger one until the new epoch is acknowledged.
 	reduced bool
 }
 
@@ -55,7 +55,7 @@
 	q.answeredSentAt = sent
 	again := g.RenewAfter
 	if again <= 0 {
-		// A leader of an earlier release doesn't send Again.
+		// A leader of an earlier release doesn't send RenewAfter.
 		again = ShareRetryInterval
 	}
 	q.askBy = sent.Add(again)
@@ -69,7 +69,7 @@
 	return less(a.Requests, before.Requests) || less(a.Tokens, before.Tokens) || less(a.Concurrent, before.Concurrent)
 }
 
-// due reports whether Home must be asked for the subject now.
+// due reports whether the allocator must be asked for the subject now.
 func (loc *localShare) due(now time.Time, d Demand) bool {
 	q := &loc.renewal
 	since := now.Sub(q.sentAt)
@@ -152,7 +152,7 @@
 	}
 }
 
-// Due reports whether Home must be asked for any subject now.
+// Due reports whether the allocator must be asked for any subject now.
 func (l *Limiter) Due(now time.Time) bool {
 	for _, loc := range l.subjects {
 		if loc.due(now, l.demand(now, loc)) {
@@ -162,14 +162,14 @@
 	return false
 }
 
-// DueFor reports whether Home must be asked for a subject now.
+// DueFor reports whether the allocator must be asked for a subject now.
 func (l *Limiter) DueFor(now time.Time, s Subject) bool {
 	loc := l.subjects[s]
 	return loc != nil && loc.due(now, l.demand(now, loc))
 }
 
-// Report returns the demands to send to Home. The report is full, and not partial, until
-// Home has answered a full one. The caller sets Entry and Incarnation.
+// Report returns the demands to send to the allocator. The report is full, and not partial,
+// until the allocator has answered a full one. The caller sets Entry and Incarnation.
 func (l *Limiter) Report(now time.Time) (Report, map[Subject]Demand) {
 	full := l.allocator == "" || l.allocator != l.fullReportTo
 	demands := map[Subject]Demand{}
@@ -216,17 +216,17 @@
 	return d
 }
 
-// HandleAnswer records that Home answered a report. home is its name, empty while it may not
-// grant yet. Answered returns true if it is not the one that answered before: a new one
-// waits for a full report.
-func (l *Limiter) HandleAnswer(r Report, home string) (changed bool) {
-	if home == "" {
+// HandleAnswer records that the allocator answered a report. name is its name, empty while
+// it may not grant yet. HandleAnswer returns true if it is not the one that answered before: a
+// new one waits for a full report.
+func (l *Limiter) HandleAnswer(r Report, name string) (changed bool) {
+	if name == "" {
 		return false
 	}
-	if r.Allocator == home && !r.Partial {
-		l.fullReportTo = home
+	if r.Allocator == name && !r.Partial {
+		l.fullReportTo = name
 	}
-	changed = home != l.allocator
-	l.allocator = home
+	changed = name != l.allocator
+	l.allocator = name
 	return changed
 }
--- a/admit/renewal_test.go
+++ b/admit/renewal_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// An answer that arrives after the entry released its grant is used only if Home still
+// An answer that arrives after the entry released its grant is used only if the allocator still
 // counts that answer's grant.
 func TestDelayedAnswerAfterReleaseStaysCounted(t *testing.T) {
 	p := newShareCluster(2, Amounts{100, math.Inf(1), math.Inf(1)})
@@ -68,22 +68,22 @@
 	l.subjects[simSubject].renewal.stale = true
 	sent := p.now
 	r, d := ask()
-	assert.Assert(t, p.home.AcceptReport(p.now, r))
-	late := p.home.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
+	assert.Assert(t, p.allocator.AcceptReport(p.now, r))
+	late := p.allocator.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
 	p.now = p.now.Add(inactiveMax / 2)
 	r, d = ask()
 	assert.Equal(t, l.subjects[simSubject].activeGrant(p.now), Amounts{})
-	assert.Assert(t, p.home.AcceptReport(p.now, r))
-	p.home.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
+	assert.Assert(t, p.allocator.AcceptReport(p.now, r))
+	p.allocator.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
 	l.Apply(p.now, sent, simSubject, "home-1", late)
 	used := l.subjects[simSubject].activeGrant(p.now).Requests
-	assert.Assert(t, used <= p.home.InUse(p.now, simSubject).Requests, "%g used", used)
+	assert.Assert(t, used <= p.allocator.InUse(p.now, simSubject).Requests, "%g used", used)
 	assert.Assert(t, used > 0)
 }
 
-// A partial report omits requests in progress, so a new Home must not count it as a full
+// A partial report omits requests in progress, so a new allocator must not count it as a full
 // one.
-func TestPartialReportDoesNotSettleHome(t *testing.T) {
+func TestPartialReportDoesNotSettleAllocator(t *testing.T) {
 	now := simEpoch.Add(grantTTL)
 	h := NewShareAllocator(simEpoch, "home-2")
 	h.SetRingMembership(RingMembership{Members: []string{"a", "b"}, UnchangedFor: time.Hour})
@@ -97,9 +97,9 @@
 	assert.Assert(t, h.settled(now, time.Minute))
 }
 
-// After a change of Home, the entry sends full reports until the new one has answered one,
-// also if answers are lost.
-func TestFullReportsUntilNewHomeAnswers(t *testing.T) {
+// After a change of the allocator, the entry sends full reports until the new one has answered
+// one, also if answers are lost.
+func TestFullReportsUntilNewAllocatorAnswers(t *testing.T) {
 	p := newShareCluster(1, Amounts{1000, math.Inf(1), 10})
 	p.take(0)
 	p.settle()
--- a/admit/runner.go
+++ b/admit/runner.go
@@ -19,7 +19,7 @@
 	return &Runner{gate: NewGate(s), now: now}
 }
 
-// waiter is one call of Enter.
+// waiter is one call of Acquire.
 type waiter struct {
 	runner *Runner
 	work   *Work
--- a/admit/share.go
+++ b/admit/share.go
@@ -4,17 +4,17 @@
 
 // Parameters of the division of a team's limit between entries.
 //
-// Home, at the control leader, grants expiring shares that follow demand. A small part of
-// each large limit is not granted but is divided into floors, so that an entry that is
+// ShareAllocator, at the control leader, grants expiring shares that follow demand. A small part
+// of each large limit is not granted but is divided into floors, so that an entry that is
 // partitioned from the leader can still serve some of the team's requests. The sum of the
 // floors and of the unexpired shares never exceeds the limit:
 //
-//   - Home counts a grant for longer, by its clock, than the entry uses it by its own: the
-//     entry counts from before it asked, Home from when it answered, plus the bound on
+//   - the allocator counts a grant for longer, by its clock, than the entry uses it by its own: the
+//     entry counts from before it asked, the allocator from when it answered, plus the bound on
 //     clock rates;
-//   - a new Home grants nothing until every grant of the one before has expired;
+//   - a new allocator grants nothing until every grant of the one before has expired;
 //   - requests in progress outlive a grant, so a concurrent share is counted for as long as
-//     they may run, and a new Home waits for an entry's report before it grants what may be
+//     they may run, and a new allocator waits for an entry's report before it grants what may be
 //     in progress there;
 //   - floors are divided by twice the number of entries in the ring, so that the two rings
 //     that are in force during a membership change together stay within the floors' part.
@@ -22,7 +22,7 @@
 	// ShareTTL is how long an entry uses a grant, from before it asked.
 	ShareTTL = 2 * time.Second
 	// ShareRetryInterval is when an entry asks again if it got no answer, or if its concurrent
-	// share is held back by Home.concurrentBound.
+	// share is held back by ShareAllocator.concurrentBound.
 	ShareRetryInterval = 500 * time.Millisecond
 	// ShareCheckInterval is how often an entry checks whether it has to ask.
 	ShareCheckInterval = 100 * time.Millisecond
@@ -59,8 +59,8 @@
 	Entry string
 	// Incarnation increases with each start of the entry, Seq with each report.
 	Incarnation, Seq uint64
-	// Allocator is the name of the last Home that answered the entry; it made the epochs that
-	// the demands acknowledge.
+	// Allocator is the name of the last allocator that answered the entry; it made the
+	// epochs that the demands acknowledge.
 	Allocator string
 	// Partial means that the report omits subjects that have nothing to ask, including
 	// their requests in progress.
--- a/admit/share_test.go
+++ b/admit/share_test.go
@@ -13,7 +13,7 @@
 	"github.com/snipereach/snipereach/internal/schedule"
 )
 
-// sim is one random schedule in virtual time: entries and Homes with clocks of their own,
+// sim is one random schedule in virtual time: entries and allocators with clocks of their own,
 // and a network that loses, duplicates, delays and reorders messages. now is the time of
 // the fastest possible clock, which limits are measured by; the others run at between 1/1.1
 // of its rate and its rate.
@@ -22,13 +22,13 @@
 	now     time.Duration
 	entries []*simEntry
 	// departed are the entries that left the ring and go on running.
-	departed []*simEntry
-	home     *ShareAllocator
-	// homeRate is the rate of Home's clock. leaseEnd is when its leadership ends.
-	homeRate float64
-	homes    int
-	leaseEnd time.Duration
-	// configure may disable safeguards of each new Home.
+	departed  []*simEntry
+	allocator *ShareAllocator
+	// allocatorRate is the rate of the allocator's clock. leaseEnd is when its leadership ends.
+	allocatorRate float64
+	allocators    int
+	leaseEnd      time.Duration
+	// configure may disable safeguards of each new allocator.
 	configure   func(*ShareAllocator)
 	inTransit   []*message
 	deliverable []*message
@@ -79,15 +79,15 @@
 )
 
 type message struct {
-	at        time.Duration
-	toHome    bool
-	entry     *simEntry
-	sent      time.Time
-	report    Report
-	demand    Demand
-	hasDemand bool
-	home      string
-	share     Share
+	at          time.Duration
+	toAllocator bool
+	entry       *simEntry
+	sent        time.Time
+	report      Report
+	demand      Demand
+	hasDemand   bool
+	allocator   string
+	share       Share
 }
 
 const simStep = 80 * time.Millisecond
@@ -133,12 +133,12 @@
 	return Amounts{rates[s.rng.IntN(len(rates))], math.Inf(1), concurrent[s.rng.IntN(len(concurrent))]}
 }
 
-// newLeader replaces Home; the one before answers no more.
+// newLeader replaces the allocator; the one before answers no more.
 func (s *sim) newLeader() {
-	s.homes++
-	s.homeRate = s.randomRate()
-	s.home = NewShareAllocator(s.clock(s.homeRate), fmt.Sprintf("home-%d", s.homes))
-	s.configure(s.home)
+	s.allocators++
+	s.allocatorRate = s.randomRate()
+	s.allocator = NewShareAllocator(s.clock(s.allocatorRate), fmt.Sprintf("home-%d", s.allocators))
+	s.configure(s.allocator)
 	s.leaseEnd = s.now + time.Duration(1+s.rng.IntN(15_000))*time.Millisecond
 }
 
@@ -247,7 +247,7 @@
 	s.inTransit = later
 	s.rng.Shuffle(len(s.deliverable), func(i, j int) { s.deliverable[i], s.deliverable[j] = s.deliverable[j], s.deliverable[i] })
 	for _, m := range s.deliverable {
-		if m.toHome {
+		if m.toAllocator {
 			s.handleReport(*m)
 		} else if m.report.Incarnation == m.entry.incarnation {
 			s.handleAnswer(m)
@@ -256,27 +256,27 @@
 }
 
 func (s *sim) handleReport(m message) {
-	now := s.clock(s.homeRate)
-	s.home.SetRingMembership(RingMembership{
+	now := s.clock(s.allocatorRate)
+	s.allocator.SetRingMembership(RingMembership{
 		Members: s.members(), Previous: s.previous, MinChangeInterval: minRingChangeInterval * 10 / 11,
-		UnchangedFor: time.Duration(float64(s.now-s.ringSince) * s.homeRate),
+		UnchangedFor: time.Duration(float64(s.now-s.ringSince) * s.allocatorRate),
 	})
 	s.recordLimit(s.config.limit)
-	if !s.home.AcceptReport(now, m.report) {
+	if !s.allocator.AcceptReport(now, m.report) {
 		return
 	}
 	reply := m
-	reply.toHome, reply.home = false, s.home.Name(now)
+	reply.toAllocator, reply.allocator = false, s.allocator.Name(now)
 	if m.hasDemand {
-		reply.share = s.home.Grant(now, m.entry.id, simSubject, s.config.limit, m.demand, s.timeouts.Longest(s.clock(1), simSubject))
+		reply.share = s.allocator.Grant(now, m.entry.id, simSubject, s.config.limit, m.demand, s.timeouts.Longest(s.clock(1), simSubject))
 	}
 	s.send(reply)
 }
 
 func (s *sim) handleAnswer(m *message) {
-	m.entry.limiter.HandleAnswer(m.report, m.home)
+	m.entry.limiter.HandleAnswer(m.report, m.allocator)
 	if m.hasDemand {
-		m.entry.limiter.Apply(s.clock(m.entry.rate), m.sent, simSubject, m.home, m.share)
+		m.entry.limiter.Apply(s.clock(m.entry.rate), m.sent, simSubject, m.allocator, m.share)
 	}
 }
 
@@ -294,7 +294,7 @@
 		r, demands := e.limiter.Report(now)
 		r.Entry, r.Incarnation = e.id, e.incarnation
 		d, ok := demands[simSubject]
-		s.send(message{toHome: true, entry: e, sent: now, report: r, demand: d, hasDemand: ok})
+		s.send(message{toAllocator: true, entry: e, sent: now, report: r, demand: d, hasDemand: ok})
 	}
 }
 
@@ -418,15 +418,15 @@
 	assert.Equal(t, simulateAll(10_000, func(*ShareAllocator) {}), "")
 }
 
-// Without the startup wait, a new Home grants while grants of the one before are in use.
+// Without the startup wait, a new allocator grants while grants of the one before are in use.
 func TestSkippedStartupWaitExceedsTheLimit(t *testing.T) {
 	violation := simulateAll(10_000, func(h *ShareAllocator) { h.skipStartupWait = true })
 	assert.Assert(t, violation != "", "no violation without the safeguard")
 	t.Log(violation)
 }
 
-// If Home counts only the latest grant, an entry that missed the answer with it goes on
-// using the one before, while others are granted the same part.
+// If the allocator counts only the latest grant, an entry that missed the answer with it goes
+// on using the one before, while others are granted the same part.
 func TestSkippedEarlierGrantsExceedTheLimit(t *testing.T) {
 	violation := simulateAll(10_000, func(h *ShareAllocator) { h.skipEarlierGrants = true })
 	assert.Assert(t, violation != "", "no violation without the safeguard")
--- a/admit/sumtree.go
+++ b/admit/sumtree.go
@@ -19,8 +19,8 @@
 // logarithmic in the number of slots.
 //
 // A running total would not do: floating-point errors accumulate as amounts are added and
-// subtracted, until Home grants more than the limit, and an unlimited amount (+Inf) can't
-// be subtracted from it.
+// subtracted, until the allocator grants more than the limit, and an unlimited amount (+Inf)
+// can't be subtracted from it.
 type sumTree struct {
 	// nodes has the root at index 1, the children of node i at 2i and 2i+1, and the slots
 	// in its upper half.
--- a/admit/sumtree_test.go
+++ b/admit/sumtree_test.go
@@ -33,8 +33,8 @@
 	return o
 }
 
-// diffTotals describes where the totals that Home keeps, or the portions computed from them,
-// differ from a recount; it returns "" if they agree.
+// diffTotals describes where the totals that the allocator keeps, or the portions computed from
+// them, differ from a recount; it returns "" if they agree.
 func diffTotals(h *ShareAllocator, now time.Time, limit Amounts) string {
 	for s, all := range h.subjects {
 		all.advance(now)
@@ -73,7 +73,7 @@
 		s := newSim(seed, func(*ShareAllocator) {})
 		for s.now < 20*time.Second {
 			s.step()
-			if diff := diffTotals(s.home, s.clock(s.homeRate), s.config.limit); diff != "" {
+			if diff := diffTotals(s.allocator, s.clock(s.allocatorRate), s.config.limit); diff != "" {
 				return fmt.Sprintf("seed %d at %v: %s", seed, s.now, diff)
 			}
 		}
--- a/admit/timeouts.go
+++ b/admit/timeouts.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// RequestTimeouts tracks the longest time that requests of each service may run. A lowered timeout
-// takes effect only once the requests that were admitted under the longer one have ended:
-// otherwise Home would grant their part of a concurrency limit to others while they still
-// run. The zero value is ready to use.
+// RequestTimeouts tracks the longest time that requests of each service may run. A lowered
+// timeout takes effect only once the requests that were admitted under the longer one have
+// ended: otherwise the allocator would grant their part of a concurrency limit to others while
+// they still run. The zero value is ready to use.
 type RequestTimeouts struct {
 	services map[string]*serviceTimeout
 }
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -147,7 +147,7 @@
 // the control replicas.
 func (a *Agent) Leave(ctx context.Context) {
 	if a.attempts.close() {
-		kernel.Info(a.log, "Leaving; new attempts are refused.")
+		kernel.Info(a.log, "Drain started. New attempts are refused.")
 	}
 	a.tickets.close()
 	a.announceAll(ctx, wire.Phase_PHASE_LEAVING)
--- a/agent/announce.go
+++ b/agent/announce.go
@@ -35,10 +35,10 @@
 			continue
 		}
 		if a.incarnation.RaiseAbove(reply.KnownIncarnation) {
-			kernel.Warn(a.log, "The clock is behind the start time of an earlier incarnation; switched to a higher incarnation number.", "id", a.settings.ID, "incarnation", a.incarnation.Number(), "told_by", addr)
+			kernel.Warn(a.log, "This host's clock is behind that of an earlier incarnation. Raised the incarnation.", "id", a.settings.ID, "incarnation", a.incarnation.Number(), "told_by", addr)
 			continue
 		}
-		kernel.Warn(a.log, "A later incarnation of this ID exists; check that no other process uses the ID.", "id", a.settings.ID, "told_by", addr)
+		kernel.Warn(a.log, "A higher incarnation of this ID is known. Another process may be using the same ID.", "id", a.settings.ID, "told_by", addr)
 	}
 }
 
--- a/agent/relay_test.go
+++ b/agent/relay_test.go
@@ -82,7 +82,7 @@
 
 func (c *recordingCaller) Begin(h *wire.RunReplyHead) error {
 	if c.head != nil {
-		return errors.New("second head")
+		return errors.New("more than one head")
 	}
 	c.head = h
 	return nil
--- a/agent/run.go
+++ b/agent/run.go
@@ -90,7 +90,7 @@
 			return nil, err
 		}
 		if frame.Head != nil {
-			return nil, merry.Prepend(ErrBadFrame, "stream has a second head")
+			return nil, merry.Prepend(ErrBadFrame, "more than one head")
 		}
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -50,7 +50,7 @@
 	node                     *directory.Node
 	fwd                      *forward.Forwarder
 	runner                   *admit.Runner
-	sealer                   *refusal.TokenSigner
+	signer                   *refusal.TokenSigner
 	metrics                  metrics.Registry
 	dumps                    kernel.Dumps
 	view                     atomic.Pointer[table.View]
@@ -98,7 +98,7 @@
 		settings: s, log: kernel.PartLog(l, "entry"), sec: sec,
 		srv:          transport.NewServer(sec),
 		pool:         transport.NewPool(sec),
-		sealer:       refusal.NewTokenSigner(sec.Secret),
+		signer:       refusal.NewTokenSigner(sec.Secret),
 		metrics:      metrics.NewRegistry(),
 		incarnation:  directory.NewIncarnation(s.ID, s.Now()),
 		started:      s.Now(),
@@ -120,8 +120,8 @@
 	if e.operatorsTLS, err = e.publicTLS(s.OperatorsTLS); err != nil {
 		return nil, err
 	}
-	place := route.EntryInfo{ID: s.ID, FailureDomain: s.FailureDomain, Seed: xxhash.Sum64String(s.ID)}
-	e.fwd = forward.New(e.pool, place, s.Now)
+	info := route.EntryInfo{ID: s.ID, FailureDomain: s.FailureDomain, Seed: xxhash.Sum64String(s.ID)}
+	e.fwd = forward.New(e.pool, info, s.Now)
 	e.node = directory.NewNode(directory.DefaultSettings(), s.Now, e.updateRouting)
 	e.controlTargets = directory.NewTargets(s.ID, s.FailureDomain, s.replicas())
 	e.announcer = directory.NewAnnouncer(e.controlTargets, e.pool.Conn, s.Now)
@@ -261,8 +261,8 @@
 	}
 	go e.srv.Serve(ctx, e.internalListener)
 	if e.control != nil {
-		place := control.ReplicaInfo{Name: e.settings.ID, Address: e.InternalAddress(), FailureDomain: e.settings.FailureDomain}
-		if err := e.control.Start(ctx, place); err != nil {
+		info := control.ReplicaInfo{Name: e.settings.ID, Address: e.InternalAddress(), FailureDomain: e.settings.FailureDomain}
+		if err := e.control.Start(ctx, info); err != nil {
 			return err
 		}
 	}
--- a/entry/explain.go
+++ b/entry/explain.go
@@ -20,13 +20,13 @@
 const historyTimeout = 2 * time.Second
 
 func (e *Entry) serveRefusal(w http.ResponseWriter, r *http.Request) {
-	ref, err := e.sealer.Verify(mux.Vars(r)["token"])
+	ref, err := e.signer.Verify(mux.Vars(r)["token"])
 	if err != nil {
-		e.sealer.Write(w, e.refuse(wire.Reason_REASON_BAD_REQUEST, err.Error()))
+		e.signer.Write(w, e.refuse(wire.Reason_REASON_BAD_REQUEST, err.Error()))
 		return
 	}
 	x := operators.Explanation{
-		Problem: e.sealer.ProblemOf(ref), Team: ref.Team, Service: ref.Service,
+		Problem: e.signer.ProblemOf(ref), Team: ref.Team, Service: ref.Service,
 		Entry: ref.Entry, AtUnixMS: ref.AtUnixMs,
 	}
 	for _, a := range ref.Attempts {
--- a/entry/explain_test.go
+++ b/entry/explain_test.go
@@ -22,7 +22,7 @@
 	assert.NilError(t, err)
 	t.Cleanup(func() { e.Stop() })
 	assert.NilError(t, e.Start(context.Background()))
-	token := e.sealer.Sign(&wire.Refusal{
+	token := e.signer.Sign(&wire.Refusal{
 		Reason: wire.Reason_REASON_RATE_LIMIT, Outcome: wire.Outcome_OUTCOME_NOT_RUN,
 		RowKind: "limit", RowKey: "growers/clock-core", RowVersion: 2, Revision: 9, Entry: "entry-7",
 	})
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -19,7 +19,7 @@
 
 // MaySend implements forward.AttemptGuard.
 func (q *request) MaySend(attempts int) bool {
-	switch q.trial.Verdict().Standing {
+	switch q.guard.Verdict().Standing {
 	case quarantine.Quarantined:
 		return false
 	case quarantine.LastTrial:
@@ -39,11 +39,11 @@
 // quarantineRefusal returns the refusal of a request in quarantine, or nil for any other. It is
 // checked first in serve, so that such a request takes up no claim, limit or slot.
 func (q *request) quarantineRefusal() *wire.Refusal {
-	v := q.trial.Verdict()
+	v := q.guard.Verdict()
 	if v.Standing != quarantine.Quarantined {
 		return nil
 	}
-	ref := q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.trial.Explain(v))
+	ref := q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.guard.Explain(v))
 	ref.RetryAfterMs = uint32(v.Left.Milliseconds())
 	return ref
 }
@@ -54,8 +54,8 @@
 	if ref := q.quarantineRefusal(); ref != nil {
 		return ref
 	}
-	if !q.trial.Begin() {
-		return q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.trial.Explain(q.trial.Verdict())+", and another copy is running")
+	if !q.guard.Begin() {
+		return q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.guard.Explain(q.guard.Verdict())+", and another copy is running")
 	}
 	return nil
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -65,8 +65,8 @@
 	path    string
 	// holdsKey is true while the request holds the claim of its idempotency key.
 	holdsKey bool
-	// trial checks the request against the quarantine.
-	trial quarantine.RequestGuard
+	// guard checks the request against the quarantine.
+	guard quarantine.RequestGuard
 }
 
 func (e *Entry) newRequest(w http.ResponseWriter, r *http.Request) (*request, *wire.Refusal) {
@@ -83,7 +83,7 @@
 		return nil, e.refuse(wire.Reason_REASON_UNAUTHENTICATED, "the key belongs to no team")
 	}
 	q := &request{entry: e, w: w, r: r, id: rand.Text(), view: v, team: team}
-	q.trial.Init(e.quarantine, q)
+	q.guard.Init(e.quarantine, q)
 	return q, nil
 }
 
@@ -151,7 +151,7 @@
 	name := "entry.refusals." + refusal.ReasonName(ref.Reason) + "." + refusal.OutcomeName(ref.Outcome)
 	metrics.GetOrRegisterCounter(name, e.metrics).Inc(1)
 	e.setConnectionClose(w.Header())
-	e.sealer.Write(w, ref)
+	e.signer.Write(w, ref)
 }
 
 func (q *request) readBody(limit int64) *wire.Refusal {
@@ -301,7 +301,7 @@
 		if ref := q.beginTrial(); ref != nil {
 			return ref
 		}
-		defer q.trial.Done()
+		defer q.guard.Done()
 		res = e.fwd.Do(q.r.Context(), c, sink)
 		return q.finish(res, sink)
 	})
@@ -369,7 +369,7 @@
 func (q *request) finish(res forward.Result, sink *httpSink) *wire.Refusal {
 	if res.Reason == 0 {
 		q.entry.answers.Inc(1)
-		q.trial.RecordAnswer(q.id)
+		q.guard.RecordAnswer(q.id)
 		return nil
 	}
 	if res.StreamBegun || sink.started {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -55,15 +55,15 @@
 	reservation *queuedTicket
 }
 
-// AttemptGuard limits the attempts of a request and observes the upstreams that die while they
+// AttemptGuard limits the attempts of a request and observes the upstreams that crash while they
 // run it.
 type AttemptGuard interface {
 	// MaySend reports whether the request may be sent to an upstream now, given the number
 	// of earlier attempts that may have run.
 	MaySend(ran int) bool
 	// UpstreamEnded records that an upstream ended after it had run the request for the given
-	// time. life is the agent's identifier of the upstream instance that ended.
-	UpstreamEnded(upstream route.Upstream, life string, ran time.Duration)
+	// time. incarnation is the agent's identifier of the upstream instance that ended.
+	UpstreamEnded(upstream route.Upstream, incarnation string, ran time.Duration)
 }
 
 // Sink receives a response. The body of an unstreamed response is passed in a single
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -273,25 +273,25 @@
 	assert.Assert(t, r.attempts() <= 1+maxReroutes, "%d attempts", r.attempts())
 }
 
-// recordingTrial records the upstream instances that ended.
-type recordingTrial struct {
+// recordingGuard records the upstream instances that ended.
+type recordingGuard struct {
 	mu sync.Mutex
 	// maySend implements MaySend.
 	maySend func(ran int) bool
-	lives   []string
+	crashed   []string
 }
 
-func (h *recordingTrial) MaySend(ran int) bool { return h.maySend(ran) }
+func (h *recordingGuard) MaySend(ran int) bool { return h.maySend(ran) }
 
-func (h *recordingTrial) UpstreamEnded(_ route.Upstream, life string, _ time.Duration) {
+func (h *recordingGuard) UpstreamEnded(_ route.Upstream, incarnation string, _ time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lives = append(h.lives, life)
+	h.crashed = append(h.crashed, incarnation)
 }
 
-// A request during which upstreams end must make only as many attempts as its Trial allows. Its
+// A request during which upstreams end must make only as many attempts as its Guard allows. Its
 // outcome is then unknown, or "not run" with the reason "quarantined" if no attempt was allowed.
-func TestTrialLimitsAttempts(t *testing.T) {
+func TestGuardLimitsAttempts(t *testing.T) {
 	crash := func(id string, _ *wire.RunHead) *wire.RunEnd {
 		return &wire.RunEnd{Outcome: wire.Outcome_OUTCOME_UNKNOWN, Reason: wire.Reason_REASON_UPSTREAM_FAILED, EndedUpstream: id + "/1/0"}
 	}
@@ -306,13 +306,13 @@
 		{func(ran int) bool { return ran < 2 }, 2, wire.Outcome_OUTCOME_UNKNOWN, wire.Reason_REASON_UPSTREAM_FAILED},
 	} {
 		r := newHarness(t, "least-loaded", 100, 4, crash)
-		trial := &recordingTrial{maySend: c.maySend}
+		guard := &recordingGuard{maySend: c.maySend}
 		res := r.fwd.Do(context.Background(), &Call{
 			Head: &wire.RunHead{RequestId: "q", Idempotent: true, Method: "POST", Path: "/"},
-			Pool: r.pool, Route: &route.Request{}, Deadline: r.now().Add(time.Minute), MaxResponseBytes: 1000, Guard: trial,
+			Pool: r.pool, Route: &route.Request{}, Deadline: r.now().Add(time.Minute), MaxResponseBytes: 1000, Guard: guard,
 		}, &recordingSink{})
 		assert.Equal(t, r.attempts(), c.attempts)
-		assert.Equal(t, len(trial.lives), c.attempts)
+		assert.Equal(t, len(guard.crashed), c.attempts)
 		assert.Equal(t, res.Outcome, c.outcome)
 		assert.Equal(t, res.Reason, c.reason)
 	}
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -35,8 +35,8 @@
 
 // handleReply takes a higher incarnation if an earlier process with this ID had a higher one.
 func (g *Gateway) handleReply(reply *wire.AnnounceReply) {
-	if reply.Superseded && g.life.RaiseAbove(reply.KnownIncarnation) {
-		kernel.Warn(g.log, "This host's clock is behind that of an earlier life. Took a higher incarnation.", "incarnation", g.life.Number())
+	if reply.Superseded && g.incarnation.RaiseAbove(reply.KnownIncarnation) {
+		kernel.Warn(g.log, "This host's clock is behind that of an earlier incarnation. Raised the incarnation.", "incarnation", g.incarnation.Number())
 		g.triggerAnnounce()
 	}
 }
@@ -47,7 +47,7 @@
 		phase = wire.Phase_PHASE_LEAVING
 	}
 	return &wire.Announcement{
-		Id: g.settings.ID, Incarnation: g.life.Number(), Seq: g.seq.Add(1),
+		Id: g.settings.ID, Incarnation: g.incarnation.Number(), Seq: g.seq.Add(1),
 		Role: wire.Role_ROLE_ENTRY, Phase: phase, FailureDomain: g.settings.FailureDomain,
 		Address: g.CallerAddress(), CallerAddress: g.CallerAddress(),
 		LeaseMs: uint32(g.settings.Lease.D().Milliseconds()), Listed: g.ready(),
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -47,8 +47,8 @@
 	// was given up.
 	retryReserved atomic.Bool
 	tried         map[string]bool
-	// trial is the request's standing in quarantine.
-	trial       quarantine.RequestGuard
+	// guard is the request's standing in quarantine.
+	guard       quarantine.RequestGuard
 	lastOutcome outcome
 	reason      string
 	// cause describes the inputs of a refusal.
@@ -321,7 +321,7 @@
 			w.giveUpAt = queueEndsAt
 		}
 	}
-	if c.trial.Verdict().Standing == quarantine.LastTrial {
+	if c.guard.Verdict().Standing == quarantine.LastTrial {
 		// A request on its last trial is admitted now or not at all; see quarantineRefusal.
 		w.giveUpAt = c.receivedAt
 	}
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -61,7 +61,7 @@
 	began := g.now()
 	g.drainBegan.CompareAndSwap(nil, &began)
 	if g.draining.CompareAndSwap(false, true) {
-		kernel.Info(g.log, "Leaving the list of entries.", "active", g.active.Load())
+		kernel.Info(g.log, "Drain started. The gateway leaves the list of entries.", "active", g.active.Load())
 	}
 	g.triggerAnnounce()
 	linger := listLifetimeFactor * g.settings.Keep.D()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -47,7 +47,7 @@
 	client       *direct.Client
 	node         *directory.Node
 	targets      *directory.Targets
-	life         *directory.Incarnation
+	incarnation  *directory.Incarnation
 	services     *serviceManager
 	movable      *movableAttempts
 	fetches      *fetchGroup
@@ -96,9 +96,9 @@
 	now := kernel.BootClock()
 	g := &Gateway{
 		settings: s, log: kernel.PartLog(l, "gateway"), dialect: d, now: now, certs: certs,
-		pool:   transport.NewPool(sec),
-		client: direct.NewClient(transport.NewDialer(upstreamDialTimeout).DialContext),
-		life:   directory.NewIncarnation(s.ID, now()), services: newServiceManager(s), movable: newMovableAttempts(), fetches: newFetchGroup(), warmup: newWarmup(now()), timeouts: newCallerTimeouts(),
+		pool:        transport.NewPool(sec),
+		client:      direct.NewClient(transport.NewDialer(upstreamDialTimeout).DialContext),
+		incarnation: directory.NewIncarnation(s.ID, now()), services: newServiceManager(s), movable: newMovableAttempts(), fetches: newFetchGroup(), warmup: newWarmup(now()), timeouts: newCallerTimeouts(),
 		targets:     directory.NewTargets(s.ID, s.FailureDomain, s.Replicas).AllowNewReplicas(),
 		announceNow: make(chan struct{}, 1),
 	}
@@ -247,7 +247,7 @@
 		c.refuseAndEnd(f)
 		return
 	}
-	defer c.trial.Done()
+	defer c.guard.Done()
 	g.retryBudgets.recordRequest(c.service)
 	if c.route.Kind == wire.RouteKind_ROUTE_KIND_STREAMING {
 		c.serveStream()
@@ -260,7 +260,7 @@
 // the request can't be served.
 func (g *Gateway) prepare(w http.ResponseWriter, r *http.Request, began time.Time) (*call, *refusal) {
 	c := &call{Gateway: g, w: w, r: r, receivedAt: began}
-	c.trial.Init(g.quarantine, c)
+	c.guard.Init(g.quarantine, c)
 	var err error
 	c.params, err = g.dialect.ReadRequest(r.Header)
 	t := c.waitForTable(r.Context())
--- a/gateway/groupsim_test.go
+++ b/gateway/groupsim_test.go
@@ -124,7 +124,7 @@
 	}
 	for i := range gateways {
 		f := newServiceManager(&Settings{ID: fmt.Sprint("entry-", i)})
-		f.place.Seed = seed*1000 + uint64(i)
+		f.entryInfo.Seed = seed*1000 + uint64(i)
 		f.gateways = func() int { return gateways }
 		if err := f.update(s.now, insts); err != nil {
 			panic(err)
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -52,12 +52,12 @@
 	stats passStats
 }
 
-func newServicePool(place route.EntryInfo) *servicePool {
-	return &servicePool{groups: map[string]*groupPool{}, rng: rand.New(rand.NewPCG(place.Seed, 3))}
+func newServicePool(entryInfo route.EntryInfo) *servicePool {
+	return &servicePool{groups: map[string]*groupPool{}, rng: rand.New(rand.NewPCG(entryInfo.Seed, 3))}
 }
 
 // update replaces the upstreams that are up.
-func (p *servicePool) update(now time.Time, place route.EntryInfo, insts []*directory.Instance) error {
+func (p *servicePool) update(now time.Time, entryInfo route.EntryInfo, insts []*directory.Instance) error {
 	byGroup := map[string][]*directory.Instance{}
 	for _, i := range insts {
 		byGroup[i.Group] = append(byGroup[i.Group], i)
@@ -66,7 +66,7 @@
 		if p.groups[name] != nil {
 			continue
 		}
-		b, err := route.New(balancerName, place)
+		b, err := route.New(balancerName, entryInfo)
 		if err != nil {
 			return err
 		}
--- a/gateway/pool_test.go
+++ b/gateway/pool_test.go
@@ -14,7 +14,7 @@
 // twoGroups returns a manager with one service whose 24 ranks form the groups a and b.
 func twoGroups(t *testing.T, broken bool) (*serviceManager, *groupPool, *groupPool) {
 	f := newServiceManager(&Settings{ID: "e"})
-	f.place.Seed = 1
+	f.entryInfo.Seed = 1
 	f.gateways = func() int { return 4 }
 	var insts []*directory.Instance
 	for i := range 24 {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -18,15 +18,15 @@
 // blocks no other request, and the answer is true also for a harmless request that only ran
 // beside one that crashes upstreams.
 func (c *call) quarantineRefusal() *refusal {
-	v := c.trial.Verdict()
+	v := c.guard.Verdict()
 	switch {
 	case v.Standing == quarantine.Quarantined:
-		c.cause = c.trial.Explain(v)
+		c.cause = c.guard.Explain(v)
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, retryAfter: v.Left}
 	case v.Standing == quarantine.LastTrial && c.waited > 0:
 		// Copies of the request could be queued at all gateways, be admitted together when the
 		// group is available again, and crash an upstream each.
-		c.cause = c.trial.Explain(v)
+		c.cause = c.guard.Explain(v)
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonLastTrial}
 	}
 	return nil
@@ -38,8 +38,8 @@
 	if f := c.quarantineRefusal(); f != nil {
 		return f
 	}
-	if !c.trial.Begin() {
-		c.cause = c.trial.Explain(c.trial.Verdict()) + ", and a copy runs"
+	if !c.guard.Begin() {
+		c.cause = c.guard.Explain(c.guard.Verdict()) + ", and another copy is running"
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonLastTrial}
 	}
 	return nil
@@ -48,7 +48,7 @@
 // retryForbidden reports whether the request must not be sent to another upstream, with the
 // reason: it is in quarantine, or one more crash would put it there.
 func (c *call) retryForbidden() (reason string, only bool) {
-	switch c.trial.Verdict().Standing {
+	switch c.guard.Verdict().Standing {
 	case quarantine.Quarantined:
 		return reasonQuarantined, true
 	case quarantine.LastTrial:
@@ -60,7 +60,7 @@
 // recordSuccess records that an upstream has answered the request completely, which clears it of
 // suspicion.
 func (c *call) recordSuccess() {
-	if c.trial.RecordAnswer(c.params.ID) {
+	if c.guard.RecordAnswer(c.params.ID) {
 		c.metrics.Count("gateway.suspects_cleared")
 	}
 }
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -39,14 +39,14 @@
 func (c *call) finish(status int, reason string, err error) {
 	c.metrics.record(c, status, reason, err)
 	late := c.late()
-	budget := c.requestLog.answered
+	limiter := c.requestLog.answered
 	if late != "" {
-		budget = c.requestLog.late
+		limiter = c.requestLog.late
 	}
 	if reason != "" || err != nil || status >= http.StatusInternalServerError || len(c.attempts) > 1 {
-		budget = c.requestLog.failed
+		limiter = c.requestLog.failed
 	}
-	ok, leftOut := budget.Allow()
+	ok, leftOut := limiter.Allow()
 	if !ok {
 		return
 	}
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -22,7 +22,7 @@
 
 // serviceManager holds the state of each service over the upstreams that are up.
 type serviceManager struct {
-	place route.EntryInfo
+	entryInfo route.EntryInfo
 
 	mu       sync.Mutex
 	services map[string]*servicePool
@@ -39,8 +39,8 @@
 
 func newServiceManager(s *Settings) *serviceManager {
 	return &serviceManager{
-		place:    route.EntryInfo{ID: s.ID, FailureDomain: s.FailureDomain, Seed: rand.Uint64()},
-		services: map[string]*servicePool{}, loadSeq: firstLoad,
+		entryInfo: route.EntryInfo{ID: s.ID, FailureDomain: s.FailureDomain, Seed: rand.Uint64()},
+		services:  map[string]*servicePool{}, loadSeq: firstLoad,
 	}
 }
 
@@ -59,11 +59,11 @@
 	defer m.mu.Unlock()
 	for name := range byService {
 		if m.services[name] == nil {
-			m.services[name] = newServicePool(m.place)
+			m.services[name] = newServicePool(m.entryInfo)
 		}
 	}
 	for name, p := range m.services {
-		if err := p.update(now, m.place, byService[name]); err != nil {
+		if err := p.update(now, m.entryInfo, byService[name]); err != nil {
 			return err
 		}
 	}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -352,7 +352,7 @@
 	return n
 }
 
-// upstreamsCrashedNear returns how many upstreams crashed within Apart of a time while running any of
+// upstreamsCrashedNear returns how many upstreams crashed within MinSeparation of a time while running any of
 // the remembered requests.
 func (t *Table) upstreamsCrashedNear(at time.Time) int {
 	ended := map[string]bool{}
--- a/refusal/refusal.go
+++ b/refusal/refusal.go
@@ -32,7 +32,7 @@
 // command line would parse the token as a flag.
 const tokenPrefix = "r"
 
-// maxToken is the longest token that Open accepts, in bytes.
+// maxToken is the longest token that Verify accepts, in bytes.
 const maxToken = 16 << 10
 
 // TokenSigner makes and verifies explanation tokens.
--- a/refusal/truncate.go
+++ b/refusal/truncate.go
@@ -9,7 +9,7 @@
 )
 
 // Bounds on the texts of a refusal. They may quote what a caller or an upstream sent, and
-// without bounds could make a token longer than Open accepts.
+// without bounds could make a token longer than Verify accepts.
 const (
 	// maxText bounds one text, in bytes.
 	maxText = 512
--- a/route/health.go
+++ b/route/health.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// ResponseStarted implements Answered.
+// ResponseStarted implements ResponseStartObserver.
 func (p *pool) ResponseStarted(now time.Time, up Upstream, l *wire.Load, after time.Duration) {
 	s := p.byID[up.ID]
 	if s == nil || s.Incarnation != up.Incarnation {
--- a/route/latebinding.go
+++ b/route/latebinding.go
@@ -55,7 +55,7 @@
 	return list
 }
 
-// StartReserved implements Waiter.
+// StartReserved implements LateBinder.
 func (p *pool) StartReserved(now time.Time, up Upstream, r *Request) bool {
 	s := p.byID[up.ID]
 	if s == nil || s.Incarnation != up.Incarnation || s.leaving {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// QueueCandidates implements Waiter.
+// QueueCandidates implements LateBinder.
 func (b *LeastLoaded) QueueCandidates(now time.Time, r *Request, n int) []Upstream {
 	list := b.sample(now, r, b.choices)
 	if haveShortRuns(list) {
@@ -79,7 +79,7 @@
 	return best.upstreams()
 }
 
-// QueueCandidates implements Waiter. It trades cached prefixes against load, as Pick does.
+// QueueCandidates implements LateBinder. It trades cached prefixes against load, as Pick does.
 func (b *PrefixAffinity) QueueCandidates(now time.Time, r *Request, n int) []Upstream {
 	holders := b.matchPrefix(r.Prefix)
 	list := b.sample(now, r, b.settings.RandomChoices)
--- a/route/loadinterpretation.go
+++ b/route/loadinterpretation.go
@@ -115,7 +115,7 @@
 // precision.
 const rotationPeriod = 1 << 20
 
-// Survey implements Surveyed.
+// Survey implements SurveyReceiver.
 func (b *LoadInterpretation) Survey(now time.Time, v *Survey) {
 	if since := now.Sub(b.lastSurvey); since < surveyMaxAge {
 		b.surveyInterval += (since - b.surveyInterval) / 4
--- a/route/pool.go
+++ b/route/pool.go
@@ -58,7 +58,7 @@
 	return pool{byID: map[string]*candidate{}, rnd: rand.New(rand.NewPCG(1, 1)), freeBits: ^uint64(0)}
 }
 
-// SetEntryInfo implements Placed.
+// SetEntryInfo implements EntryInfoSetter.
 func (p *pool) SetEntryInfo(entry EntryInfo) {
 	p.entry = entry
 	p.rnd = rand.New(rand.NewPCG(entry.Seed, 2))
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -16,7 +16,7 @@
 	})
 }
 
-// PrefixSettings are the settings of Prefix.
+// PrefixSettings are the settings of PrefixAffinity.
 type PrefixSettings struct {
 	// RandomChoices is the number of random upstreams that are compared besides those that
 	// hold a prefix.
@@ -53,7 +53,7 @@
 	holders []*candidate
 }
 
-// NewPrefixAffinity creates a Prefix balancer.
+// NewPrefixAffinity creates a PrefixAffinity balancer.
 func NewPrefixAffinity(s PrefixSettings) *PrefixAffinity {
 	return &PrefixAffinity{pool: newPool(), settings: s, index: newPrefixIndex(s.MaxBlocks)}
 }
--- a/route/route.go
+++ b/route/route.go
@@ -86,7 +86,7 @@
 type EntryInfoSetter interface{ SetEntryInfo(EntryInfo) }
 
 // New creates the balancer of the given name for an entry.
-func New(name string, place EntryInfo) (Balancer, error) {
+func New(name string, info EntryInfo) (Balancer, error) {
 	v, err := kernel.Load("route."+name, nil)
 	if err != nil {
 		return nil, err
@@ -96,7 +96,7 @@
 		return nil, merry.Prependf(ErrNotBalancer, "%q", name)
 	}
 	if p, ok := v.(EntryInfoSetter); ok {
-		p.SetEntryInfo(place)
+		p.SetEntryInfo(info)
 	}
 	return b, nil
 }
