--- a/admit/allocator.go
+++ b/admit/allocator.go
@@ -32,7 +32,8 @@
 }
 
 // NewShareAllocator returns the allocator of a leader that has just been elected. It grants
-// nothing until the grants of the one before have expired. name must be unique among all allocators.
+// nothing until the grants of the one before have expired. name must be unique among all
+// allocators.
 func NewShareAllocator(now time.Time, name string) *ShareAllocator {
 	return &ShareAllocator{
 		name: name, openAt: now.Add(grantTTL), subjects: map[Subject]*accounts{},
--- a/admit/gate_test.go
+++ b/admit/gate_test.go
@@ -348,9 +348,9 @@
 	})
 }
 
-// Eight tickets of one request take one place over all gates; as whole places they would
-// fill the queues with an eighth of the requests.
-func TestTicketsTakeAPartOfAPlace(t *testing.T) {
+// Eight tickets of one request count as one queued request over all gates; counted in full they
+// would fill the queues with an eighth of the requests.
+func TestTicketsCountFractionally(t *testing.T) {
 	g := NewGate(Settings{Slots: 1, MaxQueue: 2})
 	now := simEpoch
 	assert.NilError(t, g.Offer(now, &Work{Team: "a", Priority: normal}))
--- a/admit/limiter.go
+++ b/admit/limiter.go
@@ -234,18 +234,18 @@
 
 // Apply takes a grant. sent is when the demand was sent: the grant's lifetime counts from then,
 // so that it expires here before it expires at the allocator.
-func (l *Limiter) Apply(now, sent time.Time, s Subject, allocator string, g Share) {
+func (l *Limiter) Apply(now, sent time.Time, s Subject, allocatorName string, g Share) {
 	loc := l.subjects[s]
-	if loc == nil || allocator == loc.allocator && g.Epoch <= loc.epoch {
+	if loc == nil || allocatorName == loc.allocator && g.Epoch <= loc.epoch {
 		return
 	}
-	if allocator != loc.allocator && sent.Before(loc.sentAt) {
+	if allocatorName != loc.allocator && sent.Before(loc.sentAt) {
 		// A delayed answer of another allocator must not replace a later grant.
 		return
 	}
 	loc.advance(now)
 	loc.renewal.recordAnswer(sent, g, loc.activeGrant(now))
-	loc.allocator, loc.epoch = allocator, g.Epoch
+	loc.allocator, loc.epoch = allocatorName, g.Epoch
 	loc.granted, loc.burst, loc.maxTimeout = g.Amounts, g.Burst, g.MaxTimeout
 	loc.sentAt, loc.expires = sent, sent.Add(ShareTTL)
 	loc.refillBuckets(now, now)
--- a/admit/limiter_test.go
+++ b/admit/limiter_test.go
@@ -25,7 +25,7 @@
 }
 
 func newShareCluster(entries int, limit Amounts) *shareCluster {
-	p := &shareCluster{now: simEpoch, limit: limit, hold: time.Second, allocator: NewShareAllocator(simEpoch, "home-1")}
+	p := &shareCluster{now: simEpoch, limit: limit, hold: time.Second, allocator: NewShareAllocator(simEpoch, "allocator-1")}
 	var ids []string
 	for i := range entries {
 		p.limiters = append(p.limiters, NewLimiter())
@@ -146,7 +146,7 @@
 
 	p := begin()
 	p.now = p.now.Add(time.Second)
-	p.limiters[0].Apply(p.now, p.now, simSubject, "home-2", Share{Amounts: Amounts{Requests: 2}, Burst: 2, Epoch: 1})
+	p.limiters[0].Apply(p.now, p.now, simSubject, "allocator-2", Share{Amounts: Amounts{Requests: 2}, Burst: 2, Epoch: 1})
 	assert.Equal(t, drain(p), 2+floor, "smaller share")
 
 	p = begin()
@@ -197,21 +197,21 @@
 		d := Demand{Wanted: Amounts{Requests: 50, Concurrent: 20}, Running: running}
 		return h.Grant(now, entry, simSubject, Amounts{1000, math.Inf(1), 10}, d, 30*time.Second).Concurrent
 	}
-	fleet := RingMembership{Members: []string{"a", "b"}, UnchangedFor: time.Hour}
+	ring := RingMembership{Members: []string{"a", "b"}, UnchangedFor: time.Hour}
 	now := simEpoch.Add(grantTTL)
-	h := NewShareAllocator(simEpoch, "home-2")
-	h.SetRingMembership(fleet)
+	h := NewShareAllocator(simEpoch, "allocator-2")
+	h.SetRingMembership(ring)
 	assert.Equal(t, grant(h, now, "b", 1, 0), 0.0)
 	assert.Equal(t, grant(h, now, "b", 2, 3), 3.0)
 	assert.Equal(t, grant(h, now, "b", 3, 1), 3.0, "the entry keeps its peak")
 	assert.Equal(t, grant(h, now, "a", 1, 7), 5.0, "the partitioned entry has reported, with more than its part")
 	assert.Equal(t, grant(h, now.Add(grantTTL), "b", 4, 3), 3.0, "seven requests still run")
 
-	h = NewShareAllocator(simEpoch, "home-3")
-	h.SetRingMembership(fleet)
+	h = NewShareAllocator(simEpoch, "allocator-3")
+	h.SetRingMembership(ring)
 	assert.Equal(t, grant(h, now.Add(34*time.Second), "b", 1, 0), 10.0, "30 s timeouts have passed by any clock")
 
-	h = NewShareAllocator(simEpoch, "home-4")
+	h = NewShareAllocator(simEpoch, "allocator-4")
 	left := RingMembership{Members: []string{"b"}, Previous: []string{"a", "b"}, UnchangedFor: 10 * time.Second, MinChangeInterval: time.Minute}
 	h.SetRingMembership(left)
 	assert.Equal(t, grant(h, now, "b", 1, 0), 0.0, "requests of an entry that left the ring may still run")
--- a/admit/renewal.go
+++ b/admit/renewal.go
@@ -130,7 +130,7 @@
 }
 
 // pauseTracker tracks the longest pause between requests over the last one to two
-// pauseWindows. A share that is released between two bursts of requests would lose the
+// pauseWindow intervals. A share that is released between two bursts of requests would lose the
 // burst that it has accumulated.
 type pauseTracker struct {
 	windowStart       time.Time
@@ -216,17 +216,17 @@
 	return d
 }
 
-// HandleAnswer records that the allocator answered a report. name is its name, empty while
+// HandleAnswer records that the allocator answered a report. allocatorName is empty while
 // it may not grant yet. HandleAnswer returns true if it is not the one that answered before: a
 // new one waits for a full report.
-func (l *Limiter) HandleAnswer(r Report, name string) (changed bool) {
-	if name == "" {
+func (l *Limiter) HandleAnswer(r Report, allocatorName string) (changed bool) {
+	if allocatorName == "" {
 		return false
 	}
-	if r.Allocator == name && !r.Partial {
-		l.fullReportTo = name
+	if r.Allocator == allocatorName && !r.Partial {
+		l.fullReportTo = allocatorName
 	}
-	changed = name != l.allocator
-	l.allocator = name
+	changed = allocatorName != l.allocator
+	l.allocator = allocatorName
 	return changed
 }
--- a/admit/renewal_test.go
+++ b/admit/renewal_test.go
@@ -75,7 +75,7 @@
 	assert.Equal(t, l.subjects[simSubject].activeGrant(p.now), Amounts{})
 	assert.Assert(t, p.allocator.AcceptReport(p.now, r))
 	p.allocator.Grant(p.now, "0", simSubject, p.limit, d, p.hold)
-	l.Apply(p.now, sent, simSubject, "home-1", late)
+	l.Apply(p.now, sent, simSubject, "allocator-1", late)
 	used := l.subjects[simSubject].activeGrant(p.now).Requests
 	assert.Assert(t, used <= p.allocator.InUse(p.now, simSubject).Requests, "%g used", used)
 	assert.Assert(t, used > 0)
@@ -85,7 +85,7 @@
 // one.
 func TestPartialReportDoesNotSettleAllocator(t *testing.T) {
 	now := simEpoch.Add(grantTTL)
-	h := NewShareAllocator(simEpoch, "home-2")
+	h := NewShareAllocator(simEpoch, "allocator-2")
 	h.SetRingMembership(RingMembership{Members: []string{"a", "b"}, UnchangedFor: time.Hour})
 	hear := func(entry string, seq uint64, partial bool) {
 		assert.Assert(t, h.AcceptReport(now, Report{Entry: entry, Incarnation: 1, Seq: seq, Allocator: h.Name(now), Partial: partial}))
@@ -110,12 +110,12 @@
 		return r
 	}
 	assert.Assert(t, report().Partial)
-	assert.Assert(t, l.HandleAnswer(report(), "home-2"))
+	assert.Assert(t, l.HandleAnswer(report(), "allocator-2"))
 	for range 3 {
 		r, demands := l.Report(p.now)
 		assert.Assert(t, !r.Partial)
 		assert.Equal(t, demands[simSubject].Running, 1.0)
 	}
-	assert.Assert(t, !l.HandleAnswer(report(), "home-2"))
+	assert.Assert(t, !l.HandleAnswer(report(), "allocator-2"))
 	assert.Assert(t, report().Partial)
 }
--- a/admit/share_test.go
+++ b/admit/share_test.go
@@ -137,7 +137,7 @@
 func (s *sim) newLeader() {
 	s.allocators++
 	s.allocatorRate = s.randomRate()
-	s.allocator = NewShareAllocator(s.clock(s.allocatorRate), fmt.Sprintf("home-%d", s.allocators))
+	s.allocator = NewShareAllocator(s.clock(s.allocatorRate), fmt.Sprintf("allocator-%d", s.allocators))
 	s.configure(s.allocator)
 	s.leaseEnd = s.now + time.Duration(1+s.rng.IntN(15_000))*time.Millisecond
 }
--- a/admit/sumtree_test.go
+++ b/admit/sumtree_test.go
@@ -89,7 +89,7 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		now := simEpoch
-		h := NewShareAllocator(now.Add(-time.Hour), "home")
+		h := NewShareAllocator(now.Add(-time.Hour), "allocator")
 		acks := map[string]uint64{}
 		for range 3000 {
 			now = now.Add(time.Duration(rng.ExpFloat64() * float64(10*time.Millisecond)))
@@ -159,7 +159,7 @@
 // A demand that is not a valid number must not corrupt the totals of other entries.
 func TestInvalidDemandIsSanitized(t *testing.T) {
 	now := simEpoch
-	h := NewShareAllocator(now.Add(-time.Hour), "home")
+	h := NewShareAllocator(now.Add(-time.Hour), "allocator")
 	limit := Amounts{100, 100, math.Inf(1)}
 	for _, v := range []float64{math.NaN(), math.Inf(1), -5} {
 		h.Grant(now, "odd", simSubject, limit, Demand{Wanted: Amounts{v, v, v}, Running: v}, 0)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -278,7 +278,7 @@
 	mu sync.Mutex
 	// maySend implements MaySend.
 	maySend func(ran int) bool
-	crashed   []string
+	crashed []string
 }
 
 func (h *recordingGuard) MaySend(ran int) bool { return h.maySend(ran) }
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -15,9 +15,9 @@
 
 func (r *fixedRequest) Identity() *Request { return (*Request)(r) }
 
-// BenchmarkTrial measures the overhead per request while no request is suspected, while others are,
+// BenchmarkRequestGuard measures the overhead per request while no request is suspected, while others are,
 // and while one with the same hint is.
-func BenchmarkTrial(b *testing.B) {
+func BenchmarkRequestGuard(b *testing.B) {
 	for _, size := range []int{1 << 10, 4 << 20} {
 		r := &fixedRequest{Team: "a", Method: "POST", Host: "h", URI: "/x", Body: []byte(strings.Repeat("x", size))}
 		other, alike := subject("b", "other"), RequestInfo{Key: Key{1}, Hint: (*Request)(r).Hint()}
@@ -44,9 +44,9 @@
 	}
 }
 
-// BenchmarkLearnMassCrash measures how long a replica takes to learn of all requests that ran at a
+// BenchmarkMergeMassCrash measures how long a replica takes to merge all requests that ran at a
 // group that is lost, with and without requests in quarantine. Heartbeats wait meanwhile.
-func BenchmarkLearnMassCrash(b *testing.B) {
+func BenchmarkMergeMassCrash(b *testing.B) {
 	from := NewTable(DefaultSettings())
 	var list []*wire.Suspicion
 	for i := range 1920 {
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -19,8 +19,8 @@
 const maxLinesPerSecond = 24
 
 // Node is what an entry or gateway knows of requests that may crash upstreams: what it observed
-// itself, and what control replicas report from others. It is safe for concurrent use. A Trial with
-// a nil Node suspects no request.
+// itself, and what control replicas report from others. It is safe for concurrent use. A
+// RequestGuard with a nil Node suspects no request.
 //
 // A poison request cuts off all other requests on the upstream, and in a group those on all ranks.
 // Its caller then sends it again, possibly to another entry that has not seen it yet; unless entries
@@ -63,7 +63,8 @@
 	DetectedBy string
 }
 
-// RecordCrash records a crash that was observed here, and returns the verdict on the request after it.
+// RecordCrash records a crash that was observed here, and returns the verdict on the request after
+// it.
 func (n *Node) RecordCrash(e Crash) (v Verdict) {
 	n.updateTable(func(now time.Time, t *Table) bool {
 		ended := now.Add(-e.Age)
@@ -75,8 +76,8 @@
 	return v
 }
 
-// ApplyReport merges the suspicions in a message and logs the requests whose standing changes. The name of
-// the sender is only logged.
+// ApplyReport merges the suspicions in a message and logs the requests whose standing changes. The
+// name of the sender is only logged.
 func (n *Node) ApplyReport(from string, list []*wire.Suspicion) {
 	if len(list) == 0 {
 		return
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -212,8 +212,8 @@
 		if s.now.Before(e.partitionedUntil) {
 			continue
 		}
-		told := e.table.LocalSince(s.now, e.reportedVersion)
-		for _, m := range told.Suspicions {
+		batch := e.table.LocalSince(s.now, e.reportedVersion)
+		for _, m := range batch.Suspicions {
 			if Check(m) != nil {
 				panic("a message that Check refuses")
 			}
@@ -221,13 +221,13 @@
 				s.after(time.Duration(5+s.rnd.IntN(30))*time.Millisecond, func() { s.replicas[i].Merge(s.now, m) })
 			}
 		}
-		e.reportedVersion = told.Version
+		e.reportedVersion = batch.Version
 		for i, r := range s.replicas {
-			told := r.Since(s.now, e.learnedVersions[i])
-			for _, m := range told.Suspicions {
+			batch := r.Since(s.now, e.learnedVersions[i])
+			for _, m := range batch.Suspicions {
 				e.table.Merge(s.now, m)
 			}
-			e.learnedVersions[i] = told.Version
+			e.learnedVersions[i] = batch.Version
 		}
 	}
 	if s.now.Before(s.leaderlessUntil) {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -233,7 +233,7 @@
 }
 
 // RecordAnswer records that an upstream answered a request completely: it doesn't crash every upstream
-// that runs it. The request is cleared. Answered reports whether anything was held against it.
+// that runs it. The request is cleared. RecordAnswer reports whether any crash was recorded of it.
 func (t *Table) RecordAnswer(now time.Time, k Key) bool {
 	r := t.records[k]
 	if r == nil || len(r.runs) == 0 {
@@ -352,8 +352,8 @@
 	return n
 }
 
-// upstreamsCrashedNear returns how many upstreams crashed within MinSeparation of a time while running any of
-// the remembered requests.
+// upstreamsCrashedNear returns how many upstreams crashed within MinSeparation of a time while
+// running any of the remembered requests.
 func (t *Table) upstreamsCrashedNear(at time.Time) int {
 	ended := map[string]bool{}
 	for _, r := range t.records {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -184,18 +184,18 @@
 			assert.Assert(t, !replica.Merge(start, m), "nothing new the second time")
 		}
 	}
-	told := replica.Since(start, 0)
-	assert.Equal(t, len(told.Suspicions), 1)
+	batch := replica.Since(start, 0)
+	assert.Equal(t, len(batch.Suspicions), 1)
 	for _, tb := range tables {
-		tb.Merge(start, told.Suspicions[0])
+		tb.Merge(start, batch.Suspicions[0])
 		assert.Equal(t, tb.Verdict(start, poison.Key).Standing, Quarantined)
 	}
-	assert.Equal(t, len(replica.Since(start, told.Version).Suspicions), 0)
+	assert.Equal(t, len(replica.Since(start, batch.Version).Suspicions), 0)
 	tables[0].RecordAnswer(start, poison.Key)
 	replica.Merge(start, tables[0].LocalSince(start, 0).Suspicions[0])
-	told = replica.Since(start, told.Version)
-	assert.Assert(t, told.Suspicions[0].Cleared)
-	tables[1].Merge(start, told.Suspicions[0])
+	batch = replica.Since(start, batch.Version)
+	assert.Assert(t, batch.Suspicions[0].Cleared)
+	tables[1].Merge(start, batch.Suspicions[0])
 	assert.Equal(t, tables[1].Verdict(start, poison.Key).Standing, Unsuspected)
 }
 
@@ -223,9 +223,9 @@
 	}
 	seen, version := 0, uint64(0)
 	for range 10 {
-		told := replica.Since(start, version)
-		assert.Assert(t, len(told.Suspicions) <= MaxBatch)
-		seen, version = seen+len(told.Suspicions), told.Version
+		batch := replica.Since(start, version)
+		assert.Assert(t, len(batch.Suspicions) <= MaxBatch)
+		seen, version = seen+len(batch.Suspicions), batch.Version
 	}
 	assert.Equal(t, seen, 300)
 	assert.Equal(t, version, replica.Version())
--- a/quarantine/trial.go
+++ b/quarantine/trial.go
@@ -14,8 +14,8 @@
 	Identity() *Request
 }
 
-// RequestGuard checks one caller's request against a Node and records its runs. The zero value suspects no
-// request. Its methods are safe for concurrent use, except Begin and Done.
+// RequestGuard checks one caller's request against a Node and records its runs. The zero value
+// suspects no request. Its methods are safe for concurrent use, except Begin and Done.
 type RequestGuard struct {
 	node      *Node
 	requester Identifier
@@ -24,10 +24,10 @@
 	registered bool
 }
 
-// Init sets the node and the request of the trial.
+// Init sets the node and the request to check.
 func (t *RequestGuard) Init(n *Node, of Identifier) { t.node, t.requester = n, of }
 
-// suspectedKey returns the key of a request against which something may be held. It hashes the body
+// suspectedKey returns the key of a request that may be suspected. It hashes the body
 // only if the hint of the request is known.
 func (t *RequestGuard) suspectedKey() (Key, bool) {
 	if t.node == nil || t.node.recordCount.Load() == 0 {
@@ -83,8 +83,8 @@
 	t.node.table.Done(*t.key.Load())
 }
 
-// RecordAnswer records that an upstream answered the request completely, which clears it, and reports
-// whether anything was held against it.
+// RecordAnswer records that an upstream answered the request completely, which clears it, and
+// reports whether the request was suspected.
 func (t *RequestGuard) RecordAnswer(requestID string) (cleared bool) {
 	k, ok := t.suspectedKey()
 	if !ok {
--- a/route/latebinding_test.go
+++ b/route/latebinding_test.go
@@ -17,14 +17,14 @@
 	}
 }
 
-// Places returns the least loaded upstreams that aren't excluded, each once, and counts
+// QueueCandidates returns the least loaded upstreams that aren't excluded, each once, and counts
 // nothing as in flight.
-func TestPlacesAreLeastLoaded(t *testing.T) {
+func TestQueueCandidatesAreLeastLoaded(t *testing.T) {
 	b := newLeastLoaded(8)
 	reportAll(b, 8, 0, time.Second)
-	places := b.QueueCandidates(testStart, &Request{Exclude: map[string]bool{"up-0": true}}, 3)
+	candidates := b.QueueCandidates(testStart, &Request{Exclude: map[string]bool{"up-0": true}}, 3)
 	var ids []string
-	for _, up := range places {
+	for _, up := range candidates {
 		ids = append(ids, up.ID)
 		assert.Equal(t, b.byID[up.ID].inflight, 0)
 	}
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -60,12 +60,12 @@
 	}
 	defer cancel()
 	answers := gather(ctx, len(req.Ranks), func(i int) (*wire.RankReading, error) {
-		place := req.Ranks[i]
+		rank := req.Ranks[i]
 		read := &wire.ReadRankRequest{
-			Instance: place.Instance, Counts: req.Read.GetCounts(), HeldExperts: req.Read.GetHeldExperts(),
+			Instance: rank.Instance, Counts: req.Read.GetCounts(), HeldExperts: req.Read.GetHeldExperts(),
 			AwaitPrepared: req.Read.GetAwaitPrepared(), AwaitMs: req.Read.GetAwaitMs(), Reader: req.Read.GetReader(),
 		}
-		return s.rankAt(ctx, place.Sidecar).Read(ctx, read)
+		return s.rankAt(ctx, rank.Sidecar).Read(ctx, read)
 	})
 	reply := &wire.ReadRanksReply{}
 	var sum []uint32
