--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -111,7 +111,7 @@
 func (t *Table) toSuspicion(now time.Time, r *record) *wire.Suspicion {
 	m := &wire.Suspicion{
 		Key: r.Key[:], Hint: uint64(r.Hint), Team: r.Team, Route: r.Route, Runs: toWireRuns(now, r.runs),
-		QuarantineMs: toMillis(r.until.Sub(now)), Terms: uint32(r.terms),
+		QuarantineMs: toMillis(r.until.Sub(now)), Terms: uint32(r.quarantineCount),
 	}
 	if t.clearedRecently(now, r) {
 		m.Cleared, m.ClearedAgeMs = true, toMillis(now.Sub(r.clearedAt))
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -9,15 +9,16 @@
 
 // Settings are the thresholds and limits of a Table.
 type Settings struct {
-	// CrashThreshold is the number of upstream crashes that puts a request in quarantine. It should exceed two:
-	// a harmless request that runs beside a poison one may be sent again and meet it twice.
+	// CrashThreshold is the number of upstream crashes that puts a request in quarantine. It should
+	// exceed two: a harmless request that runs beside a poison one may be sent again and meet it
+	// twice.
 	CrashThreshold int
-	// MinSeparation is how long after a crash another run must have begun to count as following it. It also is
-	// the distance within which crashes count as simultaneous. Other entries learn of a crash some tens
-	// of milliseconds late.
+	// MinSeparation is how long after a crash another run must have begun to count as following it.
+	// It also is the distance within which crashes count as simultaneous. Other entries learn of a
+	// crash some tens of milliseconds late.
 	MinSeparation time.Duration
-	// OutageThreshold is the number of upstreams that crash simultaneously from which on the crashes are taken
-	// for an outage, not for the effect of copies of one request.
+	// OutageThreshold is the number of upstreams that crash simultaneously from which on the crashes
+	// are taken for an outage, not for the effect of copies of one request.
 	OutageThreshold int
 	// SuspicionTTL is how long crashes are held against a request that has not been in quarantine.
 	SuspicionTTL time.Duration
@@ -27,7 +28,8 @@
 	BaseDuration, MaxDuration time.Duration
 	// ClearedTTL is how long peers are told that a request was cleared.
 	ClearedTTL time.Duration
-	// MaxRecords is the maximum number of remembered requests, MaxRecordsPerTeam the maximum per team.
+	// MaxRecords is the maximum number of remembered requests, MaxRecordsPerTeam the maximum per
+	// team.
 	MaxRecords, MaxRecordsPerTeam int
 }
 
@@ -100,9 +102,9 @@
 	// copies ran there.
 	runs      []CrashedRun
 	lastCrash time.Time
-	// until is the end of its latest quarantine, terms the number of its quarantines.
-	until time.Time
-	terms int
+	// until is the end of its latest quarantine, quarantineCount how many it has had.
+	until           time.Time
+	quarantineCount int
 	// inFlight is the number of copies that run from this process.
 	inFlight int
 	// announced is set once the request is on its last trial or in quarantine, which peers are told.
@@ -125,7 +127,7 @@
 type Table struct {
 	settings Settings
 	records  map[Key]*record
-	// hints and teams count records. everQuarantined holds the records with terms above 0.
+	// hints and teams count records. everQuarantined holds the records with quarantineCount above 0.
 	hints           map[Hint]int
 	teams           map[string]int
 	everQuarantined map[Key]*record
@@ -167,7 +169,7 @@
 		return Quarantined
 	case len(r.runs) == 0 || t.isExpired(now, r):
 		return Unsuspected
-	case r.terms > 0 || len(r.runs) >= t.settings.CrashThreshold-1:
+	case r.quarantineCount > 0 || len(r.runs) >= t.settings.CrashThreshold-1:
 		// A request whose quarantine has lapsed is tried one more time.
 		return LastTrial
 	}
@@ -176,7 +178,7 @@
 
 // isExpired reports whether the crashes are too long ago to be held against the request.
 func (t *Table) isExpired(now time.Time, r *record) bool {
-	if r.terms > 0 {
+	if r.quarantineCount > 0 {
 		return now.Sub(r.until) > t.settings.MaxDuration
 	}
 	return now.Sub(r.lastCrash) > t.settings.SuspicionTTL
@@ -221,8 +223,8 @@
 	}
 }
 
-// RecordCrash records a run from this process during which an upstream crashed, and returns the verdict
-// after it.
+// RecordCrash records a run from this process during which an upstream crashed, and returns the
+// verdict after it.
 func (t *Table) RecordCrash(now time.Time, s RequestInfo, run CrashedRun) Verdict {
 	r := t.recordFor(now, s)
 	if t.addRuns(now, r, []CrashedRun{run}) {
@@ -248,7 +250,7 @@
 // changed anything.
 func (t *Table) Merge(now time.Time, m *wire.Suspicion) bool {
 	k := Key(m.Key)
-	cleared := m.Cleared && t.learnCleared(k, now.Add(-fromMillis(m.ClearedAgeMs)))
+	cleared := m.Cleared && t.mergeCleared(k, now.Add(-fromMillis(m.ClearedAgeMs)))
 	if len(m.Runs) == 0 {
 		return cleared
 	}
@@ -268,11 +270,11 @@
 // mergeQuarantine adopts another process's quarantine of a request if it is the later one, and
 // reports whether that changed anything.
 func (t *Table) mergeQuarantine(now time.Time, r *record, m *wire.Suspicion) (changed bool) {
-	if terms := int(m.Terms); terms > r.terms {
-		r.terms, r.until, changed = terms, earlier(now, r.lastCrash.Add(t.settings.quarantineDuration(terms))), true
+	if quarantineCount := int(m.Terms); quarantineCount > r.quarantineCount {
+		r.quarantineCount, r.until, changed = quarantineCount, earlier(now, r.lastCrash.Add(t.settings.quarantineDuration(quarantineCount))), true
 	}
 	if until := now.Add(fromMillis(m.QuarantineMs)); m.QuarantineMs > 0 && until.After(r.until.Add(untilTolerance)) {
-		r.until, r.terms, changed = until, max(r.terms, 1), true
+		r.until, r.quarantineCount, changed = until, max(r.quarantineCount, 1), true
 	}
 	return changed
 }
@@ -282,8 +284,8 @@
 	return slices.ContainsFunc(runs, func(run CrashedRun) bool { return !run.Ended.After(r.clearedAt) })
 }
 
-// learnCleared clears a request unless a clearing as late is known already.
-func (t *Table) learnCleared(k Key, at time.Time) bool {
+// mergeCleared clears a request unless a clearing as late is known already.
+func (t *Table) mergeCleared(k Key, at time.Time) bool {
 	r := t.records[k]
 	if r == nil || !at.After(r.clearedAt) {
 		return false
@@ -303,14 +305,14 @@
 	return b
 }
 
-// reassess decides on quarantine after more is held against a request.
+// reassess decides on quarantine after more crashes were recorded of a request.
 func (t *Table) reassess(now time.Time, r *record) {
 	if t.isQuarantineDue(now, r) {
-		r.terms++
-		r.until = now.Add(t.settings.quarantineDuration(r.terms))
+		r.quarantineCount++
+		r.until = now.Add(t.settings.quarantineDuration(r.quarantineCount))
 	}
 	t.bumpVersion(r)
-	if r.terms > 0 {
+	if r.quarantineCount > 0 {
 		t.everQuarantined[r.Key] = r
 	}
 	s := t.standing(now, r)
@@ -330,7 +332,7 @@
 	if now.Before(r.until) || r.lastCrash.Before(r.until) || t.isExpired(now, r) {
 		return false
 	}
-	if r.terms > 0 {
+	if r.quarantineCount > 0 {
 		return len(r.runs) > 0
 	}
 	return len(r.runs) >= t.settings.CrashThreshold && t.countCrashes(r) >= t.settings.CrashThreshold && r.countSequential(t.settings.MinSeparation) > 1
@@ -371,12 +373,12 @@
 	return slices.SortedFunc(slices.Values(r.runs), func(a, b CrashedRun) int { return a.Ended.Compare(b.Ended) })
 }
 
-// countSequential returns how many runs followed one another, each begun more than apart after the
-// one before had ended.
-func (r *record) countSequential(apart time.Duration) (n int) {
+// countSequential returns how many runs followed one another, each begun more than minSeparation
+// after the one before had ended.
+func (r *record) countSequential(minSeparation time.Duration) (n int) {
 	var last time.Time
 	for _, run := range r.runsByEnd() {
-		if n == 0 || run.Began.After(last.Add(apart)) {
+		if n == 0 || run.Began.After(last.Add(minSeparation)) {
 			n, last = n+1, run.Ended
 		}
 	}
@@ -407,7 +409,7 @@
 			continue
 		}
 		if expired {
-			r.announced, r.runs, r.until, r.terms = false, nil, time.Time{}, 0
+			r.announced, r.runs, r.until, r.quarantineCount = false, nil, time.Time{}, 0
 			delete(t.everQuarantined, r.Key)
 			expired = false
 		}
@@ -440,7 +442,7 @@
 func (t *Table) attributeCrashes(cause *record) {
 	var changed []*record
 	for _, r := range t.records {
-		if r == cause || r.terms > 0 {
+		if r == cause || r.quarantineCount > 0 {
 			continue
 		}
 		before := len(r.runs)
@@ -456,9 +458,9 @@
 	}
 }
 
-// clearRecord discards what is held against a request up to a time.
+// clearRecord discards the quarantines of a request and its crashes up to a time.
 func (t *Table) clearRecord(r *record, at time.Time) {
-	r.clearedAt, r.until, r.terms = at, time.Time{}, 0
+	r.clearedAt, r.until, r.quarantineCount = at, time.Time{}, 0
 	delete(t.everQuarantined, r.Key)
 	r.runs = slices.DeleteFunc(r.runs, func(run CrashedRun) bool { return !run.Ended.After(at) })
 	t.bumpVersion(r)
