--- a/admit/limiter.go
+++ b/admit/limiter.go
@@ -208,8 +208,8 @@
 	Concurrent float64 `json:"share_concurrent"`
 	Running    int     `json:"running"`
 	// Granted is the time until the grant expires; with 0, the entry has its floor alone.
-	Granted int64  `json:"granted_ms"`
-	Home    string `json:"home"`
+	Granted   int64  `json:"granted_ms"`
+	Allocator string `json:"home"`
 }
 
 // Dump returns the subjects that this entry keeps state of, ordered by team and service.
@@ -220,7 +220,7 @@
 		list = append(list, LocalState{
 			Team: s.Team, Service: s.Service, Requests: finite(share.Requests), Tokens: finite(share.Tokens),
 			Concurrent: finite(share.Concurrent), Running: loc.running,
-			Granted: max(loc.expires.Sub(now).Milliseconds(), 0), Home: loc.allocator,
+			Granted: max(loc.expires.Sub(now).Milliseconds(), 0), Allocator: loc.allocator,
 		})
 	}
 	sort.Slice(list, func(i, j int) bool {
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -19,7 +19,7 @@
 
 // MaySend implements forward.AttemptGuard.
 func (q *request) MaySend(attempts int) bool {
-	switch q.guard.Verdict().Standing {
+	switch q.guard.Verdict().Status {
 	case quarantine.Quarantined:
 		return false
 	case quarantine.LastTrial:
@@ -40,7 +40,7 @@
 // checked first in serve, so that such a request takes up no claim, limit or slot.
 func (q *request) quarantineRefusal() *wire.Refusal {
 	v := q.guard.Verdict()
-	if v.Standing != quarantine.Quarantined {
+	if v.Status != quarantine.Quarantined {
 		return nil
 	}
 	ref := q.entry.refuse(wire.Reason_REASON_QUARANTINED, q.guard.Explain(v))
--- a/fake/group.go
+++ b/fake/group.go
@@ -160,7 +160,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, r := range g.ranks {
-		if r.Blank() {
+		if r.HasNoMap() {
 			return 0, 0, false
 		}
 		step = max(step, r.NextStep())
--- a/fake/rank.go
+++ b/fake/rank.go
@@ -158,8 +158,8 @@
 	return ""
 }
 
-// Blank reports whether the rank has not yet adopted a map.
-func (r *Rank) Blank() bool { return r.noMap }
+// HasNoMap reports whether the rank has not yet adopted a map.
+func (r *Rank) HasNoMap() bool { return r.noMap }
 
 // NextStep returns the number of the step that the rank will begin.
 func (r *Rank) NextStep() uint64 { return r.nextStep }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -47,7 +47,7 @@
 	// was given up.
 	retryReserved atomic.Bool
 	tried         map[string]bool
-	// guard is the request's standing in quarantine.
+	// guard is the request's status in quarantine.
 	guard       quarantine.RequestGuard
 	lastOutcome outcome
 	reason      string
@@ -321,7 +321,7 @@
 			w.giveUpAt = queueEndsAt
 		}
 	}
-	if c.guard.Verdict().Standing == quarantine.LastTrial {
+	if c.guard.Verdict().Status == quarantine.LastTrial {
 		// A request on its last trial is admitted now or not at all; see quarantineRefusal.
 		w.giveUpAt = c.receivedAt
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -20,10 +20,10 @@
 func (c *call) quarantineRefusal() *refusal {
 	v := c.guard.Verdict()
 	switch {
-	case v.Standing == quarantine.Quarantined:
+	case v.Status == quarantine.Quarantined:
 		c.cause = c.guard.Explain(v)
 		return &refusal{status: http.StatusServiceUnavailable, reason: reasonQuarantined, retryAfter: v.Left}
-	case v.Standing == quarantine.LastTrial && c.waited > 0:
+	case v.Status == quarantine.LastTrial && c.waited > 0:
 		// Copies of the request could be queued at all gateways, be admitted together when the
 		// group is available again, and crash an upstream each.
 		c.cause = c.guard.Explain(v)
@@ -48,7 +48,7 @@
 // retryForbidden reports whether the request must not be sent to another upstream, with the
 // reason: it is in quarantine, or one more crash would put it there.
 func (c *call) retryForbidden() (reason string, only bool) {
-	switch c.guard.Verdict().Standing {
+	switch c.guard.Verdict().Status {
 	case quarantine.Quarantined:
 		return reasonQuarantined, true
 	case quarantine.LastTrial:
--- a/measure/rollout/sim.go
+++ b/measure/rollout/sim.go
@@ -284,7 +284,7 @@
 func (s *sim) nextStep() {
 	var step uint64
 	for i, r := range s.ranks {
-		if s.down[i] || r.Blank() {
+		if s.down[i] || r.HasNoMap() {
 			s.retryLater(s.nextStep)
 			return
 		}
--- a/quarantine/eviction.go
+++ b/quarantine/eviction.go
@@ -42,7 +42,7 @@
 // cleared within ClearedTTL.
 func (t *Table) Forget(now time.Time) {
 	for _, r := range t.records {
-		if t.standing(now, r) == Unsuspected && !t.clearedRecently(now, r) && r.inFlight == 0 {
+		if t.status(now, r) == Unsuspected && !t.clearedRecently(now, r) && r.inFlight == 0 {
 			t.dropRecord(r)
 		}
 	}
@@ -91,10 +91,10 @@
 	}
 }
 
-// compareForEviction orders records by standing, number of crashes, and time of the last crash.
+// compareForEviction orders records by status, number of crashes, and time of the last crash.
 func (t *Table) compareForEviction(now time.Time, a, b *record) int {
 	return cmp.Or(
-		cmp.Compare(t.standing(now, a), t.standing(now, b)),
+		cmp.Compare(t.status(now, a), t.status(now, b)),
 		cmp.Compare(len(a.runs), len(b.runs)),
 		a.lastCrash.Compare(b.lastCrash),
 		slices.Compare(a.Key[:], b.Key[:]),
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -58,7 +58,7 @@
 // quarantine, and the clearing of requests that had got that far.
 func (t *Table) Since(now time.Time, version uint64) Batch {
 	return t.changesAfter(now, func(r *record) uint64 {
-		if t.standing(now, r) < LastTrial && !(r.announced && t.clearedRecently(now, r)) {
+		if t.status(now, r) < LastTrial && !(r.announced && t.clearedRecently(now, r)) {
 			return 0
 		}
 		return r.version
@@ -74,7 +74,7 @@
 func (t *Table) All(now time.Time) []*wire.Suspicion {
 	var list []*wire.Suspicion
 	for _, r := range t.records {
-		if t.standing(now, r) != Unsuspected {
+		if t.status(now, r) != Unsuspected {
 			list = append(list, t.toSuspicion(now, r))
 		}
 	}
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -72,11 +72,11 @@
 		return true
 	})
 	n.logInfo("Upstream ended under a request.", "request", e.RequestID, "key", e.Key, "route", e.Route, "team", e.Team,
-		"upstream", e.Upstream, "addr", e.Address, "sign", e.DetectedBy, "ends", v.Crashes, "standing", v.Standing)
+		"upstream", e.Upstream, "addr", e.Address, "sign", e.DetectedBy, "ends", v.Crashes, "standing", v.Status)
 	return v
 }
 
-// ApplyReport merges the suspicions in a message and logs the requests whose standing changes. The
+// ApplyReport merges the suspicions in a message and logs the requests whose status changes. The
 // name of the sender is only logged.
 func (n *Node) ApplyReport(from string, list []*wire.Suspicion) {
 	if len(list) == 0 {
@@ -84,21 +84,21 @@
 	}
 	for _, c := range n.merge(from, list) {
 		n.logInfo("Request standing changed.", "replica", from, "key", c.key, "route", c.suspicion.Route, "team", c.suspicion.Team,
-			"standing", c.verdict.Standing, "ends", c.verdict.Crashes, "upstreams", strings.Join(c.verdict.Upstreams, ","),
+			"standing", c.verdict.Status, "ends", c.verdict.Crashes, "upstreams", strings.Join(c.verdict.Upstreams, ","),
 			"left_ms", c.verdict.Left.Milliseconds())
 	}
 }
 
-// standingChange is a request whose standing was changed by a peer's message.
-type standingChange struct {
+// statusChange is a request whose status was changed by a peer's message.
+type statusChange struct {
 	key       Key
 	suspicion *wire.Suspicion
 	verdict   Verdict
 }
 
-// merge merges suspicions into the table and returns the resulting changes of standing. Invalid
+// merge merges suspicions into the table and returns the resulting changes of status. Invalid
 // suspicions are logged and skipped.
-func (n *Node) merge(from string, list []*wire.Suspicion) (changes []standingChange) {
+func (n *Node) merge(from string, list []*wire.Suspicion) (changes []statusChange) {
 	n.updateTable(func(now time.Time, t *Table) bool {
 		for _, m := range list {
 			if err := Check(m); err != nil {
@@ -106,10 +106,10 @@
 				continue
 			}
 			k := Key(m.Key)
-			before := t.Verdict(now, k).Standing
+			before := t.Verdict(now, k).Status
 			t.Merge(now, m)
-			if v := t.Verdict(now, k); v.Standing != before {
-				changes = append(changes, standingChange{key: k, suspicion: m, verdict: v})
+			if v := t.Verdict(now, k); v.Status != before {
+				changes = append(changes, statusChange{key: k, suspicion: m, verdict: v})
 			}
 		}
 		return false
--- a/quarantine/property_test.go
+++ b/quarantine/property_test.go
@@ -55,7 +55,7 @@
 		first := tables[0].Verdict(now, poison.Key)
 		for _, table := range tables {
 			v := table.Verdict(now, poison.Key)
-			assert.Equal(t, v.Standing == Quarantined, first.Standing == Quarantined)
+			assert.Equal(t, v.Status == Quarantined, first.Status == Quarantined)
 			assert.DeepEqual(t, sortedCopy(v.Upstreams), sortedCopy(first.Upstreams))
 			if r := table.records[poison.Key]; r != nil {
 				for _, run := range r.runs {
@@ -120,7 +120,7 @@
 		table.Merge(start, m)
 		table.Merge(after(time.Second), m)
 		v := table.RecordCrash(after(2*time.Second), RequestInfo{Key: Key(m.Key)}, crashedRun("up-x", after(2*time.Second)))
-		assert.Assert(t, v.Standing != Unsuspected && len(v.Upstreams) <= maxRuns)
+		assert.Assert(t, v.Status != Unsuspected && len(v.Upstreams) <= maxRuns)
 		assert.Assert(t, v.Left <= 50*24*time.Hour)
 		for _, out := range table.Since(after(2*time.Second), 0).Suspicions {
 			assert.NilError(t, Check(out))
--- a/quarantine/trial.go
+++ b/quarantine/requestguard.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	t.node.updateTable(func(now time.Time, table *Table) bool {
-		cleared = table.Verdict(now, k).Standing != Unsuspected && table.RecordAnswer(now, k)
+		cleared = table.Verdict(now, k).Status != Unsuspected && table.RecordAnswer(now, k)
 		return cleared
 	})
 	if cleared {
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -267,7 +267,7 @@
 	v := e.table.Verdict(s.now, r.Key)
 	u := s.pickUpstream()
 	switch {
-	case v.Standing == Quarantined:
+	case v.Status == Quarantined:
 		if !r.poison {
 			s.harmless.refused++
 		}
@@ -363,7 +363,7 @@
 
 // retry makes a second attempt, or leaves it to the caller.
 func (s *sim) retry(r *simRequest) {
-	if r.attempts < 2 && s.entries[r.entry].table.Verdict(s.now, r.Key).Standing < LastTrial {
+	if r.attempts < 2 && s.entries[r.entry].table.Verdict(s.now, r.Key).Status < LastTrial {
 		s.send(r)
 		return
 	}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -57,12 +57,12 @@
 	Team, Route string
 }
 
-// Standing tells how strongly a request is suspected to crash upstreams.
-type Standing int
+// Status tells how strongly a request is suspected to crash upstreams.
+type Status int
 
 const (
 	// Unsuspected: the request is not suspected.
-	Unsuspected Standing = iota
+	Unsuspected Status = iota
 	// Suspect: upstreams crashed while running it. It may be sent to another upstream within the same
 	// caller's request.
 	Suspect
@@ -73,14 +73,14 @@
 	Quarantined
 )
 
-var standingNames = [...]string{"free", "suspect", "last-trial", "quarantined"}
+var statusNames = [...]string{"free", "suspect", "last-trial", "quarantined"}
 
-// String returns the standing as it appears in logs.
-func (s Standing) String() string { return standingNames[s] }
+// String returns the status as it appears in logs.
+func (s Status) String() string { return statusNames[s] }
 
-// Verdict is a request's standing and the reasons for it.
+// Verdict is a request's status and the reasons for it.
 type Verdict struct {
-	Standing Standing
+	Status Status
 	// Crashes is the number of upstreams that crashed while running it, Upstreams their IDs.
 	Crashes   int
 	Upstreams []string
@@ -145,7 +145,7 @@
 // Count returns how many requests are suspected, and how many of these are in quarantine.
 func (t *Table) Count(now time.Time) (suspected, quarantined int) {
 	for _, r := range t.records {
-		switch t.standing(now, r) {
+		switch t.status(now, r) {
 		case Unsuspected:
 		case Quarantined:
 			quarantined++
@@ -163,7 +163,7 @@
 // Version returns a number that grows with each change of the table.
 func (t *Table) Version() uint64 { return t.version }
 
-func (t *Table) standing(now time.Time, r *record) Standing {
+func (t *Table) status(now time.Time, r *record) Status {
 	switch {
 	case now.Before(r.until):
 		return Quarantined
@@ -190,8 +190,8 @@
 	if r == nil {
 		return Verdict{}
 	}
-	v := Verdict{Standing: t.standing(now, r)}
-	if v.Standing == Unsuspected {
+	v := Verdict{Status: t.status(now, r)}
+	if v.Status == Unsuspected {
 		return v
 	}
 	v.Crashes, v.Upstreams, v.Age = len(r.runs), r.upstreams(), now.Sub(r.lastCrash)
@@ -207,7 +207,7 @@
 	if r == nil {
 		return true
 	}
-	s := t.standing(now, r)
+	s := t.status(now, r)
 	if s == Quarantined || s == LastTrial && r.inFlight > 0 {
 		return false
 	}
@@ -315,7 +315,7 @@
 	if r.quarantineCount > 0 {
 		t.everQuarantined[r.Key] = r
 	}
-	s := t.standing(now, r)
+	s := t.status(now, r)
 	r.announced = r.announced || s >= LastTrial
 	if s == Quarantined {
 		t.attributeCrashes(r)
@@ -429,7 +429,7 @@
 // crashed.
 func (t *Table) isAttributed(now time.Time, r *record, upstream string) bool {
 	for _, other := range t.everQuarantined {
-		if other != r && t.standing(now, other) == Quarantined && other.crashedDuring(upstream) {
+		if other != r && t.status(now, other) == Quarantined && other.crashedDuring(upstream) {
 			return true
 		}
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -61,13 +61,13 @@
 func TestThirdCrashQuarantines(t *testing.T) {
 	tb := NewTable(DefaultSettings())
 	poison := subject("a", "bad")
-	assert.Equal(t, tb.Verdict(start, poison.Key).Standing, Unsuspected)
+	assert.Equal(t, tb.Verdict(start, poison.Key).Status, Unsuspected)
 	for range 5 {
-		assert.Equal(t, tb.RecordCrash(start, poison, crashedRun("up-1", start)).Standing, Suspect)
+		assert.Equal(t, tb.RecordCrash(start, poison, crashedRun("up-1", start)).Status, Suspect)
 	}
-	assert.Equal(t, tb.RecordCrash(after(time.Second), poison, crashedRun("up-2", after(time.Second))).Standing, LastTrial)
+	assert.Equal(t, tb.RecordCrash(after(time.Second), poison, crashedRun("up-2", after(time.Second))).Status, LastTrial)
 	v := tb.RecordCrash(after(2*time.Second), poison, crashedRun("up-3", after(2*time.Second)))
-	assert.Equal(t, v.Standing, Quarantined)
+	assert.Equal(t, v.Status, Quarantined)
 	assert.Equal(t, v.Crashes, 3)
 	assert.Equal(t, v.Left, DefaultSettings().BaseDuration)
 	assert.Assert(t, !tb.Begin(after(3*time.Second), poison.Key))
@@ -80,10 +80,10 @@
 	harmless := subject("a", "fine")
 	for n := range 30 {
 		now := after(time.Duration(n) * time.Second)
-		assert.Assert(t, tb.RecordCrash(now, harmless, crashedRun(fmt.Sprint("up-", 2*n), now)).Standing < Quarantined)
-		assert.Assert(t, tb.RecordCrash(now, harmless, crashedRun(fmt.Sprint("up-", 2*n+1), now)).Standing < Quarantined)
+		assert.Assert(t, tb.RecordCrash(now, harmless, crashedRun(fmt.Sprint("up-", 2*n), now)).Status < Quarantined)
+		assert.Assert(t, tb.RecordCrash(now, harmless, crashedRun(fmt.Sprint("up-", 2*n+1), now)).Status < Quarantined)
 		assert.Assert(t, tb.RecordAnswer(now, harmless.Key))
-		assert.Equal(t, tb.Verdict(now, harmless.Key).Standing, Unsuspected)
+		assert.Equal(t, tb.Verdict(now, harmless.Key).Status, Unsuspected)
 	}
 	assert.Assert(t, !tb.RecordAnswer(after(time.Hour), harmless.Key), "nothing is held against it")
 }
@@ -97,19 +97,19 @@
 		// The crashes are 10 ms apart, after runs of different lengths.
 		ended := after(time.Duration(10*i) * time.Millisecond)
 		v := tb.RecordCrash(ended, popular, CrashedRun{Upstream: fmt.Sprint("up-", i), Began: ended.Add(-time.Duration(20*i) * time.Millisecond), Ended: ended})
-		assert.Assert(t, v.Standing < Quarantined)
+		assert.Assert(t, v.Status < Quarantined)
 	}
-	assert.Equal(t, tb.Verdict(after(time.Second), popular.Key).Standing, LastTrial)
+	assert.Equal(t, tb.Verdict(after(time.Second), popular.Key).Status, LastTrial)
 	answered := NewTable(DefaultSettings())
 	for _, m := range tb.LocalSince(start, 0).Suspicions {
 		answered.Merge(after(time.Second), m)
 	}
 	assert.Assert(t, answered.RecordAnswer(after(time.Second), popular.Key))
-	assert.Equal(t, answered.Verdict(after(time.Second), popular.Key).Standing, Unsuspected)
+	assert.Equal(t, answered.Verdict(after(time.Second), popular.Key).Status, Unsuspected)
 	late := after(2 * time.Second)
-	assert.Equal(t, tb.RecordCrash(late, popular, crashedRun("up-8", late)).Standing, LastTrial)
+	assert.Equal(t, tb.RecordCrash(late, popular, crashedRun("up-8", late)).Status, LastTrial)
 	later := after(3 * time.Second)
-	assert.Equal(t, tb.RecordCrash(later, popular, crashedRun("up-9", later)).Standing, Quarantined)
+	assert.Equal(t, tb.RecordCrash(later, popular, crashedRun("up-9", later)).Status, Quarantined)
 }
 
 // Concurrent copies of a request on its last trial would each crash an upstream before the first
@@ -136,16 +136,16 @@
 	tb := NewTable(s)
 	poison := subject("a", "bad")
 	crashThree(tb, poison, start)
-	assert.Equal(t, tb.Verdict(after(s.BaseDuration-time.Second), poison.Key).Standing, Quarantined)
+	assert.Equal(t, tb.Verdict(after(s.BaseDuration-time.Second), poison.Key).Status, Quarantined)
 	lapsed := after(s.BaseDuration + time.Second)
-	assert.Equal(t, tb.Verdict(lapsed, poison.Key).Standing, LastTrial)
+	assert.Equal(t, tb.Verdict(lapsed, poison.Key).Status, LastTrial)
 	v := tb.RecordCrash(lapsed, poison, crashedRun("up-9", lapsed))
-	assert.Equal(t, v.Standing, Quarantined)
+	assert.Equal(t, v.Status, Quarantined)
 	assert.Equal(t, v.Left, 2*s.BaseDuration)
 	again := lapsed.Add(2*s.BaseDuration + time.Second)
 	assert.Assert(t, tb.RecordAnswer(again, poison.Key))
 	later := again.Add(time.Second)
-	assert.Equal(t, tb.RecordCrash(later, poison, crashedRun("up-10", later)).Standing, Suspect)
+	assert.Equal(t, tb.RecordCrash(later, poison, crashedRun("up-10", later)).Status, Suspect)
 	assert.Equal(t, s.quarantineDuration(100), s.MaxDuration)
 }
 
@@ -160,14 +160,14 @@
 	tb.RecordCrash(before, poison, crashedRun("up-1", before))
 	tb.RecordCrash(start, twice, crashedRun("up-2", start))
 	tb.RecordCrash(start, poison, crashedRun("up-2", start))
-	assert.Equal(t, tb.Verdict(start, twice.Key).Standing, LastTrial)
+	assert.Equal(t, tb.Verdict(start, twice.Key).Status, LastTrial)
 	tb.RecordCrash(start, poison, crashedRun("up-3", start))
-	assert.Equal(t, tb.Verdict(start, poison.Key).Standing, Quarantined)
-	assert.Equal(t, tb.Verdict(start, once.Key).Standing, Unsuspected)
-	assert.Equal(t, tb.Verdict(start, twice.Key).Standing, Unsuspected)
+	assert.Equal(t, tb.Verdict(start, poison.Key).Status, Quarantined)
+	assert.Equal(t, tb.Verdict(start, once.Key).Status, Unsuspected)
+	assert.Equal(t, tb.Verdict(start, twice.Key).Status, Unsuspected)
 	// A crash that is reported during the quarantine isn't held against it either.
-	assert.Equal(t, tb.RecordCrash(start, twice, crashedRun("up-3", start)).Standing, Unsuspected)
-	assert.Equal(t, tb.RecordCrash(start, twice, crashedRun("up-4", start)).Standing, Suspect)
+	assert.Equal(t, tb.RecordCrash(start, twice, crashedRun("up-3", start)).Status, Unsuspected)
+	assert.Equal(t, tb.RecordCrash(start, twice, crashedRun("up-4", start)).Status, Suspect)
 }
 
 // Three tables observe one crash each; what they report adds up to a quarantine in all of them, and a
@@ -188,7 +188,7 @@
 	assert.Equal(t, len(batch.Suspicions), 1)
 	for _, tb := range tables {
 		tb.Merge(start, batch.Suspicions[0])
-		assert.Equal(t, tb.Verdict(start, poison.Key).Standing, Quarantined)
+		assert.Equal(t, tb.Verdict(start, poison.Key).Status, Quarantined)
 	}
 	assert.Equal(t, len(replica.Since(start, batch.Version).Suspicions), 0)
 	tables[0].RecordAnswer(start, poison.Key)
@@ -196,7 +196,7 @@
 	batch = replica.Since(start, batch.Version)
 	assert.Assert(t, batch.Suspicions[0].Cleared)
 	tables[1].Merge(start, batch.Suspicions[0])
-	assert.Equal(t, tables[1].Verdict(start, poison.Key).Standing, Unsuspected)
+	assert.Equal(t, tables[1].Verdict(start, poison.Key).Status, Unsuspected)
 }
 
 // When a group is lost, each request that ran there has a single crash. Reporting all of them would
@@ -245,13 +245,13 @@
 		tb.RecordCrash(after(time.Duration(i)*time.Millisecond), subject("a", fmt.Sprint(i)), crashedRun("up-5", start))
 	}
 	assert.Assert(t, tb.Len() <= s.MaxRecordsPerTeam+1, tb.Len())
-	assert.Equal(t, tb.Verdict(after(time.Second), held.Key).Standing, Quarantined)
-	assert.Equal(t, tb.Verdict(after(time.Second), strong.Key).Standing, LastTrial)
+	assert.Equal(t, tb.Verdict(after(time.Second), held.Key).Status, Quarantined)
+	assert.Equal(t, tb.Verdict(after(time.Second), strong.Key).Status, LastTrial)
 	for i := range 3 * s.MaxRecords {
 		tb.RecordCrash(after(time.Minute), subject(fmt.Sprint("t-", i%50), fmt.Sprint(i)), crashedRun("up-6", after(time.Minute)))
 	}
 	assert.Assert(t, tb.Len() <= s.MaxRecords, tb.Len())
-	assert.Equal(t, tb.Verdict(after(time.Minute), held.Key).Standing, Quarantined)
+	assert.Equal(t, tb.Verdict(after(time.Minute), held.Key).Status, Quarantined)
 }
 
 // The hint of a forgotten request is forgotten too, so that no bodies are hashed for it.
@@ -262,7 +262,7 @@
 	tb.RecordCrash(start, one, crashedRun("up-1", start))
 	assert.Assert(t, tb.MayContain(one.Hint))
 	late := after(s.SuspicionTTL + time.Second)
-	assert.Equal(t, tb.Verdict(late, one.Key).Standing, Unsuspected)
+	assert.Equal(t, tb.Verdict(late, one.Key).Status, Unsuspected)
 	tb.Forget(late)
 	assert.Equal(t, tb.Len(), 0)
 	assert.Assert(t, !tb.MayContain(one.Hint))
@@ -286,14 +286,14 @@
 	fresh := NewTable(DefaultSettings())
 	fresh.Merge(after(time.Minute), restored.Suspicions(after(time.Minute))[0])
 	v := fresh.Verdict(after(time.Minute), poison.Key)
-	assert.Equal(t, v.Standing, Quarantined)
+	assert.Equal(t, v.Status, Quarantined)
 	assert.Equal(t, v.Left, DefaultSettings().BaseDuration-time.Minute)
 
 	lapsed := after(DefaultSettings().BaseDuration + time.Minute)
 	later := NewTable(DefaultSettings())
 	later.Merge(lapsed, restored.Suspicions(lapsed)[0])
-	assert.Equal(t, later.Verdict(lapsed, poison.Key).Standing, LastTrial)
-	assert.Equal(t, later.RecordCrash(lapsed, poison, crashedRun("up-9", lapsed)).Standing, Quarantined)
+	assert.Equal(t, later.Verdict(lapsed, poison.Key).Status, LastTrial)
+	assert.Equal(t, later.RecordCrash(lapsed, poison, crashedRun("up-9", lapsed)).Status, Quarantined)
 
 	assert.Assert(t, m.Apply(&wire.QuarantineCommand{Lift: poison.Key[:], AtMs: 7}).Changed)
 	assert.Equal(t, m.LiftedAt(poison.Key[:]), uint64(7))
@@ -329,7 +329,7 @@
 		}
 	}
 	v := replayed.Verdict(late, poison.Key)
-	assert.Equal(t, v.Standing, Quarantined)
+	assert.Equal(t, v.Status, Quarantined)
 	assert.DeepEqual(t, v.Upstreams, []string{"new-0", "new-1", "new-2"})
 }
 
--- a/rollout/machine_test.go
+++ b/rollout/machine_test.go
@@ -37,7 +37,7 @@
 		tg.ranks = append(tg.ranks, fake.NewRank(1))
 	}
 	tg.startLeader()
-	tg.runUntil("the first map", func() bool { return tg.state() != nil && !tg.ranks[0].Blank() })
+	tg.runUntil("the first map", func() bool { return tg.state() != nil && !tg.ranks[0].HasNoMap() })
 	return tg
 }
 
@@ -94,7 +94,7 @@
 // runSteps lets each rank run steps before end until it has to stop.
 func (tg *testGroup) runSteps(end uint64) {
 	for _, r := range tg.ranks {
-		for !r.Blank() && r.NextStep() < end && r.CanBeginStep() {
+		for !r.HasNoMap() && r.NextStep() < end && r.CanBeginStep() {
 			r.BeginStep(r.NextStep())
 		}
 	}
--- a/rollout/sim_test.go
+++ b/rollout/sim_test.go
@@ -413,7 +413,7 @@
 	}
 	var step uint64
 	for _, r := range s.ranks {
-		if !r.up || r.rank.Blank() {
+		if !r.up || r.rank.HasNoMap() {
 			s.after(simStepTime, s.startStep)
 			return
 		}
@@ -563,7 +563,7 @@
 	}
 	// A leader that can't reach one rank can't switch, but steps must continue: the
 	// rank's agent learns the decision of an open switch from another replica.
-	if r := s.ranks[s.rnd.IntN(len(s.ranks))]; s.rnd.IntN(3) == 0 && r.up && !r.rank.Blank() {
+	if r := s.ranks[s.rnd.IntN(len(s.ranks))]; s.rnd.IntN(3) == 0 && r.up && !r.rank.HasNoMap() {
 		l.cutRanks[r.index] = true
 		s.rankStaysCut = true
 	}
